--- a/crates/cleatfold-lab/src/days.rs
+++ b/crates/cleatfold-lab/src/days.rs
@@ -2,11 +2,12 @@
 //! drawn, watched for all rules.
 
 use crate::pairs::{self, Pair};
-use crate::world::{Size, SizeRow, Trouble, World};
+use crate::world::{BehaviorDigest, Size, SizeRow, Trouble, World};
 use clap::builder::RangedU64ValueParser;
 use cleatfold_wire::Ms;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
+use xxhash_rust::xxh3::Xxh3;
 
 #[derive(Clone, Debug, clap::Args)]
 pub struct Plan {
@@ -43,6 +44,10 @@
     /// Play this pair alone, as `blink,outage`.
     #[arg(long, conflicts_with_all = ["pairs", "only"])]
     pub pair: Option<Pair>,
+    /// Also print a digest of all that the controllers asked for, by day and in all. Versions of
+    /// the code with the same digest behave alike.
+    #[arg(long, conflicts_with_all = ["pairs", "pair"])]
+    pub digest: bool,
     /// Say of each day what befell.
     #[arg(long)]
     pub verbose: bool,
@@ -76,6 +81,7 @@
             threads: 1,
             pairs: false,
             pair: None,
+            digest: false,
             verbose: false,
         }
     }
@@ -96,6 +102,8 @@
     /// The longest time for which a job waited beside room after the troubles.
     pub waited_ms: u64,
     pub sizes: Vec<SizeRow>,
+    /// A digest of all that the controllers asked for, if `Plan::digest` is set.
+    pub digest: Option<u128>,
 }
 
 /// When the drawn troubles begin, end, and when the day does.
@@ -118,6 +126,7 @@
 pub fn play(plan: &Plan, seed: u64) -> Day {
     let mut world = World::sized(seed, false, plan.region());
     let kinds = if plan.only.is_empty() { Trouble::ALL } else { &plan.only };
+    world.digest = plan.digest.then(BehaviorDigest::default);
     world.poll_everything();
     world.draw_troubles(kinds, TROUBLES.0, TROUBLES.1, plan.troubles);
     world.run(END);
@@ -135,9 +144,19 @@
         longest_ms: world.polls.longest_ms,
         waited_ms: world.starvation.longest_ms,
         sizes,
+        digest: world.digest.as_ref().map(BehaviorDigest::value),
     }
 }
 
+/// One digest of the digests of all days, in their order.
+fn total_digest(days: &[Day]) -> u128 {
+    let mut hash = Xxh3::new();
+    for digest in days.iter().filter_map(|day| day.digest) {
+        hash.update(&digest.to_le_bytes());
+    }
+    hash.digest128()
+}
+
 /// Plays all days; true if no rule was broken.
 pub fn run(plan: &Plan) -> bool {
     if plan.pairs || plan.pair.is_some() {
@@ -171,12 +190,18 @@
             day.longest_ms as f64 / 1000.0,
             day.waited_ms as f64 / 1000.0
         );
+        if let Some(digest) = day.digest {
+            println!("    digest {digest:032x}");
+        }
         if plan.verbose || !day.broken.is_empty() {
             day.befell.iter().for_each(|b| println!("    {b}"));
         }
         day.broken.iter().for_each(|b| println!("  broken: {b}"));
     }
     let passed = days.iter().filter(|d| d.broken.is_empty()).count();
+    if plan.digest {
+        println!("digest of all days {:032x}", total_digest(&days));
+    }
     println!("{passed} passed, {} failed", days.len() - passed);
     passed == days.len()
 }
--- a/crates/cleatfold-lab/src/world.rs
+++ b/crates/cleatfold-lab/src/world.rs
@@ -7,6 +7,7 @@
 mod blinks;
 mod cancelled;
 mod commands;
+mod digest;
 mod drawn;
 mod insistent;
 mod lanes;
@@ -30,6 +31,7 @@
 
 pub use answers::Look;
 pub use blinks::{Back, Blink, Moment, Step, Who};
+pub use digest::BehaviorDigest;
 pub use drawn::{Aim, Trouble};
 pub use late::Purpose;
 pub use polls::TurnedAway;
@@ -306,6 +308,8 @@
     pub starvation: starvation::Starvation,
     /// What changes were spent on.
     pub written: ChangeCounts,
+    /// What the controllers asked for, if that is wanted.
+    pub digest: Option<BehaviorDigest>,
 }
 
 impl World {
@@ -388,6 +392,7 @@
             cancel_watch: Default::default(),
             starvation: Default::default(),
             written: Default::default(),
+            digest: None,
         };
         for i in 0..size.nodes {
             world.at(10 + i as u64, Happens::Tick(i));
@@ -445,6 +450,9 @@
         let effects = n.handle(now, wall, event);
         self.handled += 1;
         self.busy += began.elapsed();
+        if let Some(digest) = &mut self.digest {
+            digest.add(node, now, &effects);
+        }
         let life = self.lives[node];
         for effect in effects {
             match effect {
