--- a/crates/cleatfold-clients/src/mesh.rs
+++ b/crates/cleatfold-clients/src/mesh.rs
@@ -11,9 +11,14 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
+/// The longest message between controllers. The longest ones grow with the deployment: the images
+/// on all machines of a pool, and the pools of all waiting jobs. A message above it would end the
+/// connection, and with it whatever else was on its way.
+pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
+
 fn framed(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
     let _ = stream.set_nodelay(true);
-    let codec = LengthDelimitedCodec::builder().max_frame_length(1024 * 1024).new_codec();
+    let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     Framed::new(stream, codec)
 }
 
--- a/crates/cleatfold-control/src/fleet.rs
+++ b/crates/cleatfold-control/src/fleet.rs
@@ -1,11 +1,12 @@
 //! Machines as their reports and the cloud's list tell of them.
 
+use crate::deleted_machines::DeletedMachines;
 use cleatfold_plan::Resources;
 use cleatfold_wire::cloud::{MachineState, MachineType};
 use cleatfold_wire::worker::{HeldImage, TaskReport, TaskState};
 use cleatfold_wire::*;
 use serde_json::value::RawValue;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Clone, Debug)]
 pub struct LastReport {
@@ -129,9 +130,8 @@
     pub machines: BTreeMap<MachineId, Machine>,
     /// When the cloud's list last came whole.
     pub listed_at: Ms,
-    /// Deleted with proof; late news about them is ignored.
-    deleted: BTreeSet<MachineId>,
-    deleted_order: VecDeque<MachineId>,
+    /// Late news about these is ignored.
+    pub deleted: DeletedMachines,
 }
 
 impl Fleet {
@@ -157,14 +157,7 @@
 
     pub fn note_deleted(&mut self, id: &MachineId) {
         self.machines.remove(id);
-        if self.deleted.insert(id.clone()) {
-            self.deleted_order.push_back(id.clone());
-        }
-        while self.deleted_order.len() > 2000 {
-            if let Some(old) = self.deleted_order.pop_front() {
-                self.deleted.remove(&old);
-            }
-        }
+        self.deleted.insert(id);
     }
 
     /// Machines per pool.
--- a/crates/cleatfold-control/src/lib.rs
+++ b/crates/cleatfold-control/src/lib.rs
@@ -7,6 +7,7 @@
 mod archive;
 mod cancellations;
 pub mod config;
+mod deleted_machines;
 mod duties;
 pub mod effects;
 mod entitled;
@@ -43,6 +44,7 @@
 mod workspaces;
 
 pub use config::{Aim, AimKind, Config, Team};
+pub use deleted_machines::DeletedMachines;
 pub use effects::{
     CloudReply, CloudRequest, Effect, Event, Lane, Request, Response, StoreReply, StoreRequest,
     TeamAnswer, TeamAsk,
--- a/crates/cleatfold-door/src/class.rs
+++ b/crates/cleatfold-door/src/class.rs
@@ -12,6 +12,10 @@
     Poll,
 }
 
+/// Reports that may wait at one time. All workers of a large deployment (4,000 machines and more)
+/// may come to one controller at the same moment, when the others have just ended.
+const WORKER_BOUND: usize = 8_192;
+
 impl Class {
     pub const ALL: [Class; 4] = [Class::Busy, Class::Ask, Class::Idle, Class::Poll];
 
@@ -28,7 +32,7 @@
     /// So many may wait at one time. What is above could not be answered before it has left.
     pub fn bound(self) -> usize {
         match self {
-            Class::Busy | Class::Idle => 4096,
+            Class::Busy | Class::Idle => WORKER_BOUND,
             Class::Ask => 512,
             Class::Poll => 1024,
         }
--- a/crates/cleatfold-weights/src/record.rs
+++ b/crates/cleatfold-weights/src/record.rs
@@ -57,10 +57,24 @@
         all
     }
 
+    /// The same names with runs of consecutive numbers stored as ranges. Machines of one pool are
+    /// mostly rented in runs, so this is far shorter for thousands of them.
+    fn in_ranges(&self) -> Self {
+        let mut bits = self.bits();
+        bits.optimize();
+        let mut bytes = Vec::new();
+        let _ = bits.serialize_into(&mut bytes);
+        Names { numbers: BASE64_STANDARD_NO_PAD.encode(bytes), ..self.clone() }
+    }
+
+    fn bits(&self) -> RoaringBitmap {
+        let bytes = BASE64_STANDARD_NO_PAD.decode(&self.numbers).unwrap_or_default();
+        RoaringBitmap::deserialize_from(&bytes[..]).unwrap_or_default()
+    }
+
     /// What can't be read is nobody: it is a hint.
     pub fn read(&self) -> BTreeSet<MachineId> {
-        let bytes = BASE64_STANDARD_NO_PAD.decode(&self.numbers).unwrap_or_default();
-        let bits = RoaringBitmap::deserialize_from(&bytes[..]).unwrap_or_default();
+        let bits = self.bits();
         let (begin, width) = (&self.begin, self.width);
         let numbered = bits.iter().map(|n| MachineId::new(format!("{begin}{n:0width$}")));
         numbered.chain(self.others.iter().cloned()).collect()
@@ -78,7 +92,12 @@
         if holders.is_empty() {
             return;
         }
-        self.holders.insert(pool.clone(), Names::of(holders));
+        let names = Names::of(holders);
+        let in_ranges = names.in_ranges();
+        self.holders.insert(pool.clone(), names);
+        if self.bytes() > most {
+            self.holders.insert(pool.clone(), in_ranges);
+        }
         if self.bytes() > most {
             let few = Names::of(holders.iter().take(Self::FEW));
             self.holders.insert(pool.clone(), few);
--- a/crates/cleatfold-weights/tests/deal.rs
+++ b/crates/cleatfold-weights/tests/deal.rs
@@ -260,3 +260,42 @@
     assert!(pass(4100, Some(seen(1, 4000).1), false, false), "a newer report does not show it");
     assert!(pass(5000, None, true, false), "gone");
 }
+
+#[test]
+fn the_smallest_record_names_all_holders_of_a_pool_of_4500_machines() {
+    let holders: BTreeSet<MachineId> =
+        (0..4_500).map(|n| MachineId::new(format!("vm-{n:06}"))).collect();
+    let smallest_value = 8 * 1024;
+    let mut spread = SpreadRecord::default();
+    spread.set(&pool("a"), &holders, smallest_value);
+    assert!(spread.bytes() <= smallest_value, "{} bytes", spread.bytes());
+    assert_eq!(spread.in_zone(&ZoneId::new("a")), holders);
+    let stored = serde_json::to_vec(&spread).unwrap();
+    let read: SpreadRecord = serde_json::from_slice(&stored).unwrap();
+    assert_eq!(read.in_zone(&ZoneId::new("a")), holders);
+}
+
+#[test]
+fn each_of_4500_machines_gets_its_slot_in_turn_within_the_smallest_record() {
+    let settings = settings(100_000.0, false);
+    let smallest_value = 8 * 1024;
+    let mut wants: Vec<Want> =
+        (0..4_500).map(|n| Want { mb_per_s: 1, ..want(n, "a", 2) }).collect();
+    let mut rounds = 0;
+    while !wants.is_empty() {
+        let given = deal(
+            &settings,
+            &OriginRecord::default(),
+            &wants,
+            |_, _| (0, 0),
+            smallest_value,
+            u64::MAX,
+        );
+        assert!(!given.is_empty(), "{} machines wait for ever", wants.len());
+        wants.retain(|w| !given.contains_key(&w.machine));
+        let bytes = serde_json::to_vec(&OriginRecord { slots: given }).unwrap().len();
+        assert!(bytes <= smallest_value, "{bytes} bytes");
+        rounds += 1;
+    }
+    assert!(rounds <= 4_500 / 50, "{rounds} rounds");
+}
--- a/crates/cleatfold/src/settings.rs
+++ b/crates/cleatfold/src/settings.rs
@@ -71,6 +71,10 @@
     pub max_sockets: u32,
 }
 
+/// Where the settings do not say how many sockets the process may have: enough for a connection
+/// from each of 4,000 workers and as many users.
+pub const DEFAULT_MAX_SOCKETS: usize = 8_192;
+
 impl TeamSettings {
     fn accounted(&self) -> bool {
         self.cpus + self.cpus_max + self.gpus + self.gpus_max > 0.0
@@ -262,7 +266,7 @@
     /// Sockets that this process may have.
     pub fn sockets(&self) -> usize {
         match self.cluster.limits.max_sockets {
-            0 => 1024,
+            0 => DEFAULT_MAX_SOCKETS,
             most => most as usize,
         }
     }
