--- a/crates/cleatfold-plan/tests/model.rs
+++ b/crates/cleatfold-backfill/tests/model.rs
@@ -1,6 +1,6 @@
 //! The chart against a slow plain model that tries every moment on every machine.
 
-use cleatfold_plan::{plan, MachineChart, Request, Reservation, Resources, Timeline};
+use cleatfold_backfill::{plan, MachineChart, Request, Reservation, Resources, Timeline};
 use cleatfold_wire::{ImageId, Ms};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/cleatfold-plan/tests/victims.rs
+++ b/crates/cleatfold-backfill/tests/victims.rs
@@ -1,7 +1,7 @@
 //! The chooser of victims against the rules and a search through every choice.
 
-use cleatfold_plan::victims::{make_room, may_stop, Need, Running, Seat};
-use cleatfold_plan::Resources;
+use cleatfold_backfill::victims::{make_room, may_stop, Need, Running, Seat};
+use cleatfold_backfill::Resources;
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::TeamId;
 use rand::rngs::SmallRng;
--- a/crates/cleatfold-notices/tests/notices.rs
+++ b/crates/cleatfold-cancellation-broadcast/tests/notices.rs
@@ -1,6 +1,6 @@
 //! Controllers that tell one another, over a mesh that loses and cuts: compared with who can have heard.
 
-use cleatfold_notices::CancellationBroadcast;
+use cleatfold_cancellation_broadcast::CancellationBroadcast;
 use cleatfold_wire::{JobId, Ms, NodeId};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
--- a/crates/cleatfold-clients/src/store.rs
+++ b/crates/cleatfold-clients/src/store.rs
@@ -7,7 +7,7 @@
 
 use crate::http::{Http, NoAnswer};
 use cleatfold_control::{Lane, StoreReply, StoreRequest};
-use cleatfold_door::{Backoff, Breaker, Outlet, RetryBudget};
+use cleatfold_ingress::{Backoff, Breaker, Outlet, RetryBudget};
 use cleatfold_wire::store::{Events, Grant, Granted, Item, Page, Revision};
 use hyper::Method;
 use serde::de::DeserializeOwned;
--- a/crates/cleatfold-control/src/admission.rs
+++ b/crates/cleatfold-control/src/admission.rs
@@ -16,7 +16,7 @@
 use cleatfold_admission::meter::{Largest, Spread};
 use cleatfold_admission::room::Room;
 use cleatfold_admission::{decide, Allotment, Band, Bounds, Demand, Entry, Group, Small, View};
-use cleatfold_duties::Duty;
+use cleatfold_roles::Duty;
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/src/cancellations.rs
+++ b/crates/cleatfold-control/src/cancellations.rs
@@ -1,4 +1,4 @@
-//! The broadcast of cancellations over the mesh, beside the reading of the state service. `cleatfold_notices`
+//! The broadcast of cancellations over the mesh, beside the reading of the state service. `cleatfold_cancellation_broadcast`
 //! decides whom to tell.
 //!
 //! A broadcast cancellation makes an owner stop a job's tasks earlier than its next reading would; it records nothing, answers no
--- a/crates/cleatfold-control/src/config.rs
+++ b/crates/cleatfold-control/src/config.rs
@@ -87,7 +87,7 @@
     /// How much of each team's history is kept.
     pub history: cleatfold_workspace::Keep,
     /// Images that many want at once are fetched in stages; none: each machine for itself.
-    pub weights: Option<cleatfold_weights::Settings>,
+    pub weights: Option<cleatfold_image_distribution::Settings>,
 }
 
 impl Config {
--- a/crates/cleatfold-control/src/duties.rs
+++ b/crates/cleatfold-control/src/duties.rs
@@ -3,7 +3,7 @@
 use crate::effects::*;
 use crate::node::{Node, Pending};
 use crate::records::*;
-use cleatfold_duties::Duty;
+use cleatfold_roles::Duty;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
 use std::collections::BTreeSet;
--- a/crates/cleatfold-control/src/fault_attribution.rs
+++ b/crates/cleatfold-control/src/fault_attribution.rs
@@ -1,9 +1,9 @@
-//! Failed tasks: what the records and the machines' owners know of them, as `cleatfold_blame` judges.
+//! Failed tasks: what the records and the machines' owners know of them, as `cleatfold_fault_attribution` judges.
 
 use crate::mirror::Live;
 use crate::node::Node;
 use crate::state::jobs::Local;
-use cleatfold_blame::{pause_ms, standing, Evidence, Failure, Standing};
+use cleatfold_fault_attribution::{pause_ms, standing, Evidence, Failure, Standing};
 use cleatfold_wire::job::{JobState, Kind};
 use cleatfold_wire::*;
 use std::collections::BTreeSet;
--- a/crates/cleatfold-control/src/fleet.rs
+++ b/crates/cleatfold-control/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Machines as their reports and the cloud's list tell of them.
 
 use crate::deleted_machines::DeletedMachines;
-use cleatfold_plan::Resources;
+use cleatfold_backfill::Resources;
 use cleatfold_wire::cloud::{MachineState, MachineType};
 use cleatfold_wire::worker::{HeldImage, TaskReport, TaskState};
 use cleatfold_wire::*;
@@ -42,7 +42,7 @@
     /// under. A late copy shows neither.
     pub heard: Option<Ms>,
     /// Whether it hears us.
-    pub ears: cleatfold_reach::Ears,
+    pub ears: cleatfold_reachability::Ears,
     /// When we last answered a report of it with 200, and under which token.
     pub answered: Option<(Ms, Token)>,
     /// When the cloud takes it away.
@@ -53,7 +53,7 @@
     /// When tasks were first seen running.
     pub started: BTreeMap<(JobId, TaskIx), Ms>,
     /// Jobs that failed here.
-    pub suspicion: cleatfold_blame::Suspicion,
+    pub suspicion: cleatfold_fault_attribution::Suspicion,
     /// What works elsewhere fails here.
     pub faulty: bool,
     /// Being emptied to be returned.
--- a/crates/cleatfold-control/src/jobs.rs
+++ b/crates/cleatfold-control/src/jobs.rs
@@ -12,12 +12,12 @@
 use crate::state::sent::Sent;
 use crate::state::steps::{judge, Judged};
 use cleatfold_elastic::Verdict;
-use cleatfold_ledger::{claim_order, Selection};
 use cleatfold_wire::job::{JobState, Kind};
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::worker::Exit;
 use cleatfold_wire::*;
+use cleatfold_write_batching::{claim_order, Selection};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Guards that the state service takes in one transaction, per change that it takes.
--- a/crates/cleatfold-control/src/lanes.rs
+++ b/crates/cleatfold-control/src/lanes.rs
@@ -1,11 +1,11 @@
-//! Lanes: which pools' promises are believed, decisions that outlive who made them. `cleatfold_lanes` decides.
+//! Lanes: which pools' promises are believed, decisions that outlive who made them. `cleatfold_priority` decides.
 
 use crate::effects::{Lane, StoreReply, StoreRequest};
 use crate::node::{Node, Pending};
 use crate::queue::Queued;
 use crate::records::{made_key, pool_key};
 use crate::state::lanes::Making;
-use cleatfold_lanes::{lives, Ears, Gate, MadeRoom, Owner, Seen};
+use cleatfold_priority::{lives, Ears, Gate, MadeRoom, Owner, Seen};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/src/machines.rs
+++ b/crates/cleatfold-control/src/machines.rs
@@ -6,7 +6,7 @@
 use crate::mirror::Live;
 use crate::node::{Node, Pending};
 use crate::state::jobs::End;
-use cleatfold_duties::Duty;
+use cleatfold_roles::Duty;
 use cleatfold_wire::cloud::{ListedMachine, MachineState};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cleatfold-control/src/mirror.rs
+++ b/crates/cleatfold-control/src/mirror.rs
@@ -6,9 +6,9 @@
 
 use crate::records::*;
 use cleatfold_admission::Allotment;
-use cleatfold_duties::{Duty, RentBook};
+use cleatfold_backfill::Resources;
 use cleatfold_elastic::{Part, PartRecord, Progress, Width};
-use cleatfold_plan::Resources;
+use cleatfold_roles::{Duty, RentBook};
 use cleatfold_wire::store::{Event, Item};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -34,7 +34,7 @@
 impl Live {
     /// Where it stands among jobs of its kind: the revision at which it was accepted.
     pub fn place(&self) -> u64 {
-        cleatfold_lanes::place_of(self.record.place, self.version)
+        cleatfold_priority::place_of(self.record.place, self.version)
     }
 
     /// Where a one-zone job has to stay while any task of it may run.
--- a/crates/cleatfold-control/src/news.rs
+++ b/crates/cleatfold-control/src/news.rs
@@ -4,9 +4,9 @@
 use crate::mirror::Live;
 use crate::node::{Node, Pending};
 use crate::state::jobs::{part_of, Local};
-use cleatfold_ledger::{News, PartNews, Selection};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
+use cleatfold_write_batching::{News, PartNews, Selection};
 use std::collections::BTreeMap;
 
 /// Completed tasks of a job that goes on are kept back for as long as one of them takes, within
--- a/crates/cleatfold-control/src/node.rs
+++ b/crates/cleatfold-control/src/node.rs
@@ -7,7 +7,7 @@
 use crate::records::*;
 use crate::schedule::Plans;
 use crate::state::jobs::Local;
-use cleatfold_duties::Roster;
+use cleatfold_roles::Roster;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -4,7 +4,7 @@
 use crate::records::*;
 use crate::state::jobs::JobTx;
 use crate::state::sent::Sent;
-use cleatfold_duties::Duty;
+use cleatfold_roles::Duty;
 use cleatfold_wire::cloud::RentRequest;
 use cleatfold_wire::job::JobSpec;
 use cleatfold_wire::steps::StepReport;
@@ -48,7 +48,7 @@
     /// Taking a duty, or giving it back.
     Duty(Duty),
     /// The record of rentals, and what to ask for once it is durable.
-    Rents(Box<cleatfold_duties::rents::Step>),
+    Rents(Box<cleatfold_roles::rents::Step>),
     /// Any transaction on pool keys or slices: whatever comes of it, the next sync tells.
     Deal,
     Slice(Box<crate::limits::SentSlice>),
--- a/crates/cleatfold-control/src/reach.rs
+++ b/crates/cleatfold-control/src/reach.rs
@@ -1,9 +1,9 @@
 //! Who reaches whom: what workers and peers show of it, questions to workers that have been quiet, and
-//! pools that follow the workers. `cleatfold_reach` decides.
+//! pools that follow the workers. `cleatfold_reachability` decides.
 
 use crate::effects::{Effect, Response};
 use crate::node::Node;
-use cleatfold_reach::{Answer, Came, Hears};
+use cleatfold_reachability::{Answer, Came, Hears};
 use cleatfold_wire::cloud::MachineState;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::worker::RawReport;
--- a/crates/cleatfold-control/src/records.rs
+++ b/crates/cleatfold-control/src/records.rs
@@ -9,10 +9,10 @@
 
 pub use losses::*;
 
-use cleatfold_duties::Duty;
-pub use cleatfold_lanes::{MadeRecord, MadeRoom};
-use cleatfold_plan::Resources;
-pub use cleatfold_weights::{OriginRecord, SpreadRecord};
+use cleatfold_backfill::Resources;
+pub use cleatfold_image_distribution::{OriginRecord, SpreadRecord};
+pub use cleatfold_priority::{MadeRecord, MadeRoom};
+use cleatfold_roles::Duty;
 use cleatfold_wire::job::{JobSpec, JobState, JobStatus};
 use cleatfold_wire::*;
 pub use cleatfold_workspace::{Entry, Group as HistoryGroup, HistoryHead, Summary};
--- a/crates/cleatfold-control/src/records/losses.rs
+++ b/crates/cleatfold-control/src/records/losses.rs
@@ -1,7 +1,7 @@
 //! Losses as the records hold them.
 
 use crate::config::Config;
-use cleatfold_blame::Failure;
+use cleatfold_fault_attribution::Failure;
 use cleatfold_wire::losses::{JobLosses, Loss, LossCause};
 use cleatfold_wire::*;
 use serde::{Deserialize, Serialize};
--- a/crates/cleatfold-control/src/schedule.rs
+++ b/crates/cleatfold-control/src/schedule.rs
@@ -8,9 +8,9 @@
 use crate::queue::Queued;
 use crate::state::jobs::{Local, Wish};
 use crate::state::stops::YIELD_MS;
-use cleatfold_lanes::{believed, prompt_ms};
-use cleatfold_plan::chart::FOREVER;
-use cleatfold_plan::{MachineChart, Request, Reservation, Timeline};
+use cleatfold_backfill::chart::FOREVER;
+use cleatfold_backfill::{MachineChart, Request, Reservation, Timeline};
+use cleatfold_priority::{believed, prompt_ms};
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::mesh::{Message, Promise};
 use cleatfold_wire::*;
@@ -118,7 +118,7 @@
             };
             self.requests_for(&mut plan, queue, &binding, &long.later);
             plan.reservations =
-                cleatfold_plan::plan(&mut charts, &mut limits, &plan.requests, CHUNKS);
+                cleatfold_backfill::plan(&mut charts, &mut limits, &plan.requests, CHUNKS);
             plans.push(plan);
         }
         plans
--- a/crates/cleatfold-control/src/shrink.rs
+++ b/crates/cleatfold-control/src/shrink.rs
@@ -1,7 +1,7 @@
 //! Making room on machines that are full: members of elastic jobs give way, and ordinary tasks
 //! are preempted where the protocol allows it and it makes a difference.
 //!
-//! Whom to stop is decided in `cleatfold_plan::victims`. What is kept here may be lost with the
+//! Whom to stop is decided in `cleatfold_backfill::victims`. What is kept here may be lost with the
 //! node: a task whose stop is forgotten just runs on.
 
 use crate::config::AimKind;
@@ -11,8 +11,8 @@
 use crate::node::Node;
 use crate::schedule::PoolPlan;
 use crate::state::stops::{Stop, YIELD_MS};
-use cleatfold_lanes::{MadeRoom, Victim};
-use cleatfold_plan::victims::{self, Need, Room, Running, Seat};
+use cleatfold_backfill::victims::{self, Need, Room, Running, Seat};
+use cleatfold_priority::{MadeRoom, Victim};
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::worker::{Command, Exit, Orders, Report, TaskReport, TaskState};
 use cleatfold_wire::*;
@@ -168,7 +168,7 @@
         self.fleet.machines.get(id).is_some_and(|m| m.spot)
     }
 
-    fn has_image(&self, id: &MachineId, request: &cleatfold_plan::Request) -> bool {
+    fn has_image(&self, id: &MachineId, request: &cleatfold_backfill::Request) -> bool {
         let machine = self.fleet.machines.get(id);
         request.image_gb <= 0.0
             || machine.is_some_and(|m| m.images.iter().any(|i| i.0 == request.image))
--- a/crates/cleatfold-control/src/state/cancellations.rs
+++ b/crates/cleatfold-control/src/state/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancellations that are being told to the peers, until each has acknowledged them.
 
-use cleatfold_notices::CancellationBroadcast;
+use cleatfold_cancellation_broadcast::CancellationBroadcast;
 use cleatfold_wire::Ms;
 
 /// A controller's part in the broadcast of cancellations.
--- a/crates/cleatfold-control/src/state/image_distribution.rs
+++ b/crates/cleatfold-control/src/state/image_distribution.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Machine;
 use crate::mirror::Live;
-use cleatfold_weights::ImageDistributor;
+use cleatfold_image_distribution::ImageDistributor;
 use cleatfold_wire::worker::TaskState;
 use cleatfold_wire::{ImageId, JobId, MachineId, Ms, Session};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cleatfold-control/src/state/lanes.rs
+++ b/crates/cleatfold-control/src/state/lanes.rs
@@ -1,6 +1,6 @@
 //! What a controller knows of the others' pools and of room that is being made in its own.
 
-use cleatfold_lanes::{considers, Gate, MadeRecord, MadeRoom, Sent};
+use cleatfold_priority::{considers, Gate, MadeRecord, MadeRoom, Sent};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cleatfold-control/src/state/reach.rs
+++ b/crates/cleatfold-control/src/state/reach.rs
@@ -1,7 +1,7 @@
 //! What a controller has seen of who reaches whom.
 
 use crate::config::Config;
-use cleatfold_reach::{Reach, Timing};
+use cleatfold_reachability::{Reach, Timing};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/cleatfold-control/src/state/workspaces.rs
+++ b/crates/cleatfold-control/src/state/workspaces.rs
@@ -1,7 +1,7 @@
 //! The workspaces that a controller owns, and what is on its way to their histories.
 
 use crate::records::*;
-use cleatfold_duties::Vacancies;
+use cleatfold_roles::Vacancies;
 use cleatfold_wire::store::{Item, Txn};
 use cleatfold_wire::*;
 use cleatfold_workspace::{End, Ended};
--- a/crates/cleatfold-control/src/weights.rs
+++ b/crates/cleatfold-control/src/weights.rs
@@ -1,10 +1,10 @@
-//! The distribution of images that many machines want at once: what `cleatfold_weights` decides from, what
+//! The distribution of images that many machines want at once: what `cleatfold_image_distribution` decides from, what
 //! becomes of its decisions, and the two records.
 
 use crate::effects::*;
 use crate::node::{Node, Pending};
 use crate::records::*;
-use cleatfold_weights::{Seen, Settings, Turn, View, Want};
+use cleatfold_image_distribution::{Seen, Settings, Turn, View, Want};
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::worker::{Command, HeldImage, TaskReport, TaskState};
--- a/crates/cleatfold-control/tests/added.rs
+++ b/crates/cleatfold-control/tests/added.rs
@@ -1,7 +1,7 @@
 //! The troubles that the operators added: copies of reports that come late, machines that nothing
 //! told reaches, a controller without the state service and its peers but with its workers.
 
-use cleatfold_lab::world::{Happens, Size, World, NODES};
+use cleatfold_testbed::world::{Happens, Size, World, NODES};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -228,9 +228,8 @@
         let machine = world.running.values().next().expect("a busy machine").clone();
         let pool = world.pool_of(&machine).expect("there");
         let of = |world: &World| -> usize {
-            let kind = |w: &&cleatfold_standin::worker::Worker| {
-                whole || w.machine_type == pool.machine_type
-            };
+            let kind =
+                |w: &&cleatfold_fakes::worker::Worker| whole || w.machine_type == pool.machine_type;
             world.workers.values().filter(|w| w.zone == pool.zone).filter(kind).count()
         };
         let (before, until) = (of(&world), world.now.plus(60_000));
--- a/crates/cleatfold-control/tests/admission.rs
+++ b/crates/cleatfold-control/tests/admission.rs
@@ -3,8 +3,8 @@
 
 use cleatfold_admission::Allotment;
 use cleatfold_control::records::{HolderRecord, ALLOTMENT};
-use cleatfold_duties::Duty;
-use cleatfold_lab::world::{node_id, Happens, Size, World, NODES};
+use cleatfold_roles::Duty;
+use cleatfold_testbed::world::{node_id, Happens, Size, World, NODES};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 
--- a/crates/cleatfold-control/tests/answers.rs
+++ b/crates/cleatfold-control/tests/answers.rs
@@ -4,7 +4,7 @@
 mod meeting;
 
 use cleatfold_control::{records, Event, Request, StoreReply, StoreRequest};
-use cleatfold_lab::world::{Asked, Happens, Look, Purpose, Size, World, NODES};
+use cleatfold_testbed::world::{Asked, Happens, Look, Purpose, Size, World, NODES};
 use cleatfold_wire::job::{JobSpec, JobState};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/tests/blinks.rs
+++ b/crates/cleatfold-control/tests/blinks.rs
@@ -7,8 +7,8 @@
 //! `docs/safety.md` stand as well.
 
 use cleatfold_control::records::{pool_key, HolderRecord};
-use cleatfold_duties::Duty;
-use cleatfold_lab::world::{Back, Blink, Moment, Size, Step, Who, World, NODES};
+use cleatfold_roles::Duty;
+use cleatfold_testbed::world::{Back, Blink, Moment, Size, Step, Who, World, NODES};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::*;
 use std::collections::BTreeMap;
@@ -43,7 +43,7 @@
     let holds = |world: &World, key: &str| -> Option<usize> {
         let holder = world.store.get(key)?;
         let holder: HolderRecord = serde_json::from_str(holder.value.get()).ok()?;
-        (0..NODES).find(|i| cleatfold_lab::world::node_id(*i) == holder.owner)
+        (0..NODES).find(|i| cleatfold_testbed::world::node_id(*i) == holder.owner)
     };
     if let Some(leader) = holds(&world, Duty::Deal.key()) {
         world.crash(leader, 6_000);
--- a/crates/cleatfold-control/tests/cancellations.rs
+++ b/crates/cleatfold-control/tests/cancellations.rs
@@ -1,7 +1,7 @@
 //! Cancelled jobs stop in time, whoever told the user so and whoever holds the workers.
 
 use cleatfold_control::Request;
-use cleatfold_lab::world::{Asked, Happens, Size, World};
+use cleatfold_testbed::world::{Asked, Happens, Size, World};
 use cleatfold_wire::job::{JobSpec, JobState, Kind, Urgency};
 use cleatfold_wire::*;
 
--- a/crates/cleatfold-control/tests/commands.rs
+++ b/crates/cleatfold-control/tests/commands.rs
@@ -3,7 +3,7 @@
 mod meeting;
 
 use cleatfold_control::Response;
-use cleatfold_lab::world::{Happens, World, NODES};
+use cleatfold_testbed::world::{Happens, World, NODES};
 use cleatfold_wire::job::Elastic;
 use cleatfold_wire::worker::{Command, Exit, Orders, Report, TaskState};
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/tests/duties.rs
+++ b/crates/cleatfold-control/tests/duties.rs
@@ -1,8 +1,8 @@
 //! What only one controller may do, while whoever does it is killed, cut off and replaced.
 
 use cleatfold_control::records::{HolderRecord, RENTS_KEY};
-use cleatfold_duties::{Duty, RentBook};
-use cleatfold_lab::world::{node_id, Happens, Size, World, NODES};
+use cleatfold_roles::{Duty, RentBook};
+use cleatfold_testbed::world::{node_id, Happens, Size, World, NODES};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cleatfold-control/tests/elastic.rs
+++ b/crates/cleatfold-control/tests/elastic.rs
@@ -3,7 +3,7 @@
 //! answer a member gets.
 
 use cleatfold_control::{records, Request};
-use cleatfold_lab::world::{node_id, Asked, Happens, Size, World, NODES};
+use cleatfold_testbed::world::{node_id, Asked, Happens, Size, World, NODES};
 use cleatfold_wire::job::{Elastic, JobSpec, Urgency};
 use cleatfold_wire::*;
 
--- a/crates/cleatfold-control/tests/format.rs
+++ b/crates/cleatfold-control/tests/format.rs
@@ -2,7 +2,7 @@
 
 use cleatfold_control::records::FORMAT_KEY;
 use cleatfold_control::FORMAT;
-use cleatfold_lab::world::{Happens, Size, World, NODES};
+use cleatfold_testbed::world::{Happens, Size, World, NODES};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::Ms;
 
--- a/crates/cleatfold-control/tests/handovers.rs
+++ b/crates/cleatfold-control/tests/handovers.rs
@@ -2,7 +2,7 @@
 
 mod meeting;
 
-use cleatfold_lab::world::{World, NODES};
+use cleatfold_testbed::world::{World, NODES};
 use cleatfold_wire::job::Elastic;
 use cleatfold_wire::*;
 use meeting::*;
@@ -69,7 +69,7 @@
                         loss.befall(&mut world, owner);
                     }
                     if again == 0 && n % 3 == 1 {
-                        world.happen(cleatfold_lab::world::Happens::Die(machine.clone()));
+                        world.happen(cleatfold_testbed::world::Happens::Die(machine.clone()));
                     }
                     asking(&mut world, 4_000 + 3_000 * (again as u64 + n as u64 % 4));
                 }
--- a/crates/cleatfold-control/tests/lanes.rs
+++ b/crates/cleatfold-control/tests/lanes.rs
@@ -2,7 +2,7 @@
 //! whoever plans most is killed, frozen or cut off.
 
 use cleatfold_control::records::HolderRecord;
-use cleatfold_lab::world::{node_id, Happens, Size, World, NODES};
+use cleatfold_testbed::world::{node_id, Happens, Size, World, NODES};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 use rand::rngs::SmallRng;
--- a/crates/cleatfold-control/tests/late.rs
+++ b/crates/cleatfold-control/tests/late.rs
@@ -5,9 +5,9 @@
 
 use cleatfold_control::records::*;
 use cleatfold_control::{Request, StoreRequest};
-use cleatfold_duties::Duty;
-use cleatfold_lab::world::{node_id, Asked, Happens, Purpose, Size, Weights, World, NODES};
-use cleatfold_standin::store::Refusal;
+use cleatfold_fakes::store::Refusal;
+use cleatfold_roles::Duty;
+use cleatfold_testbed::world::{node_id, Asked, Happens, Purpose, Size, Weights, World, NODES};
 use cleatfold_wire::job::{Elastic, JobSpec, JobState, Kind, Urgency};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/tests/leaders.rs
+++ b/crates/cleatfold-control/tests/leaders.rs
@@ -6,7 +6,7 @@
 
 mod meeting;
 
-use cleatfold_lab::world::{Blink, Happens, Moment, Step, Who, World, NODES};
+use cleatfold_testbed::world::{Blink, Happens, Moment, Step, Who, World, NODES};
 use cleatfold_wire::*;
 use meeting::*;
 
--- a/crates/cleatfold-control/tests/limits.rs
+++ b/crates/cleatfold-control/tests/limits.rs
@@ -4,8 +4,8 @@
 mod meeting;
 
 use cleatfold_control::records::HolderRecord;
-use cleatfold_duties::Duty;
-use cleatfold_lab::world::{node_id, team_id, Happens, Purpose, Size, World, NODES};
+use cleatfold_roles::Duty;
+use cleatfold_testbed::world::{node_id, team_id, Happens, Purpose, Size, World, NODES};
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::*;
 use meeting::{ends_well, plain, run_for, withdraw, Loss};
--- a/crates/cleatfold-control/tests/losses.rs
+++ b/crates/cleatfold-control/tests/losses.rs
@@ -2,7 +2,7 @@
 
 use cleatfold_control::records::{loss_log_prefix, ArchiveRecord};
 use cleatfold_control::Request;
-use cleatfold_lab::world::{Asked, Happens, Size, World, NODES};
+use cleatfold_testbed::world::{Asked, Happens, Size, World, NODES};
 use cleatfold_wire::losses::Loss;
 use cleatfold_wire::{Attempt, JobId, Ms, TaskId, TeamId};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cleatfold-control/tests/meeting/mod.rs
+++ b/crates/cleatfold-control/tests/meeting/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use cleatfold_lab::world::{Size, World};
+use cleatfold_testbed::world::{Size, World};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::*;
 
@@ -30,7 +30,7 @@
 /// Cancels the job at a controller.
 pub fn withdraw(world: &mut World, node: usize, job: &JobId) {
     use cleatfold_control::Request;
-    use cleatfold_lab::world::Asked;
+    use cleatfold_testbed::world::Asked;
     world.jobs.get_mut(job).expect("known").cancel_asked = true;
     world.ask(node, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
 }
--- a/crates/cleatfold-control/tests/overload.rs
+++ b/crates/cleatfold-control/tests/overload.rs
@@ -1,7 +1,7 @@
 //! More is asked than can be done: what is given up, and what comes back.
 
 use cleatfold_control::Request;
-use cleatfold_lab::world::{Asked, Size, World, NODES};
+use cleatfold_testbed::world::{Asked, Size, World, NODES};
 use cleatfold_wire::{JobId, Ms};
 
 /// Hundreds of machines, few changes a second, and only the users that a test plays.
--- a/crates/cleatfold-control/tests/repeats.rs
+++ b/crates/cleatfold-control/tests/repeats.rs
@@ -2,7 +2,7 @@
 //! reports of an earlier session, about an attempt that has been started once more.
 
 use cleatfold_control::Request;
-use cleatfold_lab::world::{Asked, Happens, Size, World, NODES};
+use cleatfold_testbed::world::{Asked, Happens, Size, World, NODES};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::worker::{Exit, TaskState};
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/tests/seen_token.rs
+++ b/crates/cleatfold-control/tests/seen_token.rs
@@ -2,7 +2,7 @@
 //! neither that a task is gone nor that an attempt is over. Late copies bring such reports. Both are guards of
 //! `claims.rs`, played here with the controllers themselves.
 
-use cleatfold_lab::world::{Happens, Size, World};
+use cleatfold_testbed::world::{Happens, Size, World};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::worker::{Command, Orders, Report};
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/tests/slices.rs
+++ b/crates/cleatfold-control/tests/slices.rs
@@ -3,7 +3,7 @@
 
 mod meeting;
 
-use cleatfold_lab::world::{team_id, ChangeKind, Size, World};
+use cleatfold_testbed::world::{team_id, ChangeKind, Size, World};
 use meeting::{ends_well, plain, run_for};
 
 /// Ninety limited teams share four pools and 24 changes a second, of which more are refused.
--- a/crates/cleatfold-control/tests/small_jobs.rs
+++ b/crates/cleatfold-control/tests/small_jobs.rs
@@ -5,7 +5,7 @@
 
 mod meeting;
 
-use cleatfold_lab::world::{Size, World};
+use cleatfold_testbed::world::{Size, World};
 use cleatfold_wire::job::JobState;
 use cleatfold_wire::*;
 use meeting::*;
--- a/crates/cleatfold-control/tests/unlisted.rs
+++ b/crates/cleatfold-control/tests/unlisted.rs
@@ -2,7 +2,7 @@
 //! jobs that fail wherever they run.
 
 use cleatfold_control::records::{HolderRecord, JobRecord};
-use cleatfold_lab::world::{node_id, Size, World, NODES};
+use cleatfold_testbed::world::{node_id, Size, World, NODES};
 use cleatfold_wire::job::{JobSpec, Urgency};
 use cleatfold_wire::*;
 use std::collections::BTreeMap;
--- a/crates/cleatfold-control/tests/weights.rs
+++ b/crates/cleatfold-control/tests/weights.rs
@@ -1,7 +1,7 @@
 //! Images that many machines want at once, while those who plan their spread fall. The world watches, at every
 //! step, that the seats in the record stay within the bound and that whoever fetches from the origin has one.
 
-use cleatfold_lab::world::{node_id, Happens, Size, Weights, World, NODES};
+use cleatfold_testbed::world::{node_id, Happens, Size, Weights, World, NODES};
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::*;
 use std::collections::BTreeSet;
@@ -51,7 +51,7 @@
 
 /// Somebody who serves others now, or fetches from the origin.
 fn a_source(world: &World) -> Option<MachineId> {
-    let held = |w: &cleatfold_standin::worker::Worker| {
+    let held = |w: &cleatfold_fakes::worker::Worker| {
         w.images.held.iter().any(|h| h.serves > 0 && h.part < 1.0)
     };
     world.workers.iter().find(|(_, w)| held(w)).map(|(id, _)| id.clone())
@@ -150,7 +150,7 @@
     let cancel = submit(&mut world, 32, "m1", 400.0);
     world.run(Ms(20_000));
     world.jobs.get_mut(&cancel).expect("known").cancel_asked = true;
-    let asked = cleatfold_lab::world::Asked::Withdraw(cancel.clone());
+    let asked = cleatfold_testbed::world::Asked::Withdraw(cancel.clone());
     world.ask(1, asked, cleatfold_control::Request::Withdraw(cancel.clone()));
     world.run(Ms(21_000));
     (0..NODES).for_each(|n| world.at(0, Happens::Crash(n)));
@@ -175,7 +175,7 @@
         let tasks: BTreeSet<TaskId> = lost
             .into_iter()
             .filter_map(|h| match h {
-                cleatfold_standin::worker::Happening::Dropped(task) => Some(task),
+                cleatfold_fakes::worker::Happening::Dropped(task) => Some(task),
                 _ => None,
             })
             .collect();
@@ -201,7 +201,7 @@
     let key = "cf/w/m1";
     let named = |w: &World| {
         let item = w.store.get(key)?;
-        let record: cleatfold_weights::SpreadRecord =
+        let record: cleatfold_image_distribution::SpreadRecord =
             serde_json::from_str(item.value.get()).expect("a record");
         Some(record.holders.values().map(|n| n.read().len()).sum::<usize>())
     };
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -2,7 +2,7 @@
 
 use cleatfold_control::records::*;
 use cleatfold_control::{Event, Request, Response, StoreReply, StoreRequest, TeamAnswer, TeamAsk};
-use cleatfold_lab::world::{node_id, Asked, Happens, JobWatch, Size, World, NODES};
+use cleatfold_testbed::world::{node_id, Asked, Happens, JobWatch, Size, World, NODES};
 use cleatfold_wire::job::{JobSpec, JobState, Urgency};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::team::{EndedJob, Holdup};
--- a/crates/cleatfold-control/tests/world.rs
+++ b/crates/cleatfold-control/tests/world.rs
@@ -2,7 +2,7 @@
 //! laboratory's, which measures in it as well.
 
 use cleatfold_control::{records, Event, Request};
-use cleatfold_lab::world::{node_id, Asked, Happens, JobWatch, Size, World, NODES};
+use cleatfold_testbed::world::{node_id, Asked, Happens, JobWatch, Size, World, NODES};
 use cleatfold_wire::job::{JobState, Urgency};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -182,7 +182,7 @@
         let Some((_, (owner, _))) = away else { continue };
         // Whoever has far more than an equal part does not get all of it back.
         let weight = |key: &str| {
-            let on = |w: &&cleatfold_standin::worker::Worker| {
+            let on = |w: &&cleatfold_fakes::worker::Worker| {
                 key.ends_with(&format!("/{}/{}", w.machine_type, w.zone))
             };
             1 + world.workers.values().filter(on).count()
--- a/crates/cleatfold-control/tests/zones.rs
+++ b/crates/cleatfold-control/tests/zones.rs
@@ -4,7 +4,7 @@
 
 mod meeting;
 
-use cleatfold_lab::world::{Happens, World, NODES};
+use cleatfold_testbed::world::{Happens, World, NODES};
 use cleatfold_wire::*;
 use meeting::{ends_well, owner, plain, region, run_for, withdraw};
 use std::collections::BTreeSet;
--- a/crates/cleatfold-standin/src/weights.rs
+++ b/crates/cleatfold-fakes/src/weights.rs
@@ -1,7 +1,7 @@
 //! Images that workers fetch from their origin and from one another, in pieces.
 
 use crate::worker::Worker;
-use cleatfold_weights::{digest, Fetch, Next, Pieces};
+use cleatfold_image_distribution::{digest, Fetch, Next, Pieces};
 use cleatfold_wire::job::JobSpec;
 use cleatfold_wire::worker::HeldImage;
 use cleatfold_wire::*;
--- a/crates/cleatfold-blame/tests/blame.rs
+++ b/crates/cleatfold-fault-attribution/tests/blame.rs
@@ -1,6 +1,6 @@
 //! Blame as properties, against worlds in which it is known who is at fault.
 
-use cleatfold_blame::{pause_ms, standing, Evidence, Failure, Standing, Suspicion};
+use cleatfold_fault_attribution::{pause_ms, standing, Evidence, Failure, Standing, Suspicion};
 use cleatfold_wire::{Attempt, JobId, MachineId, TaskIx};
 use proptest::prelude::*;
 
--- a/crates/cleatfold-weights/tests/deal.rs
+++ b/crates/cleatfold-image-distribution/tests/deal.rs
@@ -1,6 +1,6 @@
 //! Seats against a plain model, the record at its limit, pieces that are wrong, and caches too small.
 
-use cleatfold_weights::*;
+use cleatfold_image_distribution::*;
 use cleatfold_wire::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cleatfold-door/tests/desk.rs
+++ b/crates/cleatfold-ingress/tests/desk.rs
@@ -1,6 +1,6 @@
 //! The desk against a slow plain model, and against loads that nobody could serve.
 
-use cleatfold_door::{Class, Desk};
+use cleatfold_ingress::{Class, Desk};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/cleatfold-door/tests/intake.rs
+++ b/crates/cleatfold-ingress/tests/intake.rs
@@ -1,6 +1,6 @@
 //! Submissions by team, against a plain reading of turns.
 
-use cleatfold_door::Intake;
+use cleatfold_ingress::Intake;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/cleatfold-door/tests/machine_limits.rs
+++ b/crates/cleatfold-ingress/tests/machine_limits.rs
@@ -1,6 +1,6 @@
 //! The HTTP server's bounds, at more machines than are supported.
 
-use cleatfold_door::{Class, Desk, Seats};
+use cleatfold_ingress::{Class, Desk, Seats};
 
 const MACHINES: u64 = 4_500;
 /// What a controller may have where the settings do not say.
--- a/crates/cleatfold-door/tests/parts.rs
+++ b/crates/cleatfold-ingress/tests/parts.rs
@@ -1,6 +1,6 @@
 //! Pressure, connections and retries, each on its own.
 
-use cleatfold_door::{Backoff, Breaker, Level, Pressure, RetryBudget, Seats};
+use cleatfold_ingress::{Backoff, Breaker, Level, Pressure, RetryBudget, Seats};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
--- a/crates/cleatfold-door/tests/turns.rs
+++ b/crates/cleatfold-ingress/tests/turns.rs
@@ -1,6 +1,6 @@
 //! Polls under pressure, and what goes out to the state service when it takes little.
 
-use cleatfold_door::{Level, Outlet, Turns, ROUND, TURN_MS};
+use cleatfold_ingress::{Level, Outlet, Turns, ROUND, TURN_MS};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/cleatfold-door/tests/write_pacer.rs
+++ b/crates/cleatfold-ingress/tests/write_pacer.rs
@@ -1,6 +1,6 @@
 //! `WritePacer` against a plain model, and what it promises.
 
-use cleatfold_door::{Backoff, Need, PacerLimits, WritePacer};
+use cleatfold_ingress::{Backoff, Need, PacerLimits, WritePacer};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/cleatfold-lanes/src/inversions.rs
+++ b/crates/cleatfold-priority/src/inversions.rs
@@ -1,6 +1,6 @@
 //! Inversions: starts of a lower lane while something of a higher one, that would have fitted there, waited.
 
-use cleatfold_plan::Resources;
+use cleatfold_backfill::Resources;
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::{JobId, Ms, TypeId, ZoneId};
 use std::collections::BTreeSet;
--- a/crates/cleatfold-lanes/tests/explored.rs
+++ b/crates/cleatfold-priority/tests/explored.rs
@@ -5,7 +5,7 @@
 //! One machine with one place, on which background runs; one urgent task wants it, and other background
 //! waits. (The search is a plain one through all states; no library for it could be had here.)
 
-use cleatfold_lanes::{MadeRecord, MadeRoom, Seen, Victim};
+use cleatfold_priority::{MadeRecord, MadeRoom, Seen, Victim};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 use std::collections::{BTreeSet, VecDeque};
--- a/crates/cleatfold-lanes/tests/model.rs
+++ b/crates/cleatfold-priority/tests/model.rs
@@ -1,6 +1,6 @@
 //! Places, moments, whom to count on, what may start: against plain models and by cases.
 
-use cleatfold_lanes::*;
+use cleatfold_priority::*;
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::{Ms, Version};
 use proptest::prelude::*;
--- a/crates/cleatfold-reach/tests/hearing.rs
+++ b/crates/cleatfold-reachability/tests/hearing.rs
@@ -1,6 +1,6 @@
 //! Machines that hear nothing, and a controller that hears nobody but its workers.
 
-use cleatfold_reach::{Answer, Ears, Letting};
+use cleatfold_reachability::{Answer, Ears, Letting};
 use cleatfold_wire::worker::{Command, TaskReport, TaskState};
 use cleatfold_wire::*;
 use proptest::prelude::*;
--- a/crates/cleatfold-reach/tests/reach.rs
+++ b/crates/cleatfold-reachability/tests/reach.rs
@@ -1,6 +1,6 @@
 //! Who reaches whom, against a world in which it is known what is cut and what is dead.
 
-use cleatfold_reach::{Came, Hears, Reach, Standing, Strays, Timing};
+use cleatfold_reachability::{Came, Hears, Reach, Standing, Strays, Timing};
 use cleatfold_wire::{MachineId, Ms, NodeId, PoolId, Seq, Session, Token, ZoneId};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
--- a/crates/cleatfold-duties/tests/explored.rs
+++ b/crates/cleatfold-roles/tests/explored.rs
@@ -4,7 +4,7 @@
 //!
 //! (The search is a plain one through all states; no library for it could be had here.)
 
-use cleatfold_duties::{Answer, Desk, Intent, RentBook};
+use cleatfold_roles::{Answer, Desk, Intent, RentBook};
 use cleatfold_wire::{Ms, TypeId, Version, ZoneId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/cleatfold-lab/src/capacity/hollow.rs
+++ b/crates/cleatfold-testbed/src/capacity/hollow.rs
@@ -5,7 +5,7 @@
 use super::usage::of_this_thread;
 use crate::region::{json, problem, read, Answer};
 use bytes::Bytes;
-use cleatfold_standin::worker::{Happening, Worker};
+use cleatfold_fakes::worker::{Happening, Worker};
 use cleatfold_wire::worker::{Exit, Orders, Redirect, ReportReply};
 use cleatfold_wire::*;
 use http_body_util::{BodyExt, Full};
--- a/crates/cleatfold-lab/src/elastic.rs
+++ b/crates/cleatfold-testbed/src/elastic.rs
@@ -211,7 +211,7 @@
 
 pub async fn run(plan: Plan) -> std::io::Result<Results> {
     let mut rng = SmallRng::seed_from_u64(plan.seed);
-    let dir = std::env::temp_dir().join(format!("cleatfold-lab-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("cleatfold-testbed-{}", std::process::id()));
     let mut up = Up::start(dir, 3, 3, plan.held.then_some(plan.seed)).await?;
     let mut sweep = job(1, "sweeps", Urgency::Normal, 4.0, 10.0);
     sweep.tasks = 6;
--- a/crates/cleatfold-lab/src/history.rs
+++ b/crates/cleatfold-testbed/src/history.rs
@@ -2,8 +2,8 @@
 
 use cleatfold_control::records::{self, JobRecord, Key};
 use cleatfold_elastic::{Hold, Part, STEPS_PART};
-use cleatfold_standin::member::Member;
-use cleatfold_standin::store::Store;
+use cleatfold_fakes::member::Member;
+use cleatfold_fakes::store::Store;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cleatfold-lab/src/main.rs
+++ b/crates/cleatfold-testbed/src/main.rs
@@ -1,13 +1,13 @@
 //! The laboratory's command line.
 
 use clap::{Parser, Subcommand};
-use cleatfold_lab::{capacity, days, elastic, scale, team, weights};
+use cleatfold_testbed::{capacity, days, elastic, scale, team, weights};
 use std::process::ExitCode;
 use tracing_subscriber::filter::{LevelFilter, Targets};
 use tracing_subscriber::prelude::*;
 
 #[derive(Parser)]
-#[command(name = "cleatfold-lab", version, about = "A region on loopback, and experiments")]
+#[command(name = "cleatfold-testbed", version, about = "A region on loopback, and experiments")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -40,16 +40,16 @@
     let cli = Cli::parse();
     if let Command::Capacity(plan) = &cli.command {
         if let Err(why) = plan.check() {
-            eprintln!("cleatfold-lab: {why}");
+            eprintln!("cleatfold-testbed: {why}");
             return ExitCode::from(2);
         }
     }
     // The controllers of a simulated region are part of this process: only our own lines.
-    let ours = Targets::new().with_target("cleatfold_lab", LevelFilter::INFO);
+    let ours = Targets::new().with_target("cleatfold_testbed", LevelFilter::INFO);
     let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false);
     tracing_subscriber::registry().with(lines.with_filter(ours)).init();
     let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
-        eprintln!("cleatfold-lab: no runtime");
+        eprintln!("cleatfold-testbed: no runtime");
         return ExitCode::FAILURE;
     };
     let done = tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -92,7 +92,7 @@
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
             let error: std::io::Error = error;
-            eprintln!("cleatfold-lab: {error}");
+            eprintln!("cleatfold-testbed: {error}");
             ExitCode::FAILURE
         }
     }
@@ -108,7 +108,7 @@
 }
 
 async fn up(machines: usize) -> std::io::Result<()> {
-    let dir = std::env::temp_dir().join(format!("cleatfold-lab-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("cleatfold-testbed-{}", std::process::id()));
     let up = elastic::Up::start(dir.clone(), 3, machines, None).await?;
     let mut sweep = elastic::job(1, "sweeps", cleatfold_wire::job::Urgency::Normal, 2.0, 10.0);
     sweep.tasks = 6;
--- a/crates/cleatfold-lab/src/pairs.rs
+++ b/crates/cleatfold-testbed/src/pairs.rs
@@ -190,7 +190,7 @@
         day.broken.iter().for_each(|b| println!("  broken: {b}"));
         if !day.broken.is_empty() {
             println!(
-                "  again: cleatfold-lab region --pair {} --seed {} --seeds 1 --nodes {} --teams {} --machines {}",
+                "  again: cleatfold-testbed region --pair {} --seed {} --seeds 1 --nodes {} --teams {} --machines {}",
                 day.pair, day.seed, plan.nodes, plan.teams, plan.machines
             );
         }
--- a/crates/cleatfold-lab/src/region.rs
+++ b/crates/cleatfold-testbed/src/region.rs
@@ -3,9 +3,9 @@
 use crate::history::StepWatch;
 use bytes::Bytes;
 use cleatfold_clients::http::Http;
-use cleatfold_standin::cloud::Cloud;
-use cleatfold_standin::store::{Refusal, Store};
-use cleatfold_standin::worker::{Happening, Worker};
+use cleatfold_fakes::cloud::Cloud;
+use cleatfold_fakes::store::{Refusal, Store};
+use cleatfold_fakes::worker::{Happening, Worker};
 use cleatfold_wire::cloud::{MachineList, MachineType, MachineTypes, Machines, RentRequest};
 use cleatfold_wire::job::{JobSpec, Problem};
 use cleatfold_wire::steps::{StepReply, StepReport};
--- a/crates/cleatfold-lab/src/world.rs
+++ b/crates/cleatfold-testbed/src/world.rs
@@ -41,9 +41,9 @@
 
 use crate::history::StepWatch;
 use cleatfold_control::*;
-use cleatfold_standin::cloud::Cloud;
-use cleatfold_standin::store::{Refusal, Store};
-use cleatfold_standin::worker::{Happening, Worker};
+use cleatfold_fakes::cloud::Cloud;
+use cleatfold_fakes::store::{Refusal, Store};
+use cleatfold_fakes::worker::{Happening, Worker};
 use cleatfold_wire::cloud::MachineType;
 use cleatfold_wire::job::{JobSpec, JobState, Kind, Urgency};
 use cleatfold_wire::losses::TeamLosses;
@@ -289,7 +289,7 @@
     pub slow_answers: Vec<u64>,
     pub troubles: troubles::Troubles,
     /// Large images on the machines.
-    pub net: Option<cleatfold_standin::weights::Net>,
+    pub net: Option<cleatfold_fakes::weights::Net>,
     images_moved: Ms,
     pub polls: polls::Polls,
     pub lanes: lanes::LaneWatch,
--- a/crates/cleatfold-lab/src/world/blinks.rs
+++ b/crates/cleatfold-testbed/src/world/blinks.rs
@@ -105,7 +105,7 @@
                 Some(Key::Rents) => (Step::Rent, None, None),
                 Some(Key::Pool(pool)) => {
                     let owner = serde_json::from_str::<HolderRecord>(value.get()).ok()?.owner;
-                    let leader = self.store.get(cleatfold_duties::Duty::Deal.key());
+                    let leader = self.store.get(cleatfold_roles::Duty::Deal.key());
                     let leader = leader.and_then(|i| {
                         serde_json::from_str::<HolderRecord>(i.value.get()).ok().map(|h| h.owner)
                     });
--- a/crates/cleatfold-lab/src/world/lanes.rs
+++ b/crates/cleatfold-testbed/src/world/lanes.rs
@@ -2,8 +2,8 @@
 //! fitted there.
 
 use super::*;
-use cleatfold_lanes::{inverts, Inversions, Start, Waiting};
-use cleatfold_plan::Resources;
+use cleatfold_backfill::Resources;
+use cleatfold_priority::{inverts, Inversions, Start, Waiting};
 
 #[derive(Default)]
 pub struct LaneWatch {
--- a/crates/cleatfold-lab/src/world/leaders.rs
+++ b/crates/cleatfold-testbed/src/world/leaders.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use cleatfold_control::records::HolderRecord;
-use cleatfold_duties::Duty;
+use cleatfold_roles::Duty;
 
 /// A leader ends at most so often in one trouble.
 const MOST_ENDS: u32 = 10;
--- a/crates/cleatfold-lab/src/world/weights.rs
+++ b/crates/cleatfold-testbed/src/world/weights.rs
@@ -1,8 +1,8 @@
 //! Large images on the machines, and what watches the seats at their origin.
 
 use super::*;
-use cleatfold_standin::weights::Net;
-use cleatfold_weights::{OriginRecord, Settings};
+use cleatfold_fakes::weights::Net;
+use cleatfold_image_distribution::{OriginRecord, Settings};
 
 const STEP_MS: u64 = 100;
 
--- a/crates/cleatfold-lab/src/world/written.rs
+++ b/crates/cleatfold-testbed/src/world/written.rs
@@ -4,7 +4,7 @@
 //! of keys that are written for it.
 
 use cleatfold_control::records::{self, JobRecord, Key, Table};
-use cleatfold_standin::store::Store;
+use cleatfold_fakes::store::Store;
 use cleatfold_wire::store::{Change, Txn};
 use cleatfold_wire::{Attempt, TaskIx};
 use serde::de::DeserializeOwned;
--- a/crates/cleatfold-lab/tests/capacity.rs
+++ b/crates/cleatfold-testbed/tests/capacity.rs
@@ -1,18 +1,18 @@
 //! The capacity run: its arguments, the line through its figures, its traffic, and a small run
 //! with real controllers that leaves nothing behind.
 
-use cleatfold_lab::capacity::hollow::TaskEvent;
-use cleatfold_lab::capacity::slope::Line;
-use cleatfold_lab::capacity::traffic::Traffic;
-use cleatfold_lab::capacity::usage;
-use cleatfold_lab::capacity::watch::Watch;
+use cleatfold_testbed::capacity::hollow::TaskEvent;
+use cleatfold_testbed::capacity::slope::Line;
+use cleatfold_testbed::capacity::traffic::Traffic;
+use cleatfold_testbed::capacity::usage;
+use cleatfold_testbed::capacity::watch::Watch;
 use cleatfold_wire::{MachineId, TaskId, TaskIx};
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const LAB: &str = env!("CARGO_BIN_EXE_cleatfold-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_cleatfold-testbed");
 
 fn lab(arguments: &str) -> Command {
     let mut command = Command::new(LAB);
@@ -96,7 +96,7 @@
         assert_eq!(job.id, traffic.job(number).id);
         tasks += f64::from(job.tasks);
         work_s += f64::from(job.tasks) * job.estimate_s;
-        urgent += u32::from(cleatfold_lab::capacity::traffic::is_urgent(&job));
+        urgent += u32::from(cleatfold_testbed::capacity::traffic::is_urgent(&job));
         *teams.entry(job.team).or_insert(0) += 1;
     }
     assert_eq!(urgent, jobs as u32 / 2);
@@ -190,6 +190,6 @@
     let output = run.wait_with_output().expect("an end");
     assert_eq!(output.status.code(), Some(1));
     let errors = String::from_utf8_lossy(&output.stderr);
-    assert!(errors.contains("cleatfold-lab: interrupted"), "{errors}");
+    assert!(errors.contains("cleatfold-testbed: interrupted"), "{errors}");
     assert_eq!((with_command_line(&own), directories(&own)), (0, 0));
 }
--- a/crates/cleatfold-lab/tests/changes.rs
+++ b/crates/cleatfold-testbed/tests/changes.rs
@@ -1,7 +1,7 @@
 //! What changes are spent on, as the scale run counts them.
 
-use cleatfold_lab::scale::{play, Plan};
-use cleatfold_lab::world::{ChangeKind, World};
+use cleatfold_testbed::scale::{play, Plan};
+use cleatfold_testbed::world::{ChangeKind, World};
 
 const MACHINES: usize = 40;
 
--- a/crates/cleatfold-lab/tests/days.rs
+++ b/crates/cleatfold-testbed/tests/days.rs
@@ -1,9 +1,9 @@
 //! A handful of days with several controllers failing at once and every trouble drawn; many more by
 //! the command `region`.
 
-use cleatfold_door::{Level, Turns};
-use cleatfold_lab::days::{play, Plan};
-use cleatfold_lab::world::{Size, Trouble, TurnedAway, World};
+use cleatfold_ingress::{Level, Turns};
+use cleatfold_testbed::days::{play, Plan};
+use cleatfold_testbed::world::{Size, Trouble, TurnedAway, World};
 use cleatfold_wire::{JobId, Ms};
 
 fn days(plan: &Plan, seeds: std::ops::Range<u64>) {
--- a/crates/cleatfold-lab/tests/pairs.rs
+++ b/crates/cleatfold-testbed/tests/pairs.rs
@@ -4,16 +4,16 @@
 use clap::error::ErrorKind;
 use clap::Args;
 use cleatfold_control::Request;
-use cleatfold_lab::days::Plan;
-use cleatfold_lab::pairs::{play, Pair};
-use cleatfold_lab::world::{Asked, Happens, Size, Trouble, World};
+use cleatfold_testbed::days::Plan;
+use cleatfold_testbed::pairs::{play, Pair};
+use cleatfold_testbed::world::{Asked, Happens, Size, Trouble, World};
 use cleatfold_wire::{JobId, MachineId, Ms};
 use std::collections::BTreeSet;
 
 fn meet(
     pairs: &[(Trouble, Trouble)],
     seeds: std::ops::Range<u64>,
-) -> Vec<cleatfold_lab::pairs::Met> {
+) -> Vec<cleatfold_testbed::pairs::Met> {
     let plan = Plan::default();
     let mut met = Vec::new();
     for &(a, b) in pairs {
@@ -211,7 +211,7 @@
     let mut world = busy();
     let most = world.most().expect("somebody holds machines");
     let life = world.lives[most];
-    world.happen(Happens::Meets(Trouble::OverAndBack, 1_000, cleatfold_lab::world::Aim::Most));
+    world.happen(Happens::Meets(Trouble::OverAndBack, 1_000, cleatfold_testbed::world::Aim::Most));
     world.run(Ms(55_000));
     assert_eq!(world.lives[most], life + 2);
     let mut world = busy();
--- a/crates/cleatfold-ledger/tests/ledger.rs
+++ b/crates/cleatfold-write-batching/tests/ledger.rs
@@ -1,6 +1,6 @@
 //! What is recorded when, against a plain reading of what may wait.
 
-use cleatfold_ledger::{claim_order, News, PartNews, Selection};
+use cleatfold_write_batching::{claim_order, News, PartNews, Selection};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use cleatfold_clients::{cloud, mesh, store, workers};
 use cleatfold_control::{Effect, Event, Node, Request, Response};
-use cleatfold_door::{Class, Desk, Level, Pressure, Turns};
+use cleatfold_ingress::{Class, Desk, Level, Pressure, Turns};
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::worker::RawReport;
 use cleatfold_wire::{JobId, Ms, NodeId};
--- a/crates/cleatfold/src/operator.rs
+++ b/crates/cleatfold/src/operator.rs
@@ -30,7 +30,7 @@
     /// How much of each team's history is kept.
     pub history: Option<Keep>,
     /// Large images are fetched in stages and handed on. Without it each machine fetches for itself.
-    pub weights: Option<cleatfold_weights::Settings>,
+    pub weights: Option<cleatfold_image_distribution::Settings>,
 }
 
 impl Operator {
--- a/crates/cleatfold/src/serve.rs
+++ b/crates/cleatfold/src/serve.rs
@@ -3,7 +3,7 @@
 use crate::actor::{Ask, Asked, Core};
 use bytes::{Buf, Bytes, BytesMut};
 use cleatfold_control::{Request, Response, TeamAsk};
-use cleatfold_door::{SeatId, Seats, Turns};
+use cleatfold_ingress::{SeatId, Seats, Turns};
 use cleatfold_wire::job::{is_job_id, JobSpec, Problem, SpecError, MAX_BODY};
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::worker::{RawReport, Redirect};
