--- a/crates/cleatfold-cancellation-broadcast/src/lib.rs
+++ b/crates/cleatfold-cancellation-broadcast/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! Pure: no I/O and no clock.
 
-use cleatfold_wire::{JobId, Ms, NodeId};
+use cleatfold_wire::{ControllerId, JobId, Ms};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A peer that has not acknowledged a cancellation is told again after this time.
@@ -26,7 +26,7 @@
     /// The cancellation was durable by then.
     durable_at: Ms,
     /// Peers that may not know of it, and when each is told next.
-    peers: BTreeMap<NodeId, Ms>,
+    peers: BTreeMap<ControllerId, Ms>,
 }
 
 /// What one controller knows of cancelled jobs, and whom it has still to tell.
@@ -44,16 +44,22 @@
     pub fn confirmed<'a>(
         &mut self,
         job: &JobId,
-        owners: &[NodeId],
-        peers: impl Iterator<Item = &'a NodeId>,
+        owners: &[ControllerId],
+        peers: impl Iterator<Item = &'a ControllerId>,
         now: Ms,
     ) {
-        let first = |n: &NodeId| if owners.contains(n) { now } else { now.plus(READ_GRACE_MS) };
+        let first =
+            |n: &ControllerId| if owners.contains(n) { now } else { now.plus(READ_GRACE_MS) };
         self.note(job, now, peers, first);
     }
 
     /// The state service says so.
-    pub fn read<'a>(&mut self, job: &JobId, peers: impl Iterator<Item = &'a NodeId>, now: Ms) {
+    pub fn read<'a>(
+        &mut self,
+        job: &JobId,
+        peers: impl Iterator<Item = &'a ControllerId>,
+        now: Ms,
+    ) {
         self.note(job, now, peers, |_| now.plus(READ_GRACE_MS));
     }
 
@@ -61,8 +67,8 @@
     pub fn told<'a>(
         &mut self,
         job: &JobId,
-        from: &NodeId,
-        peers: impl Iterator<Item = &'a NodeId>,
+        from: &ControllerId,
+        peers: impl Iterator<Item = &'a ControllerId>,
         now: Ms,
     ) -> bool {
         let news = self.note(job, now, peers, |_| now);
@@ -74,8 +80,8 @@
         &mut self,
         job: &JobId,
         now: Ms,
-        peers: impl Iterator<Item = &'a NodeId>,
-        first: impl Fn(&NodeId) -> Ms,
+        peers: impl Iterator<Item = &'a ControllerId>,
+        first: impl Fn(&ControllerId) -> Ms,
     ) -> bool {
         if self.known.contains_key(job) {
             return false;
@@ -98,7 +104,7 @@
     }
 
     /// The peer knows of the cancellation.
-    pub fn acknowledged(&mut self, peer: &NodeId, job: &JobId) {
+    pub fn acknowledged(&mut self, peer: &ControllerId, job: &JobId) {
         if let Some(cancellation) = self.open.get_mut(job) {
             cancellation.peers.remove(peer);
             if cancellation.peers.is_empty() {
@@ -118,12 +124,12 @@
         &mut self,
         now: Ms,
         keep_ms: u64,
-        read: impl Fn(&NodeId) -> Option<Ms>,
-    ) -> BTreeMap<NodeId, Vec<JobId>> {
+        read: impl Fn(&ControllerId) -> Option<Ms>,
+    ) -> BTreeMap<ControllerId, Vec<JobId>> {
         while self.by_age.first().is_some_and(|(at, _)| now.since(*at) > keep_ms) {
             self.forget_oldest();
         }
-        let mut due: BTreeMap<NodeId, Vec<JobId>> = BTreeMap::new();
+        let mut due: BTreeMap<ControllerId, Vec<JobId>> = BTreeMap::new();
         self.open.retain(|job, cancellation| {
             let durable_at = cancellation.durable_at;
             cancellation.peers.retain(|peer, _| read(peer).is_none_or(|r| r <= durable_at));
--- a/crates/cleatfold-cancellation-broadcast/tests/notices.rs
+++ b/crates/cleatfold-cancellation-broadcast/tests/notices.rs
@@ -1,19 +1,19 @@
 //! Controllers that tell one another, over a mesh that loses and cuts: compared with who can have heard.
 
 use cleatfold_cancellation_broadcast::CancellationBroadcast;
-use cleatfold_wire::{JobId, Ms, NodeId};
+use cleatfold_wire::{ControllerId, JobId, Ms};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
-const NODES: usize = 4;
+const CONTROLLERS: usize = 4;
 const KEEP_MS: u64 = 40_000;
 
-fn node(i: usize) -> NodeId {
-    NodeId::new(format!("n{i}"))
+fn controller(i: usize) -> ControllerId {
+    ControllerId::new(format!("n{i}"))
 }
 
-fn peers(of: usize) -> Vec<NodeId> {
-    (0..NODES).filter(|i| *i != of).map(node).collect()
+fn peers(of: usize) -> Vec<ControllerId> {
+    (0..CONTROLLERS).filter(|i| *i != of).map(controller).collect()
 }
 
 fn job(n: u8) -> JobId {
@@ -25,18 +25,18 @@
     let mut sent = 0;
     for half in 0..2 {
         let now = now.plus(500 * half);
-        for from in 0..NODES {
+        for from in 0..CONTROLLERS {
             for (to, jobs) in all[from].due(now, KEEP_MS, |_| None) {
                 sent += jobs.len();
-                let to = (0..NODES).find(|i| node(*i) == to).expect("a peer");
+                let to = (0..CONTROLLERS).find(|i| controller(*i) == to).expect("a peer");
                 if !up.contains(&(from, to)) {
                     continue;
                 }
                 for job in &jobs {
-                    all[to].told(job, &node(from), peers(to).iter(), now);
+                    all[to].told(job, &controller(from), peers(to).iter(), now);
                 }
                 if up.contains(&(to, from)) {
-                    jobs.iter().for_each(|job| all[from].acknowledged(&node(to), job));
+                    jobs.iter().for_each(|job| all[from].acknowledged(&controller(to), job));
                 }
             }
         }
@@ -51,10 +51,10 @@
     /// is told of anything that no one confirmed.
     #[test]
     fn whoever_is_reached_over_peers_hears(
-        links in proptest::collection::btree_set((0..NODES, 0..NODES), 0..12),
-        confirmed in proptest::collection::vec((0..NODES, 0u8..6), 1..6),
+        links in proptest::collection::btree_set((0..CONTROLLERS, 0..CONTROLLERS), 0..12),
+        confirmed in proptest::collection::vec((0..CONTROLLERS, 0u8..6), 1..6),
     ) {
-        let mut all = vec![CancellationBroadcast::default(); NODES];
+        let mut all = vec![CancellationBroadcast::default(); CONTROLLERS];
         let now = Ms(1000);
         for (at, n) in &confirmed {
             all[*at].confirmed(&job(*n), &[], peers(*at).iter(), now);
@@ -65,7 +65,7 @@
         for n in 0..6 {
             let mut knows: BTreeSet<usize> =
                 confirmed.iter().filter(|c| c.1 == n).map(|c| c.0).collect();
-            for _ in 0..NODES {
+            for _ in 0..CONTROLLERS {
                 let hears: Vec<usize> =
                     links.iter().filter(|(a, _)| knows.contains(a)).map(|l| l.1).collect();
                 knows.extend(hears);
@@ -80,7 +80,7 @@
 #[test]
 fn nobody_is_told_twice_what_he_acknowledged_nor_what_he_has_read() {
     let mut broadcast = CancellationBroadcast::default();
-    let (owner, other) = (node(1), node(2));
+    let (owner, other) = (controller(1), controller(2));
     broadcast.confirmed(
         &job(1),
         std::slice::from_ref(&owner),
@@ -107,7 +107,7 @@
 #[test]
 fn what_is_kept_and_said_at_once_is_bounded() {
     let mut broadcast = CancellationBroadcast::default();
-    let peer = node(1);
+    let peer = controller(1);
     for n in 0..16_000 {
         broadcast.read(&JobId::new(format!("run-{n}")), [&peer].into_iter(), Ms(1000 + n));
     }
--- a/crates/cleatfold-clients/src/mesh.rs
+++ b/crates/cleatfold-clients/src/mesh.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use cleatfold_wire::mesh::Message;
-use cleatfold_wire::NodeId;
+use cleatfold_wire::ControllerId;
 use futures_util::{SinkExt, StreamExt};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -23,7 +23,7 @@
 }
 
 /// Sends to one peer for ever.
-pub async fn dial(me: NodeId, endpoint: String, mut queue: mpsc::Receiver<Bytes>) {
+pub async fn dial(me: ControllerId, endpoint: String, mut queue: mpsc::Receiver<Bytes>) {
     loop {
         let connected = timeout(Duration::from_secs(1), TcpStream::connect(&endpoint)).await;
         if let Ok(Ok(stream)) = connected {
@@ -51,7 +51,7 @@
 }
 
 /// Receives from all peers.
-pub async fn listen(listener: TcpListener, hear: impl Fn(NodeId, Message) + Clone + 'static) {
+pub async fn listen(listener: TcpListener, hear: impl Fn(ControllerId, Message) + Clone + 'static) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -66,7 +66,7 @@
             let Ok(from) = std::str::from_utf8(&hello) else {
                 return;
             };
-            let from = NodeId::new(from);
+            let from = ControllerId::new(from);
             while let Some(Ok(frame)) = framed.next().await {
                 match bitcode::decode::<Message>(&frame) {
                     Ok(message) => hear(from.clone(), message),
--- a/crates/cleatfold-clients/src/workers.rs
+++ b/crates/cleatfold-clients/src/workers.rs
@@ -3,7 +3,7 @@
 
 use crate::http::Http;
 use cleatfold_wire::worker::{Orders, RawReport, Report};
-use cleatfold_wire::{MachineId, Seq, Session};
+use cleatfold_wire::{AgentEpoch, MachineId, Seq};
 use hyper::Method;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -24,7 +24,7 @@
     /// The worker's report after the orders; none where they were not executed or nothing is known of it.
     Ordered(Option<Report>),
     /// The number of its newest message; none: no answer.
-    Inspected(Option<(Session, Seq)>),
+    Inspected(Option<(AgentEpoch, Seq)>),
 }
 
 /// Runs until the queue's senders are gone.
@@ -52,7 +52,7 @@
                     // Whatever it answers, it is reached.
                     Ok((_, body)) => Some(
                         serde_json::from_slice::<RawReport>(&body)
-                            .map_or_else(|_| Default::default(), |r| (r.session, r.seq)),
+                            .map_or_else(|_| Default::default(), |r| (r.agent_epoch, r.seq)),
                     ),
                     Err(_) => None,
                 }),
--- a/crates/cleatfold-clients/tests/mesh.rs
+++ b/crates/cleatfold-clients/tests/mesh.rs
@@ -2,7 +2,7 @@
 
 use cleatfold_clients::mesh::{dial, encode, listen, MAX_FRAME_BYTES};
 use cleatfold_wire::mesh::Message;
-use cleatfold_wire::NodeId;
+use cleatfold_wire::ControllerId;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -26,7 +26,7 @@
             let _ = arrivals.send((from, message));
         }));
         let (queue, frames) = mpsc::channel(4);
-        tokio::task::spawn_local(dial(NodeId::new("n1"), endpoint, frames));
+        tokio::task::spawn_local(dial(ControllerId::new("n1"), endpoint, frames));
         // What is queued before the connection stands is dropped as old.
         tokio::time::sleep(Duration::from_millis(200)).await;
         let message = images_of(4_500);
@@ -39,9 +39,9 @@
             let next = tokio::time::timeout(Duration::from_secs(10), arrived.recv()).await;
             received.push(next.expect("a message within 10 s").expect("the listener stands"));
         }
-        assert_eq!(received[0], (NodeId::new("n1"), message));
+        assert_eq!(received[0], (ControllerId::new("n1"), message));
         received
     });
     let received = received.await;
-    assert_eq!(received[1], (NodeId::new("n1"), Message::Changed));
+    assert_eq!(received[1], (ControllerId::new("n1"), Message::Changed));
 }
--- a/crates/cleatfold-control/src/admission.rs
+++ b/crates/cleatfold-control/src/admission.rs
@@ -5,11 +5,11 @@
 //! no harm: every claim is guarded as ever. The writer's word is guarded by its duty's key: a
 //! holder that was replaced cannot overwrite what the next one has written.
 
+use crate::cache::Live;
 use crate::config::AimKind;
+use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::fleet::Machine;
-use crate::mirror::Live;
-use crate::node::{Node, Pending};
+use crate::inventory::Machine;
 use crate::records::*;
 use crate::state::admission::{work, LongWork, LOOK_MS, SETTLED_MS};
 use cleatfold_admission::bands;
@@ -37,10 +37,10 @@
     Bounds { small: must.most, work: largest.work, tasks: largest.tasks }
 }
 
-impl Node {
+impl Controller {
     /// What the agreement says of the job's group, if it is not served in time.
     pub(crate) fn allotted(&self, live: &Live) -> Option<&Entry> {
-        let allotment = &self.mirror.allotment.1;
+        let allotment = &self.cache.allotment.1;
         if allotment.is_empty() || live.width().is_some() || self.cfg.admission.is_none() {
             return None;
         }
@@ -52,7 +52,7 @@
     /// node and at every retry, as long as the allotment stands.
     pub(crate) fn refused_for_now(&self, spec: &JobSpec) -> Option<u32> {
         self.cfg.admission.as_ref()?;
-        let most = self.mirror.allotment.1.entry(&spec.team, &spec.class)?.most?;
+        let most = self.cache.allotment.1.entry(&spec.team, &spec.class)?.most?;
         let refused = spec.kind == Kind::Array && work(spec, spec.tasks) > most as f64;
         // An allotment is looked at again after STAND_MS; a retry before that is in vain.
         let spread = xxhash_rust::xxh3::xxh3_64(spec.id.as_str().as_bytes()) % 8;
@@ -78,7 +78,7 @@
         }
         self.admission.looked = self.now;
         let wall_s = self.wall_ms as f64 / 1000.0;
-        self.admission.note_arrivals(&self.mirror.jobs, wall_s);
+        self.admission.note_arrivals(&self.cache.jobs, wall_s);
         self.admission.note_capacity(self.now, self.processors());
         self.admission.note_asks(wall_s);
         if self.holds(Duty::Allot) && self.in_contact() && self.list_at.is_some() {
@@ -98,7 +98,7 @@
         }
         let mut jobs: BTreeMap<&TeamId, Vec<(bool, u64, &JobId, f64)>> = BTreeMap::new();
         let mut rooms: BTreeMap<(&TeamId, Urgency), Option<Room>> = BTreeMap::new();
-        for (id, live) in &self.mirror.jobs {
+        for (id, live) in &self.cache.jobs {
             let spec = &live.record.spec;
             let limited = self.cfg.team(&spec.team).is_none_or(|t| t.is_limited());
             let waits = !live.record.aborted && live.unclaimed() > 0;
@@ -138,9 +138,9 @@
     /// Processors of the machines that take work and are heard of.
     fn processors(&self) -> f64 {
         let mut capacity = 0.0;
-        for m in self.fleet.machines.values() {
+        for m in self.inventory.machines.values() {
             if m.takes_work() && !self.is_silent(m) {
-                capacity += self.fleet.total(&m.pool.machine_type).cpus as f64 / 1000.0;
+                capacity += self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
             }
         }
         capacity
@@ -185,7 +185,7 @@
             })
             .collect();
         let mut sums: BTreeMap<Group, Sum> = BTreeMap::new();
-        for live in self.mirror.jobs.values() {
+        for live in self.cache.jobs.values() {
             let spec = &live.record.spec;
             if live.record.aborted || live.width().is_some() || spec.kind == Kind::Service {
                 continue;
@@ -265,7 +265,7 @@
     fn allot(&mut self) {
         let view = self.view();
         let Some(rules) = &self.cfg.admission else { return };
-        let (version, known) = &self.mirror.allotment;
+        let (version, known) = &self.cache.allotment;
         let now_s = self.now.0 as f64 / 1000.0;
         let mut entries = decide(rules, &mut self.admission.judge, known, &view, now_s);
         entries.truncate(self.cfg.value_bytes / ENTRY_BYTES);
--- a/crates/cleatfold-control/src/mirror.rs
+++ b/crates/cleatfold-control/src/cache.rs
@@ -78,15 +78,15 @@
 
 #[derive(Clone, Debug)]
 pub struct Holding {
-    pub owner: NodeId,
+    pub owner: ControllerId,
     pub incarnation: u64,
-    pub token: Token,
+    pub token: FencingToken,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
     pub attempt: Attempt,
-    pub token: Token,
+    pub token: FencingToken,
 }
 
 /// The claims on one machine.
@@ -121,14 +121,14 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Mirror {
+pub struct StateCache {
     /// Every change up to this revision is in.
     pub applied: Version,
     pub jobs: BTreeMap<JobId, Live>,
     pub parts: BTreeMap<JobId, PartMap>,
     pub progress: BTreeMap<JobId, ProgressMap>,
     pub pools: BTreeMap<PoolId, Holding>,
-    pub nodes: BTreeMap<NodeId, (u64, Version)>,
+    pub controllers: BTreeMap<ControllerId, (u64, Version)>,
     /// Who holds what, and under which epoch.
     pub duties: BTreeMap<Duty, (HolderRecord, Version)>,
     /// What was asked of the cloud, or is about to be.
@@ -165,11 +165,11 @@
     pub cancelled: Vec<JobId>,
 }
 
-impl Mirror {
+impl StateCache {
     /// Forgets everything, to be read again. Stamps go on: a report that was settled by one of before must not pass
     /// for settled by a new one of the same number.
     pub fn begin_anew(&mut self) {
-        *self = Mirror { stamps: self.stamps, ..Mirror::default() };
+        *self = StateCache { stamps: self.stamps, ..StateCache::default() };
     }
 
     /// Of a listing, which tells what stands now: also what has not changed since it began.
@@ -200,7 +200,7 @@
             Key::Part(id, part) => self.parts.get(id).and_then(|p| p.get(part)).map(|p| p.0),
             Key::Progress(id, part) => self.progress.get(id).and_then(|p| p.get(part)).map(|p| p.0),
             Key::Pool(id) => self.pools.get(id).map(|p| Version(p.token.0)),
-            Key::Node(id) => self.nodes.get(id).map(|n| n.1),
+            Key::Controller(id) => self.controllers.get(id).map(|n| n.1),
             Key::Slice(team) => self.slices.get(team).map(|s| s.0),
             Key::LossHead(team) => self.loss_heads.get(team).map(|h| h.0),
             Key::Duty(duty) => self.duties.get(duty).map(|h| h.1),
@@ -246,12 +246,12 @@
                 })
             }
             Key::Pool(id) => serde_json::from_str(value).map(|r: HolderRecord| {
-                let token = Token(version.0);
+                let token = FencingToken(version.0);
                 self.pools
                     .insert(id, Holding { owner: r.owner, incarnation: r.incarnation, token });
             }),
-            Key::Node(id) => serde_json::from_str(value).map(|r: NodeRecord| {
-                self.nodes.insert(id, (r.incarnation, version));
+            Key::Controller(id) => serde_json::from_str(value).map(|r: ControllerRecord| {
+                self.controllers.insert(id, (r.incarnation, version));
             }),
             Key::Slice(team) => serde_json::from_str(value).map(|r| {
                 self.slices.insert(team, (version, r));
@@ -336,8 +336,8 @@
             Key::Pool(id) => {
                 self.pools.remove(&id);
             }
-            Key::Node(id) => {
-                self.nodes.remove(&id);
+            Key::Controller(id) => {
+                self.controllers.remove(&id);
             }
             Key::Slice(team) => {
                 self.slices.remove(&team);
--- a/crates/cleatfold-control/src/cancellations.rs
+++ b/crates/cleatfold-control/src/cancellations.rs
@@ -4,29 +4,29 @@
 //! A broadcast cancellation makes an owner stop a job's tasks earlier than its next reading would; it records nothing, answers no
 //! user, and renews no worker's lease. How long an owner may answer without a reading stays as it is.
 
-use crate::node::Node;
+use crate::controller::Controller;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::*;
 
 const LOOK_MS: u64 = 250;
 
-impl Node {
-    fn peers(&self) -> impl Iterator<Item = &NodeId> {
+impl Controller {
+    fn peers(&self) -> impl Iterator<Item = &ControllerId> {
         self.cfg.peers.iter().map(|p| &p.0)
     }
 
     /// Cancelled, by what a peer told or by what we did or read.
     pub(crate) fn is_cancelled(&self, job: &JobId) -> bool {
-        self.mirror.jobs.get(job).is_some_and(|j| j.record.aborted)
+        self.cache.jobs.get(job).is_some_and(|j| j.record.aborted)
             || self.cancellations.broadcast.knows(job)
     }
 
     /// Our transaction has cancelled the job.
     pub(crate) fn note_confirmed(&mut self, job: &JobId) {
-        let live = self.mirror.jobs.get(job);
+        let live = self.cache.jobs.get(job);
         let pools = live.into_iter().flat_map(|l| &l.by_pool).filter(|p| p.1 > 0);
-        let holders = pools.filter_map(|p| self.mirror.pools.get(&p.0));
-        let owners: Vec<NodeId> = holders.map(|h| h.owner.clone()).collect();
+        let holders = pools.filter_map(|p| self.cache.pools.get(&p.0));
+        let owners: Vec<ControllerId> = holders.map(|h| h.owner.clone()).collect();
         let mut broadcast = std::mem::take(&mut self.cancellations.broadcast);
         broadcast.confirmed(job, &owners, self.peers(), self.now);
         self.cancellations.broadcast = broadcast;
@@ -35,7 +35,7 @@
 
     /// Cancellations that a reading brought.
     pub(crate) fn note_read_cancellations(&mut self) {
-        let read = std::mem::take(&mut self.mirror.cancelled);
+        let read = std::mem::take(&mut self.cache.cancelled);
         if read.is_empty() {
             return;
         }
@@ -61,12 +61,12 @@
         }
     }
 
-    pub(crate) fn on_cancelled(&mut self, from: NodeId, jobs: Vec<String>) {
+    pub(crate) fn on_cancelled(&mut self, from: ControllerId, jobs: Vec<String>) {
         let mut broadcast = std::mem::take(&mut self.cancellations.broadcast);
         for job in jobs.iter().map(JobId::new) {
             if broadcast.told(&job, &from, self.peers(), self.now) {
                 // Its machines' reports call for orders now, though they say what they said before.
-                self.mirror.restamp(&job);
+                self.cache.restamp(&job);
             }
         }
         self.cancellations.broadcast = broadcast;
@@ -74,7 +74,7 @@
         self.tell_cancelled();
     }
 
-    pub(crate) fn on_cancelled_ack(&mut self, from: &NodeId, jobs: &[String]) {
+    pub(crate) fn on_cancelled_ack(&mut self, from: &ControllerId, jobs: &[String]) {
         jobs.iter()
             .for_each(|job| self.cancellations.broadcast.acknowledged(from, &JobId::new(job)));
     }
--- a/crates/cleatfold-control/src/config.rs
+++ b/crates/cleatfold-control/src/config.rs
@@ -1,7 +1,7 @@
 //! What a controller is told at its start, from the platform's settings and the operator's.
 
 use cleatfold_admission::Rules;
-use cleatfold_wire::{ClassId, NodeId, TeamId, ZoneId};
+use cleatfold_wire::{ClassId, ControllerId, TeamId, ZoneId};
 
 /// A team that submits jobs, with its guarantee and its limit.
 #[derive(Clone, Debug)]
@@ -44,10 +44,10 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This controller, and the zone that it is in.
-    pub me: NodeId,
+    pub me: ControllerId,
     pub zone: ZoneId,
     /// The other controllers.
-    pub peers: Vec<(NodeId, ZoneId)>,
+    pub peers: Vec<(ControllerId, ZoneId)>,
     pub teams: Vec<Team>,
     /// Time between two reports of a worker.
     pub report_ms: u64,
@@ -70,7 +70,7 @@
     /// Time between readings of the state service when nothing presses.
     pub sync_ms: u64,
     /// How long a controller's own lease lasts without renewal.
-    pub node_ttl_ms: u64,
+    pub controller_lease_ms: u64,
     /// What the operators expect of each class of jobs.
     pub aims: Vec<Aim>,
     /// Without an aim for its class, a job should start within this time.
--- a/crates/cleatfold-control/src/node.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -1,9 +1,9 @@
 //! One controller: its state, and what it does at each event.
 
+use crate::cache::StateCache;
 use crate::config::Config;
 use crate::effects::*;
-use crate::fleet::Fleet;
-use crate::mirror::Mirror;
+use crate::inventory::Inventory;
 use crate::records::*;
 use crate::schedule::Plans;
 use crate::state::jobs::Local;
@@ -15,7 +15,7 @@
 
 pub(crate) use crate::pending::{EventNumber, Pending, Submission, Wait, Waiting};
 
-pub struct Node {
+pub struct Controller {
     pub(crate) cfg: Config,
     pub(crate) now: Ms,
     /// The event that is being handled.
@@ -29,7 +29,7 @@
     pub(crate) resend: Vec<(Ms, u64, Lane, StoreRequest)>,
 
     pub(crate) format_check: crate::state::format::FormatCheck,
-    pub(crate) mirror: Mirror,
+    pub(crate) cache: StateCache,
     pub(crate) loaded: bool,
     pub(crate) loading: bool,
     load_from: Option<String>,
@@ -69,13 +69,13 @@
     pub(crate) archive: crate::archive::Lookups,
     pub(crate) losses: crate::state::losses::Losses,
 
-    pub(crate) fleet: Fleet,
+    pub(crate) inventory: Inventory,
     pub(crate) types_at: Option<Ms>,
     pub(crate) types_asked: bool,
     pub(crate) list_asked: bool,
     pub(crate) list_at: Option<Ms>,
     pub(crate) list_acc: Vec<cleatfold_wire::cloud::ListedMachine>,
-    pub(crate) owned_since: BTreeMap<PoolId, (Token, Ms)>,
+    pub(crate) owned_since: BTreeMap<PoolId, (FencingToken, Ms)>,
     pub(crate) held: BTreeMap<MachineId, crate::workers::Held>,
     /// Who reaches whom.
     pub(crate) reach: crate::state::reach::Reaching,
@@ -84,7 +84,7 @@
     pub(crate) watched: Ms,
 
     /// Pools under a higher token than we have read, as told by their owners.
-    pub(crate) hinted: BTreeMap<PoolId, (NodeId, Token)>,
+    pub(crate) hinted: BTreeMap<PoolId, (ControllerId, FencingToken)>,
     pub(crate) alive_sent: Ms,
     pub(crate) plans: Plans,
     pub(crate) dirty: bool,
@@ -103,7 +103,7 @@
     pub(crate) cancellations: crate::state::cancellations::Cancellations,
 }
 
-impl Node {
+impl Controller {
     pub fn new(cfg: Config) -> Self {
         let reach = crate::state::reach::Reaching::new(&cfg);
         let limits = crate::limits::Limits::new(&cfg.me);
@@ -118,7 +118,7 @@
             ops: BTreeMap::new(),
             resend: Vec::new(),
             format_check: Default::default(),
-            mirror: Mirror::default(),
+            cache: StateCache::default(),
             loaded: false,
             loading: false,
             load_from: None,
@@ -149,7 +149,7 @@
             terminal: Default::default(),
             archive: Default::default(),
             losses: Default::default(),
-            fleet: Fleet::default(),
+            inventory: Inventory::default(),
             types_at: None,
             types_asked: false,
             list_asked: false,
@@ -232,7 +232,7 @@
         self.out.push(Effect::Cloud { op, request, spacing_ms });
     }
 
-    pub(crate) fn tell(&mut self, to: Option<NodeId>, message: Message) {
+    pub(crate) fn tell(&mut self, to: Option<ControllerId>, message: Message) {
         self.out.push(Effect::Mesh { to, message });
     }
 
@@ -241,7 +241,7 @@
         let gap = self.now.since(self.last_tick);
         if gap > 1000 && self.last_tick > Ms(0) {
             tracing::info!(gap, "held up");
-            for m in self.fleet.machines.values_mut() {
+            for m in self.inventory.machines.values_mut() {
                 m.known = m.known.max(self.now);
                 m.ears.excuse();
             }
@@ -291,7 +291,7 @@
     /// Tells the others what images our machines hold, a machine when that has changed.
     fn tell_images(&mut self) {
         let mut machines = Vec::new();
-        for (id, m) in &mut self.fleet.machines {
+        for (id, m) in &mut self.inventory.machines {
             if self.owned_since.contains_key(&m.pool) && m.images_changed {
                 m.images_changed = false;
                 let images = m.images.iter().map(|(i, gb)| (i.to_string(), *gb)).collect();
@@ -328,7 +328,7 @@
 
     /// Whether this controller gives the machine no new tasks because it is to be returned.
     pub fn empties(&self, machine: &MachineId) -> bool {
-        self.fleet.machines.get(machine).is_some_and(|m| m.draining || m.deleting)
+        self.inventory.machines.get(machine).is_some_and(|m| m.draining || m.deleting)
     }
 
     // ---- the lease and our own key ----
@@ -338,7 +338,7 @@
         if self.lease_asked || !self.format_check.is_known() {
             return;
         }
-        let ttl_ms = self.cfg.node_ttl_ms;
+        let ttl_ms = self.cfg.controller_lease_ms;
         match self.lease {
             None if self.now.since(self.lease_sent) >= 300 || self.lease_sent == Ms(0) => {
                 self.lease_asked = true;
@@ -357,14 +357,18 @@
         if let (Some(lease), Some(incarnation), false) =
             (self.lease, self.incarnation, self.enlisting)
         {
-            let known = self.mirror.nodes.get(&self.cfg.me).copied();
+            let known = self.cache.controllers.get(&self.cfg.me).copied();
             let read = self.enlisted.is_none_or(|at| self.fresh.is_some_and(|f| f >= at));
             if self.loaded && read && known.map(|n| n.0) != Some(incarnation) {
                 self.enlisting = true;
                 let mut txn = Txn::default();
                 // Guarded, or one of a former life that is executed late puts that life back.
-                txn.guard(node_key(&self.cfg.me), known.map(|n| n.1).unwrap_or_default());
-                txn.put(node_key(&self.cfg.me), &NodeRecord { incarnation }, Some(lease));
+                txn.guard(controller_key(&self.cfg.me), known.map(|n| n.1).unwrap_or_default());
+                txn.put(
+                    controller_key(&self.cfg.me),
+                    &ControllerRecord { incarnation },
+                    Some(lease),
+                );
                 self.store(Lane::Renewal, StoreRequest::Txn(txn), Pending::Enlist);
             }
         }
@@ -398,7 +402,7 @@
             self.sync_inflight = true;
             self.want_sync = false;
             self.sync_sent = self.now;
-            let request = StoreRequest::Changes { prefix: LIVE.into(), from: self.mirror.applied };
+            let request = StoreRequest::Changes { prefix: LIVE.into(), from: self.cache.applied };
             let (sent, sent_at) = (self.now, self.event);
             self.store(Lane::Renewal, request, Pending::Sync { sent, sent_at });
         }
@@ -406,7 +410,7 @@
 
     fn reload(&mut self) {
         tracing::info!("reading everything again");
-        self.mirror.begin_anew();
+        self.cache.begin_anew();
         self.loaded = false;
         self.load_from = None;
         self.load_base = None;
@@ -421,15 +425,15 @@
             return;
         };
         // What stood then is in these pages: an answer to an earlier change of ours adds nothing to them.
-        self.mirror.applied = *self.load_base.get_or_insert(page.revision);
+        self.cache.applied = *self.load_base.get_or_insert(page.revision);
         for item in &page.items {
-            self.mirror.apply_item(item);
+            self.cache.apply_item(item);
         }
         match (page.more, page.items.last()) {
             (true, Some(last)) => self.load_from = Some(last.key.clone()),
             _ => {
                 self.begin_ended();
-                let gone = |id: &&JobId| !self.mirror.jobs.contains_key(*id);
+                let gone = |id: &&JobId| !self.cache.jobs.contains_key(*id);
                 let gone: Vec<JobId> = self.locals.keys().filter(gone).cloned().collect();
                 gone.iter().for_each(|job| self.drop_local(job));
                 self.loaded = true;
@@ -437,8 +441,8 @@
                 self.want_sync = true;
                 self.sync_sent = Ms(sent.0.saturating_sub(self.cfg.sync_ms));
                 tracing::info!(
-                    jobs = self.mirror.jobs.len(),
-                    revision = self.mirror.applied.0,
+                    jobs = self.cache.jobs.len(),
+                    revision = self.cache.applied.0,
                     "loaded"
                 );
             }
@@ -453,9 +457,9 @@
                     self.dirty = true;
                 }
                 for event in &events.events {
-                    self.mirror.apply_event(event);
+                    self.cache.apply_event(event);
                 }
-                self.mirror.applied = self.mirror.applied.max(events.revision);
+                self.cache.applied = self.cache.applied.max(events.revision);
                 self.fresh = Some(self.fresh.map_or(sent, |f| f.max(sent)));
                 self.reach.view.letting.reset();
                 if self.limits.blind.is_some_and(|b| b <= sent_at) {
@@ -475,7 +479,7 @@
 
     fn after_sync(&mut self, sent_at: EventNumber) {
         self.note_read_cancellations();
-        for job in std::mem::take(&mut self.mirror.gone) {
+        for job in std::mem::take(&mut self.cache.gone) {
             self.archive.stale |= self.terminal.get(&job).is_none();
             self.drop_local(&job);
         }
@@ -489,8 +493,8 @@
     /// Sees which pools came to us since, and under which token.
     fn note_ownership(&mut self) {
         self.note_holders();
-        let mine: Vec<(PoolId, Token)> = self
-            .mirror
+        let mine: Vec<(PoolId, FencingToken)> = self
+            .cache
             .pools
             .iter()
             .filter(|(_, h)| h.owner == self.cfg.me && Some(h.incarnation) == self.incarnation)
@@ -503,19 +507,19 @@
                 continue;
             }
             tracing::info!(%pool, token = token.0, "pool is ours");
-            for m in self.fleet.machines.values_mut().filter(|m| m.pool == pool) {
+            for m in self.inventory.machines.values_mut().filter(|m| m.pool == pool) {
                 m.images_changed = true;
             }
             self.owned_since.insert(pool, (token, self.now));
             self.dirty = true;
         }
-        let mirror = &self.mirror;
+        let cache = &self.cache;
         self.hinted
-            .retain(|pool, (_, token)| mirror.pools.get(pool).is_none_or(|h| h.token < *token));
+            .retain(|pool, (_, token)| cache.pools.get(pool).is_none_or(|h| h.token < *token));
     }
 
     /// Our token for a pool, if it is ours as far as we know.
-    pub(crate) fn my_token(&self, pool: &PoolId) -> Option<Token> {
+    pub(crate) fn my_token(&self, pool: &PoolId) -> Option<FencingToken> {
         if self.hinted.contains_key(pool) {
             return None;
         }
@@ -560,7 +564,7 @@
                     // Not renewed: ask again soon.
                     _ => {
                         self.lease_sent =
-                            Ms(self.now.0.saturating_sub(self.cfg.node_ttl_ms / 3 - 300))
+                            Ms(self.now.0.saturating_sub(self.cfg.controller_lease_ms / 3 - 300))
                     }
                 }
             }
--- a/crates/cleatfold-control/src/duties.rs
+++ b/crates/cleatfold-control/src/duties.rs
@@ -1,14 +1,14 @@
 //! Taking duties, giving them back, and the small ones themselves.
 
+use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::node::{Node, Pending};
 use crate::records::*;
 use cleatfold_roles::Duty;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
 use std::collections::BTreeSet;
 
-impl Node {
+impl Controller {
     /// Ours, by what was read last. Whatever is done under it outside the state service has to be
     /// durable there first.
     pub(crate) fn holds(&self, duty: Duty) -> bool {
@@ -17,7 +17,7 @@
 
     /// The version of a duty's key while it is ours: every transaction of the duty is guarded by it.
     pub(crate) fn epoch(&self, duty: Duty) -> Option<Version> {
-        let (holder, version) = self.mirror.duties.get(&duty)?;
+        let (holder, version) = self.cache.duties.get(&duty)?;
         let ours = holder.owner == self.cfg.me && Some(holder.incarnation) == self.incarnation;
         ours.then_some(*version)
     }
@@ -25,7 +25,7 @@
     /// A key of ours from before we were restarted: nobody acts under it any more. What was done
     /// under it is not known here, so it is taken anew, under a new epoch, rather than gone on with.
     fn former_life(&self, duty: Duty) -> Option<Version> {
-        let (holder, version) = self.mirror.duties.get(&duty)?;
+        let (holder, version) = self.cache.duties.get(&duty)?;
         let former = holder.owner == self.cfg.me && Some(holder.incarnation) != self.incarnation;
         former.then_some(*version)
     }
@@ -34,9 +34,9 @@
         let now = self.now;
         let former: Vec<(Duty, Version)> =
             Duty::ALL.iter().filter_map(|d| Some((*d, self.former_life(*d)?))).collect();
-        let duties = &self.mirror.duties;
-        let nodes = self.mirror.nodes.keys();
-        self.roster.see(now, &self.cfg.me, nodes, |d| duties.contains_key(&d));
+        let duties = &self.cache.duties;
+        let controllers = self.cache.controllers.keys();
+        self.roster.see(now, &self.cfg.me, controllers, |d| duties.contains_key(&d));
         if self.in_contact() {
             if let (Some(lease), Some(incarnation)) = (self.lease, self.incarnation) {
                 let former_of = |d: Duty| former.iter().find(|f| f.0 == d).map(|f| f.1);
@@ -87,13 +87,13 @@
         if self.cleanup_inflight || !self.in_contact() {
             return;
         }
-        let parts = self.mirror.parts.iter().flat_map(|(id, parts)| {
+        let parts = self.cache.parts.iter().flat_map(|(id, parts)| {
             parts.iter().map(move |(part, record)| (id, part_key(id, *part), record.0))
         });
-        let progress = self.mirror.progress.iter().flat_map(|(id, parts)| {
+        let progress = self.cache.progress.iter().flat_map(|(id, parts)| {
             parts.iter().map(move |(part, record)| (id, progress_key(id, *part), record.0))
         });
-        let gone = parts.chain(progress).filter(|(id, ..)| !self.mirror.jobs.contains_key(*id));
+        let gone = parts.chain(progress).filter(|(id, ..)| !self.cache.jobs.contains_key(*id));
         let mut txn = Txn::default();
         let mut jobs = BTreeSet::new();
         for (id, key, version) in gone.take(self.cfg.txn_ops.min(8)) {
--- a/crates/cleatfold-control/src/effects.rs
+++ b/crates/cleatfold-control/src/effects.rs
@@ -72,7 +72,7 @@
         reply: CloudReply,
     },
     Mesh {
-        from: NodeId,
+        from: ControllerId,
         message: Message,
     },
     /// A worker's report after it executed direct orders; none: no answer, or not executed.
@@ -84,7 +84,7 @@
     /// message; none: no answer.
     Probed {
         machine: MachineId,
-        said: Option<(Session, Seq)>,
+        said: Option<(AgentEpoch, Seq)>,
     },
 }
 
@@ -108,7 +108,7 @@
     Team(TeamAnswer),
     Worker(ReportReply),
     /// 421; the worker should report there, or just elsewhere.
-    Redirect(Option<NodeId>),
+    Redirect(Option<ControllerId>),
 }
 
 impl Response {
@@ -227,5 +227,5 @@
     /// This program cannot work with what it found; it ends.
     Refuse { why: String },
     /// To one peer, or to all.
-    Mesh { to: Option<NodeId>, message: Message },
+    Mesh { to: Option<ControllerId>, message: Message },
 }
--- a/crates/cleatfold-control/src/entitled.rs
+++ b/crates/cleatfold-control/src/entitled.rs
@@ -6,18 +6,18 @@
 //! message, no answer to a change, no other reading (a page of the listing, a question to the archive), no refusal.
 //! A held answer is looked at when it goes out, not when its report came.
 
+use crate::controller::Controller;
 use crate::effects::Response;
-use crate::node::Node;
 use cleatfold_wire::worker::{Command, ReportReply};
 use cleatfold_wire::*;
 
-/// Made by `Node::entitled` alone, and good for one answer at that moment.
+/// Made by `Controller::entitled` alone, and good for one answer at that moment.
 pub(crate) struct Entitled {
-    token: Token,
+    token: FencingToken,
 }
 
 impl Entitled {
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 
@@ -26,7 +26,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// The pool is ours as far as we know, and we have read the state service so lately that the lease which an answer
     /// renews is over before a cancellation that we cannot know of has to be.
     pub(crate) fn entitled(&self, pool: &PoolId) -> Result<Entitled, Response> {
--- a/crates/cleatfold-control/src/fault_attribution.rs
+++ b/crates/cleatfold-control/src/fault_attribution.rs
@@ -1,20 +1,20 @@
 //! Failed tasks: what the records and the machines' owners know of them, as `cleatfold_fault_attribution` judges.
 
-use crate::mirror::Live;
-use crate::node::Node;
+use crate::cache::Live;
+use crate::controller::Controller;
 use crate::state::jobs::Local;
 use cleatfold_fault_attribution::{pause_ms, standing, Evidence, Failure, Standing};
 use cleatfold_wire::job::{JobState, Kind};
 use cleatfold_wire::*;
 use std::collections::BTreeSet;
 
-impl Node {
+impl Controller {
     /// The job's failed starts: those in its record, which every controller reads, and those that
     /// are on their way there.
     fn failures(&self, id: &JobId, local: Option<&Local>) -> Vec<Failure> {
         let mut failures = Vec::new();
-        if self.mirror.lossy.contains(id) {
-            self.mirror.tables(id).for_each(|t| failures.extend(t.losses.failures()));
+        if self.cache.lossy.contains(id) {
+            self.cache.tables(id).for_each(|t| failures.extend(t.losses.failures()));
         }
         for end in local.iter().flat_map(|l| &l.ends).filter(|e| e.why == "error") {
             let at_ms = local.map_or(0, |l| l.failed_ms);
@@ -71,7 +71,7 @@
 
     /// It fails wherever it runs, and its record says so.
     pub(crate) fn is_suspect(&self, id: &JobId, live: &Live) -> bool {
-        self.mirror.lossy.contains(id)
+        self.cache.lossy.contains(id)
             && matches!(self.standing(id, live, None), Some(Standing::Suspect { .. }))
     }
 
@@ -119,7 +119,7 @@
         self.local(&task.job).failed_ms = wall_ms;
         let pause_s = pause_ms(attempt) / 1000;
         tracing::info!(job = %task.job, task = task.ix.0, attempt = attempt.0, %machine, pause_s, "task failed");
-        if let Some(machine) = self.fleet.machines.get_mut(machine) {
+        if let Some(machine) = self.inventory.machines.get_mut(machine) {
             machine.suspicion.failed(task.job.clone(), task.ix);
         }
     }
@@ -127,14 +127,14 @@
     /// Returns machines that are at fault, by what is known of the jobs by now.
     pub(crate) fn judge_machines(&mut self) {
         let mut suspects = Vec::new();
-        for (id, m) in &mut self.fleet.machines {
+        for (id, m) in &mut self.inventory.machines {
             if !m.suspicion.is_empty() && !m.faulty && self.owned_since.contains_key(&m.pool) {
                 suspects.push((id.clone(), std::mem::take(&mut m.suspicion)));
             }
         }
         for (id, mut suspicion) in suspects {
             let faulty = suspicion.is_faulty(|job, task| self.evidence(&id, job, task));
-            let Some(m) = self.fleet.machines.get_mut(&id) else { continue };
+            let Some(m) = self.inventory.machines.get_mut(&id) else { continue };
             m.suspicion = suspicion;
             if faulty {
                 tracing::info!(machine = %id, "what works elsewhere fails here: returning it");
@@ -145,7 +145,7 @@
     }
 
     fn evidence(&self, machine: &MachineId, job: &JobId, task: TaskIx) -> Evidence {
-        let Some(live) = self.mirror.jobs.get(job) else {
+        let Some(live) = self.cache.jobs.get(job) else {
             let done = self.terminal.get(job).is_some_and(|s| s.state == JobState::Done);
             return if done { Evidence::WorksElsewhere } else { Evidence::NoEvidence };
         };
@@ -163,6 +163,6 @@
     }
 
     fn is_faulty(&self, machine: &MachineId) -> bool {
-        self.fleet.machines.get(machine).is_some_and(|m| m.faulty)
+        self.inventory.machines.get(machine).is_some_and(|m| m.faulty)
     }
 }
--- a/crates/cleatfold-control/src/format.rs
+++ b/crates/cleatfold-control/src/format.rs
@@ -5,8 +5,8 @@
 //! none, and gets it before it gets anything else. Guarded by its absence, and never removed: two versions that start on
 //! an empty store at the same time can't both succeed, and one that is executed late meets its own or another's.
 
+use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::node::{Node, Pending};
 use crate::records::FORMAT_KEY;
 use crate::state::format::Format;
 use cleatfold_wire::store::Txn;
@@ -23,7 +23,7 @@
     version: u64,
 }
 
-impl Node {
+impl Controller {
     pub(crate) fn keep_format(&mut self) {
         if self.format_check.state == Format::Unread && self.now >= self.format_check.not_before {
             self.format_check.state = Format::Asked;
--- a/crates/cleatfold-control/src/fleet.rs
+++ b/crates/cleatfold-control/src/inventory.rs
@@ -10,10 +10,10 @@
 
 #[derive(Clone, Debug)]
 pub struct LastReport {
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     pub seq: Seq,
     /// The highest token the worker had seen when it sent it.
-    pub token: Token,
+    pub token: FencingToken,
     pub at: Ms,
     pub tasks: Vec<TaskReport>,
     /// The list of tasks as it came: the next report is compared with it before it is read.
@@ -44,7 +44,7 @@
     /// Whether it hears us.
     pub ears: cleatfold_reachability::Ears,
     /// When we last answered a report of it with 200, and under which token.
-    pub answered: Option<(Ms, Token)>,
+    pub answered: Option<(Ms, FencingToken)>,
     /// When the cloud takes it away.
     pub notice: Option<Ms>,
     /// Images it holds, the most recently used last.
@@ -125,7 +125,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct Inventory {
     pub types: BTreeMap<TypeId, MachineType>,
     pub machines: BTreeMap<MachineId, Machine>,
     /// When the cloud's list last came whole.
@@ -134,7 +134,7 @@
     pub deleted: DeletedMachines,
 }
 
-impl Fleet {
+impl Inventory {
     pub fn total(&self, machine_type: &TypeId) -> Resources {
         self.types
             .get(machine_type)
--- a/crates/cleatfold-control/src/jobs.rs
+++ b/crates/cleatfold-control/src/jobs.rs
@@ -4,9 +4,9 @@
 //! very same transaction again: if it was executed, its guards fail now, and the next reading
 //! shows what stands. Until then nothing is built on it.
 
+use crate::cache::PartMap;
+use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::mirror::PartMap;
-use crate::node::{Node, Pending};
 use crate::records::*;
 use crate::state::jobs::{part_of, End, JobTx, Local, Outcome};
 use crate::state::sent::Sent;
@@ -30,7 +30,7 @@
 }
 
 /// The transaction fails unless the pool is still ours.
-fn guard_pool(txn: &mut Txn, pool: &PoolId, token: Token) {
+fn guard_pool(txn: &mut Txn, pool: &PoolId, token: FencingToken) {
     guard_once(txn, pool_key(pool), Version(token.0));
 }
 
@@ -55,7 +55,7 @@
     true
 }
 
-impl Node {
+impl Controller {
     pub(crate) fn local(&mut self, job: &JobId) -> &mut Local {
         self.locals.entry(job.clone()).or_default()
     }
@@ -71,10 +71,10 @@
             self.locals.remove(job);
         }
         for a in asked {
-            self.wait(a.rid, job.clone(), crate::node::Wait::Steps(a.report));
+            self.wait(a.rid, job.clone(), crate::controller::Wait::Steps(a.report));
         }
         for rid in rids {
-            self.wait(rid, job.clone(), crate::node::Wait::Withdraw);
+            self.wait(rid, job.clone(), crate::controller::Wait::Withdraw);
         }
     }
 
@@ -96,13 +96,13 @@
 
     pub(crate) fn build(&mut self, job: &JobId, selection: Option<Selection>) -> Option<JobTx> {
         let (rank, of) = self.rank();
-        let (pausing, mut most) = match self.mirror.jobs.get(job) {
+        let (pausing, mut most) = match self.cache.jobs.get(job) {
             Some(live) => self.claimable(job, live),
             None => Default::default(),
         };
         let local = self.locals.get_mut(job)?;
         let wishes = std::mem::take(&mut local.wishes);
-        let Some(live) = self.mirror.jobs.get(job) else {
+        let Some(live) = self.cache.jobs.get(job) else {
             // Gone meanwhile: what it still wanted is moot.
             local.ends.clear();
             local.abort = false;
@@ -111,7 +111,7 @@
         let mut record = live.record.clone();
         // From now on the record's version is another: its place in the queue stays.
         record.place = Some(live.place());
-        let parts = self.mirror.parts.get(job);
+        let parts = self.cache.parts.get(job);
         let mut touched: BTreeMap<u32, Table> = BTreeMap::new();
         let mut txn = Txn::default();
         txn.guard(job_key(job), live.version);
@@ -172,8 +172,8 @@
             }
         }
         let mut steps = Judged::default();
-        let known = self.mirror.progress.get(job);
-        if let Some(progress) = self.mirror.progress_of(job) {
+        let known = self.cache.progress.get(job);
+        if let Some(progress) = self.cache.progress_of(job) {
             if record.aborted {
                 // What stays here would be looked at for ever.
                 let cancelled = Verdict::Lost("the job is cancelled");
@@ -196,7 +196,7 @@
             let most_guards = self.cfg.txn_ops * (GUARDS_PER_CHANGE - 1);
             let mut by_zone: BTreeMap<ZoneId, u32> = BTreeMap::new();
             if record.spec.spread {
-                for table in self.mirror.tables(job) {
+                for table in self.cache.tables(job) {
                     for group in &table.claims {
                         *by_zone.entry(group.pool.zone.clone()).or_default() +=
                             group.tasks.len() as u32;
@@ -321,7 +321,7 @@
         // A claim in a part does not change the head. Whoever cancels may not have read one that was made
         // before; once the cancelled head itself was read none is missing, and none can be added.
         let all_read =
-            !record.in_parts() || (live.record.aborted && live.version <= self.mirror.applied);
+            !record.in_parts() || (live.record.aborted && live.version <= self.cache.applied);
         let over = finished || (record.aborted && claimed == 0 && all_read);
         for (part, table) in touched {
             let version = version_of_part(parts, part);
@@ -347,11 +347,11 @@
             let state = if finished { JobState::Done } else { JobState::Aborted };
             let done = record.spec.elastic.as_ref().map_or(done, |_| steps.finished);
             let mut losses = record.table.losses.clone();
-            for table in self.mirror.parts.get(job).into_iter().flat_map(|p| p.values()) {
+            for table in self.cache.parts.get(job).into_iter().flat_map(|p| p.values()) {
                 losses.take(table.1.losses.clone());
             }
             let team = record.spec.team.clone();
-            let summary = Some(self.mirror.summary(job, &record, self.wall_ms));
+            let summary = Some(self.cache.summary(job, &record, self.wall_ms));
             let archive = ArchiveRecord { state, done, team, losses, summary };
             txn.put(archive_key(job), &archive, None);
             txn.delete(job_key(job));
@@ -438,7 +438,7 @@
                     self.reply(rid, Response::later("the state service does not answer"));
                 }
                 self.note_unsent(&tx.job);
-                if !self.mirror.jobs.contains_key(&tx.job) {
+                if !self.cache.jobs.contains_key(&tx.job) {
                     self.drop_local(&tx.job);
                 }
                 self.dirty = true;
@@ -464,8 +464,8 @@
         // that it is gone. (A part that came back so counted its completed tasks twice.)
         for change in &tx.txn.changes {
             match (&change.put, &change.value, &change.delete) {
-                (Some(key), Some(value), _) => self.mirror.set(key, value.get(), version),
-                (_, _, Some(key)) => self.mirror.remove(key, version),
+                (Some(key), Some(value), _) => self.cache.set(key, value.get(), version),
+                (_, _, Some(key)) => self.cache.remove(key, version),
                 _ => {}
             }
         }
@@ -477,7 +477,7 @@
                 if !aborted {
                     state = JobState::Running;
                 }
-                if let Some(live) = self.mirror.jobs.get(&job) {
+                if let Some(live) = self.cache.jobs.get(&job) {
                     (done, claimed) = (live.done, live.claimed);
                 }
             }
@@ -496,7 +496,7 @@
         for rid in tx.withdrawals {
             self.reply(rid, Response::Status { code: 200, status: body.clone() });
         }
-        let gone = !self.mirror.jobs.contains_key(&job);
+        let gone = !self.cache.jobs.contains_key(&job);
         let local = self.local(&job);
         local.busy = false;
         let over: BTreeSet<(TaskIx, Attempt)> = tx.ends.iter().map(|e| (e.ix, e.attempt)).collect();
@@ -507,7 +507,7 @@
         if gone {
             self.drop_local(&job);
         }
-        for other in std::mem::take(&mut self.mirror.gone) {
+        for other in std::mem::take(&mut self.cache.gone) {
             self.drop_local(&other);
         }
         let claimed: Vec<MachineId> = tx.claims.iter().map(|c| c.0.machine.clone()).collect();
--- a/crates/cleatfold-control/src/lanes.rs
+++ b/crates/cleatfold-control/src/lanes.rs
@@ -1,7 +1,7 @@
 //! Lanes: which pools' promises are believed, decisions that outlive who made them. `cleatfold_priority` decides.
 
+use crate::controller::{Controller, Pending};
 use crate::effects::{Lane, StoreReply, StoreRequest};
-use crate::node::{Node, Pending};
 use crate::queue::Queued;
 use crate::records::{made_key, pool_key};
 use crate::state::lanes::Making;
@@ -16,7 +16,7 @@
 /// Who was silent for longer than this itself has heard nobody.
 const HELD_UP_MS: u64 = 1_000;
 
-impl Node {
+impl Controller {
     /// At each tick, once we serve.
     pub(crate) fn keep_lanes(&mut self) {
         if self.now.since(self.lanes.looked) > HELD_UP_MS {
@@ -49,14 +49,14 @@
 
     /// Which rooms stand in our pools; those that a former owner was making we go on making.
     fn see_rooms(&mut self) {
-        let owned: Vec<(PoolId, Token)> =
+        let owned: Vec<(PoolId, FencingToken)> =
             self.owned_since.iter().map(|(p, o)| (p.clone(), o.0)).collect();
         self.lanes.rooms.clear();
         self.lanes.adopted.retain(|p, _| self.owned_since.contains_key(p));
         for (pool, token) in owned {
-            let Some((_, record)) = self.mirror.made.get(&pool) else { continue };
+            let Some((_, record)) = self.cache.made.get(&pool) else { continue };
             let standing = record.rooms.iter().filter(|r| self.room_stands(r));
-            let lane = |r: &MadeRoom| self.mirror.jobs.get(&r.job).map(|l| l.record.spec.urgency);
+            let lane = |r: &MadeRoom| self.cache.jobs.get(&r.job).map(|l| l.record.spec.urgency);
             let rooms: Vec<(Urgency, MadeRoom)> =
                 standing.filter_map(|r| Some((lane(r)?, r.clone()))).collect();
             if self.lanes.adopted.insert(pool.clone(), token) != Some(token) {
@@ -72,7 +72,7 @@
     }
 
     fn room_stands(&self, room: &MadeRoom) -> bool {
-        let waits = self.mirror.jobs.get(&room.job).filter(|l| !l.record.aborted);
+        let waits = self.cache.jobs.get(&room.job).filter(|l| !l.record.aborted);
         room.stands(Seen {
             waits: waits.map_or(0, |l| l.unclaimed()),
             here: self.claims_on(&room.machine, &room.job),
@@ -82,14 +82,14 @@
 
     /// How many tasks of a job have a place on a machine.
     pub(crate) fn claims_on(&self, machine: &MachineId, job: &JobId) -> u32 {
-        let on = self.mirror.claims.get(machine);
+        let on = self.cache.claims.get(machine);
         on.map_or(0, |c| c.keys().filter(|t| t.0 == *job).count() as u32)
     }
 
     /// How long room is kept beyond the time that making it takes: for as long as it may take until somebody
     /// else has the pool and its workers.
     pub(crate) fn room_ms(&self) -> u64 {
-        self.cfg.node_ttl_ms + 3 * self.cfg.report_ms
+        self.cfg.controller_lease_ms + 3 * self.cfg.report_ms
     }
 
     /// Tasks that have a place on its way in a pool, as we remember or as is written.
@@ -101,12 +101,12 @@
 
     /// Writes down the rooms of a planning, all in one change, under the pool's token; who leaves is told
     /// once that is durable.
-    pub(crate) fn write_rooms(&mut self, pool: &PoolId, token: Token) {
+    pub(crate) fn write_rooms(&mut self, pool: &PoolId, token: FencingToken) {
         let rooms = std::mem::take(&mut self.lanes.new_rooms);
         if rooms.is_empty() || self.lanes.writing.contains(pool) {
             return;
         }
-        let (version, known) = self.mirror.made.get(pool).cloned().unwrap_or_default();
+        let (version, known) = self.cache.made.get(pool).cloned().unwrap_or_default();
         let record = known.with(rooms.clone(), |r| self.room_stands(r));
         let mut txn = Txn::default();
         txn.guard(pool_key(pool), Version(token.0));
@@ -131,7 +131,7 @@
         };
         let key = made_key(&making.pool);
         if let Ok(value) = serde_json::to_string(&making.record) {
-            self.mirror.set(&key, &value, version);
+            self.cache.set(&key, &value, version);
         }
         if self.my_token(&making.pool) == Some(making.token) {
             for room in making.rooms {
@@ -156,7 +156,7 @@
 
     fn fallen(&self) -> BTreeSet<PoolId> {
         let ears = self.ears();
-        let pools = self.mirror.pools.keys();
+        let pools = self.cache.pools.keys();
         pools.filter(|p| !self.lives_by(p, ears)).cloned().collect()
     }
 
@@ -177,15 +177,15 @@
         if self.my_token(pool).is_some() {
             return true;
         }
-        let Some(holding) = self.mirror.pools.get(pool) else { return false };
-        let (node, now) = (&holding.owner, self.now);
+        let Some(holding) = self.cache.pools.get(pool) else { return false };
+        let (controller, now) = (&holding.owner, self.now);
         let peers = &self.reach.view.peers;
-        let known = self.mirror.nodes.get(node);
+        let known = self.cache.controllers.get(controller);
         let owner = Owner {
-            stands: known.is_some_and(|n| n.0 == holding.incarnation) && *node != self.cfg.me,
-            heard_ms: peers.heard(node).map(|at| now.since(at)),
-            read_ms: peers.contact(node).map(|at| now.since(at)),
-            lost_workers: peers.of_zone(node, &pool.zone, now).is_some_and(|h| h.lost),
+            stands: known.is_some_and(|n| n.0 == holding.incarnation) && *controller != self.cfg.me,
+            heard_ms: peers.heard(controller).map(|at| now.since(at)),
+            read_ms: peers.contact(controller).map(|at| now.since(at)),
+            lost_workers: peers.of_zone(controller, &pool.zone, now).is_some_and(|h| h.lost),
         };
         // One that was told us over the mesh, and not read yet, is its teller's.
         self.hinted.contains_key(pool) || lives(owner, ears)
--- a/crates/cleatfold-control/src/leader.rs
+++ b/crates/cleatfold-control/src/leader.rs
@@ -3,8 +3,8 @@
 //! Who deals is a hint: two at once do no harm, since every change they make is guarded by the
 //! version of the key they change.
 
+use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::node::{Node, Pending};
 use crate::queue::Queued;
 use crate::records::*;
 use cleatfold_backfill::pools::{choose, Load};
@@ -21,7 +21,7 @@
 const JUST_STARTED_MS: u64 = 5000;
 const DEAL_MS: u64 = 200;
 
-impl Node {
+impl Controller {
     /// Deals pools and sends jobs to them, for as long as that is ours to do.
     pub(crate) fn lead(&mut self) {
         if !self.holds(Duty::Deal) {
@@ -42,14 +42,14 @@
 
     // ---- dealing ----
 
-    fn live(&self, holding: &crate::mirror::Holding) -> bool {
-        self.mirror.nodes.get(&holding.owner).is_some_and(|n| n.0 == holding.incarnation)
+    fn live(&self, holding: &crate::cache::Holding) -> bool {
+        self.cache.controllers.get(&holding.owner).is_some_and(|n| n.0 == holding.incarnation)
     }
 
     fn deal(&mut self, since: Ms) {
         // What was dealt last must have been read before anything more is dealt.
         let read = self.fresh.is_some_and(|f| f >= self.deal_settled);
-        if self.dealing.is_some() || !read || self.mirror.nodes.is_empty() {
+        if self.dealing.is_some() || !read || self.cache.controllers.is_empty() {
             return;
         }
         // Every pool and every machine is looked at: at each tick this alone took a tenth of a
@@ -60,21 +60,21 @@
         self.deal_looked = self.now;
         // At a start of all, wait a little for the others rather than deal twice: whoever was
         // first back once had every pool, and hundreds of workers, for the rest of the day.
-        let everyone = self.cfg.peers.len() < self.mirror.nodes.len();
+        let everyone = self.cfg.peers.len() < self.cache.controllers.len();
         let new = self.started.is_some_and(|s| self.now.since(s) < JUST_STARTED_MS);
-        if !everyone && (self.mirror.pools.is_empty() || new) && self.now.since(since) < 1500 {
+        if !everyone && (self.cache.pools.is_empty() || new) && self.now.since(since) < 1500 {
             return;
         }
-        let pools = self.fleet.pools();
-        let sizes = self.fleet.sizes();
+        let pools = self.inventory.pools();
+        let sizes = self.inventory.sizes();
         let weight = |pool: &PoolId| 1.0 + sizes.get(pool).copied().unwrap_or(0) as f64;
-        let mut held: BTreeMap<NodeId, f64> =
-            self.mirror.nodes.keys().map(|n| (n.clone(), 0.0)).collect();
+        let mut held: BTreeMap<ControllerId, f64> =
+            self.cache.controllers.keys().map(|n| (n.clone(), 0.0)).collect();
         let mut orphans = Vec::new();
         // Pools that have to leave owners that live, and who could have them.
-        let mut leaving: BTreeMap<PoolId, BTreeSet<NodeId>> = BTreeMap::new();
+        let mut leaving: BTreeMap<PoolId, BTreeSet<ControllerId>> = BTreeMap::new();
         for pool in &pools {
-            match self.mirror.pools.get(pool) {
+            match self.cache.pools.get(pool) {
                 Some(h) if self.live(h) => {
                     let takers = self.takers(&h.owner, pool);
                     if takers.is_empty() {
@@ -87,18 +87,18 @@
                 _ => orphans.push(pool.clone()),
             }
         }
-        let mut moves: Vec<(PoolId, NodeId)> = Vec::new();
+        let mut moves: Vec<(PoolId, ControllerId)> = Vec::new();
         orphans.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.cmp(b)));
         let average = pools.iter().map(&weight).sum::<f64>() / held.len() as f64;
         for pool in orphans {
             // Where nobody reaches the zone, one is as good as another.
-            let anyone = self.mirror.nodes.keys().any(|n| self.may_hold(n, &pool.zone));
-            let can = |n: &NodeId| match leaving.get(&pool) {
+            let anyone = self.cache.controllers.keys().any(|n| self.may_hold(n, &pool.zone));
+            let can = |n: &ControllerId| match leaving.get(&pool) {
                 Some(takers) => takers.contains(n),
                 None => !anyone || self.may_hold(n, &pool.zone),
             };
             // One pool, however large, has to be with someone.
-            let light = |n: &NodeId, most: f64| {
+            let light = |n: &ControllerId, most: f64| {
                 can(n)
                     && held
                         .get(n)
@@ -106,7 +106,7 @@
             };
             // A former owner that is back after a restart: its workers are looking for it, and
             // hundreds of them moving elsewhere cost both nodes seconds of processor time.
-            let former = self.mirror.pools.get(&pool).map(|h| h.owner.clone());
+            let former = self.cache.pools.get(&pool).map(|h| h.owner.clone());
             let least = held.iter().filter(|(n, _)| can(n)).min_by(|a, b| a.1.total_cmp(b.1));
             let to = former
                 .filter(|n| light(n, 2.0))
@@ -121,7 +121,7 @@
             moves.extend(self.balance(&pools, &held, &weight));
             // One node with nearly all is worth more than one move at a time.
             if let Some((pool, to)) = moves.first().cloned() {
-                if let Some(h) = self.mirror.pools.get(&pool) {
+                if let Some(h) = self.cache.pools.get(&pool) {
                     *held.entry(h.owner.clone()).or_default() -= weight(&pool);
                     *held.entry(to).or_default() += weight(&pool);
                 }
@@ -134,10 +134,10 @@
     }
 
     /// The live node of a zone.
-    fn home_of(&self, zone: &ZoneId) -> Option<NodeId> {
+    fn home_of(&self, zone: &ZoneId) -> Option<ControllerId> {
         std::iter::once((&self.cfg.me, &self.cfg.zone))
             .chain(self.cfg.peers.iter().map(|(n, z)| (n, z)))
-            .find(|(n, z)| *z == zone && self.mirror.nodes.contains_key(*n))
+            .find(|(n, z)| *z == zone && self.cache.controllers.contains_key(*n))
             .map(|(n, _)| n.clone())
     }
 
@@ -145,9 +145,9 @@
     fn balance(
         &self,
         pools: &[PoolId],
-        held: &BTreeMap<NodeId, f64>,
+        held: &BTreeMap<ControllerId, f64>,
         weight: &impl Fn(&PoolId) -> f64,
-    ) -> Option<(PoolId, NodeId)> {
+    ) -> Option<(PoolId, ControllerId)> {
         let most = held.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
         let average = held.values().sum::<f64>() / held.len() as f64;
         // Every move costs its workers a change of node: only clear unevenness is worth one.
@@ -161,29 +161,30 @@
         };
         pools
             .iter()
-            .filter(|p| self.mirror.pools.get(*p).is_some_and(|h| h.owner == *most.0))
+            .filter(|p| self.cache.pools.get(*p).is_some_and(|h| h.owner == *most.0))
             .filter_map(|p| Some((p, least_for(p)?)))
-            .map(|(p, (node, held))| (p, node, most.1 - held))
+            .map(|(p, (controller, held))| (p, controller, most.1 - held))
             .filter(|(p, _, gap)| *gap >= average * 0.6 && weight(p) < gap * 0.8)
             .min_by(|a, b| {
-                let left = |(p, _, gap): &(&PoolId, &NodeId, f64)| (gap - 2.0 * weight(p)).abs();
+                let left =
+                    |(p, _, gap): &(&PoolId, &ControllerId, f64)| (gap - 2.0 * weight(p)).abs();
                 left(a).total_cmp(&left(b)).then(a.0.cmp(b.0))
             })
-            .map(|(p, node, _)| (p.clone(), node.clone()))
+            .map(|(p, controller, _)| (p.clone(), controller.clone()))
     }
 
-    fn send_deal(&mut self, moves: Vec<(PoolId, NodeId)>) {
+    fn send_deal(&mut self, moves: Vec<(PoolId, ControllerId)>) {
         let mut txn = Txn::default();
-        for (pool, node) in moves {
-            let Some((incarnation, _)) = self.mirror.nodes.get(&node).copied() else {
+        for (pool, controller) in moves {
+            let Some((incarnation, _)) = self.cache.controllers.get(&controller).copied() else {
                 continue;
             };
             let version =
-                self.mirror.pools.get(&pool).map(|h| Version(h.token.0)).unwrap_or_default();
-            tracing::info!(%pool, %node, "dealing");
+                self.cache.pools.get(&pool).map(|h| Version(h.token.0)).unwrap_or_default();
+            tracing::info!(%pool, %controller, "dealing");
             txn.guard(pool_key(&pool), version);
-            self.reach.dealt(&pool, &node);
-            txn.put(pool_key(&pool), &HolderRecord { owner: node, incarnation }, None);
+            self.reach.dealt(&pool, &controller);
+            txn.put(pool_key(&pool), &HolderRecord { owner: controller, incarnation }, None);
             self.dealt.insert(pool, self.now);
         }
         if txn.changes.is_empty() {
@@ -194,7 +195,7 @@
     }
 
     /// Workers of a pool come here since they cannot reach its owner: take it.
-    pub(crate) fn take_over(&mut self, pool: PoolId, owner: &NodeId) {
+    pub(crate) fn take_over(&mut self, pool: PoolId, owner: &ControllerId) {
         let recent = self.dealt.get(&pool).is_some_and(|at| self.now.since(*at) < SETTLE_MS);
         if recent || self.dealing.is_some() || !self.in_contact() {
             return;
@@ -210,20 +211,21 @@
     /// Sends each job of the queue to the K least loaded pools that can hold it.
     fn assign(&mut self) {
         self.assigned_at = self.now;
-        let pools = self.fleet.pools();
+        let pools = self.inventory.pools();
         let index: BTreeMap<&PoolId, usize> =
             pools.iter().enumerate().map(|(i, p)| (p, i)).collect();
         let mut loads = vec![Load { work: 0.0, processors: 0.0 }; pools.len()];
-        for m in self.fleet.machines.values() {
+        for m in self.inventory.machines.values() {
             if !m.takes_work() {
                 continue;
             }
             if let Some(&i) = index.get(&m.pool) {
-                loads[i].processors += self.fleet.total(&m.pool.machine_type).cpus as f64 / 1000.0;
+                loads[i].processors +=
+                    self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
             }
         }
-        for (id, live) in &self.mirror.jobs {
-            for group in self.mirror.tables(id).flat_map(|t| &t.claims) {
+        for (id, live) in &self.cache.jobs {
+            for group in self.cache.tables(id).flat_map(|t| &t.claims) {
                 let Some(&i) = index.get(&group.pool) else { continue };
                 let spec = &live.record.spec;
                 loads[i].work += 0.5 * spec.estimate_s * spec.cpus * group.tasks.len() as f64;
@@ -234,7 +236,7 @@
         let alive: Vec<bool> = pools.iter().map(|p| self.lives(p)).collect();
         let mut assigned: Vec<(String, Vec<u16>)> = Vec::new();
         for Queued { job: id, tasks: unclaimed, growth, .. } in &queue {
-            let Some(live) = self.mirror.jobs.get(id) else {
+            let Some(live) = self.cache.jobs.get(id) else {
                 continue;
             };
             // Its base has been sent somewhere already, a moment ago or above.
@@ -275,18 +277,18 @@
 
     pub(crate) fn on_assign(
         &mut self,
-        from: &NodeId,
+        from: &ControllerId,
         pools: Vec<String>,
         jobs: Vec<(String, Vec<u16>)>,
     ) {
-        if self.mirror.duties.get(&Duty::Deal).map(|h| &h.0.owner) != Some(from) {
+        if self.cache.duties.get(&Duty::Deal).map(|h| &h.0.owner) != Some(from) {
             return;
         }
         self.lanes.assigned = Some(self.now);
         let pools: Vec<Option<PoolId>> = pools.iter().map(|p| PoolId::parse(p)).collect();
         for (job, chosen) in jobs {
             let job = JobId::new(job);
-            if !self.mirror.jobs.contains_key(&job) {
+            if !self.cache.jobs.contains_key(&job) {
                 continue;
             }
             let chosen: Vec<PoolId> =
--- a/crates/cleatfold-control/src/limits.rs
+++ b/crates/cleatfold-control/src/limits.rs
@@ -3,9 +3,9 @@
 //! Only a pool's owner changes the pool's part, guarded by the pool's version; so the parts never
 //! add up to more than the limit, and what a pool uses never exceeds its part.
 
+use crate::cache::Live;
+use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::*;
-use crate::mirror::Live;
-use crate::node::{EventNumber, Node, Pending};
 use crate::records::*;
 use crate::schedule::PoolPlan;
 use cleatfold_admission::room::Room;
@@ -71,7 +71,7 @@
 }
 
 impl Limits {
-    pub fn new(me: &NodeId) -> Self {
+    pub fn new(me: &ControllerId) -> Self {
         let seed = xxhash_rust::xxh3::xxh3_64(me.as_str().as_bytes());
         Self {
             pacer: WritePacer::new(seed, PACER),
@@ -112,7 +112,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What limited teams use in our pools: every claim counts until it is proven over, and
     /// so does every claim that is on its way.
     pub(crate) fn limited_usage(&self) -> Usage {
@@ -122,10 +122,10 @@
         let teams: Vec<&TeamId> =
             self.cfg.teams.iter().filter(|t| t.is_limited()).map(|t| &t.name).collect();
         let mut used = vec![Resources::default(); own.len() * teams.len()];
-        for (id, live) in &self.mirror.jobs {
+        for (id, live) in &self.cache.jobs {
             let team = teams.iter().position(|t| **t == live.record.spec.team);
             let Some(team) = team.filter(|_| live.claimed > 0) else { continue };
-            for group in self.mirror.tables(id).flat_map(|t| &t.claims) {
+            for group in self.cache.tables(id).flat_map(|t| &t.claims) {
                 if let Some(pool) = own.iter().position(|p| **p == group.pool) {
                     used[team * own.len() + pool] += live.each.times(group.tasks.len() as u32);
                 }
@@ -137,7 +137,7 @@
         }
         for (id, local) in &self.locals {
             for wish in &local.wishes {
-                if let Some(live) = self.mirror.jobs.get(id) {
+                if let Some(live) = self.cache.jobs.get(id) {
                     let key = (live.record.spec.team.clone(), wish.pool.clone());
                     *usage.entry(key).or_default() += live.each.times(wish.tasks);
                 }
@@ -145,7 +145,7 @@
         }
         for pending in self.ops.values() {
             let Pending::Job(tx) = pending else { continue };
-            let Some(live) = self.mirror.jobs.get(&tx.job) else {
+            let Some(live) = self.cache.jobs.get(&tx.job) else {
                 continue;
             };
             for (pool, tasks) in tx.claimed() {
@@ -165,7 +165,7 @@
         usage: &Usage,
         rooms: &BTreeMap<TeamId, Room>,
     ) -> Vec<Binding> {
-        let capacity = self.fleet.total(&pool.machine_type).times(machines as u32);
+        let capacity = self.inventory.total(&pool.machine_type).times(machines as u32);
         let mut binding = Vec::new();
         for team in self.cfg.teams.iter().filter(|t| t.is_limited()) {
             let (part, free) = self.part_and_free(team, pool);
@@ -195,18 +195,18 @@
             spec.team == *team && room.is_long(spec.estimate_s)
         };
         let mut used = 0;
-        for (id, live) in self.mirror.jobs.iter().filter(|(_, l)| long(l)) {
+        for (id, live) in self.cache.jobs.iter().filter(|(_, l)| long(l)) {
             let here = live.by_pool.iter().find(|(p, _)| p == pool).map_or(0, |p| p.1);
             // What has ended holds nothing, whether that is recorded or not.
             let ends = self.locals.get(id).into_iter().flat_map(|l| &l.ends);
             let in_pool =
-                |m: &MachineId| self.fleet.machines.get(m).is_some_and(|m| m.pool == *pool);
+                |m: &MachineId| self.inventory.machines.get(m).is_some_and(|m| m.pool == *pool);
             let ended = ends.filter(|e| in_pool(&e.machine)).count() as u32;
             used += live.each.times(here.saturating_sub(ended)).cpus;
         }
         for pending in self.ops.values() {
             let Pending::Job(tx) = pending else { continue };
-            let Some(live) = self.mirror.jobs.get(&tx.job).filter(long) else { continue };
+            let Some(live) = self.cache.jobs.get(&tx.job).filter(long) else { continue };
             let claimed = tx.claimed().filter(|(p, _)| p == pool).map(|p| p.1);
             used += live.each.times(claimed.sum()).cpus;
         }
@@ -215,7 +215,7 @@
 
     /// The pool's part of a team's limit, and what of the limit is no pool's.
     fn part_and_free(&self, team: &crate::config::Team, pool: &PoolId) -> (Resources, Resources) {
-        let record = self.mirror.slices.get(&team.name).map(|s| &s.1);
+        let record = self.cache.slices.get(&team.name).map(|s| &s.1);
         let parts = || record.iter().flat_map(|r| &r.pools);
         let part = parts().find(|(p, _)| *p == pool).map(|p| *p.1).unwrap_or_default();
         let taken = parts().fold((0, 0), |a, (_, s)| (a.0 + s.0, a.1 + s.1));
@@ -237,7 +237,7 @@
         let until = self.now.plus(KEEP_MS);
         for plan in plans {
             for r in plan.reservations.iter().filter(|r| r.start > self.now && r.start <= until) {
-                let Some(live) = self.mirror.jobs.get(&plan.jobs[r.request]) else { continue };
+                let Some(live) = self.cache.jobs.get(&plan.jobs[r.request]) else { continue };
                 let team = &live.record.spec.team;
                 if self.cfg.team(team).is_some_and(|t| t.is_limited()) {
                     let key = (team.clone(), plan.pool.clone());
@@ -254,7 +254,7 @@
         let limited = self.cfg.teams.iter().filter(|t| t.cpus_max > 0.0);
         let mut rooms: BTreeMap<TeamId, f64> =
             limited.map(|t| (t.name.clone(), t.cpus_max)).collect();
-        for live in self.mirror.jobs.values().filter(|l| l.claimed > 0) {
+        for live in self.cache.jobs.values().filter(|l| l.claimed > 0) {
             if let Some(room) = rooms.get_mut(&live.record.spec.team) {
                 *room -= live.record.spec.cpus * f64::from(live.claimed) * weight(live);
             }
@@ -280,7 +280,7 @@
         if self.limits.blind.is_some() || self.limits.inflight.contains(team) {
             return 0;
         }
-        let slice = self.mirror.slices.get(team).and_then(|s| s.1.pools.get(pool)).copied();
+        let slice = self.cache.slices.get(team).and_then(|s| s.1.pools.get(pool)).copied();
         let (cpus, gpus) = slice.unwrap_or_default();
         let used = usage.entry((team.clone(), pool.clone())).or_default();
         let far = i64::MAX / 4;
@@ -325,21 +325,21 @@
     /// Which teams' slices should move, whether or not there are changes for all of them.
     fn slice_moves(&self) -> Vec<SliceMove> {
         let usage = self.limited_usage();
-        let sizes = self.fleet.sizes();
-        let own: Vec<(PoolId, Token, Resources)> = self
+        let sizes = self.inventory.sizes();
+        let own: Vec<(PoolId, FencingToken, Resources)> = self
             .owned_since
             .iter()
             .filter(|(p, _)| !self.hinted.contains_key(p))
             .map(|(p, o)| {
                 let n = sizes.get(p).copied().unwrap_or(0) as u32;
-                (p.clone(), o.0, self.fleet.total(&p.machine_type).times(n))
+                (p.clone(), o.0, self.inventory.total(&p.machine_type).times(n))
             })
             .collect();
         let needs = self.largest_needs();
         let mut moves = Vec::new();
         let limited = self.cfg.teams.iter().filter(|t| t.is_limited());
         for team in limited.filter(|t| !self.limits.inflight.contains(&t.name)) {
-            let (version, record) = self.mirror.slices.get(&team.name).cloned().unwrap_or_default();
+            let (version, record) = self.cache.slices.get(&team.name).cloned().unwrap_or_default();
             let max = Resources::new(team.cpus_max, team.gpus_max, 0.0);
             let taken = record.pools.values().fold((0, 0), |a, s| (a.0 + s.0, a.1 + s.1));
             let mut free = (max.cpus - taken.0, max.gpus - taken.1);
@@ -377,7 +377,7 @@
     /// By team, the most that something of it needs at once to start at all.
     fn largest_needs(&self) -> BTreeMap<TeamId, Resources> {
         let mut needs: BTreeMap<TeamId, Resources> = BTreeMap::new();
-        for live in self.mirror.jobs.values().filter(|l| l.unclaimed() > 0) {
+        for live in self.cache.jobs.values().filter(|l| l.unclaimed() > 0) {
             let spec = &live.record.spec;
             if self.cfg.team(&spec.team).is_some_and(|t| t.is_limited()) {
                 let at_once = if spec.kind == Kind::Gang { spec.tasks } else { 1 };
@@ -395,9 +395,9 @@
                 let SentSlice { team, record, .. } = sent;
                 self.limits.inflight.remove(&team);
                 self.limits.pacer.succeeded(&team);
-                let current = self.mirror.slices.get(&team).map(|s| s.0).unwrap_or_default();
+                let current = self.cache.slices.get(&team).map(|s| s.0).unwrap_or_default();
                 if current < version {
-                    self.mirror.slices.insert(team, (version, record));
+                    self.cache.slices.insert(team, (version, record));
                 }
                 self.dirty = true;
             }
--- a/crates/cleatfold-control/src/losses.rs
+++ b/crates/cleatfold-control/src/losses.rs
@@ -6,8 +6,8 @@
 //! when there are changes to spare: told late rather than never, and at least once (a new owner reads
 //! what is there and adds what is missing).
 
+use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::node::{Node, Pending};
 use crate::records::*;
 use cleatfold_wire::losses::{Loss, TeamLosses};
 use cleatfold_wire::store::Txn;
@@ -25,7 +25,7 @@
 const BACK: u64 = 9000;
 const BACK_ENDED: u64 = 3000;
 
-impl Node {
+impl Controller {
     /// Whose logs are ours to write, and under which token.
     pub(crate) fn note_logs(&mut self, mine: &BTreeMap<TeamId, Version>) {
         self.losses.own(mine);
@@ -34,14 +34,14 @@
     /// Now and then, once we serve.
     pub(crate) fn keep_losses(&mut self) {
         if self.losses.begin_reading() {
-            let from = Version(self.mirror.applied.0.saturating_sub(BACK));
+            let from = Version(self.cache.applied.0.saturating_sub(BACK));
             let request = StoreRequest::Changes { prefix: LOSS_LOG.into(), from };
             self.store(Lane::Poll, request, Pending::LossLog);
         }
         if self.losses.back && !self.archive.following {
             // What ended while nobody kept the team.
             self.losses.back = false;
-            let back = Version(self.mirror.applied.0.saturating_sub(BACK_ENDED));
+            let back = Version(self.cache.applied.0.saturating_sub(BACK_ENDED));
             self.archive.read_to = self.archive.read_to.min(back);
             self.archive.stale = true;
             self.follow_archive();
@@ -49,10 +49,10 @@
         let now = self.now;
         if now.since(self.losses.looked) >= LOOK_MS {
             self.losses.looked = now;
-            for id in &self.mirror.lossy {
-                let Some(live) = self.mirror.jobs.get(id) else { continue };
+            for id in &self.cache.lossy {
+                let Some(live) = self.cache.jobs.get(id) else { continue };
                 let Some(log) = self.losses.log(&live.record.spec.team) else { continue };
-                for table in self.mirror.tables(id) {
+                for table in self.cache.tables(id) {
                     log.find(now, id, &table.losses);
                 }
             }
@@ -74,7 +74,7 @@
         }
         let now = self.now;
         // One that cannot be read is not written over, and keeps no other team waiting.
-        let unreadable = &self.mirror.unreadable;
+        let unreadable = &self.cache.unreadable;
         let logs = self.losses.logs.iter_mut().filter(|(team, log)| {
             let readable = unreadable.is_empty() || !unreadable.contains(&loss_head_key(team));
             !log.writing && !log.waiting.is_empty() && readable
@@ -85,7 +85,7 @@
             return;
         }
         let (team, token) = (team.clone(), log.token);
-        let (version, head) = self.mirror.loss_heads.get(&team).cloned().unwrap_or_default();
+        let (version, head) = self.cache.loss_heads.get(&team).cloned().unwrap_or_default();
         let group: Vec<Loss> = log.waiting.iter().take(GROUP).map(|(_, l)| l.clone()).collect();
         log.writing = true;
         let mut txn = Txn::default();
--- a/crates/cleatfold-control/src/machines.rs
+++ b/crates/cleatfold-control/src/machines.rs
@@ -1,10 +1,10 @@
 //! What the cloud tells of machines, and what owners see of theirs: silent ones, idle ones, those that are
 //! returned, and those that only their claims tell of.
 
+use crate::cache::Live;
+use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::fleet::Machine;
-use crate::mirror::Live;
-use crate::node::{Node, Pending};
+use crate::inventory::Machine;
 use crate::state::jobs::End;
 use cleatfold_roles::Duty;
 use cleatfold_wire::cloud::{ListedMachine, MachineState};
@@ -16,7 +16,7 @@
 
 /// A pool of ours, as its machines are watched by.
 struct OwnPool {
-    token: Token,
+    token: FencingToken,
     since: Ms,
     boot_ms: u64,
     /// Of one machine.
@@ -25,7 +25,7 @@
     useful: [f64; 2],
 }
 
-impl Node {
+impl Controller {
     // ---- the cloud's answers ----
 
     /// Half of the cloud's rate is for whoever rents, the others share the rest.
@@ -41,7 +41,7 @@
 
     /// Looking takes at most half of our calls, however many pages the list has.
     fn list_ms(&self) -> u64 {
-        let pages = 1 + self.fleet.machines.len() as u64 / 500;
+        let pages = 1 + self.inventory.machines.len() as u64 / 500;
         (2 * pages * self.cloud_spacing_ms()).max(4000)
     }
 
@@ -67,7 +67,8 @@
                 match reply {
                     // A list of none says nothing: whoever went by it would refuse every job for good.
                     CloudReply::Types(types) if !types.is_empty() => {
-                        self.fleet.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
+                        self.inventory.types =
+                            types.into_iter().map(|t| (t.name.clone(), t)).collect();
                         self.types_at = Some(self.now);
                     }
                     _ if self.types_at.is_some() => self.types_at = Some(self.now),
@@ -96,13 +97,13 @@
             (Some(Pending::Delete { machines }), CloudReply::Deleted) => {
                 for id in machines {
                     self.on_machine_gone(&id, "machine deleted", None);
-                    self.fleet.note_deleted(&id);
+                    self.inventory.note_deleted(&id);
                 }
                 self.dirty = true;
             }
             (Some(Pending::Delete { machines }), _) => {
                 for id in machines {
-                    if let Some(m) = self.fleet.machines.get_mut(&id) {
+                    if let Some(m) = self.inventory.machines.get_mut(&id) {
                         m.deleting = false;
                     }
                 }
@@ -113,14 +114,14 @@
 
     fn on_list(&mut self, list: Vec<ListedMachine>) {
         let now = self.now;
-        self.fleet.listed_at = now;
+        self.inventory.listed_at = now;
         for listed in &list {
-            if self.fleet.is_deleted(&listed.id) {
+            if self.inventory.is_deleted(&listed.id) {
                 continue;
             }
             let pool =
                 PoolId { machine_type: listed.machine_type.clone(), zone: listed.zone.clone() };
-            let machine = self.fleet.machines.entry(listed.id.clone()).or_insert_with(|| {
+            let machine = self.inventory.machines.entry(listed.id.clone()).or_insert_with(|| {
                 self.dirty = true;
                 let mut m = Machine::new(pool.clone(), listed.spot, now);
                 m.born = Ms(now.0.saturating_sub((listed.age_s * 1000.0) as u64));
@@ -137,8 +138,8 @@
             }
         }
         let silent = 30_000 + 2 * self.cfg.list_lag_ms;
-        let claims = &self.mirror.claims;
-        self.fleet.machines.retain(|id, m| {
+        let claims = &self.cache.claims;
+        self.inventory.machines.retain(|id, m| {
             now.since(m.listed_at) < silent
                 || m.heard().is_some_and(|h| now.since(h) < silent)
                 || claims.contains_key(id)
@@ -149,7 +150,7 @@
     /// named it yet. Decides what is rented, nothing else.
     pub(crate) fn may_be_there(&self, machine: &Machine) -> bool {
         let heard = machine.heard().is_some_and(|at| self.now.since(at) <= self.silent_ms());
-        let listed = machine.listed_at >= self.fleet.listed_at;
+        let listed = machine.listed_at >= self.inventory.listed_at;
         heard || listed || !machine.was_listed
     }
 
@@ -158,14 +159,14 @@
         &mut self,
         id: &MachineId,
         why: &'static str,
-        fence: Option<(PoolId, Token)>,
+        fence: Option<(PoolId, FencingToken)>,
     ) {
-        let claims = self.mirror.claims.get(id).cloned().unwrap_or_default();
+        let claims = self.cache.claims.get(id).cloned().unwrap_or_default();
         tracing::info!(machine = %id, tasks = claims.len(), why, "machine gone");
         for ((job, ix), claim) in claims {
             let (machine, attempt, fence) = (id.clone(), claim.attempt, fence.clone());
             let started =
-                self.fleet.machines.get(id).and_then(|m| m.started.get(&(job.clone(), ix)));
+                self.inventory.machines.get(id).and_then(|m| m.started.get(&(job.clone(), ix)));
             let ran_ms = started.map_or(0, |s| self.now.since(*s));
             self.end(&job, End { machine, ix, attempt, done: false, why, ran_ms, fence });
         }
@@ -188,7 +189,7 @@
         // Per zone: how many of our machines are silent, and how many report.
         let mut zones: BTreeMap<ZoneId, (usize, usize)> = BTreeMap::new();
         let mut delete: Vec<MachineId> = Vec::new();
-        let mut expired: Vec<(MachineId, PoolId, Token)> = Vec::new();
+        let mut expired: Vec<(MachineId, PoolId, FencingToken)> = Vec::new();
         let mut turned_silent = false;
         let mut deaf: Vec<(MachineId, ZoneId)> = Vec::new();
         let idle_limit = (self.cfg.idle_return_s * 1000.0) as u64;
@@ -196,7 +197,7 @@
         let rooms = self.team_rooms(|_| 1.0);
         // The same for every pool.
         let waiting: Vec<&Live> = self
-            .mirror
+            .cache
             .jobs
             .iter()
             .filter(|(_, j)| !j.record.aborted && j.unclaimed() > 0)
@@ -220,15 +221,15 @@
                 }
                 teams.into_iter().map(|(team, waits)| waits.min(rooms[team]).max(0.0)).sum()
             };
-            let kind = self.fleet.types.get(&pool.machine_type);
+            let kind = self.inventory.types.get(&pool.machine_type);
             let boot_ms = kind.map_or(60_000.0, |t| t.boot_s * 1000.0) as u64;
             let cpus = kind.map_or(1.0, |t| t.cpus);
             let useful = [useful(false), useful(true)];
             let own = OwnPool { token, since, boot_ms, cpus, useful };
             pools.insert(pool.clone(), own);
         }
-        let claims = &self.mirror.claims;
-        for (id, m) in &mut self.fleet.machines {
+        let claims = &self.cache.claims;
+        for (id, m) in &mut self.inventory.machines {
             let Some(own) = pools.get_mut(&m.pool).filter(|_| !m.deleting) else { continue };
             if m.listed == Some(MachineState::Failed) {
                 delete.push(id.clone());
@@ -312,7 +313,7 @@
         }
         for (id, pool, token) in expired {
             // Claims made since are on no machine either: they were never ordered.
-            if self.mirror.claims.contains_key(&id) {
+            if self.cache.claims.contains_key(&id) {
                 self.on_machine_gone(&id, "lease ran out", Some((pool, token)));
             }
         }
@@ -335,7 +336,7 @@
             if promised || batch.len() >= 100 {
                 continue;
             }
-            if let Some(m) = self.fleet.machines.get_mut(&id) {
+            if let Some(m) = self.inventory.machines.get_mut(&id) {
                 m.deleting = true;
                 m.draining = true;
                 batch.push(id);
@@ -351,34 +352,34 @@
     /// Machines that only their claims tell of: taken over from a former owner, or deleted.
     fn adopt_claimed_machines(&mut self) {
         let unknown: BTreeSet<MachineId> = self
-            .mirror
+            .cache
             .claims
             .keys()
-            .filter(|id| !self.fleet.machines.contains_key(*id))
+            .filter(|id| !self.inventory.machines.contains_key(*id))
             .cloned()
             .collect();
         if unknown.is_empty() {
             return;
         }
         let mut found: BTreeMap<MachineId, PoolId> = BTreeMap::new();
-        for id in self.mirror.jobs.keys() {
-            for group in self.mirror.tables(id).flat_map(|t| &t.claims) {
+        for id in self.cache.jobs.keys() {
+            for group in self.cache.tables(id).flat_map(|t| &t.claims) {
                 if unknown.contains(&group.machine) {
                     found.insert(group.machine.clone(), group.pool.clone());
                 }
             }
         }
         for (id, pool) in found {
-            if self.fleet.is_deleted(&id) {
+            if self.inventory.is_deleted(&id) {
                 // Until the ends are recorded its claims stand; they are told of once.
-                let claims = self.mirror.claims.get(&id).into_iter().flatten();
+                let claims = self.cache.claims.get(&id).into_iter().flatten();
                 let mut news = claims.map(|((job, ix), c)| self.is_ending(job, *ix, c.attempt));
                 if news.any(|ending| !ending) {
                     self.on_machine_gone(&id, "machine deleted", None);
                 }
             } else {
                 let now = self.now;
-                self.fleet.machines.entry(id).or_insert_with(|| Machine::new(pool, false, now));
+                self.inventory.machines.entry(id).or_insert_with(|| Machine::new(pool, false, now));
             }
         }
     }
--- a/crates/cleatfold-control/src/mesh.rs
+++ b/crates/cleatfold-control/src/mesh.rs
@@ -1,11 +1,11 @@
 //! What the other controllers tell: hints, all of it.
 
-use crate::node::Node;
+use crate::controller::Controller;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::*;
 
-impl Node {
-    pub(crate) fn on_mesh(&mut self, from: NodeId, message: Message) {
+impl Controller {
+    pub(crate) fn on_mesh(&mut self, from: ControllerId, message: Message) {
         self.reach.view.peers.heard_of(&from, self.now);
         match message {
             Message::Alive { contact_age_ms } => {
@@ -19,7 +19,7 @@
             Message::Images { machines } => {
                 for (id, images) in machines {
                     let id = MachineId::new(id);
-                    let Some(m) = self.fleet.machines.get_mut(&id) else { continue };
+                    let Some(m) = self.inventory.machines.get_mut(&id) else { continue };
                     if !self.owned_since.contains_key(&m.pool) {
                         m.images = images
                             .into_iter()
@@ -42,8 +42,8 @@
                 let Some(pool) = PoolId::parse(&pool) else {
                     return;
                 };
-                let token = Token(token);
-                let known = self.mirror.pools.get(&pool).map(|h| h.token).unwrap_or_default();
+                let token = FencingToken(token);
+                let known = self.cache.pools.get(&pool).map(|h| h.token).unwrap_or_default();
                 if token > known {
                     self.hinted.insert(pool.clone(), (from, token));
                     self.want_sync = true;
--- a/crates/cleatfold-control/src/news.rs
+++ b/crates/cleatfold-control/src/news.rs
@@ -1,8 +1,8 @@
 //! Which job's news is recorded next.
 
+use crate::cache::Live;
+use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::mirror::Live;
-use crate::node::{Node, Pending};
 use crate::state::jobs::{part_of, Local};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
@@ -14,13 +14,13 @@
 const LEAST_WAIT_MS: u64 = 30_000;
 const MOST_WAIT_MS: u64 = 90_000;
 
-impl Node {
+impl Controller {
     /// Sends what is due, as far as our part of the state service's changes goes: what weighs
     /// most goes first, the rest gathers until its turn.
     pub(crate) fn flush(&mut self) {
-        let nodes = if self.in_contact() { self.mirror.nodes.len() } else { 0 };
-        let nodes = if nodes == 0 { self.cfg.peers.len() + 1 } else { nodes };
-        self.pace.fill(self.now, self.cfg.changes_per_s, nodes);
+        let controllers = if self.in_contact() { self.cache.controllers.len() } else { 0 };
+        let controllers = if controllers == 0 { self.cfg.peers.len() + 1 } else { controllers };
+        self.pace.fill(self.now, self.cfg.changes_per_s, controllers);
         while self.pace.open() {
             let due = if self.loaded { self.weightiest() } else { None };
             // Submissions first, but a flood of them leaves the jobs every other change.
@@ -56,7 +56,7 @@
             let waited = now.since(*local.unsent_since.get_or_insert(now));
             let local = &self.locals[id];
             // Gone meanwhile, or to be cancelled: at once.
-            let news = match self.mirror.jobs.get(id) {
+            let news = match self.cache.jobs.get(id) {
                 Some(live) => self.news(id, local, live),
                 None => News { abort: true, ..News::default() },
             };
@@ -130,13 +130,13 @@
 
     /// Of a job in parts, whose ends are worth their changes now.
     fn select(&self, job: &JobId, local: &Local) -> Option<Selection> {
-        let live = self.mirror.jobs.get(job).filter(|l| l.record.in_parts())?;
+        let live = self.cache.jobs.get(job).filter(|l| l.record.in_parts())?;
         let mut parts: BTreeMap<u32, PartNews> = BTreeMap::new();
         for end in &local.ends {
             let part = parts.entry(end.ix.0 / crate::records::PART).or_default();
             *if end.done { &mut part.done } else { &mut part.lost } += 1;
         }
-        let tables = self.mirror.parts.get(job);
+        let tables = self.cache.parts.get(job);
         for (number, news) in &mut parts {
             let Some((_, table)) = tables.and_then(|t| t.get(number)) else { continue };
             let claims = |mine: bool| -> u32 {
@@ -156,9 +156,9 @@
 
     /// Our place among the live controllers, and how many there are.
     pub(crate) fn rank(&self) -> (usize, usize) {
-        let nodes = &self.mirror.nodes;
-        let rank = nodes.keys().position(|n| *n == self.cfg.me).unwrap_or(0);
-        (rank, nodes.len())
+        let controllers = &self.cache.controllers;
+        let rank = controllers.keys().position(|n| *n == self.cfg.me).unwrap_or(0);
+        (rank, controllers.len())
     }
 
     /// Something of the job waits to be recorded.
--- a/crates/cleatfold-control/src/pace.rs
+++ b/crates/cleatfold-control/src/pace.rs
@@ -23,9 +23,9 @@
 }
 
 impl Pace {
-    /// `limit` is the whole service's, `nodes` how many live on it.
-    pub fn fill(&mut self, now: Ms, limit: f64, nodes: usize) {
-        let rate = limit * MARGIN / nodes.max(1) as f64;
+    /// `limit` is the whole service's, `controllers` how many live on it.
+    pub fn fill(&mut self, now: Ms, limit: f64, controllers: usize) {
+        let rate = limit * MARGIN / controllers.max(1) as f64;
         self.rate = rate;
         let passed = now.since(self.filled) as f64 / 1000.0;
         self.filled = now;
--- a/crates/cleatfold-control/src/queue.rs
+++ b/crates/cleatfold-control/src/queue.rs
@@ -1,7 +1,7 @@
 //! The queue's order: what of each job waits for a place, and who goes first.
 
-use crate::mirror::Live;
-use crate::node::Node;
+use crate::cache::Live;
+use crate::controller::Controller;
 use crate::state::admission::of_a_band;
 use cleatfold_admission::{bands, order, Band, Sizes};
 use cleatfold_backfill::order::{Guarantees, Place};
@@ -20,7 +20,7 @@
     pub growth: bool,
 }
 
-impl Node {
+impl Controller {
     /// The queue in order, with what of each job is unclaimed; each job once.
     pub(crate) fn queue(&self) -> Vec<Queued> {
         let mut all: Vec<Queued> = Vec::new();
@@ -43,7 +43,7 @@
     /// everybody else's is there twice.
     pub(crate) fn queue_and_guaranteed(&self) -> (Vec<Queued>, HashSet<JobId>) {
         let mut arrivals: Vec<(&JobId, &Live)> =
-            self.mirror.jobs.iter().filter(|(_, j)| !j.record.aborted).collect();
+            self.cache.jobs.iter().filter(|(_, j)| !j.record.aborted).collect();
         // By the revisions that accepted them: by the times of day, the clock that was ahead came last.
         arrivals.sort_by(|a, b| (a.1.place(), a.0).cmp(&(b.1.place(), b.0)));
         let moments = moments(arrivals.iter().map(|(_, j)| j.record.accepted_ms));
@@ -171,7 +171,7 @@
             let first = Place { beyond_floor: false, past_use: false, ..places[i].0.clone() };
             let tasks = (lifted / job.each.max(1)).max(1) as u32;
             // Only an array's tasks come and go one by one.
-            let whole = self.mirror.jobs.get(&first.id).is_none_or(|live| {
+            let whole = self.cache.jobs.get(&first.id).is_none_or(|live| {
                 let spec = &live.record.spec;
                 spec.kind != Kind::Array || spec.spread
             });
--- a/crates/cleatfold-control/src/queue/tests.rs
+++ b/crates/cleatfold-control/src/queue/tests.rs
@@ -13,7 +13,7 @@
 /// A job as accepted: lane, whether its team has a guarantee, cpus, how wrong its acceptor's clock was.
 type Job = (usize, bool, u32, i64);
 
-fn node(me: &str) -> Node {
+fn controller(me: &str) -> Controller {
     let team = |name: &str, cpus: f64| Team {
         name: TeamId::new(name),
         cpus,
@@ -21,8 +21,8 @@
         cpus_max: 0.0,
         gpus_max: 0.0,
     };
-    Node::new(Config {
-        me: NodeId::new(me),
+    Controller::new(Config {
+        me: ControllerId::new(me),
         zone: ZoneId::new("a"),
         peers: vec![],
         teams: vec![team("promised", f64::from(GUARANTEED)), team("other", 0.0)],
@@ -36,7 +36,7 @@
         list_lag_ms: 10_000,
         k: 2,
         sync_ms: 250,
-        node_ttl_ms: 3000,
+        controller_lease_ms: 3000,
         aims: vec![],
         usual_wait_s: 10.0,
         idle_return_s: 20.0,
@@ -100,23 +100,23 @@
             (0..4usize, any::<bool>(), 1..5u32, -10_000..10_000i64), 1..40),
         rewritten in prop::collection::vec(any::<bool>(), 40),
     ) {
-        let (mut one, mut two) = (node("n0"), node("n1"));
+        let (mut one, mut two) = (controller("n0"), controller("n1"));
         let mut later = 1000;
         for (n, job) in jobs.iter().enumerate() {
             let accepted = Version(10 + n as u64);
             let mut r = record(*job, n);
-            one.mirror.install_job(r.spec.id.clone(), r.clone(), accepted);
+            one.cache.install_job(r.spec.id.clone(), r.clone(), accepted);
             if rewritten[n] {
                 // As `build` does: the place is kept, the version is another.
                 later += 1;
-                r.place = Some(one.mirror.jobs[&r.spec.id].place());
-                one.mirror.install_job(r.spec.id.clone(), r.clone(), Version(later));
+                r.place = Some(one.cache.jobs[&r.spec.id].place());
+                one.cache.install_job(r.spec.id.clone(), r.clone(), Version(later));
             }
         }
-        for (id, live) in one.mirror.jobs.iter().rev() {
-            two.mirror.install_job(id.clone(), live.record.clone(), live.version);
+        for (id, live) in one.cache.jobs.iter().rev() {
+            two.cache.install_job(id.clone(), live.record.clone(), live.version);
         }
-        let order = |n: &Node| n.queue().into_iter().map(|q| q.job).collect::<Vec<_>>();
+        let order = |n: &Controller| n.queue().into_iter().map(|q| q.job).collect::<Vec<_>>();
         prop_assert_eq!(order(&one), model(&jobs));
         prop_assert_eq!(order(&two), model(&jobs));
     }
--- a/crates/cleatfold-control/src/reach.rs
+++ b/crates/cleatfold-control/src/reach.rs
@@ -1,8 +1,8 @@
 //! Who reaches whom: what workers and peers show of it, questions to workers that have been quiet, and
 //! pools that follow the workers. `cleatfold_reachability` decides.
 
+use crate::controller::Controller;
 use crate::effects::{Effect, Response};
-use crate::node::Node;
 use cleatfold_reachability::{Answer, Came, Hears};
 use cleatfold_wire::cloud::MachineState;
 use cleatfold_wire::mesh::Message;
@@ -16,7 +16,7 @@
 /// Peers say something each second.
 const SILENT_MS: u64 = 3_000;
 
-impl Node {
+impl Controller {
     /// Asks workers of zones that have been quiet, and tells the others what we do not reach.
     pub(crate) fn keep_reach(&mut self) {
         if self.now.since(self.reach.looked) < LOOK_MS {
@@ -25,7 +25,7 @@
         self.reach.looked = self.now;
         // By zone: machines that are up, and how many of them report to us.
         let mut zones: BTreeMap<&ZoneId, (Vec<MachineId>, usize)> = BTreeMap::new();
-        for (id, m) in &self.fleet.machines {
+        for (id, m) in &self.inventory.machines {
             let up = m.report.is_some() || m.listed == Some(MachineState::Running);
             if m.endpoint.is_none() || m.deleting || !up {
                 continue;
@@ -37,7 +37,8 @@
         }
         let zones = zones.iter().map(|(z, (machines, own))| (*z, machines.as_slice(), *own));
         for probe in self.reach.view.probe(self.now, zones) {
-            let endpoint = self.fleet.machines.get(&probe.machine).and_then(|m| m.endpoint.clone());
+            let endpoint =
+                self.inventory.machines.get(&probe.machine).and_then(|m| m.endpoint.clone());
             if let Some(endpoint) = endpoint {
                 self.out.push(Effect::Probe { machine: probe.machine, endpoint });
             }
@@ -57,7 +58,7 @@
         }
     }
 
-    pub(crate) fn on_hears(&mut self, from: &NodeId, zones: Vec<(String, u64, bool)>) {
+    pub(crate) fn on_hears(&mut self, from: &ControllerId, zones: Vec<(String, u64, bool)>) {
         let now = self.now;
         let hears = |age_ms, lost| Hears { at: Ms(now.0.saturating_sub(age_ms)), lost };
         let zones =
@@ -65,19 +66,19 @@
         self.reach.view.peers.hears(from, zones.collect(), now);
     }
 
-    pub(crate) fn on_probed(&mut self, machine: MachineId, said: Option<(Session, Seq)>) {
-        if let Some(m) = self.fleet.machines.get(&machine) {
+    pub(crate) fn on_probed(&mut self, machine: MachineId, said: Option<(AgentEpoch, Seq)>) {
+        if let Some(m) = self.inventory.machines.get(&machine) {
             self.reach.view.probed(&m.pool.zone, &machine, said.is_some(), self.now);
         }
         let (view, now) = (&mut self.reach.view, self.now);
         let young = self.cfg.report_ms * 5 / 4 + 1000;
         let (peers, strays) = (&view.peers, &mut view.strays);
-        let hears = |pool: &PoolId, owner: &NodeId| {
+        let hears = |pool: &PoolId, owner: &ControllerId| {
             let heard = peers.of_zone(owner, &pool.zone, now);
             heard.is_some_and(|h| !h.lost && now.since(h.at) <= young)
         };
         if let Some((pool, owner)) = strays.answered(&machine, said, hears, now) {
-            let owned = self.mirror.pools.get(&pool).is_some_and(|h| h.owner == owner);
+            let owned = self.cache.pools.get(&pool).is_some_and(|h| h.owner == owner);
             if owned && !self.hinted.contains_key(&pool) {
                 self.take_over(pool, &owner);
             }
@@ -85,11 +86,11 @@
     }
 
     /// A worker came here that should be at the owner's: perhaps its pool should come after it.
-    pub(crate) fn on_stray(&mut self, report: &RawReport, pool: &PoolId, owner: &NodeId) {
-        let machines = self.fleet.machines.values().filter(|m| m.pool == *pool).count();
+    pub(crate) fn on_stray(&mut self, report: &RawReport, pool: &PoolId, owner: &ControllerId) {
+        let machines = self.inventory.machines.values().filter(|m| m.pool == *pool).count();
         let heard = self.reach.view.peers.heard(owner);
-        let lease_ms = self.cfg.node_ttl_ms;
-        let who = (&report.machine, (report.session, report.seq));
+        let lease_ms = self.cfg.controller_lease_ms;
+        let who = (&report.machine, (report.agent_epoch, report.seq));
         let strays = &mut self.reach.view.strays;
         let came = strays.came(who, pool, machines, (owner, heard), lease_ms, self.now);
         let endpoint = report.endpoint.clone().filter(|_| came == Came::Ask);
@@ -102,14 +103,14 @@
     /// worker of ours go, so that it shows whether somebody else serves.
     pub(crate) fn let_go(&mut self, report: &RawReport, pool: &PoolId) -> Option<Response> {
         // It was renewed no later than the state service was last read, or we would have read since.
-        let lease_ms = self.cfg.node_ttl_ms + LEASE_OVER_MS;
+        let lease_ms = self.cfg.controller_lease_ms + LEASE_OVER_MS;
         let over = self.fresh.is_none_or(|f| self.now.since(f) > lease_ms);
         // Peers that say nothing better than we know are in the same outage.
         let alone = !self.reach.view.peers.hear_anyone(self.now, SILENT_MS);
         if !over || !(alone || self.reach.view.letting.others_serve()) {
             return None;
         }
-        let peers: Vec<NodeId> = self.cfg.peers.iter().map(|p| p.0.clone()).collect();
+        let peers: Vec<ControllerId> = self.cfg.peers.iter().map(|p| p.0.clone()).collect();
         let idle = !report.lists_tasks();
         let letting = &mut self.reach.view.letting;
         match letting.reports(pool, &report.machine, idle, &peers, self.now) {
@@ -121,7 +122,7 @@
     /// Sees who holds the pools now. Where one went from a controller that lives to another and it was not
     /// us who dealt it so, its workers have left the first.
     pub(crate) fn note_holders(&mut self) {
-        for (pool, holding) in &self.mirror.pools {
+        for (pool, holding) in &self.cache.pools {
             self.reach.view.strays.see_token(pool, holding.token, self.now);
             let before = self.reach.holders.get(pool);
             if before == Some(&holding.owner) {
@@ -129,7 +130,7 @@
             }
             if let Some(before) = before {
                 let ours = self.reach.dealt.get(pool) == Some(&holding.owner);
-                if !ours && self.mirror.nodes.contains_key(before) {
+                if !ours && self.cache.controllers.contains_key(before) {
                     self.reach.view.left(before, &pool.zone, self.now);
                     // And it has only just moved.
                     self.dealt.insert(pool.clone(), self.now);
@@ -140,14 +141,14 @@
     }
 
     /// Whether the controller may be given a share of a zone's machines: as far as we know it reaches them.
-    pub(crate) fn may_hold(&self, node: &NodeId, zone: &ZoneId) -> bool {
-        self.reach.view.may_hold(&self.cfg.me, node, zone, self.now)
+    pub(crate) fn may_hold(&self, controller: &ControllerId, zone: &ZoneId) -> bool {
+        self.reach.view.may_hold(&self.cfg.me, controller, zone, self.now)
     }
 
     /// Controllers that reach the pool's workers where its owner, that lives, does not.
-    pub(crate) fn takers(&self, owner: &NodeId, pool: &PoolId) -> BTreeSet<NodeId> {
+    pub(crate) fn takers(&self, owner: &ControllerId, pool: &PoolId) -> BTreeSet<ControllerId> {
         let (view, me) = (&self.reach.view, &self.cfg.me);
-        let takes = |n: &&NodeId| view.reaches_instead(me, n, owner, &pool.zone, self.now);
-        self.mirror.nodes.keys().filter(takes).cloned().collect()
+        let takes = |n: &&ControllerId| view.reaches_instead(me, n, owner, &pool.zone, self.now);
+        self.cache.controllers.keys().filter(takes).cloned().collect()
     }
 }
--- a/crates/cleatfold-control/src/records.rs
+++ b/crates/cleatfold-control/src/records.rs
@@ -29,7 +29,7 @@
 const PARTS: &str = "cf/p/";
 const PROGRESS: &str = "cf/e/";
 const POOLS: &str = "cf/pool/";
-const NODES: &str = "cf/node/";
+const CONTROLLERS: &str = "cf/node/";
 const SLICES: &str = "cf/slice/";
 const LOSS_HEADS: &str = "cf/loss/";
 const WORKSPACES: &str = "cf/ws/";
@@ -62,8 +62,8 @@
 pub fn pool_key(pool: &PoolId) -> String {
     format!("{POOLS}{pool}")
 }
-pub fn node_key(node: &NodeId) -> String {
-    format!("{NODES}{node}")
+pub fn controller_key(controller: &ControllerId) -> String {
+    format!("{CONTROLLERS}{controller}")
 }
 pub fn loss_head_key(team: &TeamId) -> String {
     format!("{LOSS_HEADS}{team}")
@@ -101,7 +101,7 @@
     Part(JobId, u32),
     Progress(JobId, u32),
     Pool(PoolId),
-    Node(NodeId),
+    Controller(ControllerId),
     Slice(TeamId),
     LossHead(TeamId),
     Workspace(TeamId),
@@ -125,8 +125,8 @@
         Some(Key::Progress(JobId::new(id), part.parse().ok()?))
     } else if let Some(id) = key.strip_prefix(POOLS) {
         Some(Key::Pool(PoolId::parse(id)?))
-    } else if let Some(id) = key.strip_prefix(NODES) {
-        Some(Key::Node(NodeId::new(id)))
+    } else if let Some(id) = key.strip_prefix(CONTROLLERS) {
+        Some(Key::Controller(ControllerId::new(id)))
     } else if let Some(id) = key.strip_prefix(SLICES) {
         Some(Key::Slice(TeamId::new(id)))
     } else if let Some(id) = key.strip_prefix(LOSS_HEADS) {
@@ -157,13 +157,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderRecord {
     #[serde(rename = "o")]
-    pub owner: NodeId,
+    pub owner: ControllerId,
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodeRecord {
+pub struct ControllerRecord {
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
@@ -206,7 +206,7 @@
     #[serde(rename = "m")]
     pub machine: MachineId,
     #[serde(rename = "k")]
-    pub token: Token,
+    pub token: FencingToken,
     #[serde(rename = "p")]
     pub pool: PoolId,
     #[serde(rename = "t")]
@@ -298,7 +298,7 @@
     pub fn claim(
         &mut self,
         machine: &MachineId,
-        token: Token,
+        token: FencingToken,
         pool: &PoolId,
         ix: TaskIx,
     ) -> Attempt {
@@ -394,12 +394,12 @@
         let (m, n) = (MachineId::new("vm-1"), MachineId::new("vm-2"));
         let pool = PoolId::parse("a/b").unwrap();
         let mut t = Table::default();
-        assert_eq!(t.claim(&m, Token(1), &pool, TaskIx(0)), Attempt(1));
+        assert_eq!(t.claim(&m, FencingToken(1), &pool, TaskIx(0)), Attempt(1));
         assert!(t.free(0, 1).is_empty());
         assert!(!t.end(&n, TaskIx(0), Attempt(1), true));
         assert!(!t.end(&m, TaskIx(0), Attempt(2), true));
         assert!(t.end(&m, TaskIx(0), Attempt(1), false));
-        assert_eq!(t.claim(&n, Token(2), &pool, TaskIx(0)), Attempt(2));
+        assert_eq!(t.claim(&n, FencingToken(2), &pool, TaskIx(0)), Attempt(2));
         assert!(t.end(&n, TaskIx(0), Attempt(2), true));
         assert!(t.free(0, 1).is_empty() && t.claims.is_empty());
     }
--- a/crates/cleatfold-control/src/renting.rs
+++ b/crates/cleatfold-control/src/renting.rs
@@ -5,9 +5,9 @@
 //! nothing to ask for. Whoever comes next asks for the same by the same names.
 
 use crate::config::AimKind;
+use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::fleet::Machine;
-use crate::node::{Node, Pending};
+use crate::inventory::Machine;
 use crate::queue::Queued;
 use crate::records::*;
 use cleatfold_roles::rents::Step;
@@ -35,7 +35,7 @@
     stale: Option<Ms>,
 }
 
-impl Node {
+impl Controller {
     /// Rents what is lacking, for as long as that is ours to do and the state service says so.
     pub(crate) fn keep_renting(&mut self) {
         let due = self.now.since(self.renting.looked) >= LOOK_MS * self.stretch;
@@ -51,7 +51,7 @@
         let new = self.new_intents();
         let Some(epoch) = self.epoch(Duty::Rent) else { return };
         let lag_ms = 2 * self.cfg.list_lag_ms + 5000;
-        let (version, book) = &self.mirror.rents;
+        let (version, book) = &self.cache.rents;
         let times = (self.now, self.wall_ms);
         let Some(step) = self.renting.desk.next(book, epoch, new, times, lag_ms) else { return };
         let mut txn = Txn::default();
@@ -65,7 +65,7 @@
     fn new_intents(&mut self) -> Vec<Intent> {
         let Some(incarnation) = self.incarnation else { return vec![] };
         // What is answered and only not yet out of the record holds nobody up.
-        let coming = self.renting.desk.coming(&self.mirror.rents.1);
+        let coming = self.renting.desk.coming(&self.cache.rents.1);
         let open: Vec<(PoolId, bool)> = coming.map(|i| (i.pool(), i.spot)).collect();
         let free = RENTS.saturating_sub(open.len());
         if free == 0 {
@@ -77,7 +77,8 @@
             if new.len() >= free || open.contains(&(pool.clone(), spot)) {
                 continue;
             }
-            let cpus = self.fleet.types.get(&pool.machine_type).map_or(1.0, |t| t.cpus.max(0.1));
+            let cpus =
+                self.inventory.types.get(&pool.machine_type).map_or(1.0, |t| t.cpus.max(0.1));
             let count = ((lack / cpus).ceil() as u32).clamp(1, RENT_COUNT);
             self.renting.count += 1;
             tracing::info!(%pool, spot, count, lack, "renting");
@@ -97,8 +98,8 @@
         self.renting.writing = false;
         match reply {
             StoreReply::Committed(version) => {
-                if self.mirror.rents.0 < version {
-                    self.mirror.rents = (version, step.book);
+                if self.cache.rents.0 < version {
+                    self.cache.rents = (version, step.book);
                 }
                 self.renting.desk.called(&step.calls);
                 for intent in step.calls {
@@ -151,9 +152,9 @@
     pub(crate) fn note_rented(&mut self, pool: &PoolId, spot: bool, machines: Vec<MachineId>) {
         let now = self.now;
         for id in machines {
-            if !self.fleet.is_deleted(&id) {
+            if !self.inventory.is_deleted(&id) {
                 let new = || Machine::new(pool.clone(), spot, now);
-                self.fleet.machines.entry(id).or_insert_with(new);
+                self.inventory.machines.entry(id).or_insert_with(new);
             }
         }
         self.dirty = true;
@@ -169,15 +170,15 @@
         let stays = |spec: &JobSpec| (0.5 * spec.estimate_s / usual_wait_s).min(1.0);
         let mut rooms = self.team_rooms(|live| stays(&live.record.spec));
         let mut supply: BTreeMap<(PoolId, bool), f64> = BTreeMap::new();
-        for (id, m) in &self.fleet.machines {
+        for (id, m) in &self.inventory.machines {
             // One that another controller has returned is no supply. (It counted for 50 s more, and what could have
             // been rented for waited that long.)
             if !m.takes_work() || !self.may_be_there(m) {
                 continue;
             }
-            let mut free = self.fleet.total(&m.pool.machine_type).cpus as f64 / 1000.0;
-            for ((job, _), _) in self.mirror.claims.get(id).into_iter().flatten() {
-                if let Some(live) = self.mirror.jobs.get(job) {
+            let mut free = self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
+            for ((job, _), _) in self.cache.claims.get(id).into_iter().flatten() {
+                if let Some(live) = self.cache.jobs.get(job) {
                     let spec = &live.record.spec;
                     free -= spec.cpus * stays(spec);
                 }
@@ -185,15 +186,15 @@
             *supply.entry((m.pool.clone(), m.spot)).or_default() += free.max(0.0);
         }
         // What stands in the record is on its way, whoever asked for it.
-        for intent in self.renting.desk.coming(&self.mirror.rents.1) {
-            let kind = self.fleet.types.get(&intent.machine_type);
+        for intent in self.renting.desk.coming(&self.cache.rents.1) {
+            let kind = self.inventory.types.get(&intent.machine_type);
             let cpus = kind.map_or(0.0, |t| t.cpus) * f64::from(intent.count);
             *supply.entry((intent.pool(), intent.spot)).or_default() += cpus;
         }
         let mut lacking: BTreeMap<(PoolId, bool), f64> = BTreeMap::new();
-        let sizes = self.fleet.sizes();
+        let sizes = self.inventory.sizes();
         for Queued { job: id, tasks: unclaimed, growth, .. } in self.queue() {
-            let Some(live) = self.mirror.jobs.get(&id) else { continue };
+            let Some(live) = self.cache.jobs.get(&id) else { continue };
             // Nor is anything rented for another try of what fails wherever it runs.
             let tries_here = |(pool, _): &(PoolId, bool)| self.may_use(live, pool);
             if growth || (self.is_suspect(&id, live) && supply.keys().any(tries_here)) {
@@ -234,7 +235,7 @@
     }
 
     /// How long the tasks of a job may still wait if it is to meet what is expected of it.
-    fn slack_s(&self, live: &crate::mirror::Live) -> f64 {
+    fn slack_s(&self, live: &crate::cache::Live) -> f64 {
         let spec = &live.record.spec;
         let elapsed = self.wall_ms.saturating_sub(live.record.accepted_ms) as f64 / 1000.0;
         let aims = self.cfg.aims.iter().filter(|a| a.class == spec.class);
@@ -249,23 +250,23 @@
     /// Where to rent for a job: cheap per processor, soon up, and not all in one place.
     fn best_offer(
         &self,
-        live: &crate::mirror::Live,
+        live: &crate::cache::Live,
         lacking: &BTreeMap<(PoolId, bool), f64>,
         zones: &BTreeMap<ZoneId, f64>,
         per_zone: f64,
         sizes: &BTreeMap<&PoolId, usize>,
     ) -> Option<(PoolId, bool)> {
         let mut best: Option<(f64, (PoolId, bool))> = None;
-        let all = self.fleet.machines.len().max(1) as f64;
-        for pool in self.fleet.pools() {
-            let Some(kind) = self.fleet.types.get(&pool.machine_type) else { continue };
+        let all = self.inventory.machines.len().max(1) as f64;
+        for pool in self.inventory.pools() {
+            let Some(kind) = self.inventory.types.get(&pool.machine_type) else { continue };
             let full = zones.get(&pool.zone).is_some_and(|z| *z >= per_zone);
             if full || kind.cpus <= 0.0 || !self.may_use(live, &pool) {
                 continue;
             }
             for spot in [true, false] {
                 let key = (pool.clone(), spot);
-                let book = &self.mirror.rents.1;
+                let book = &self.cache.rents.1;
                 let refused = book.is_refused(&pool, spot, self.wall_ms)
                     || self.renting.desk.was_short(book, &pool, spot);
                 if (spot && !live.record.spec.spot) || refused {
--- a/crates/cleatfold-control/src/requests.rs
+++ b/crates/cleatfold-control/src/requests.rs
@@ -1,8 +1,8 @@
 //! What users ask: submissions, polls, cancellations.
 
 use crate::archive::Joined;
+use crate::controller::{Controller, EventNumber, Pending, Submission, Wait, Waiting};
 use crate::effects::*;
-use crate::node::{EventNumber, Node, Pending, Submission, Wait, Waiting};
 use crate::records::*;
 use crate::submissions::SUBMIT_MS;
 use cleatfold_wire::job::{JobState, JobStatus, StepCount};
@@ -47,7 +47,7 @@
 const POLL_MS: u64 = 1700;
 const REQUEST_MS: u64 = 4000;
 
-impl Node {
+impl Controller {
     pub(crate) fn on_request(&mut self, rid: u64, request: Request) {
         if let Request::Ready = request {
             let response = if self.is_ready() {
@@ -139,7 +139,7 @@
                 self.take_steps(w.rid, report, true);
             } else if let Some(status) = self.terminal.get(&w.job) {
                 self.reply(w.rid, Response::Status { code: 200, status });
-            } else if self.mirror.jobs.contains_key(&w.job) {
+            } else if self.cache.jobs.contains_key(&w.job) {
                 self.answer_live(w);
             } else {
                 unknown.entry(w.job.clone()).or_default().push(w);
@@ -152,7 +152,7 @@
     }
 
     pub(crate) fn live_status(&self, job: &JobId) -> Option<JobStatus> {
-        let live = self.mirror.jobs.get(job)?;
+        let live = self.cache.jobs.get(job)?;
         let state = match (live.record.aborted, live.claimed) {
             (true, _) => JobState::Aborted,
             (false, 0) => JobState::Queued,
@@ -165,9 +165,9 @@
             status.steps = Some(StepCount { finished, total: elastic.steps });
         }
         status.why = self.why(job, live);
-        if self.mirror.lossy.contains(job) {
+        if self.cache.lossy.contains(job) {
             let mut losses = LossList::default();
-            self.mirror.tables(job).for_each(|t| losses.take(t.losses.clone()));
+            self.cache.tables(job).for_each(|t| losses.take(t.losses.clone()));
             status.losses = losses.answer(job, state != JobState::Aborted);
         }
         Some(status)
@@ -221,7 +221,7 @@
                     // It may have been accepted since we looked: then it waits once more.
                     let later = w.arrived_at > sent_at;
                     let known =
-                        self.mirror.jobs.contains_key(&job) || self.terminal.get(&job).is_some();
+                        self.cache.jobs.contains_key(&job) || self.terminal.get(&job).is_some();
                     if later || known {
                         self.waiting.push(w);
                         continue;
@@ -261,7 +261,7 @@
     /// Jobs left the live records by others' hands: reads how they ended, all of them at once, so
     /// that no poll has to ask for each.
     pub(crate) fn follow_archive(&mut self) {
-        if !self.archive.follow(&self.mirror.applied) {
+        if !self.archive.follow(&self.cache.applied) {
             return;
         }
         let from = self.archive.read_to;
--- a/crates/cleatfold-control/src/schedule.rs
+++ b/crates/cleatfold-control/src/schedule.rs
@@ -1,10 +1,10 @@
 //! From the mirror and the fleet to reservations, promises and claims.
 
+use crate::cache::Live;
+use crate::controller::Controller;
 use crate::effects::Effect;
-use crate::fleet::Machine;
+use crate::inventory::Machine;
 use crate::limits::{Binding, Usage};
-use crate::mirror::Live;
-use crate::node::Node;
 use crate::queue::Queued;
 use crate::state::jobs::{Local, Wish};
 use crate::state::stops::YIELD_MS;
@@ -29,11 +29,11 @@
     planned: Ms,
     told: Ms,
     /// Promises of other nodes' pools: when they came, and per job when tasks finish.
-    remote: BTreeMap<PoolId, (Token, Ms, BTreeMap<JobId, Finishes>)>,
+    remote: BTreeMap<PoolId, (FencingToken, Ms, BTreeMap<JobId, Finishes>)>,
 }
 
 impl Plans {
-    pub fn remote(&mut self, pool: PoolId, token: Token, now: Ms, promises: Vec<Promise>) {
+    pub fn remote(&mut self, pool: PoolId, token: FencingToken, now: Ms, promises: Vec<Promise>) {
         let jobs = promises
             .into_iter()
             .map(|p| {
@@ -48,7 +48,7 @@
 /// One own pool's chart as planned.
 pub(crate) struct PoolPlan {
     pub pool: PoolId,
-    pub token: Token,
+    pub token: FencingToken,
     pub machines: Vec<MachineId>,
     pub open: Vec<bool>,
     pub jobs: Vec<JobId>,
@@ -58,7 +58,7 @@
     pub reservations: Vec<Reservation>,
 }
 
-impl Node {
+impl Controller {
     pub(crate) fn plan_if_due(&mut self) {
         // Deciding faster than decisions can be recorded only costs.
         // Nor is there much to decide between the reports that tell of what has ended.
@@ -88,14 +88,14 @@
     }
 
     fn chart_pools(&self, queue: &[Queued], usage: &Usage) -> Vec<PoolPlan> {
-        let pools: Vec<(PoolId, Token)> = self
+        let pools: Vec<(PoolId, FencingToken)> = self
             .owned_since
             .iter()
             .filter(|(p, _)| !self.hinted.contains_key(p))
             .map(|(p, o)| (p.clone(), o.0))
             .collect();
         let mut plans = Vec::new();
-        let by_pool = self.fleet.by_pool();
+        let by_pool = self.inventory.by_pool();
         let long = self.long_work();
         for (pool, token) in pools {
             let members = by_pool.get(&pool).map(Vec::as_slice).unwrap_or_default();
@@ -132,13 +132,13 @@
     fn charts(
         &self,
         pool: &PoolId,
-        token: Token,
+        token: FencingToken,
         members: &[(&MachineId, &Machine)],
         binding: &mut [Binding],
     ) -> (Vec<MachineId>, Vec<MachineChart>) {
         let now = self.now;
-        let total = self.fleet.total(&pool.machine_type);
-        let Some(kind) = self.fleet.types.get(&pool.machine_type) else {
+        let total = self.inventory.total(&pool.machine_type);
+        let Some(kind) = self.inventory.types.get(&pool.machine_type) else {
             return (vec![], vec![]);
         };
         let mut ids = Vec::new();
@@ -170,11 +170,11 @@
             // Claims come sorted by job: one look-up serves all of a job's.
             let mut known: Option<(&JobId, &Live, Option<&Local>, Option<usize>)> = None;
             let mut noted: Option<&JobId> = None;
-            for ((job, ix), claim) in self.mirror.claims.get(id).into_iter().flatten() {
+            for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
                 let (live, local, limit) = match known {
                     Some((last, live, local, limit)) if last == job => (live, local, limit),
                     _ => {
-                        let Some(live) = self.mirror.jobs.get(job) else { continue };
+                        let Some(live) = self.cache.jobs.get(job) else { continue };
                         let limit = binding.iter().position(|b| b.binds(&live.record.spec));
                         (live, self.locals.get(job), limit)
                     }
@@ -221,7 +221,7 @@
     fn expected_end(
         &self,
         machine_id: &MachineId,
-        machine: &crate::fleet::Machine,
+        machine: &crate::inventory::Machine,
         (job, ix): (&JobId, TaskIx),
         live: &Live,
         local: Option<&Local>,
@@ -260,7 +260,7 @@
         spec.types.as_ref().is_none_or(|t| t.contains(&pool.machine_type))
             && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
             && live.bound_zone().is_none_or(|z| *z == pool.zone)
-            && live.each.within(&self.fleet.total(&pool.machine_type))
+            && live.each.within(&self.inventory.total(&pool.machine_type))
     }
 
     fn requests_for(
@@ -272,7 +272,7 @@
     ) {
         let pool = &plan.pool;
         for Queued { job: id, lane, tasks: unclaimed, growth } in queue {
-            let Some(live) = self.mirror.jobs.get(id) else {
+            let Some(live) = self.cache.jobs.get(id) else {
                 continue;
             };
             if !self.may_use(live, pool) || later.contains(id) {
@@ -323,7 +323,7 @@
     }
 
     fn claimed_in_zone(&self, job: &JobId, zone: &ZoneId) -> u32 {
-        self.mirror
+        self.cache
             .tables(job)
             .flat_map(|t| &t.claims)
             .filter(|g| g.pool.zone == *zone)
@@ -380,7 +380,7 @@
             if elsewhere >= remaining {
                 continue;
             }
-            let Some(live) = self.mirror.jobs.get(job) else {
+            let Some(live) = self.cache.jobs.get(job) else {
                 continue;
             };
             // Something above its lane may be unread in a pool that has just come.
@@ -434,12 +434,12 @@
             }
         }
         for (pool, (token, at, jobs)) in &self.plans.remote {
-            let current = self.mirror.pools.get(pool).is_some_and(|h| h.token <= *token)
+            let current = self.cache.pools.get(pool).is_some_and(|h| h.token <= *token)
                 && !self.owned_since.contains_key(pool);
             if current {
                 let (told_ms, lives) = (self.now.since(*at), self.lanes.lives(pool));
                 for (job, finishes) in jobs {
-                    let live = self.mirror.jobs.get(job);
+                    let live = self.cache.jobs.get(job);
                     let lane = live.map_or(Urgency::BestEffort, |l| l.record.spec.urgency);
                     if !believed(lane, told_ms, lives) {
                         continue;
--- a/crates/cleatfold-control/src/settle.rs
+++ b/crates/cleatfold-control/src/settle.rs
@@ -12,8 +12,8 @@
 //! A transaction is sent again only after a reading that was sent later than it has been answered, so a service that is
 //! slow for all is not asked twice; and only while changes are plenty, so what waits for its turn is not doubled.
 
+use crate::controller::{Controller, Pending, Submission, Wait};
 use crate::effects::*;
-use crate::node::{Node, Pending, Submission, Wait};
 use crate::records::*;
 use crate::state::jobs::JobTx;
 use crate::state::sent::{Sent, Step, LOOK_MS};
@@ -28,10 +28,10 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// A reading shows a key of the guards at a later version than the transaction needs.
     fn is_decided(&self, txn: &Txn) -> bool {
-        txn.guards.iter().any(|guard| self.mirror.has_moved(&guard.key, guard.version))
+        txn.guards.iter().any(|guard| self.cache.has_moved(&guard.key, guard.version))
     }
 
     /// At each tick and after each reading: takes care of transactions that have no answer yet.
@@ -107,7 +107,7 @@
             let known = self.terminal.get(&job).or_else(|| self.live_status(&job));
             if let Some(status) = known {
                 self.reply(submission.rid, Response::Status { code: 200, status });
-            } else if self.mirror.has_moved(&job_key(&job), Version(0)) {
+            } else if self.cache.has_moved(&job_key(&job), Version(0)) {
                 // It was accepted and has ended since; the archive tells how.
                 self.wait(submission.rid, job, Wait::Known(submission.spec));
             } else {
@@ -125,7 +125,7 @@
         // Members are judged anew by what stands now.
         local.asked.extend(steps.told.into_iter().map(|(asked, _)| asked));
         self.note_unsent(&job);
-        if !self.mirror.jobs.contains_key(&job) {
+        if !self.cache.jobs.contains_key(&job) {
             self.drop_local(&job);
         }
         self.dirty = true;
--- a/crates/cleatfold-control/src/shrink.rs
+++ b/crates/cleatfold-control/src/shrink.rs
@@ -4,11 +4,11 @@
 //! Whom to stop is decided in `cleatfold_backfill::victims`. What is kept here may be lost with the
 //! node: a task whose stop is forgotten just runs on.
 
+use crate::cache::Live;
 use crate::config::AimKind;
+use crate::controller::Controller;
 use crate::effects::*;
-use crate::fleet::Machine;
-use crate::mirror::Live;
-use crate::node::Node;
+use crate::inventory::Machine;
 use crate::schedule::PoolPlan;
 use crate::state::stops::{Stop, YIELD_MS};
 use cleatfold_backfill::victims::{self, Need, Room, Running, Seat};
@@ -38,7 +38,7 @@
     start: Ms,
 }
 
-impl Node {
+impl Controller {
     /// Members that an elastic job could use beyond its base.
     pub(crate) fn growth(&self, id: &JobId, live: &Live) -> u32 {
         let Some(width) = live.width() else { return 0 };
@@ -46,7 +46,7 @@
         if local.is_some_and(|l| l.shrunk.is_some_and(|at| self.now.since(at) < GROW_AGAIN_MS)) {
             return 0;
         }
-        let fetch = self.fleet.types.values().map(|t| t.fetch_gb_per_s).fold(0.001, f64::max);
+        let fetch = self.inventory.types.values().map(|t| t.fetch_gb_per_s).fold(0.001, f64::max);
         let start = self.cfg.report_ms + 1000 + (live.record.spec.image_gb / fetch * 1e3) as u64;
         width.growth(live.claimed, start)
     }
@@ -54,12 +54,12 @@
     /// Looks through the plan for what has to wait, in the queue's order, and makes room for it
     /// where somebody should give way.
     pub(crate) fn make_room(&mut self, plans: &[PoolPlan], within: &HashSet<JobId>) {
-        let claims = &self.mirror.claims;
+        let claims = &self.cache.claims;
         self.stops.prune(self.now, claims);
-        if !self.cfg.preempt && self.mirror.progress.is_empty() && !self.mirror.any_elastic() {
+        if !self.cfg.preempt && self.cache.progress.is_empty() && !self.cache.any_elastic() {
             return;
         }
-        let elastic = self.mirror.any_elastic();
+        let elastic = self.cache.any_elastic();
         for plan in plans {
             let waits = waits(plan, self.now);
             if waits.is_empty() {
@@ -109,13 +109,13 @@
     /// What may be done for a job that waits, and how long a victim may take to save.
     fn need(&self, plan: &PoolPlan, wait: &Wait, within: &HashSet<JobId>) -> Option<(Need, u64)> {
         let job = &plan.jobs[wait.request];
-        let live = self.mirror.jobs.get(job)?;
+        let live = self.cache.jobs.get(job)?;
         let spec = &live.record.spec;
         let within_guarantee = within.contains(job);
         let time = self.time_that_counts(live, within_guarantee, wait.start);
         // While more is asked for than can be done, every stop is work done twice and two changes
         // more, and saves nobody a wait that somebody else does not get.
-        let preempts = self.cfg.preempt && time.is_some() && self.mirror.allotment.1.is_empty();
+        let preempts = self.cfg.preempt && time.is_some() && self.cache.allotment.1.is_empty();
         // Stopping what has run long costs more than a start that is in time gives: a whole run
         // time as the bound lost kerbrev's rough days 0.03, a quarter of it nothing.
         let worth = if preempts {
@@ -165,11 +165,11 @@
     }
 
     fn is_spot(&self, id: &MachineId) -> bool {
-        self.fleet.machines.get(id).is_some_and(|m| m.spot)
+        self.inventory.machines.get(id).is_some_and(|m| m.spot)
     }
 
     fn has_image(&self, id: &MachineId, request: &cleatfold_backfill::Request) -> bool {
-        let machine = self.fleet.machines.get(id);
+        let machine = self.inventory.machines.get(id);
         request.image_gb <= 0.0
             || machine.is_some_and(|m| m.images.iter().any(|i| i.0 == request.image))
     }
@@ -183,17 +183,17 @@
     ) -> (Vec<Seat>, Vec<Named>) {
         let mut names: Vec<Named> = Vec::new();
         let mut seats = Vec::new();
-        let total = self.fleet.total(&plan.pool.machine_type);
+        let total = self.inventory.total(&plan.pool.machine_type);
         for (i, id) in plan.machines.iter().enumerate() {
             let mut seat = Seat { free: total, running: vec![] };
-            let machine = self.fleet.machines.get(id).filter(|_| plan.open[i]);
+            let machine = self.inventory.machines.get(id).filter(|_| plan.open[i]);
             let Some(machine) = machine else {
                 seat.free = Default::default();
                 seats.push(seat);
                 continue;
             };
-            for ((job, ix), claim) in self.mirror.claims.get(id).into_iter().flatten() {
-                let Some(live) = self.mirror.jobs.get(job) else { continue };
+            for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
+                let Some(live) = self.cache.jobs.get(job) else { continue };
                 if self.is_ending(job, *ix, claim.attempt) {
                     continue;
                 }
@@ -254,7 +254,7 @@
     /// How long members may still go on when their places are wanted for this job: the less the
     /// longer it has waited, say for an owner that was gone.
     fn patience_ms(&self, job: &JobId) -> u64 {
-        let live = self.mirror.jobs.get(job);
+        let live = self.cache.jobs.get(job);
         let waited = live.map_or(0, |l| self.wall_ms.saturating_sub(l.record.accepted_ms));
         START_MS.saturating_sub(waited + 3 * CHANGE_MS / 2).min(YIELD_MS)
     }
@@ -274,7 +274,7 @@
         let mut last = 0;
         let mut preempts = false;
         for task in room.stop.iter().filter_map(|v| names.get(*v)) {
-            let Some(live) = self.mirror.jobs.get(&task.job) else { continue };
+            let Some(live) = self.cache.jobs.get(&task.job) else { continue };
             let spec = &live.record.spec;
             let grace_ms = match live.width() {
                 Some(width) => width.yield_ms(patience),
@@ -310,11 +310,11 @@
     }
 
     /// Tells those who make room to leave.
-    pub(crate) fn stop_all(&mut self, token: Token, room: MadeRoom) {
+    pub(crate) fn stop_all(&mut self, token: FencingToken, room: MadeRoom) {
         let id = room.machine;
         let mut commands = Vec::new();
         for Victim(job, ix, attempt) in room.stop {
-            let Some(live) = self.mirror.jobs.get(&job) else { continue };
+            let Some(live) = self.cache.jobs.get(&job) else { continue };
             let elastic = live.width().is_some();
             let grace_s = room.grace_ms as f64 / 1000.0;
             let until = self.now.plus(room.grace_ms + CHANGE_MS / 2);
@@ -332,12 +332,12 @@
             );
             commands.push(Command::Stop { task: TaskId { job, ix }, attempt, grace_s });
         }
-        let Some(machine) = self.fleet.machines.get(&id) else { return };
+        let Some(machine) = self.inventory.machines.get(&id) else { return };
         let (Some(endpoint), Some(report)) = (machine.endpoint.clone(), &machine.report) else {
             return;
         };
         // At the next report it would be as safe, but up to an interval later.
-        let orders = Orders { token, session: report.session, commands };
+        let orders = Orders { token, agent_epoch: report.agent_epoch, commands };
         self.out.push(Effect::Order { machine: id, endpoint, orders });
     }
 
@@ -351,9 +351,13 @@
     /// taken from it, for an answer to a report may be on its way to the worker: what this does
     /// not list may be about to start.
     pub(crate) fn on_ordered(&mut self, id: MachineId, report: Option<Report>) {
-        let (Some(report), Some(machine)) = (report, self.fleet.machines.get(&id)) else { return };
+        let (Some(report), Some(machine)) = (report, self.inventory.machines.get(&id)) else {
+            return;
+        };
         let newer = machine.report.as_ref().is_some_and(|known| {
-            known.session == report.session && known.seq < report.seq && report.machine == id
+            known.agent_epoch == report.agent_epoch
+                && known.seq < report.seq
+                && report.machine == id
         });
         if !newer || self.my_token(&machine.pool).is_none_or(|t| t != report.token) {
             return;
@@ -365,7 +369,7 @@
             .map(|t| t.task.clone())
             .collect();
         for t in report.tasks.iter().filter(|t| t.state == TaskState::Exited) {
-            let ours = self.mirror.claim(&id, &t.task).is_some_and(|c| c.attempt == t.attempt);
+            let ours = self.cache.claim(&id, &t.task).is_some_and(|c| c.attempt == t.attempt);
             if ours && !alive.contains(&t.task) {
                 let exit = t.why.unwrap_or(Exit::Other);
                 self.on_exit(&id, &t.task, t.attempt, exit, t.saved == Some(true));
--- a/crates/cleatfold-control/src/state/admission.rs
+++ b/crates/cleatfold-control/src/state/admission.rs
@@ -1,6 +1,6 @@
 //! What each group asks for and what there was to give, as one controller has measured it.
 
-use crate::mirror::Live;
+use crate::cache::Live;
 use cleatfold_admission::room::{Asks, Room};
 use cleatfold_admission::{bands, Entry, Group, Judge, Meter};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
--- a/crates/cleatfold-control/src/state/image_distribution.rs
+++ b/crates/cleatfold-control/src/state/image_distribution.rs
@@ -1,10 +1,10 @@
 //! The distribution of images that many machines want at once, as one controller keeps it.
 
-use crate::fleet::Machine;
-use crate::mirror::Live;
+use crate::cache::Live;
+use crate::inventory::Machine;
 use cleatfold_image_distribution::ImageDistributor;
 use cleatfold_wire::worker::TaskState;
-use cleatfold_wire::{ImageId, JobId, MachineId, Ms, Session};
+use cleatfold_wire::{AgentEpoch, ImageId, JobId, MachineId, Ms};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Which machine fetches which image from where, and the changes to its records that are on their way.
@@ -19,7 +19,7 @@
     pub holders_at: Ms,
     pub holders_inflight: bool,
     /// What was seen running in a machine's present session, so that its image is there.
-    ran: BTreeMap<MachineId, (Session, BTreeSet<ImageId>)>,
+    ran: BTreeMap<MachineId, (AgentEpoch, BTreeSet<ImageId>)>,
     /// Machines with the last copy of something in use.
     pub last: BTreeSet<MachineId>,
 }
@@ -37,7 +37,7 @@
         if let Some(held) = &report.images {
             return held.iter().map(|i| (i.image.clone(), i.part)).collect();
         }
-        let ran = self.ran.get(id).filter(|r| r.0 == report.session);
+        let ran = self.ran.get(id).filter(|r| r.0 == report.agent_epoch);
         let kept = |i: &&ImageId| machine.images.iter().any(|m| m.0 == **i);
         let ran = ran.into_iter().flat_map(|r| r.1.iter()).filter(kept);
         ran.map(|image| (image.clone(), 1.0)).collect()
@@ -55,9 +55,9 @@
             let running = report.tasks.iter().filter(|t| t.state == TaskState::Running);
             for task in running {
                 let Some(live) = jobs.get(&task.task.job) else { continue };
-                let fresh = || (report.session, BTreeSet::new());
+                let fresh = || (report.agent_epoch, BTreeSet::new());
                 let ran = self.ran.entry(id.clone()).or_insert_with(fresh);
-                if ran.0 != report.session {
+                if ran.0 != report.agent_epoch {
                     *ran = fresh();
                 }
                 ran.1.insert(live.record.spec.image.clone());
--- a/crates/cleatfold-control/src/state/jobs.rs
+++ b/crates/cleatfold-control/src/state/jobs.rs
@@ -23,7 +23,7 @@
     /// are facts for ever; an absence or a lease that ran out are not: after a take-over the
     /// new owner may have heard the worker and renewed its lease, and our transaction may be
     /// applied minutes late.
-    pub fence: Option<(PoolId, Token)>,
+    pub fence: Option<(PoolId, FencingToken)>,
 }
 
 impl End {
@@ -46,7 +46,7 @@
 pub(crate) struct Wish {
     pub machine: MachineId,
     pub pool: PoolId,
-    pub token: Token,
+    pub token: FencingToken,
     pub tasks: u32,
 }
 
--- a/crates/cleatfold-control/src/state/lanes.rs
+++ b/crates/cleatfold-control/src/state/lanes.rs
@@ -26,14 +26,14 @@
     /// Records of rooms on their way.
     pub writing: BTreeSet<PoolId>,
     /// Whose rooms we have made our own, by the token under which we did.
-    pub adopted: BTreeMap<PoolId, Token>,
+    pub adopted: BTreeMap<PoolId, FencingToken>,
 }
 
 /// Rooms that are being written down, and who leaves once they are.
 #[derive(Debug)]
 pub(crate) struct Making {
     pub pool: PoolId,
-    pub token: Token,
+    pub token: FencingToken,
     pub record: MadeRecord,
     pub rooms: Vec<MadeRoom>,
 }
--- a/crates/cleatfold-control/src/state/mod.rs
+++ b/crates/cleatfold-control/src/state/mod.rs
@@ -1,6 +1,6 @@
 //! What a controller keeps in memory, by area of work.
 //!
-//! Nothing in here knows the controller (`Node`): these are its parts, so it imports them, and the modules
+//! Nothing in here knows the controller (`Controller`): these are its parts, so it imports them, and the modules
 //! that act on them through the controller import both.
 
 pub(crate) mod admission;
--- a/crates/cleatfold-control/src/state/reach.rs
+++ b/crates/cleatfold-control/src/state/reach.rs
@@ -13,9 +13,9 @@
     /// Zones that we do not reach, as we last saw.
     pub lost: BTreeSet<ZoneId>,
     /// Who held each pool when we last looked.
-    pub holders: BTreeMap<PoolId, NodeId>,
+    pub holders: BTreeMap<PoolId, ControllerId>,
     /// To whom we have dealt pools ourselves.
-    pub dealt: BTreeMap<PoolId, NodeId>,
+    pub dealt: BTreeMap<PoolId, ControllerId>,
 }
 
 impl Reaching {
@@ -31,7 +31,7 @@
     }
 
     /// We gave a pool to a node.
-    pub fn dealt(&mut self, pool: &PoolId, node: &NodeId) {
-        self.dealt.insert(pool.clone(), node.clone());
+    pub fn dealt(&mut self, pool: &PoolId, controller: &ControllerId) {
+        self.dealt.insert(pool.clone(), controller.clone());
     }
 }
--- a/crates/cleatfold-control/src/state/steps.rs
+++ b/crates/cleatfold-control/src/state/steps.rs
@@ -2,7 +2,7 @@
 //!
 //! Decided from the records alone; who records a report, and when, is the controller's to say.
 
-use crate::mirror::ProgressMap;
+use crate::cache::ProgressMap;
 use crate::records::*;
 use cleatfold_elastic::{Ledger, Members, Part, Progress, Verdict};
 use cleatfold_wire::steps::StepReport;
--- a/crates/cleatfold-control/src/steps.rs
+++ b/crates/cleatfold-control/src/steps.rs
@@ -6,9 +6,9 @@
 //! record, which holds the members' claims, and of each part of the progress that it changes:
 //! a report of a member whose claim has ended meanwhile fails, and is judged anew.
 
+use crate::cache::Live;
+use crate::controller::{Controller, Wait};
 use crate::effects::*;
-use crate::mirror::Live;
-use crate::node::{Node, Wait};
 use crate::state::steps::Asked;
 use cleatfold_elastic::Verdict;
 use cleatfold_wire::steps::StepReport;
@@ -18,12 +18,14 @@
 const ASK_MS: u64 = 4000;
 const COMPLETE_MS: u64 = 250;
 
-impl Node {
+impl Controller {
     /// Rendezvous hashing over the live nodes: as few jobs as possible change their coordinator when
     /// a node comes or goes, and all nodes that know the same members agree.
-    fn coordinator(&self, job: &JobId) -> NodeId {
-        let rank = |node: &NodeId| xxhash_rust::xxh3::xxh3_64(format!("{job}@{node}").as_bytes());
-        let live = self.mirror.nodes.keys();
+    fn coordinator(&self, job: &JobId) -> ControllerId {
+        let rank = |controller: &ControllerId| {
+            xxhash_rust::xxh3::xxh3_64(format!("{job}@{controller}").as_bytes())
+        };
+        let live = self.cache.controllers.keys();
         live.max_by_key(|n| rank(n)).cloned().unwrap_or_else(|| self.cfg.me.clone())
     }
 
@@ -41,7 +43,7 @@
     /// `read`: what stands was read after the report came.
     pub(crate) fn take_steps(&mut self, rid: u64, report: Box<StepReport>, read: bool) {
         let job = report.member.job.clone();
-        let live = self.mirror.jobs.get(&job);
+        let live = self.cache.jobs.get(&job);
         let claim = live.and_then(|live| {
             let mut tasks = live.record.table.claims.iter().flat_map(|g| &g.tasks);
             tasks.find(|t| t.0 == report.member.ix).map(|t| t.1)
@@ -76,7 +78,7 @@
 
     /// Whether the member has no unfinished step left beside those that it reports.
     fn runs_out(&self, report: &StepReport) -> bool {
-        let parts = self.mirror.progress.get(&report.member.job).into_iter().flatten();
+        let parts = self.cache.progress.get(&report.member.job).into_iter().flatten();
         let held = parts.flat_map(|(_, (_, part))| part.held.iter());
         let mine = held.filter(|h| h.member == report.member.ix && h.attempt == report.attempt);
         let reported = |s: u32| report.finished.iter().any(|r| r.0 <= s && s < r.1);
@@ -122,13 +124,13 @@
             return;
         }
         self.completed_at = self.now;
-        let live = |id: &JobId| self.mirror.jobs.get(id).filter(|l| l.claimed == 0);
-        let steps = self.mirror.progress.keys();
+        let live = |id: &JobId| self.cache.jobs.get(id).filter(|l| l.claimed == 0);
+        let steps = self.cache.progress.keys();
         let steps =
             steps.filter(|id| live(id).is_some_and(|l| l.is_complete() && !l.record.aborted));
         // Whether any part of it has a record or not: cancelled before its first claim, it has none.
         let cancelled = |l: &Live| l.record.aborted && l.record.in_parts() && l.claimed == 0;
-        let parts = self.mirror.jobs.iter().filter(|(_, l)| cancelled(l)).map(|(id, _)| id);
+        let parts = self.cache.jobs.iter().filter(|(_, l)| cancelled(l)).map(|(id, _)| id);
         let over: Vec<JobId> =
             steps.chain(parts).filter(|id| self.coordinator(id) == self.cfg.me).cloned().collect();
         for job in over {
--- a/crates/cleatfold-control/src/submissions.rs
+++ b/crates/cleatfold-control/src/submissions.rs
@@ -1,7 +1,7 @@
 //! Submissions: who may, in what order they are made durable, and what became of them.
 
+use crate::controller::{Controller, Pending, Submission, Wait};
 use crate::effects::*;
-use crate::node::{Node, Pending, Submission, Wait};
 use crate::records::*;
 use crate::state::sent::Sent;
 use cleatfold_backfill::Resources;
@@ -52,13 +52,13 @@
     }
 }
 
-impl Node {
+impl Controller {
     pub(crate) fn on_submit(&mut self, rid: u64, spec: Box<JobSpec>) {
         let job = spec.id.clone();
         if let Some(status) = self.terminal.get(&job) {
             return self.reply(rid, Response::Status { code: 200, status });
         }
-        if self.mirror.jobs.contains_key(&job) {
+        if self.cache.jobs.contains_key(&job) {
             return self.wait(rid, job, Wait::Known(spec));
         }
         if let Some(why) = self.impossible(&spec) {
@@ -107,10 +107,10 @@
             return Some(format!("unknown team {}", spec.team));
         };
         let each = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
-        let fits = self.fleet.types.values().any(|t| {
+        let fits = self.inventory.types.values().any(|t| {
             spec.types.as_ref().is_none_or(|allowed| allowed.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-                && each.within(&self.fleet.total(&t.name))
+                && each.within(&self.inventory.total(&t.name))
         });
         if !fits {
             return Some("a task fits no allowed machine type".into());
@@ -152,7 +152,7 @@
                 continue;
             }
             // Accepted elsewhere since it came.
-            if self.mirror.jobs.contains_key(&job) {
+            if self.cache.jobs.contains_key(&job) {
                 self.wait(next.rid, job, Wait::Known(next.spec));
                 continue;
             }
@@ -197,7 +197,7 @@
         let Submission { rid, spec, .. } = submission;
         let job = spec.id.clone();
         let accepted = |status| Response::Status { code: 201, status };
-        if self.mirror.jobs.get(&job).is_some_and(|live| live.version == version) {
+        if self.cache.jobs.get(&job).is_some_and(|live| live.version == version) {
             self.reply(rid, accepted(status(&job, JobState::Queued, 0, 0)));
         } else if let Some(status) = self.terminal.get(&job).or_else(|| self.live_status(&job)) {
             self.reply(rid, accepted(status));
@@ -215,7 +215,7 @@
                     let (Some(key), Some(value)) = (change.put, change.value) else {
                         continue;
                     };
-                    self.mirror.set(&key, value.get(), version);
+                    self.cache.set(&key, value.get(), version);
                     self.local(&job);
                     let spec = &submission.spec;
                     tracing::info!(
--- a/crates/cleatfold-control/src/teams.rs
+++ b/crates/cleatfold-control/src/teams.rs
@@ -4,9 +4,9 @@
 //! as polls are; history from the groups in the state service and, beyond them, from what has ended by such
 //! a reading. A team is told of nobody else: no ids, no names, no numbers.
 
+use crate::cache::Live;
+use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::*;
-use crate::mirror::Live;
-use crate::node::{EventNumber, Node, Pending};
 use crate::records::*;
 use crate::state::teams::{Question, Ranks, Turning};
 use crate::state::workspaces::read_group;
@@ -19,7 +19,7 @@
 /// Groups of a history that are read at once.
 const GROUPS: u32 = 12;
 
-impl Node {
+impl Controller {
     /// What a team's question is answered with at once, if it cannot be answered now.
     pub(crate) fn refuse_team(&self, team: &TeamId) -> Option<Response> {
         if self.cfg.team(team).is_none() {
@@ -51,7 +51,7 @@
         if self.teams.waiting.is_empty() {
             return;
         }
-        let applied = self.mirror.applied.0;
+        let applied = self.cache.applied.0;
         let read = self.workspaces.ended.to();
         let mut behind = false;
         for mut question in std::mem::take(&mut self.teams.waiting) {
@@ -84,9 +84,9 @@
 
     /// The team's live jobs from a place on.
     fn live_jobs(&self, team: &TeamId, since: u64) -> impl Iterator<Item = (u64, &JobId, &Live)> {
-        let jobs = self.mirror.by_team.get(team).into_iter();
+        let jobs = self.cache.by_team.get(team).into_iter();
         let jobs = jobs.flat_map(move |j| j.range((since, JobId::new(""))..));
-        jobs.filter_map(|(place, id)| Some((*place, id, self.mirror.jobs.get(id)?)))
+        jobs.filter_map(|(place, id)| Some((*place, id, self.cache.jobs.get(id)?)))
     }
 
     fn team_jobs(&self, team: &TeamId, since: u64) -> TeamJobs {
@@ -103,7 +103,7 @@
                 done: status.done,
                 running: status.running,
                 accepted_ms: live.record.accepted_ms,
-                begun_ms: self.mirror.tables(id).filter_map(|t| t.begun_ms).min(),
+                begun_ms: self.cache.tables(id).filter_map(|t| t.begun_ms).min(),
                 why: status.why,
             };
             Some((place, job))
@@ -115,7 +115,7 @@
     fn team_queue(&mut self, team: &TeamId, since: u64) -> TeamQueue {
         self.rank_queue();
         let full = self.is_limit_full(team);
-        let sizes = self.fleet.sizes();
+        let sizes = self.inventory.sizes();
         let up: BTreeSet<&PoolId> = sizes.iter().filter(|s| *s.1 > 0).map(|s| *s.0).collect();
         let waits = |live: &Live| !live.record.aborted && live.unclaimed() > 0;
         let told = self.live_jobs(team, since).filter(|j| waits(j.2)).map(|(place, id, live)| {
@@ -187,7 +187,7 @@
         let queue = self.queue();
         let waiting = queue.iter().filter(|queued| !queued.growth);
         let teams = waiting.filter_map(|queued| {
-            let live = self.mirror.jobs.get(&queued.job)?;
+            let live = self.cache.jobs.get(&queued.job)?;
             Some((&queued.job, &live.record.spec.team))
         });
         self.teams.ranks = Ranks::of_queue(self.now, teams);
@@ -198,7 +198,7 @@
     fn tell_history(&mut self, question: Question) {
         let Question { rid, team, since, .. } = question;
         let head = self.head(&team).1;
-        let unreadable = self.mirror.unreadable.contains(&history_head_key(&team));
+        let unreadable = self.cache.unreadable.contains(&history_head_key(&team));
         if unreadable || !self.workspaces.ended.covers(&team, &head) {
             return self.reply(rid, Response::later("the history is being brought up to date"));
         }
--- a/crates/cleatfold-control/src/weights.rs
+++ b/crates/cleatfold-control/src/weights.rs
@@ -1,8 +1,8 @@
 //! The distribution of images that many machines want at once: what `cleatfold_image_distribution` decides from, what
 //! becomes of its decisions, and the two records.
 
+use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::node::{Node, Pending};
 use crate::records::*;
 use cleatfold_image_distribution::{Seen, Settings, Turn, View, Want};
 use cleatfold_wire::job::Kind;
@@ -18,7 +18,7 @@
 /// An image that no more machines want has no record of its own.
 const HANDFUL: usize = 5;
 
-impl Node {
+impl Controller {
     /// At each tick, once we serve.
     pub(crate) fn keep_weights(&mut self) {
         let Some(settings) = self.cfg.weights.clone() else { return };
@@ -28,28 +28,28 @@
             return;
         }
         self.image_distribution.looked = self.now;
-        self.image_distribution.note_ran(&self.fleet.machines, &self.mirror.jobs);
+        self.image_distribution.note_ran(&self.inventory.machines, &self.cache.jobs);
         let (wants, in_use) = self.wants(&settings);
         let seen = self.seen(&settings);
         self.keep_holders(&wants, &seen);
         let pools: BTreeSet<PoolId> =
             self.owned_since.keys().filter(|p| self.my_token(p).is_some()).cloned().collect();
         let spreads: BTreeMap<ImageId, SpreadRecord> =
-            self.mirror.weights.iter().map(|(i, r)| (i.clone(), r.1.clone())).collect();
+            self.cache.weights.iter().map(|(i, r)| (i.clone(), r.1.clone())).collect();
         let mut distributor = std::mem::take(&mut self.image_distribution.distributor);
         let (origin, come) = distributor.pass(&View {
             now: self.now,
             wall_ms: self.wall_ms,
             value_bytes: self.cfg.value_bytes,
             settings: &settings,
-            origin: &self.mirror.origin.1,
+            origin: &self.cache.origin.1,
             spreads: &spreads,
             wants,
             pools: &pools,
             seen,
             in_use,
             gone: &|id| self.fetches_nothing(id),
-            endpoints: &|id| self.fleet.machines.get(id)?.endpoint.clone(),
+            endpoints: &|id| self.inventory.machines.get(id)?.endpoint.clone(),
         });
         self.image_distribution.distributor = distributor;
         if let Some(origin) = origin {
@@ -61,13 +61,13 @@
     /// Proven to fetch nothing: deleted, its lease run out, or unknown to whoever owned its pool
     /// for longer than the cloud's list lags.
     fn fetches_nothing(&self, id: &MachineId) -> bool {
-        match self.fleet.machines.get(id) {
+        match self.inventory.machines.get(id) {
             Some(machine) => machine.expired,
             None => {
                 let known = self.cfg.list_lag_ms + self.cfg.lease_ms + self.cfg.given_up_ms();
-                let slot = self.mirror.origin.1.slots.get(id);
+                let slot = self.cache.origin.1.slots.get(id);
                 let owned = slot.and_then(|s| self.owned_since.get(&s.pool));
-                self.fleet.is_deleted(id) || owned.is_some_and(|o| self.now.since(o.1) > known)
+                self.inventory.is_deleted(id) || owned.is_some_and(|o| self.now.since(o.1) > known)
             }
         }
     }
@@ -77,20 +77,20 @@
         let mut wants: Vec<Want> = Vec::new();
         // Large images in use on a machine, for the cache holds only so much.
         let mut on: BTreeMap<&MachineId, BTreeMap<&ImageId, f64>> = BTreeMap::new();
-        for (id, live) in &self.mirror.jobs {
+        for (id, live) in &self.cache.jobs {
             let spec = &live.record.spec;
             let over = live.record.aborted || live.is_complete();
             if !settings.is_large(spec.image_gb) || live.claimed == 0 || over {
                 continue;
             }
-            for group in self.mirror.tables(id).flat_map(|t| &t.claims) {
+            for group in self.cache.tables(id).flat_map(|t| &t.claims) {
                 let ending = |t: &(TaskIx, Attempt)| self.is_ending(id, t.0, t.1);
                 if group.tasks.iter().all(ending) {
                     continue;
                 }
-                let machine = self.fleet.machines.get(&group.machine);
+                let machine = self.inventory.machines.get(&group.machine);
                 on.entry(&group.machine).or_default().insert(&spec.image, spec.image_gb);
-                let kind = self.fleet.types.get(&group.pool.machine_type);
+                let kind = self.inventory.types.get(&group.pool.machine_type);
                 let images = machine.and_then(|m| m.report.as_ref()).map(|r| &r.images);
                 wants.push(Want {
                     machine: group.machine.clone(),
@@ -102,7 +102,7 @@
                     mb_per_s: settings.slot(kind.map_or(1.0, |t| t.fetch_gb_per_s)),
                     // Of others' machines nothing is known: they decide themselves.
                     hears: images.is_none_or(|i| i.is_some()),
-                    stuck: images.is_some_and(Node::is_stuck),
+                    stuck: images.is_some_and(Controller::is_stuck),
                     pushes_out: None,
                 });
             }
@@ -113,7 +113,7 @@
         }
         for want in &mut wants {
             let images = &on[&want.machine];
-            let cache = self.fleet.types.get(&want.pool.machine_type).map(|t| t.cache_gb);
+            let cache = self.inventory.types.get(&want.pool.machine_type).map(|t| t.cache_gb);
             let full = images.values().sum::<f64>() > cache.unwrap_or(f64::INFINITY);
             let old = images.keys().find(|i| ***i != want.image).filter(|_| full);
             want.pushes_out = old.map(|i| (*i).clone());
@@ -124,7 +124,7 @@
     /// Our machines, by reports sent under our token.
     fn seen(&self, settings: &Settings) -> BTreeMap<MachineId, Seen> {
         let mut seen = BTreeMap::new();
-        for (id, machine) in &self.fleet.machines {
+        for (id, machine) in &self.inventory.machines {
             let Some(token) = self.my_token(&machine.pool) else { continue };
             let Some(report) = machine.report.as_ref().filter(|r| r.token == token) else {
                 continue;
@@ -135,7 +135,7 @@
             let held = || report.images.iter().flatten();
             let mut fetching = BTreeSet::new();
             for task in report.tasks.iter().filter(|t| t.state == TaskState::Fetching) {
-                let live = self.mirror.jobs.get(&task.task.job).map(|l| &l.record.spec);
+                let live = self.cache.jobs.get(&task.task.job).map(|l| &l.record.spec);
                 match live {
                     Some(spec) if settings.is_large(spec.image_gb) => {
                         fetching.insert(spec.image.clone());
@@ -143,7 +143,7 @@
                     Some(_) => {}
                     // A job that has gone since: whatever it has a slot for.
                     None => {
-                        fetching.extend(self.mirror.origin.1.slots.get(id).map(|s| s.image.clone()))
+                        fetching.extend(self.cache.origin.1.slots.get(id).map(|s| s.image.clone()))
                     }
                 }
             }
@@ -155,7 +155,7 @@
                     endpoint: machine.endpoint.clone().filter(|_| report.images.is_some()),
                     images: self.image_distribution.images_there(id, machine),
                     fetching,
-                    stuck: Node::is_stuck(&report.images),
+                    stuck: Controller::is_stuck(&report.images),
                     source: held().find_map(|i| i.source.clone()),
                     serves: held().map(|i| i.serves).sum(),
                     leaving: !machine.takes_work(),
@@ -173,12 +173,12 @@
     /// (nothing: from the origin). None: its turn has not come.
     pub(crate) fn fetch_turn(&self, id: &MachineId, job: &JobId) -> Option<Vec<String>> {
         let Some(settings) = &self.cfg.weights else { return Some(vec![]) };
-        let Some(live) = self.mirror.jobs.get(job) else { return Some(vec![]) };
+        let Some(live) = self.cache.jobs.get(job) else { return Some(vec![]) };
         let spec = &live.record.spec;
         if !settings.is_large(spec.image_gb) {
             return Some(vec![]);
         }
-        let machine = self.fleet.machines.get(id)?;
+        let machine = self.inventory.machines.get(id)?;
         let there = self.image_distribution.images_there(id, machine);
         if there.get(&spec.image).is_some_and(|part| *part >= 1.0) {
             return Some(vec![]);
@@ -193,7 +193,7 @@
             Turn::From(sources) => Some(sources.clone()),
             // The slot as it stands, not as it stood when turns were last looked at.
             Turn::Origin => {
-                let slot = self.mirror.origin.1.slots.get(id)?;
+                let slot = self.cache.origin.1.slots.get(id)?;
                 let stands = slot.image == spec.image && slot.pool == machine.pool;
                 (stands && !self.image_distribution.given_back.contains(id)).then(Vec::new)
             }
@@ -209,7 +209,7 @@
         }
         let fetching = tasks.iter().filter(|t| t.state == TaskState::Fetching);
         let ours = fetching.filter(|t| {
-            let claim = self.mirror.claim(id, &t.task);
+            let claim = self.cache.claim(id, &t.task);
             // A former owner's claim as well: it is listed, so the command repeats what it has had.
             claim.is_some_and(|c| c.attempt == t.attempt)
         });
@@ -225,7 +225,7 @@
         let Some(settings) = &self.cfg.weights else { return };
         let large = commands.iter().any(|c| {
             let Command::Start { task, .. } = c else { return false };
-            let live = self.mirror.jobs.get(&task.job);
+            let live = self.cache.jobs.get(&task.job);
             live.is_some_and(|l| settings.is_large(l.record.spec.image_gb))
         });
         if large {
@@ -244,7 +244,7 @@
         {
             return;
         }
-        let old = &self.mirror.origin.1;
+        let old = &self.cache.origin.1;
         let changed = |from: &OriginRecord, to: &OriginRecord| -> Vec<(MachineId, PoolId)> {
             let gone = from.slots.iter().filter(|(m, s)| to.slots.get(*m) != Some(*s));
             gone.map(|(m, s)| (m.clone(), s.pool.clone())).collect()
@@ -252,7 +252,7 @@
         let (gone, new) = (changed(old, &record), changed(&record, old));
         let pools: BTreeSet<&PoolId> = gone.iter().chain(&new).map(|c| &c.1).collect();
         let mut txn = Txn::default();
-        txn.guard(ORIGIN_KEY, self.mirror.origin.0);
+        txn.guard(ORIGIN_KEY, self.cache.origin.0);
         for pool in pools {
             let Some(token) = self.my_token(pool) else { return };
             txn.guard(pool_key(pool), Version(token.0));
@@ -273,8 +273,8 @@
                 return self.again(op, Lane::Claim, again, Pending::Origin { txn, record }, 300);
             }
             StoreReply::Committed(version) => {
-                if self.mirror.origin.0 < version {
-                    self.mirror.origin = (version, record);
+                if self.cache.origin.0 < version {
+                    self.cache.origin = (version, record);
                 }
                 // Those whose slot it is need not wait for the next look.
                 self.image_distribution.looked = Ms(0);
@@ -299,7 +299,7 @@
         let mut last = BTreeSet::new();
         for image in wanted.keys() {
             let mut ours = seen.iter().filter(|(_, s)| s.has(image)).map(|(m, _)| m);
-            let elsewhere = self.mirror.weights.get(*image).into_iter().flat_map(|r| &r.1.holders);
+            let elsewhere = self.cache.weights.get(*image).into_iter().flat_map(|r| &r.1.holders);
             let mut elsewhere = elsewhere.filter(|(p, _)| !self.owned_since.contains_key(*p));
             if let (Some(only), None, None) = (ours.next(), ours.next(), elsewhere.next()) {
                 last.insert(only.clone());
@@ -311,10 +311,10 @@
         {
             return;
         }
-        let known = self.mirror.weights.keys();
+        let known = self.cache.weights.keys();
         let images: BTreeSet<ImageId> = known.chain(wanted.keys().copied()).cloned().collect();
         for image in &images {
-            let old = self.mirror.weights.get(image);
+            let old = self.cache.weights.get(image);
             let many = wanted.get(image).is_some_and(|m| m.len() > HANDFUL);
             let mut txn = Txn::default();
             txn.guard(weights_key(image), old.map(|o| o.0).unwrap_or_default());
@@ -332,7 +332,7 @@
                     // Not heard of yet, and not known to be gone: as the record has it.
                     let before = new.holders.get(pool).map(|n| n.read()).unwrap_or_default();
                     let unheard = |m: &MachineId| {
-                        !seen.contains_key(m) && self.fleet.machines.contains_key(m)
+                        !seen.contains_key(m) && self.inventory.machines.contains_key(m)
                     };
                     holders.extend(before.iter().filter(|m| unheard(m)).cloned());
                     if holders != before {
--- a/crates/cleatfold-control/src/workers.rs
+++ b/crates/cleatfold-control/src/workers.rs
@@ -6,9 +6,9 @@
 //! in `machines.rs` (deletion): an exit; absence from a report whose worker had seen our token;
 //! a lease that has provably run out; deletion or failure of the machine.
 
+use crate::controller::Controller;
 use crate::effects::*;
-use crate::fleet::{LastReport, Machine};
-use crate::node::Node;
+use crate::inventory::{LastReport, Machine};
 use crate::state::jobs::End;
 use cleatfold_wire::cloud::MachineState;
 use cleatfold_wire::worker::{Command, Exit, RawReport, Report, TaskState};
@@ -24,13 +24,13 @@
 pub(crate) struct Held {
     rid: u64,
     pool: PoolId,
-    token: Token,
+    token: FencingToken,
     until: Ms,
 }
 
-impl Node {
+impl Controller {
     pub(crate) fn on_report(&mut self, rid: u64, report: RawReport) {
-        if !self.serving() || self.fleet.is_deleted(&report.machine) {
+        if !self.serving() || self.inventory.is_deleted(&report.machine) {
             return self.reply(rid, Response::Redirect(None));
         }
         let pool = PoolId { machine_type: report.machine_type.clone(), zone: report.zone.clone() };
@@ -47,9 +47,9 @@
             Ok(entitled) => entitled,
             Err(response) => return self.reply(rid, response),
         };
-        let machine = self.fleet.machines.get(&report.machine);
+        let machine = self.inventory.machines.get(&report.machine);
         let known = machine.and_then(|m| m.report.as_ref());
-        if known.is_some_and(|k| (k.session, k.seq) >= (report.session, report.seq)) {
+        if known.is_some_and(|k| (k.agent_epoch, k.seq) >= (report.agent_epoch, report.seq)) {
             // Late or repeated. Its worker does not wait for this answer any more.
             return self.reply(rid, Response::later("an old report"));
         }
@@ -77,7 +77,7 @@
                 }
             }
         };
-        if let Some(machine) = self.fleet.machines.get_mut(&id) {
+        if let Some(machine) = self.inventory.machines.get_mut(&id) {
             machine.ears.told(self.now, new_token, &commands);
         }
         let hold = if commands.is_empty() { self.hold_ms(&id) } else { 0 };
@@ -91,7 +91,7 @@
 
     /// Cancelled, or not among the live jobs: nothing of it may start or go on.
     fn is_over(&self, job: &JobId) -> bool {
-        self.mirror.jobs.get(job).is_none_or(|j| j.is_complete()) || self.is_cancelled(job)
+        self.cache.jobs.get(job).is_none_or(|j| j.is_complete()) || self.is_cancelled(job)
     }
 
     /// How long the answer to a report that calls for no command may wait for one: where there
@@ -100,19 +100,19 @@
     /// well within the time that a worker waits. Busy machines get little of it, for while an
     /// answer is out their exits go unreported.
     fn hold_ms(&self, id: &MachineId) -> u64 {
-        let Some(machine) = self.fleet.machines.get(id) else { return 0 };
+        let Some(machine) = self.inventory.machines.get(id) else { return 0 };
         if machine.draining || machine.notice.is_some() {
             return 0;
         }
-        let total = self.fleet.total(&machine.pool.machine_type).cpus;
+        let total = self.inventory.total(&machine.pool.machine_type).cpus;
         let used: i64 = self
-            .mirror
+            .cache
             .claims
             .get(id)
             .into_iter()
             .flatten()
             .filter(|((job, ix), claim)| !self.is_ending(job, *ix, claim.attempt))
-            .filter_map(|((job, _), _)| self.mirror.jobs.get(job))
+            .filter_map(|((job, _), _)| self.cache.jobs.get(job))
             .map(|live| live.each.cpus)
             .sum();
         let share = match used * 4 {
@@ -139,7 +139,7 @@
                 Ok(entitled) => {
                     let commands = self.starts(&id, held.token);
                     self.note_fetches(&id, &commands);
-                    if let Some(machine) = self.fleet.machines.get_mut(&id) {
+                    if let Some(machine) = self.inventory.machines.get_mut(&id) {
                         machine.ears.told_late(self.now, &commands);
                     }
                     entitled.answer(commands)
@@ -150,15 +150,15 @@
     }
 
     /// Starts for claims that the machine's newest report does not list.
-    fn starts(&self, id: &MachineId, token: Token) -> Vec<Command> {
-        let Some(machine) = self.fleet.machines.get(id) else { return vec![] };
+    fn starts(&self, id: &MachineId, token: FencingToken) -> Vec<Command> {
+        let Some(machine) = self.inventory.machines.get(id) else { return vec![] };
         let Some(report) = &machine.report else { return vec![] };
         if !machine.takes_work() {
             return vec![];
         }
         let listed: BTreeSet<&TaskId> = report.tasks.iter().map(|t| &t.task).collect();
         let mut starts = Vec::new();
-        for ((job, ix), claim) in self.mirror.claims.get(id).into_iter().flatten() {
+        for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
             let task = TaskId { job: job.clone(), ix: *ix };
             let over = self.is_over(job);
             let leaving =
@@ -175,8 +175,8 @@
     }
 
     fn redirect(&mut self, rid: u64, report: &RawReport, pool: &PoolId) {
-        let owner = match (self.hinted.get(pool), self.mirror.pools.get(pool)) {
-            (Some((node, _)), _) => Some(node.clone()),
+        let owner = match (self.hinted.get(pool), self.cache.pools.get(pool)) {
+            (Some((controller, _)), _) => Some(controller.clone()),
             (None, Some(h)) if h.owner != self.cfg.me => Some(h.owner.clone()),
             _ => None,
         };
@@ -189,11 +189,11 @@
     /// The report repeats its machine's last one, and nothing here has changed since that would
     /// call for a command: most reports of a large fleet. (Reading each of them in full and
     /// going through its claims took most of the processor time that reports cost.)
-    fn says_the_same(&self, report: &RawReport, token: Token) -> bool {
-        let Some(machine) = self.fleet.machines.get(&report.machine) else { return false };
+    fn says_the_same(&self, report: &RawReport, token: FencingToken) -> bool {
+        let Some(machine) = self.inventory.machines.get(&report.machine) else { return false };
         let Some(last) = &machine.report else { return false };
-        last.settled.is_some_and(|stamp| stamp == self.mirror.claims_stamp(&report.machine))
-            && last.session == report.session
+        last.settled.is_some_and(|stamp| stamp == self.cache.claims_stamp(&report.machine))
+            && last.agent_epoch == report.agent_epoch
             && last.token == token
             && report.token == token
             && report.notice_s.is_none()
@@ -205,12 +205,12 @@
     }
 
     /// Notes such a report: as new as any other.
-    fn take_again(&mut self, report: &RawReport, token: Token) {
+    fn take_again(&mut self, report: &RawReport, token: FencingToken) {
         self.reach.view.strays.arrived(&report.machine);
         self.drop_held(&report.machine);
         self.reach.view.heard(&report.zone, self.now);
         let (now, fair) = (self.now, self.stretch <= FAIR_STRETCH);
-        let Some(machine) = self.fleet.machines.get_mut(&report.machine) else { return };
+        let Some(machine) = self.inventory.machines.get_mut(&report.machine) else { return };
         machine.heard = Some(now);
         if !fair {
             machine.ears.excuse();
@@ -234,7 +234,7 @@
     fn take_report(
         &mut self,
         pool: &PoolId,
-        token: Token,
+        token: FencingToken,
         report: Report,
         text: Box<RawValue>,
     ) -> Vec<Command> {
@@ -245,7 +245,7 @@
         let seen_our_token = report.token == token;
         let fair = self.stretch <= FAIR_STRETCH;
         let machine = self
-            .fleet
+            .inventory
             .machines
             .entry(id.clone())
             .or_insert_with(|| Machine::new(pool.clone(), spot, now));
@@ -274,7 +274,7 @@
             }
         }
         let first = machine.report.as_ref().is_none_or(|r| r.token != token);
-        if machine.report.as_ref().is_some_and(|r| r.session != report.session) {
+        if machine.report.as_ref().is_some_and(|r| r.agent_epoch != report.agent_epoch) {
             machine.started.clear();
         }
         // What is ordered below goes by what it has now.
@@ -294,7 +294,7 @@
             .collect();
         let mut ends = Vec::new();
         for t in &report.tasks {
-            let claim = self.mirror.claim(&id, &t.task);
+            let claim = self.cache.claim(&id, &t.task);
             let ours = claim.is_some_and(|c| c.attempt == t.attempt);
             if ours {
                 listed.insert((t.task.job.clone(), t.task.ix));
@@ -333,12 +333,12 @@
                 }
             }
         }
-        let mut withheld = !draining && Node::is_stuck(&report.images);
+        let mut withheld = !draining && Controller::is_stuck(&report.images);
         if !draining && notice.is_none() {
             commands.append(&mut self.new_sources(&id, &report.tasks));
         }
         // Claims the worker does not list.
-        let claims = self.mirror.claims.get(&id).cloned().unwrap_or_default();
+        let claims = self.cache.claims.get(&id).cloned().unwrap_or_default();
         let mut lost = Vec::new();
         let mut starts = Vec::new();
         for ((job, ix), claim) in claims {
@@ -372,10 +372,10 @@
             }
         }
         // What elastic members do changes without a change of their claims.
-        let elastic = self.mirror.any_elastic();
+        let elastic = self.cache.any_elastic();
         let quiet = commands.is_empty() && starts.is_empty() && lost.is_empty() && ends.is_empty();
         let quiet = quiet && !withheld;
-        let settled = (quiet && !elastic).then(|| self.mirror.claims_stamp(&id));
+        let settled = (quiet && !elastic).then(|| self.cache.claims_stamp(&id));
         for (job, ix, attempt, why) in lost {
             let fence = Some((pool.clone(), token));
             let end = End { machine: id.clone(), ix, attempt, done: false, why, ran_ms: 0, fence };
@@ -388,11 +388,11 @@
         commands.append(&mut starts);
 
         let changed = {
-            let Some(machine) = self.fleet.machines.get_mut(&id) else {
+            let Some(machine) = self.inventory.machines.get_mut(&id) else {
                 return commands;
             };
             let last = LastReport {
-                session: report.session,
+                agent_epoch: report.agent_epoch,
                 seq: report.seq,
                 token: report.token,
                 at: now,
@@ -413,12 +413,12 @@
     }
 
     fn note_running(&mut self, id: &MachineId, task: &TaskId) {
-        let Some(live) = self.mirror.jobs.get(&task.job) else {
+        let Some(live) = self.cache.jobs.get(&task.job) else {
             return;
         };
         let (image, gb) = (live.record.spec.image.clone(), live.record.spec.image_gb);
         let now = self.now;
-        let Some(machine) = self.fleet.machines.get_mut(id) else {
+        let Some(machine) = self.inventory.machines.get_mut(id) else {
             return;
         };
         let key = (task.job.clone(), task.ix);
@@ -426,8 +426,11 @@
             return;
         }
         machine.started.insert(key, now);
-        let cache =
-            self.fleet.types.get(&machine.pool.machine_type).map_or(f64::INFINITY, |t| t.cache_gb);
+        let cache = self
+            .inventory
+            .types
+            .get(&machine.pool.machine_type)
+            .map_or(f64::INFINITY, |t| t.cache_gb);
         machine.use_image(&image, gb, cache);
     }
 
@@ -439,7 +442,7 @@
         t: &cleatfold_wire::worker::TaskReport,
         at: Ms,
     ) {
-        let Some(live) = self.mirror.jobs.get(&t.task.job) else {
+        let Some(live) = self.cache.jobs.get(&t.task.job) else {
             return;
         };
         let spec = &live.record.spec;
@@ -480,11 +483,11 @@
     ) {
         let now = self.now;
         let started = self
-            .fleet
+            .inventory
             .machines
             .get_mut(id)
             .and_then(|m| m.started.remove(&(task.job.clone(), task.ix)));
-        let Some(live) = self.mirror.jobs.get(&task.job) else {
+        let Some(live) = self.cache.jobs.get(&task.job) else {
             return;
         };
         let interval = (live.record.spec.checkpoint_s * 1000.0) as u64;
@@ -506,14 +509,14 @@
                 self.local(&task.job).hold_until = now.plus(2000);
             }
             Exit::Done => {
-                if let Some(machine) = self.fleet.machines.get_mut(id) {
+                if let Some(machine) = self.inventory.machines.get_mut(id) {
                     machine.suspicion.completed();
                 }
             }
             _ => {}
         }
         let ran_ms = started.map_or(0, |s| now.since(s));
-        let mut end = Node::exit_end(id, task.ix, attempt, exit, ran_ms);
+        let mut end = Controller::exit_end(id, task.ix, attempt, exit, ran_ms);
         // A member that leaves frees its place; what is done of its job are steps.
         end.done &= !elastic;
         self.stops.remove(id, &task.job, task.ix);
--- a/crates/cleatfold-control/src/workspaces.rs
+++ b/crates/cleatfold-control/src/workspaces.rs
@@ -5,8 +5,8 @@
 //! each is written once: a history is a copy of it in the order of its revisions, and whoever keeps the
 //! team next goes on from the revision that the head names.
 
+use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::node::{Node, Pending};
 use crate::records::*;
 use crate::state::workspaces::{read_group, Kept, Listing, Write};
 use cleatfold_wire::store::{Events, Item, Txn};
@@ -38,7 +38,7 @@
     Some((JobId::new(job), serde_json::from_str(item.value.get()).ok()?))
 }
 
-impl Node {
+impl Controller {
     /// At each tick, once we serve.
     pub(crate) fn keep_workspaces(&mut self) {
         if self.now.since(self.workspaces.looked) < LOOK_MS {
@@ -57,13 +57,13 @@
 
     /// Our token for a workspace, by what was read last.
     pub(crate) fn workspace(&self, team: &TeamId) -> Option<Version> {
-        let (version, holder) = self.mirror.workspaces.get(team)?;
+        let (version, holder) = self.cache.workspaces.get(team)?;
         let ours = holder.owner == self.cfg.me && Some(holder.incarnation) == self.incarnation;
         (ours && self.readable(&workspace_key(team))).then_some(*version)
     }
 
     fn readable(&self, key: &str) -> bool {
-        self.mirror.unreadable.is_empty() || !self.mirror.unreadable.contains(key)
+        self.cache.unreadable.is_empty() || !self.cache.unreadable.contains(key)
     }
 
     // ---- who keeps what ----
@@ -72,23 +72,24 @@
         let (now, me) = (self.now, self.cfg.me.clone());
         let teams: Vec<TeamId> = self.cfg.teams.iter().map(|t| t.name.clone()).collect();
         let mut vacancies = std::mem::take(&mut self.workspaces.vacancies);
-        let mirror = &self.mirror;
+        let cache = &self.cache;
         // As pools are: an owner is whoever the record names, as long as that life of it has its key.
         // What cannot be read is nobody's to write over.
         let held = |team: &TeamId| {
-            let holder = mirror.workspaces.get(team).map(|w| &w.1);
-            holder.is_some_and(|h| mirror.nodes.get(&h.owner).is_some_and(|n| n.0 == h.incarnation))
-                || !self.readable(&workspace_key(team))
+            let holder = cache.workspaces.get(team).map(|w| &w.1);
+            holder.is_some_and(|h| {
+                cache.controllers.get(&h.owner).is_some_and(|n| n.0 == h.incarnation)
+            }) || !self.readable(&workspace_key(team))
         };
-        vacancies.see(now, &me, mirror.nodes.keys(), teams.iter(), held);
-        let known = mirror.nodes.get(&me).map(|n| n.0);
+        vacancies.see(now, &me, cache.controllers.keys(), teams.iter(), held);
+        let known = cache.controllers.get(&me).map(|n| n.0);
         let unsure = self.workspaces.unsure.is_some_and(|t| self.fresh.is_none_or(|f| f < t));
         let incarnation = self.incarnation.filter(|i| known == Some(*i) && !unsure);
         if let Some(incarnation) = incarnation.filter(|_| self.in_contact() && self.pace.open()) {
             self.workspaces.unsure = None;
             let rank = |team: &TeamId, live: &_| owner::rank(team, &me, live);
             let former = |team: &TeamId| {
-                let holder = mirror.workspaces.get(team).map(|w| &w.1);
+                let holder = cache.workspaces.get(team).map(|w| &w.1);
                 holder.is_some_and(|h| h.owner == me && h.incarnation != incarnation)
                     && self.readable(&workspace_key(team))
             };
@@ -104,7 +105,7 @@
                 let first = owner::first(&team, vacancies.live().iter()).cloned();
                 let first = first.filter(|n| *n != me);
                 let holder = first.and_then(|owner| {
-                    let incarnation = self.mirror.nodes.get(&owner)?.0;
+                    let incarnation = self.cache.controllers.get(&owner)?.0;
                     Some(HolderRecord { owner, incarnation })
                 });
                 match holder {
@@ -123,7 +124,7 @@
     fn hand(&mut self, teams: Vec<TeamId>, holder: HolderRecord) {
         let mut txn = Txn::default();
         for team in &teams {
-            let version = self.mirror.workspaces.get(team).map(|w| w.0).unwrap_or_default();
+            let version = self.cache.workspaces.get(team).map(|w| w.0).unwrap_or_default();
             txn.guard(workspace_key(team), version);
             txn.put(workspace_key(team), &holder, None);
         }
@@ -147,9 +148,9 @@
         };
         for team in teams {
             self.workspaces.vacancies.settled(&team);
-            let known = self.mirror.workspaces.get(&team).map(|w| w.0).unwrap_or_default();
+            let known = self.cache.workspaces.get(&team).map(|w| w.0).unwrap_or_default();
             if let Some(version) = committed.filter(|v| *v > known) {
-                self.mirror.workspaces.insert(team, (version, holder.clone()));
+                self.cache.workspaces.insert(team, (version, holder.clone()));
             }
         }
         self.want_sync = true;
@@ -189,7 +190,7 @@
 
     /// Everything was read: what ended is read from where the histories stand, as far back as that goes.
     pub(crate) fn begin_ended(&mut self) {
-        let applied = self.mirror.applied.0;
+        let applied = self.cache.applied.0;
         let upto = |t: &crate::config::Team| self.head(&t.name).1.upto;
         let near = self.cfg.teams.iter().map(upto).filter(|u| u + BACK >= applied);
         let from = near.min().unwrap_or(applied).min(applied);
@@ -206,7 +207,7 @@
             self.archive.stale = true;
             return;
         }
-        let applied = self.mirror.applied;
+        let applied = self.cache.applied;
         self.archive.read_to = applied;
         self.workspaces.ended.read(applied.0, applied.0, []);
     }
@@ -225,10 +226,10 @@
     }
 
     fn keep_ended(&mut self) {
-        for (team, (_, head)) in &self.mirror.histories {
+        for (team, (_, head)) in &self.cache.histories {
             self.workspaces.ended.forget(team, head);
         }
-        let behind = self.workspaces.ended.to().is_none_or(|to| to < self.mirror.applied.0);
+        let behind = self.workspaces.ended.to().is_none_or(|to| to < self.cache.applied.0);
         if behind && self.now.since(self.workspaces.followed) >= FOLLOW_MS {
             self.workspaces.followed = self.now;
             self.archive.stale = true;
@@ -291,7 +292,7 @@
     // ---- histories ----
 
     pub(crate) fn head(&self, team: &TeamId) -> (Version, HistoryHead) {
-        self.mirror.histories.get(team).cloned().unwrap_or_default()
+        self.cache.histories.get(team).cloned().unwrap_or_default()
     }
 
     fn keep_histories(&mut self) {
@@ -356,7 +357,7 @@
                         "history written"
                     );
                     self.workspaces.ended.forget(&write.team, &write.head);
-                    self.mirror.histories.insert(write.team.clone(), (version, write.head));
+                    self.cache.histories.insert(write.team.clone(), (version, write.head));
                 }
             }
             // Perhaps it is there: the same again, its guards decide.
--- a/crates/cleatfold-control/tests/added.rs
+++ b/crates/cleatfold-control/tests/added.rs
@@ -1,7 +1,7 @@
 //! The troubles that the operators added: copies of reports that come late, machines that nothing
 //! told reaches, a controller without the state service and its peers but with its workers.
 
-use cleatfold_testbed::world::{Happens, Size, World, NODES};
+use cleatfold_testbed::world::{Happens, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -116,10 +116,10 @@
             most = most.max(world.workers.len());
         }
         last.retain(|id, _| !world.workers.contains_key(id));
-        (0..NODES).for_each(|i| world.crash(i, 300 + 400 * i as u64));
+        (0..CONTROLLERS).for_each(|i| world.crash(i, 300 + 400 * i as u64));
         for (n, report) in last.into_values().enumerate().filter(|_| copies) {
             for round in 0..8 {
-                let copy = Happens::Copy((n + round) % NODES, Box::new(report.clone()));
+                let copy = Happens::Copy((n + round) % CONTROLLERS, Box::new(report.clone()));
                 world.at(3_000 + 4_000 * round as u64, copy);
             }
         }
@@ -159,8 +159,8 @@
         world.at(0, Happens::Die(machine.clone()));
         world.crash(owner, 10_000);
         for (i, report) in reports.into_iter().enumerate().filter(|_| copies) {
-            for node in 0..NODES {
-                let copy = Happens::Copy(node, Box::new(report.clone()));
+            for controller in 0..CONTROLLERS {
+                let copy = Happens::Copy(controller, Box::new(report.clone()));
                 world.at(2_000 * (i as u64 + 1), copy);
             }
         }
@@ -266,7 +266,7 @@
         // There is room for it beside all that runs.
         (spec.cpus, spec.zone) = (0.5, Some(pool.zone.clone()));
         spec.types = Some(vec![pool.machine_type.clone()]);
-        let job = world.submit((apart + 1) % NODES, spec);
+        let job = world.submit((apart + 1) % CONTROLLERS, spec);
         while world.jobs[&job].begun.is_none() && world.now < until {
             run_for(&mut world, 250);
         }
--- a/crates/cleatfold-control/tests/admission.rs
+++ b/crates/cleatfold-control/tests/admission.rs
@@ -4,7 +4,7 @@
 use cleatfold_admission::Allotment;
 use cleatfold_control::records::{HolderRecord, ALLOTMENT};
 use cleatfold_roles::Duty;
-use cleatfold_testbed::world::{node_id, Happens, Size, World, NODES};
+use cleatfold_testbed::world::{controller_id, Happens, Size, World, CONTROLLERS};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 
@@ -23,8 +23,8 @@
         (spec.team, spec.urgency) = (TeamId::new("free"), urgency);
         (spec.tasks, spec.cpus, spec.estimate_s) = (tasks, cpus, estimate_s);
         (spec.one_zone, spec.spread, spec.types, spec.spot) = (false, false, None, true);
-        let node = (second % NODES as u64) as usize;
-        world.submit(node, spec)
+        let controller = (second % CONTROLLERS as u64) as usize;
+        world.submit(controller, spec)
     };
     submit("urgent", Urgency::High, 1 + (second % 9) as u32, 4.0, 9.0);
     let night = second.is_multiple_of(2);
@@ -39,7 +39,7 @@
 fn holder(world: &World) -> Option<usize> {
     let item = world.store.get(Duty::Allot.key())?;
     let holder: HolderRecord = serde_json::from_str(item.value.get()).ok()?;
-    (0..NODES).find(|i| node_id(*i) == holder.owner)
+    (0..CONTROLLERS).find(|i| controller_id(*i) == holder.owner)
 }
 
 fn play(seed: u64, admission: bool, mut trouble: impl FnMut(&mut World, u64)) -> (World, f64) {
@@ -84,12 +84,12 @@
         let mut last = Allotment::default();
         let (_, served) = play(seed, true, |world, second| {
             if second % 13 == 0 && second > 40 {
-                if let Some(node) = holder(world) {
+                if let Some(controller) = holder(world) {
                     let until = Ms((second + 7) * 1000);
                     match (second / 13) % 4 {
-                        0 => world.at(0, Happens::Crash(node)),
-                        1 => world.at(0, Happens::StoreCut { node, until }),
-                        _ => world.at(0, Happens::Cut { node, until }),
+                        0 => world.at(0, Happens::Crash(controller)),
+                        1 => world.at(0, Happens::StoreCut { controller, until }),
+                        _ => world.at(0, Happens::Cut { controller, until }),
                     }
                 }
             }
@@ -127,7 +127,7 @@
         let mut world = region(seed, true);
         world.run(Ms(5000));
         let (others_back_s, cut_s) = (40, 55);
-        (1..NODES).for_each(|node| world.crash(node, others_back_s * 1000));
+        (1..CONTROLLERS).for_each(|controller| world.crash(controller, others_back_s * 1000));
         let mut decided = 0;
         for second in 5..160 {
             traffic(&mut world, second);
