--- a/crates/cleatfold-control/tests/answers.rs
+++ b/crates/cleatfold-control/tests/answers.rs
@@ -4,7 +4,7 @@
 mod meeting;
 
 use cleatfold_control::{records, Event, Request, StoreReply, StoreRequest};
-use cleatfold_testbed::world::{Asked, Happens, Look, Purpose, Size, World, NODES};
+use cleatfold_testbed::world::{Asked, Happens, Look, Purpose, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{JobSpec, JobState};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
@@ -14,14 +14,14 @@
 /// A call to the state service that is on its way.
 struct Call {
     number: u64,
-    node: usize,
+    controller: usize,
     op: u64,
 }
 
 fn call(world: &World, which: impl Fn(usize, &StoreRequest) -> bool) -> Option<Call> {
     world.events.iter().find_map(|(number, event)| match event {
-        Happens::StoreRequest { node, op, request, .. } if which(*node, request) => {
-            Some(Call { number: *number, node: *node, op: *op })
+        Happens::StoreRequest { controller, op, request, .. } if which(*controller, request) => {
+            Some(Call { number: *number, controller: *controller, op: *op })
         }
         _ => None,
     })
@@ -77,8 +77,9 @@
 
 fn take_answer(world: &mut World, of: &Call) -> Option<Happens> {
     let is_answer = |event: &Happens| match event {
-        Happens::Node(node, _, event) => {
-            *node == of.node && matches!(**event, Event::Store { op, .. } if op == of.op)
+        Happens::Controller(controller, _, event) => {
+            *controller == of.controller
+                && matches!(**event, Event::Store { op, .. } if op == of.op)
         }
         _ => false,
     };
@@ -90,31 +91,31 @@
 fn lose_answer(world: &mut World, (call, event): (Call, Happens)) {
     world.happen(event);
     take_answer(world, &call).expect("answered");
-    let (node, op) = (call.node, call.op);
+    let (controller, op) = (call.controller, call.op);
     let unknown = Box::new(Event::Store { op, reply: StoreReply::Unknown });
-    world.at(1_500, Happens::Node(node, world.lives[node], unknown));
+    world.at(1_500, Happens::Controller(controller, world.lives[controller], unknown));
 }
 
-fn poll(world: &mut World, node: usize, job: &JobId) {
+fn poll(world: &mut World, controller: usize, job: &JobId) {
     let watch = &world.jobs[job];
     let asked = Asked::Poll(job.clone(), watch.told, watch.accepted);
-    world.ask(node, asked, Request::Poll(job.clone()));
+    world.ask(controller, asked, Request::Poll(job.clone()));
 }
 
 /// Everything that users may do about a job, at every controller, for a while.
 fn look_everywhere(world: &mut World, job: &JobId, for_ms: u64) {
     let until = world.now.plus(for_ms);
     while world.now < until {
-        for node in 0..NODES {
-            poll(world, node, job);
-            world.submit_again(node, job);
+        for controller in 0..CONTROLLERS {
+            poll(world, controller, job);
+            world.submit_again(controller, job);
         }
         run_for(world, 40);
     }
 }
 
-fn started(world: &mut World, seed_job: JobSpec, node: usize) -> JobId {
-    let job = world.submit(node, seed_job);
+fn started(world: &mut World, seed_job: JobSpec, controller: usize) -> JobId {
+    let job = world.submit(controller, seed_job);
     for _ in 0..60_000 {
         if world.running.keys().any(|t| t.job == job) {
             return job;
@@ -158,7 +159,7 @@
                 hold(&mut world, &what, |_, r| writes(r, Purpose::Archive))
             }
         };
-        let (writer, reader) = (change.0.node, (change.0.node + 1) % NODES);
+        let (writer, reader) = (change.0.controller, (change.0.controller + 1) % CONTROLLERS);
         let reading = hold(&mut world, &what, |n, r| n == reader && is_reading(r));
         // It is read, changed and told, and asked about, all within this millisecond.
         world.happen(reading.1);
@@ -261,7 +262,7 @@
             lose_answer(&mut world, held);
             look_everywhere(&mut world, &job, 400);
             if cancelled {
-                (0..NODES).for_each(|node| withdraw(&mut world, node, &job));
+                (0..CONTROLLERS).for_each(|controller| withdraw(&mut world, controller, &job));
             }
             look_everywhere(&mut world, &job, 3_000);
             ends_well_asked(&mut world, 60_000, &what);
@@ -298,14 +299,14 @@
         let spec = plain(&mut world, 1, 6.0);
         let job = started(&mut world, spec, 1);
         let end = hold(&mut world, &what, |_, r| writes(r, Purpose::Archive));
-        let other = (end.0.node + 1) % NODES;
+        let other = (end.0.controller + 1) % CONTROLLERS;
         withdraw(&mut world, other, &job);
         let cancelled = hold(&mut world, &what, |n, r| n == other && cancels(r, &job));
         let (first, second) = if end_first { (end, cancelled) } else { (cancelled, end) };
         world.happen(first.1);
         look_everywhere(&mut world, &job, 200);
         world.happen(second.1);
-        (0..NODES).for_each(|node| withdraw(&mut world, node, &job));
+        (0..CONTROLLERS).for_each(|controller| withdraw(&mut world, controller, &job));
         look_everywhere(&mut world, &job, 3_000);
         ends_well_asked(&mut world, 30_000, &what);
         let expected = if end_first { JobState::Done } else { JobState::Aborted };
@@ -325,9 +326,9 @@
             run_for(&mut world, 1);
         }
         run_for(&mut world, after_ms);
-        for node in 0..NODES {
-            withdraw(&mut world, node, &job);
-            world.at(1, Happens::Looks { node, job: job.clone(), what: Look::Repeats });
+        for controller in 0..CONTROLLERS {
+            withdraw(&mut world, controller, &job);
+            world.at(1, Happens::Looks { controller, job: job.clone(), what: Look::Repeats });
         }
         look_everywhere(&mut world, &job, 2_000);
         ends_well_asked(&mut world, 30_000, &format!("{after_ms} ms after"));
@@ -352,7 +353,7 @@
                 .map(|n| {
                     let mut spec = plain(&mut world, 8, 300.0);
                     spec.cpus = 1.0;
-                    world.submit(n % NODES, spec)
+                    world.submit(n % CONTROLLERS, spec)
                 })
                 .collect();
             run_for(&mut world, 20_000);
@@ -360,7 +361,7 @@
             loss.befall(&mut world, owner);
             // The dealing itself is on its way when the first are cancelled.
             let deal = hold(&mut world, &what, |n, r| n != owner && writes(r, Purpose::Deal));
-            let others: Vec<usize> = (0..NODES).filter(|n| *n != owner).collect();
+            let others: Vec<usize> = (0..CONTROLLERS).filter(|n| *n != owner).collect();
             for (n, job) in jobs[..3].iter().enumerate() {
                 withdraw(&mut world, others[n % 2], job);
             }
@@ -389,19 +390,19 @@
     world.keep_busy(Ms(60_000));
     world.run(Ms(20_000));
     // A controller that comes back while the cloud says nothing, and one that hears of no types, can't decide.
-    for (node, off, at) in [(0, true, 20_000), (1, false, 35_000)] {
+    for (controller, off, at) in [(0, true, 20_000), (1, false, 35_000)] {
         let types = world.cloud.types.clone();
         match off {
             true => world.cloud_off = true,
             false => world.cloud.types.clear(),
         }
-        world.crash(node, 200);
+        world.crash(controller, 200);
         world.run(Ms(at + 5_000));
         let spec = world.impossible_job();
         let impossible = spec.id.clone();
-        world.submit_odd(node, spec);
+        world.submit_odd(controller, spec);
         let possible = plain(&mut world, 1, 5.0);
-        let job = world.submit(node, possible);
+        let job = world.submit(controller, possible);
         run_for(&mut world, 1_000);
         assert_eq!(world.answers.last.get(&impossible), Some(&(503, None)), "off: {off}");
         assert!(!world.jobs[&job].accepted, "off: {off}");
@@ -443,7 +444,7 @@
     let spec = only_other(&mut world);
     let job = started(&mut world, spec, 0);
     let owner = owner(&world, &world.running.values().next().expect("it runs").clone());
-    let newcomer = (owner.expect("held") + 1) % NODES;
+    let newcomer = (owner.expect("held") + 1) % CONTROLLERS;
     world.cloud.types.retain(|t| t.name != TypeId::new("other"));
     for state in [JobState::Running, JobState::Done] {
         world.crash(newcomer, 200);
@@ -470,7 +471,7 @@
         for n in 0..6 {
             let mut spec = plain(&mut world, 8, 300.0);
             spec.cpus = 1.0;
-            world.submit(n % NODES, spec);
+            world.submit(n % CONTROLLERS, spec);
         }
         world.run(Ms(25_000));
         world.slow(250, Ms(45_000));
@@ -490,7 +491,7 @@
             .map(|(task, _)| task.job.clone())
             .collect();
         for (n, job) in jobs.iter().enumerate() {
-            withdraw(&mut world, (most + 1 + n % 2) % NODES, job);
+            withdraw(&mut world, (most + 1 + n % 2) % CONTROLLERS, job);
         }
         run_for(&mut world, 1_800);
         let told = jobs.iter().filter(|j| world.jobs[*j].cancel_told.is_some()).count();
@@ -511,7 +512,7 @@
         (spec.checkpoint_s, spec.image_gb) = ([0.0, most][n % 2], [0.5, most][n / 2 % 2]);
         let body = serde_json::to_vec(&spec).expect("a job");
         assert!(JobSpec::from_json(&body).is_ok());
-        world.submit(n % NODES, spec);
+        world.submit(n % CONTROLLERS, spec);
     }
     let spec = plain(&mut world, 4, 5.0);
     let job = world.submit(0, spec);
@@ -546,7 +547,7 @@
     }
     let (call, event) = held;
     let unknown = Box::new(Event::Store { op: call.op, reply: StoreReply::Unknown });
-    world.at(1_500, Happens::Node(call.node, world.lives[call.node], unknown));
+    world.at(1_500, Happens::Controller(call.controller, world.lives[call.controller], unknown));
     Some(event).filter(|_| fate == Fate::Late)
 }
 
--- a/crates/cleatfold-control/tests/blinks.rs
+++ b/crates/cleatfold-control/tests/blinks.rs
@@ -8,7 +8,7 @@
 
 use cleatfold_control::records::{pool_key, HolderRecord};
 use cleatfold_roles::Duty;
-use cleatfold_testbed::world::{Back, Blink, Moment, Size, Step, Who, World, NODES};
+use cleatfold_testbed::world::{Back, Blink, Moment, Size, Step, Who, World, CONTROLLERS};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::*;
 use std::collections::BTreeMap;
@@ -31,9 +31,10 @@
     world.poll_everything();
     let submit = |world: &mut World, team: &str, tasks: u32, estimate_s: f64| {
         let spec = plain(world, team, tasks, estimate_s);
-        let node = (0..NODES).find(|i| world.nodes[*i].as_ref().is_some_and(|n| n.is_ready()));
-        let Some(node) = node else { return };
-        world.submit(node, spec);
+        let controller =
+            (0..CONTROLLERS).find(|i| world.controllers[*i].as_ref().is_some_and(|n| n.is_ready()));
+        let Some(controller) = controller else { return };
+        world.submit(controller, spec);
     };
     world.run(Ms(4_000));
     submit(&mut world, "free", 14, 6.0);
@@ -43,7 +44,7 @@
     let holds = |world: &World, key: &str| -> Option<usize> {
         let holder = world.store.get(key)?;
         let holder: HolderRecord = serde_json::from_str(holder.value.get()).ok()?;
-        (0..NODES).find(|i| cleatfold_testbed::world::node_id(*i) == holder.owner)
+        (0..CONTROLLERS).find(|i| cleatfold_testbed::world::controller_id(*i) == holder.owner)
     };
     if let Some(leader) = holds(&world, Duty::Deal.key()) {
         world.crash(leader, 6_000);
--- a/crates/cleatfold-control/tests/boots.rs
+++ b/crates/cleatfold-control/tests/boots.rs
@@ -5,7 +5,7 @@
 
 use cleatfold_control::records::HolderRecord;
 use cleatfold_roles::Duty;
-use cleatfold_testbed::world::{node_id, Happens, Purpose, Size, World, NODES};
+use cleatfold_testbed::world::{controller_id, Happens, Purpose, Size, World, CONTROLLERS};
 use cleatfold_wire::*;
 use meeting::{ends_well, plain, run_for};
 use std::collections::BTreeMap;
@@ -23,13 +23,13 @@
 fn holder(world: &World, duty: Duty) -> Option<usize> {
     let item = world.store.get(duty.key())?;
     let holder: HolderRecord = serde_json::from_str(item.value.get()).ok()?;
-    (0..world.nodes.len()).find(|i| node_id(*i) == holder.owner)
+    (0..world.controllers.len()).find(|i| controller_id(*i) == holder.owner)
 }
 
 fn submit(world: &mut World, n: usize) {
     let mut spec = plain(world, 10, [6.0, 15.0][n % 2]);
     spec.cpus = 4.0;
-    world.submit(n % NODES, spec);
+    world.submit(n % CONTROLLERS, spec);
 }
 
 /// Tasks that run on machines that the list does not name yet.
@@ -55,9 +55,9 @@
         Falls::Renter => holder(world, Duty::Rent).into_iter().collect(),
         Falls::Dealer => holder(world, Duty::Deal).into_iter().collect(),
         Falls::Owner => owner.into_iter().collect(),
-        Falls::All => (0..NODES).collect::<Vec<_>>(),
+        Falls::All => (0..CONTROLLERS).collect::<Vec<_>>(),
     };
-    who.into_iter().for_each(|node| world.crash(node, back_ms));
+    who.into_iter().for_each(|controller| world.crash(controller, back_ms));
 }
 
 #[test]
--- a/crates/cleatfold-control/tests/cancellations.rs
+++ b/crates/cleatfold-control/tests/cancellations.rs
@@ -28,9 +28,9 @@
     world.running.keys().filter(|t| t.job == *job).count()
 }
 
-fn cancel(world: &mut World, node: usize, job: &JobId) {
+fn cancel(world: &mut World, controller: usize, job: &JobId) {
     world.jobs.get_mut(job).expect("known").cancel_asked = true;
-    world.ask(node, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
+    world.ask(controller, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
 }
 
 /// The head of a job in parts says that it is cancelled, and none of its parts changes by that: a machine whose
@@ -75,7 +75,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Gap {
     seed: u64,
-    nodes: usize,
+    controllers: usize,
     /// From the refusal of one to the outage for all.
     before_ms: u64,
     ratio: (u64, u64),
@@ -91,7 +91,7 @@
     let size = Size {
         most_jobs: 0,
         machines: 24,
-        nodes: gap.nodes,
+        controllers: gap.controllers,
         report_ms: lease_ms / 8,
         lease_ms,
         cancel_ms,
@@ -104,7 +104,7 @@
     run_for(&mut world, 45_000);
     assert!(running(&world, &job) > 100, "{gap:?}: {}", running(&world, &job));
     let owner = world.most().expect("somebody holds workers");
-    let other = (owner + 1) % gap.nodes;
+    let other = (owner + 1) % gap.controllers;
     let begun = world.now;
     world.store_cut[owner] = begun.plus(gap.before_ms + 20_000);
     match gap.mesh {
@@ -155,8 +155,8 @@
         for _ in 0..2 {
             seed += 1;
             let before_ms = [1_000, 2_000, 5_000, 12_000, 20_000][seed as usize % 5];
-            let (nodes, ratio) = ([3, 5][seed as usize % 2], RATIOS[seed as usize / 2 % 3]);
-            let gap = Gap { seed, nodes, before_ms, ratio, mesh, fate };
+            let (controllers, ratio) = ([3, 5][seed as usize % 2], RATIOS[seed as usize / 2 % 3]);
+            let gap = Gap { seed, controllers, before_ms, ratio, mesh, fate };
             let ms = play(gap);
             println!("{gap:?}: gone after {ms} ms");
             // Whoever holds the workers and lives is told, over whatever way there is, and tells them at their reports.
--- a/crates/cleatfold-control/tests/claims/commands.rs
+++ b/crates/cleatfold-control/tests/claims/commands.rs
@@ -6,7 +6,7 @@
 impl HeldCommand {
     /// Whether the worker still executes it.
     pub fn matches(&self, machine: &Machine) -> bool {
-        self.token >= machine.token && self.session == machine.session
+        self.token >= machine.token && self.agent_epoch == machine.agent_epoch
     }
 }
 
@@ -17,8 +17,8 @@
             return;
         }
         let Some(token) = self.token(t, n) else { return };
-        let node = &t.nodes[n];
-        let Some(job) = node.mirror.and_then(|m| m.job) else { return };
+        let controller = &t.controllers[n];
+        let Some(job) = controller.cache.and_then(|m| m.job) else { return };
         let Task::Claimed { machine, token: under, attempt } = job.tasks[ix as usize] else {
             return;
         };
@@ -28,16 +28,16 @@
         let command = if self.has(Guard::DirectStopsOnly) {
             Command::Kill(ix, attempt)
         } else {
-            let ending = node.ends[ix as usize].is_some_and(|e| e.attempt == attempt);
+            let ending = controller.ends[ix as usize].is_some_and(|e| e.attempt == attempt);
             if under != token || ending || job.aborted {
                 return;
             }
             Command::Launch(ix, attempt)
         };
         // The session of the last report that it answered.
-        let Some(session) = node.heard[m].map(|heard| heard.session) else { return };
+        let Some(agent_epoch) = controller.heard[m].map(|heard| heard.agent_epoch) else { return };
         t.sent += 1;
-        t.held = Some(HeldCommand { sender: n as u8, machine, token, session, command });
+        t.held = Some(HeldCommand { sender: n as u8, machine, token, agent_epoch, command });
     }
 
     /// A direct command arrives. Its sender takes nothing but exits from the answer, as `on_ordered` does.
@@ -57,8 +57,8 @@
 
     fn take_exits(&self, t: &mut State, n: usize, m: usize) {
         let tasks = t.machines[m].tasks.clone();
-        let node = &mut t.nodes[n];
-        let Some(job) = node.mirror.and_then(|m| m.job) else { return };
+        let controller = &mut t.controllers[n];
+        let Some(job) = controller.cache.and_then(|m| m.job) else { return };
         let alive = |ix: u8| tasks.iter().any(|x| x.0 == ix && x.2 == Run::Alive);
         for &(ix, attempt, run) in tasks.iter().filter(|x| x.2 != Run::Alive && !alive(x.0)) {
             let machine = m as u8;
@@ -68,7 +68,7 @@
             );
             if ours {
                 let done = run == Run::Completed;
-                end(node, ix, End { machine, attempt, done, fence: None });
+                end(controller, ix, End { machine, attempt, done, fence: None });
             }
         }
     }
--- a/crates/cleatfold-control/tests/claims/model.rs
+++ b/crates/cleatfold-control/tests/claims/model.rs
@@ -2,9 +2,9 @@
 //! machines, what is on its way.
 
 use cleatfold_control::records::Table;
-use cleatfold_wire::{Attempt, MachineId, PoolId, TaskIx, Token};
+use cleatfold_wire::{Attempt, FencingToken, MachineId, PoolId, TaskIx};
 
-pub const NODES: usize = 2;
+pub const CONTROLLERS: usize = 2;
 pub const MACHINES: usize = 2;
 pub const TASKS: usize = 2;
 
@@ -53,7 +53,7 @@
     pub machines: usize,
     pub tokens: u8,
     /// Restarts of the first controller, of the second one.
-    pub restarts: [u8; NODES],
+    pub restarts: [u8; CONTROLLERS],
     /// Sessions of each machine.
     pub sessions: u8,
     pub attempts: u8,
@@ -137,7 +137,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Mirror {
+pub struct StateCache {
     pub job: Option<Job>,
     pub pool: Pool,
 }
@@ -149,13 +149,13 @@
     /// The newest report carried it.
     pub seen: bool,
     /// The machine's session at the last answer.
-    pub session: u8,
+    pub agent_epoch: u8,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Node {
+pub struct Controller {
     pub life: u8,
-    pub mirror: Option<Mirror>,
+    pub cache: Option<StateCache>,
     pub tx: Option<Tx>,
     pub ends: [Option<End>; TASKS],
     pub abort: bool,
@@ -198,7 +198,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Machine {
-    pub session: u8,
+    pub agent_epoch: u8,
     pub token: u8,
     pub tasks: Tasks,
     pub answer: Option<Answer>,
@@ -212,7 +212,7 @@
     pub sender: u8,
     pub machine: u8,
     pub token: u8,
-    pub session: u8,
+    pub agent_epoch: u8,
     pub command: Command,
 }
 
@@ -222,7 +222,7 @@
     pub machine: u8,
     pub report: Report,
     /// Controllers that have read this one or a newer one of the machine.
-    pub old_for: [bool; NODES],
+    pub old_for: [bool; CONTROLLERS],
 }
 
 /// How far a cancellation is.
@@ -249,7 +249,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct State {
     pub store: Store,
-    pub nodes: [Node; NODES],
+    pub controllers: [Controller; CONTROLLERS],
     pub machines: [Machine; MACHINES],
     /// Transactions that nobody waits for any more.
     pub late: Vec<Tx>,
@@ -296,11 +296,11 @@
                     if attempt > 1 {
                         table.attempts.push((ix, Attempt(u64::from(attempt) - 1)));
                     }
-                    table.claim(&machine_id(machine), Token(token.into()), &pool, ix);
+                    table.claim(&machine_id(machine), FencingToken(token.into()), &pool, ix);
                 }
                 Task::Done => {
                     let m = machine_id(0);
-                    let attempt = table.claim(&m, Token(0), &pool, ix);
+                    let attempt = table.claim(&m, FencingToken(0), &pool, ix);
                     assert!(table.end(&m, ix, attempt, true));
                 }
             }
@@ -319,7 +319,8 @@
     }
 
     pub fn claim(&mut self, machine: u8, token: u8, ix: TaskIx) -> u8 {
-        let attempt = self.table.claim(&machine_id(machine), Token(token.into()), &self.pool, ix);
+        let attempt =
+            self.table.claim(&machine_id(machine), FencingToken(token.into()), &self.pool, ix);
         attempt.0 as u8
     }
 
--- a/crates/cleatfold-control/tests/claims/search.rs
+++ b/crates/cleatfold-control/tests/claims/search.rs
@@ -86,12 +86,12 @@
         seen.push(BOUND);
     }
     let completed = s.completed.iter().take(s.tasks.into()).all(|done| *done);
-    if completed && s.store.job.is_some() && s.nodes.iter().any(|n| n.abort) {
+    if completed && s.store.job.is_some() && s.controllers.iter().any(|n| n.abort) {
         seen.push(AT_END);
     }
     // Its author still waits for the answer, or for the next reading after a lost one.
-    let knows = |n: &Node| n.mirror.and_then(|m| m.job).is_some_and(|j| j.aborted);
-    if s.nodes.iter().any(knows) && s.nodes.iter().any(|n| n.abort && !knows(n)) {
+    let knows = |n: &Controller| n.cache.and_then(|m| m.job).is_some_and(|j| j.aborted);
+    if s.controllers.iter().any(knows) && s.controllers.iter().any(|n| n.abort && !knows(n)) {
         seen.push(READ_FIRST);
     }
     for (ix, task) in s.store.job.iter().flat_map(|j| j.tasks.iter().enumerate()) {
--- a/crates/cleatfold-control/tests/claims/steps.rs
+++ b/crates/cleatfold-control/tests/claims/steps.rs
@@ -58,15 +58,15 @@
             s.store.versions = 1;
             s.told = Told::Accepted;
         }
-        let mirror = Mirror { job: s.store.job, pool: s.store.pool };
-        s.nodes.iter_mut().for_each(|n| n.mirror = Some(mirror));
+        let cache = StateCache { job: s.store.job, pool: s.store.pool };
+        s.controllers.iter_mut().for_each(|n| n.cache = Some(cache));
         s
     }
 
     pub(super) fn token(&self, s: &State, n: usize) -> Option<u8> {
-        let node = &s.nodes[n];
-        let pool = node.mirror?.pool;
-        let same_life = pool.life == node.life || !self.has(Guard::Incarnation);
+        let controller = &s.controllers[n];
+        let pool = controller.cache?.pool;
+        let same_life = pool.life == controller.life || !self.has(Guard::Incarnation);
         (usize::from(pool.owner) == n && same_life).then_some(pool.token)
     }
 
@@ -82,24 +82,24 @@
         };
         let b = &self.bounds;
         let drains = if b.drains { &[false, true][..] } else { &[false] };
-        for n in 0..NODES {
-            let node = &s.nodes[n];
-            if node.life < b.restarts[n] {
+        for n in 0..CONTROLLERS {
+            let controller = &s.controllers[n];
+            if controller.life < b.restarts[n] {
                 go(Step::Restart(n), &|t| {
-                    let life = t.nodes[n].life + 1;
-                    if let Some(tx) = t.nodes[n].tx.take().filter(|_| t.lates < b.late) {
+                    let life = t.controllers[n].life + 1;
+                    if let Some(tx) = t.controllers[n].tx.take().filter(|_| t.lates < b.late) {
                         leave(t, tx);
                     }
-                    t.nodes[n] = Node { life, ..Node::default() };
+                    t.controllers[n] = Controller { life, ..Controller::default() };
                     if let Some(copy) = &mut t.copy {
                         copy.old_for[n] = false;
                     }
                 });
             }
             let holder = (usize::from(s.store.pool.owner), s.store.pool.life);
-            if s.store.pool.token < b.tokens && holder != (n, node.life) {
+            if s.store.pool.token < b.tokens && holder != (n, controller.life) {
                 go(Step::Deal(n), &|t| {
-                    let (token, life) = (t.store.pool.token + 1, t.nodes[n].life);
+                    let (token, life) = (t.store.pool.token + 1, t.controllers[n].life);
                     t.store.pool = Pool { owner: n as u8, life, token };
                 });
             }
@@ -112,28 +112,28 @@
                 });
             }
             if b.polls && !self.has(Guard::FreshPolls) {
-                if let Some(mirror) = node.mirror {
-                    go(Step::OldPoll(n), &|t| tell(t, mirror.job));
+                if let Some(cache) = controller.cache {
+                    go(Step::OldPoll(n), &|t| tell(t, cache.job));
                 }
             }
-            if let Some(tx) = node.tx {
+            if let Some(tx) = controller.tx {
                 go(Step::Answered(n), &|t| self.answered(t, n, tx));
                 if s.lates < b.late {
                     go(Step::Unanswered(n), &|t| {
                         leave(t, tx);
                         if tx.submission {
                             // Not repeated: its user is told to ask again.
-                            t.nodes[n].tx = None;
+                            t.controllers[n].tx = None;
                         }
                     });
                 }
-            } else if let Some(mirror) = node.mirror {
-                if s.submitted < b.submissions && mirror.job.is_none() {
+            } else if let Some(cache) = controller.cache {
+                if s.submitted < b.submissions && cache.job.is_none() {
                     go(Step::Submit(n), &|t| {
                         t.submitted += 1;
                         let tasks = [Task::Free { last: 0 }; TASKS];
                         let outcome = Outcome::Live(Job { version: 0, aborted: false, tasks });
-                        t.nodes[n].tx = Some(Tx {
+                        t.controllers[n].tx = Some(Tx {
                             job: Some(0),
                             no_archive: self.has(Guard::ArchiveAbsence),
                             pool: None,
@@ -143,16 +143,16 @@
                         });
                     });
                 }
-                if mirror.job.is_some() {
+                if cache.job.is_some() {
                     go(Step::Send(n, None), &|t| self.send(t, n, None));
                     for m in 0..b.machines {
                         go(Step::Send(n, Some(m)), &|t| self.send(t, n, Some(m)));
                     }
                 }
             }
-            let live = node.mirror.and_then(|m| m.job).is_some_and(|j| !j.aborted);
-            if b.cancel && live && s.nodes.iter().all(|n| !n.abort) {
-                go(Step::Withdraw(n), &|t| t.nodes[n].abort = true);
+            let live = controller.cache.and_then(|m| m.job).is_some_and(|j| !j.aborted);
+            if b.cancel && live && s.controllers.iter().all(|n| !n.abort) {
+                go(Step::Withdraw(n), &|t| t.controllers[n].abort = true);
             }
             for m in 0..b.machines {
                 if s.machines[m].answer.is_none() {
@@ -188,7 +188,7 @@
                     t.copies += 1;
                     let report = Report { token: machine.token, tasks: machine.tasks.clone() };
                     let machine = m as u8;
-                    t.copy = Some(Copied { machine, report, old_for: [false; NODES] });
+                    t.copy = Some(Copied { machine, report, old_for: [false; CONTROLLERS] });
                 });
             }
             for (i, &(ix, attempt, run)) in machine.tasks.iter().enumerate() {
@@ -204,21 +204,21 @@
                     }
                 }
             }
-            if machine.session < b.sessions {
+            if machine.agent_epoch < b.sessions {
                 go(Step::Expire(m), &|t| {
                     let old = &t.machines[m];
-                    let (session, token) = (old.session + 1, old.token);
+                    let (agent_epoch, token) = (old.agent_epoch + 1, old.token);
                     let renewed = s.phase >= Phase::Limit;
-                    t.machines[m] = Machine { session, token, renewed, ..Machine::default() };
+                    t.machines[m] = Machine { agent_epoch, token, renewed, ..Machine::default() };
                 });
             }
         }
         if s.phase == Phase::Told {
             go(Step::Limit, &|t| {
                 t.phase = Phase::Limit;
-                for node in &mut t.nodes {
-                    let unread = node.mirror.and_then(|m| m.job).is_some_and(|j| !j.aborted);
-                    node.deaf |= unread && self.has(Guard::DeafLimit);
+                for controller in &mut t.controllers {
+                    let unread = controller.cache.and_then(|m| m.job).is_some_and(|j| !j.aborted);
+                    controller.deaf |= unread && self.has(Guard::DeafLimit);
                 }
             });
         }
@@ -238,14 +238,14 @@
 
     fn send(&self, t: &mut State, n: usize, wish: Option<usize>) {
         let own = self.token(t, n);
-        let node = &mut t.nodes[n];
-        let Some(job) = node.mirror.and_then(|m| m.job) else { return };
+        let controller = &mut t.controllers[n];
+        let Some(job) = controller.cache.and_then(|m| m.job) else { return };
         let mut claims = Claims::of(&job, self.bounds.tasks);
         let (mut changed, mut fence, mut unguarded) = (false, None, false);
         for ix in 0..TASKS {
-            let Some(end) = node.ends[ix] else { continue };
+            let Some(end) = controller.ends[ix] else { continue };
             if (end.fence.is_some() && end.fence != own) || !claims.end(ix, &end) {
-                node.ends[ix] = None;
+                controller.ends[ix] = None;
                 continue;
             }
             changed = true;
@@ -255,7 +255,7 @@
         }
         let mut aborted = job.aborted;
         if let (Some(m), Some(token)) = (wish, own) {
-            if !aborted && !node.abort {
+            if !aborted && !controller.abort {
                 if let Some(&ix) = claims.free().first() {
                     if claims.claim(m as u8, token, ix) > self.bounds.attempts {
                         return;
@@ -272,15 +272,15 @@
         } else if wish.is_some() {
             return;
         }
-        let withdrawal = node.abort;
+        let withdrawal = controller.abort;
         let all_done = claims.all_done();
-        if node.abort && !aborted && !all_done {
+        if controller.abort && !aborted && !all_done {
             (aborted, changed) = (true, true);
         }
         if !changed {
-            if node.abort {
+            if controller.abort {
                 // Cancelled or done already, by what was read.
-                node.abort = false;
+                controller.abort = false;
                 tell(t, Some(job));
             }
             return;
@@ -300,7 +300,7 @@
             submission: false,
             withdrawal,
         };
-        node.tx = Some(tx);
+        controller.tx = Some(tx);
     }
 
     /// What makes no difference to anything that can follow is taken away: a transaction whose versions have
@@ -313,41 +313,41 @@
         t.late.sort_unstable();
         let machines = &t.machines;
         t.held.take_if(|held| !held.matches(&machines[usize::from(held.machine)]));
-        for n in 0..NODES {
+        for n in 0..CONTROLLERS {
             let own = self.token(t, n);
-            let node = &mut t.nodes[n];
-            node.tx = node.tx.filter(may_hold);
-            for heard in &mut node.heard {
+            let controller = &mut t.controllers[n];
+            controller.tx = controller.tx.filter(may_hold);
+            for heard in &mut controller.heard {
                 *heard = heard.filter(|h| Some(h.token) == own);
             }
         }
-        let back = (0..NODES).any(|n| t.nodes[n].life < self.bounds.restarts[n]);
+        let back = (0..CONTROLLERS).any(|n| t.controllers[n].life < self.bounds.restarts[n]);
         if !back && self.has(Guard::Newest) {
-            t.copy.take_if(|c| c.old_for == [true; NODES]);
+            t.copy.take_if(|c| c.old_for == [true; CONTROLLERS]);
         }
     }
 
     fn answered(&self, t: &mut State, n: usize, tx: Tx) {
-        t.nodes[n].tx = None;
+        t.controllers[n].tx = None;
         if !execute(t, &tx) {
             // A submitter's question waits for the next reading.
             return;
         }
         let job = t.store.job;
-        let node = &mut t.nodes[n];
-        if let Some(mirror) = &mut node.mirror {
-            if tx.submission || mirror.job.is_some() {
-                mirror.job = job;
+        let controller = &mut t.controllers[n];
+        if let Some(cache) = &mut controller.cache {
+            if tx.submission || cache.job.is_some() {
+                cache.job = job;
             }
         }
         for ix in 0..TASKS {
             let standing = job.map(|j| j.tasks[ix]);
-            node.ends[ix] = node.ends[ix].filter(
+            controller.ends[ix] = controller.ends[ix].filter(
                 |e| matches!(standing, Some(Task::Claimed { attempt, .. }) if attempt == e.attempt),
             );
         }
         if job.is_none_or(|j| j.aborted) {
-            node.abort = false;
+            controller.abort = false;
         }
         if tx.submission || tx.withdrawal {
             tell(t, job);
@@ -394,13 +394,13 @@
         give_up: bool,
     ) -> Option<(u8, Vec<Command>)> {
         let token = self.token(t, n)?;
-        if report.token > token || t.nodes[n].deaf {
+        if report.token > token || t.controllers[n].deaf {
             return None;
         }
-        let session = t.machines[m].session;
-        let node = &mut t.nodes[n];
-        let job = node.mirror?.job;
-        node.heard[m] = Some(Heard { token, seen: report.token == token, session });
+        let agent_epoch = t.machines[m].agent_epoch;
+        let controller = &mut t.controllers[n];
+        let job = controller.cache?.job;
+        controller.heard[m] = Some(Heard { token, seen: report.token == token, agent_epoch });
         let seen = report.token == token || !self.has(Guard::SeenToken);
         let over = job.is_none_or(|j| j.aborted);
         let claim_of = |ix: u8| match job.map(|j| j.tasks[ix as usize]) {
@@ -435,33 +435,33 @@
                 }
             }
         }
-        let is_ending = |node: &Node, ix: u8, attempt: u8| {
-            node.ends[ix as usize].is_some_and(|e| e.attempt == attempt)
+        let is_ending = |controller: &Controller, ix: u8, attempt: u8| {
+            controller.ends[ix as usize].is_some_and(|e| e.attempt == attempt)
         };
         for ix in 0..self.bounds.tasks as u8 {
             let Some((under, attempt)) = claim_of(ix) else { continue };
             if listed[ix as usize] || alive(ix) {
                 continue;
             }
-            if is_ending(node, ix, attempt) && self.has(Guard::NotEnding) {
+            if is_ending(controller, ix, attempt) && self.has(Guard::NotEnding) {
                 continue;
             }
             let stopped = over && self.has(Guard::NotCancelled);
             let lost = End { machine: m as u8, attempt, done: false, fence: Some(token) };
             if under == token {
                 if stopped || give_up {
-                    end(node, ix, lost);
+                    end(controller, ix, lost);
                 } else {
                     commands.push(Command::Launch(ix, attempt));
                 }
             } else if !self.has(Guard::OwnToken) && !stopped && !give_up {
                 commands.push(Command::Launch(ix, attempt));
             } else if seen {
-                end(node, ix, lost);
+                end(controller, ix, lost);
             }
         }
         for (ix, exit) in exits {
-            end(node, ix, exit);
+            end(controller, ix, exit);
         }
         Some((token, commands))
     }
@@ -470,17 +470,17 @@
     fn ran_out(&self, t: &mut State, n: usize, m: usize) {
         let Some(token) = self.token(t, n) else { return };
         let machine = &t.machines[m];
-        let node = &mut t.nodes[n];
-        let Some(heard) = node.heard[m].filter(|h| h.seen) else { return };
-        if machine.session == heard.session && machine.token == token {
+        let controller = &mut t.controllers[n];
+        let Some(heard) = controller.heard[m].filter(|h| h.seen) else { return };
+        if machine.agent_epoch == heard.agent_epoch && machine.token == token {
             return;
         }
-        let Some(job) = node.mirror.and_then(|m| m.job) else { return };
+        let Some(job) = controller.cache.and_then(|m| m.job) else { return };
         for (ix, task) in job.tasks.iter().enumerate() {
             match *task {
                 Task::Claimed { machine, attempt, .. } if usize::from(machine) == m => {
                     let fence = Some(token);
-                    end(node, ix as u8, End { machine, attempt, done: false, fence });
+                    end(controller, ix as u8, End { machine, attempt, done: false, fence });
                 }
                 _ => {}
             }
@@ -498,8 +498,8 @@
 pub const AGAIN: &str = "started again after its completion was durable";
 
 /// A proof for ever replaces one that needs our token.
-pub(super) fn end(node: &mut Node, ix: u8, end: End) {
-    let known = &mut node.ends[ix as usize];
+pub(super) fn end(controller: &mut Controller, ix: u8, end: End) {
+    let known = &mut controller.ends[ix as usize];
     match known {
         Some(k) if k.attempt == end.attempt && (k.fence.is_none() || end.fence.is_some()) => {}
         _ => *known = Some(end),
@@ -512,11 +512,11 @@
 }
 
 fn read(t: &mut State, n: usize) {
-    let node = &mut t.nodes[n];
-    node.mirror = Some(Mirror { job: t.store.job, pool: t.store.pool });
-    node.deaf = false;
+    let controller = &mut t.controllers[n];
+    controller.cache = Some(StateCache { job: t.store.job, pool: t.store.pool });
+    controller.deaf = false;
     if t.store.job.is_none() {
-        (node.ends, node.abort) = ([None; TASKS], false);
+        (controller.ends, controller.abort) = ([None; TASKS], false);
     }
 }
 
--- a/crates/cleatfold-control/tests/commands.rs
+++ b/crates/cleatfold-control/tests/commands.rs
@@ -3,7 +3,7 @@
 mod meeting;
 
 use cleatfold_control::Response;
-use cleatfold_testbed::world::{Happens, World, NODES};
+use cleatfold_testbed::world::{Happens, World, CONTROLLERS};
 use cleatfold_wire::job::Elastic;
 use cleatfold_wire::worker::{Command, Exit, Orders, Report, TaskState};
 use cleatfold_wire::*;
@@ -15,11 +15,13 @@
 fn long_tasks(seed: u64) -> World {
     let mut world = region(seed, 18);
     world.run(Ms(4000));
-    for (node, estimate_s) in [100.0, 100.0, 100.0, 100.0, 100.0, 100.0, 6.0].iter().enumerate() {
+    for (controller, estimate_s) in
+        [100.0, 100.0, 100.0, 100.0, 100.0, 100.0, 6.0].iter().enumerate()
+    {
         let tasks = if *estimate_s > 10.0 { 4 } else { 12 };
         let mut spec = plain(&mut world, tasks, *estimate_s);
         spec.cpus = 2.5;
-        world.submit(node % NODES, spec);
+        world.submit(controller % CONTROLLERS, spec);
         run_for(&mut world, 300);
     }
     world.run(Ms(24_000));
@@ -40,8 +42,8 @@
 }
 
 fn deliver_now(world: &mut World, report: &Report) {
-    for node in 0..NODES {
-        world.happen(Happens::Copy(node, Box::new(report.clone())));
+    for controller in 0..CONTROLLERS {
+        world.happen(Happens::Copy(controller, Box::new(report.clone())));
     }
 }
 
@@ -140,12 +142,12 @@
         let lease_ms = world.size.times().lease_ms;
         // A direct command still arrives, and so does its answer.
         let worker = &world.workers[&machine];
-        let (token, session) = (worker.token, Session(worker.session));
+        let (token, agent_epoch) = (worker.token, AgentEpoch(worker.agent_epoch));
         let commands = vec![Command::Stop { task: task.clone(), attempt, grace_s: 0.0 }];
-        let orders = Orders { token, session, commands };
+        let orders = Orders { token, agent_epoch, commands };
         let life = world.lives[owning];
         world.happen(Happens::Orders {
-            node: owning,
+            controller: owning,
             life,
             machine: machine.clone(),
             orders,
@@ -157,7 +159,7 @@
             |w: &World| !w.claims().values().flatten().any(|t| *t == (task.clone(), attempt));
         let recorded = run_until(&mut world, 2_000, 50, ended);
         assert!(recorded, "{what}: the exit was not taken from the answer");
-        withdraw(&mut world, (owning + 1) % NODES, &cancelled);
+        withdraw(&mut world, (owning + 1) % CONTROLLERS, &cancelled);
         if let Some(back_ms) = owner_ends {
             world.crash(owning, back_ms);
         }
@@ -198,12 +200,13 @@
     let (task, attempt, machine) = one_running(&world);
     let owning = owner(&world, &machine).expect("held");
     let worker = world.workers.get_mut(&machine).expect("it is there");
-    let (token, session, renewed) = (worker.token, Session(worker.session), worker.renewed);
+    let (token, agent_epoch, renewed) =
+        (worker.token, AgentEpoch(worker.agent_epoch), worker.renewed);
     let commands = vec![Command::Stop { task: task.clone(), attempt, grace_s: 0.0 }];
-    let orders = Orders { token, session, commands };
+    let orders = Orders { token, agent_epoch, commands };
     let life = world.lives[owning];
     world.happen(Happens::Orders {
-        node: owning,
+        controller: owning,
         life,
         machine: machine.clone(),
         orders,
@@ -219,8 +222,8 @@
     world.hung.insert(machine.clone(), renewed.plus(lease_ms + 150));
     run_until(&mut world, 21_000, 20, |w| w.running.get(&task) == Some(&machine));
     let worker = &world.workers[&machine];
-    let again =
-        worker.session == session.0 + 1 && worker.tasks.contains_key(&(task.clone(), attempt));
+    let again = worker.agent_epoch == agent_epoch.0 + 1
+        && worker.tasks.contains_key(&(task.clone(), attempt));
     (again && world.running.get(&task) == Some(&machine)).then_some((world, task, machine, late))
 }
 
@@ -294,7 +297,7 @@
         let (began, until) = (world.now, world.now.plus(45_000));
         world.set_apart(former, until, false);
         world.mesh_off = true;
-        for other in (0..NODES).filter(|n| *n != former) {
+        for other in (0..CONTROLLERS).filter(|n| *n != former) {
             world.troubles.cuts.insert(other, (until, Some(zone.clone())));
         }
         // The cloud does not delete for the new owner what it can't prove to be gone.
@@ -339,7 +342,7 @@
         for round in 0..20u64 {
             let mut spec = plain(&mut world, 5, 3.0);
             spec.cpus = 4.0;
-            world.submit(round as usize % NODES, spec);
+            world.submit(round as usize % CONTROLLERS, spec);
             for _ in 0..12 {
                 run_for(&mut world, 250);
                 let claims = world.claims();
--- a/crates/cleatfold-control/tests/duties.rs
+++ b/crates/cleatfold-control/tests/duties.rs
@@ -2,7 +2,7 @@
 
 use cleatfold_control::records::{HolderRecord, RENTS_KEY};
 use cleatfold_roles::{Duty, RentBook};
-use cleatfold_testbed::world::{node_id, Happens, Size, World, NODES};
+use cleatfold_testbed::world::{controller_id, Happens, Size, World, CONTROLLERS};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,18 +15,18 @@
     world
 }
 
-fn submit(world: &mut World, node: usize, tasks: u32) {
+fn submit(world: &mut World, controller: usize, tasks: u32) {
     let mut spec = world.some_job();
     (spec.team, spec.urgency) = (TeamId::new("free"), Urgency::Normal);
     (spec.tasks, spec.cpus, spec.estimate_s) = (tasks, 4.0, 12.0);
     (spec.one_zone, spec.spread, spec.types, spec.spot) = (false, false, None, true);
-    world.submit(node, spec);
+    world.submit(controller, spec);
 }
 
 fn holder(world: &World, duty: Duty) -> Option<usize> {
     let item = world.store.get(duty.key())?;
     let holder: HolderRecord = serde_json::from_str(item.value.get()).ok()?;
-    (0..NODES).find(|i| node_id(*i) == holder.owner)
+    (0..CONTROLLERS).find(|i| controller_id(*i) == holder.owner)
 }
 
 fn book(world: &World) -> RentBook {
@@ -45,8 +45,8 @@
         world.run(now.plus(5));
         if !fell && !world.cloud.asked.is_empty() {
             fell = true;
-            let node = holder(&world, Duty::Rent).expect("somebody rents");
-            fall(&mut world, node);
+            let controller = holder(&world, Duty::Rent).expect("somebody rents");
+            fall(&mut world, controller);
         }
     }
     assert!(fell && world.broken.is_empty(), "{:#?}", world.broken);
@@ -59,13 +59,15 @@
 fn nothing_is_rented_twice_for_one_need() {
     for seed in 1..4 {
         let (undisturbed, _) = rented_after(seed, |_, _| {});
-        let (killed, world) = rented_after(seed, |w, node| w.at(0, Happens::Crash(node)));
+        let (killed, world) =
+            rented_after(seed, |w, controller| w.at(0, Happens::Crash(controller)));
         assert!(killed <= undisturbed + undisturbed / 5, "seed {seed}: {killed} of {undisturbed}");
         assert!(killed >= undisturbed / 2, "seed {seed}: {killed} of {undisturbed}");
         // Whoever came next has asked by the same names, and the record is empty again.
         assert!(book(&world).open.is_empty(), "{:?}", book(&world));
         let until = Ms(20_000);
-        let (cut, _) = rented_after(seed, |w, node| w.at(0, Happens::Cut { node, until }));
+        let (cut, _) =
+            rented_after(seed, |w, controller| w.at(0, Happens::Cut { controller, until }));
         assert!(cut <= undisturbed + undisturbed / 5, "seed {seed}: {cut} of {undisturbed}");
     }
 }
@@ -89,12 +91,12 @@
                 submit(&mut world, (second % 3) as usize, 60 + (second % 50) as u32);
             }
             if second % 9 == 0 && second > 10 {
-                if let Some(node) = holder(&world, Duty::Rent) {
+                if let Some(controller) = holder(&world, Duty::Rent) {
                     let until = Ms((second + 6) * 1000);
                     match (second / 9) % 3 {
-                        0 => world.at(0, Happens::Crash(node)),
-                        1 => world.at(0, Happens::StoreCut { node, until }),
-                        _ => world.at(0, Happens::Cut { node, until }),
+                        0 => world.at(0, Happens::Crash(controller)),
+                        1 => world.at(0, Happens::StoreCut { controller, until }),
+                        _ => world.at(0, Happens::Cut { controller, until }),
                     }
                 }
             }
@@ -133,20 +135,20 @@
     let mut world = region(20);
     world.run(Ms(180_000));
     let held: BTreeSet<Option<usize>> = Duty::ALL.iter().map(|d| holder(&world, *d)).collect();
-    assert_eq!(held.len(), NODES, "spread over all once all is quiet");
+    assert_eq!(held.len(), CONTROLLERS, "spread over all once all is quiet");
     for round in 0..8 {
         let duty = Duty::ALL[round % Duty::ALL.len()];
-        let node = holder(&world, duty).expect("held");
+        let controller = holder(&world, duty).expect("held");
         let fell = world.now;
         match round % 2 {
-            0 => world.at(0, Happens::Crash(node)),
-            _ => world.at(0, Happens::StoreCut { node, until: fell.plus(15_000) }),
+            0 => world.at(0, Happens::Crash(controller)),
+            _ => world.at(0, Happens::StoreCut { controller, until: fell.plus(15_000) }),
         }
         let mut since = None;
         loop {
             let now = world.now;
             world.run(now.plus(50));
-            if holder(&world, duty).is_some_and(|h| h != node || since.is_some()) {
+            if holder(&world, duty).is_some_and(|h| h != controller || since.is_some()) {
                 break;
             }
             if holder(&world, duty).is_none() {
--- a/crates/cleatfold-control/tests/elastic.rs
+++ b/crates/cleatfold-control/tests/elastic.rs
@@ -3,7 +3,7 @@
 //! answer a member gets.
 
 use cleatfold_control::{records, Request};
-use cleatfold_testbed::world::{node_id, Asked, Happens, Size, World, NODES};
+use cleatfold_testbed::world::{controller_id, Asked, Happens, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{Elastic, JobSpec, Urgency};
 use cleatfold_wire::*;
 
@@ -51,10 +51,10 @@
 
 fn keeper_of(world: &World, job: &JobId) -> usize {
     let ranked = |i: &usize| {
-        let key = format!("{job}@{}", node_id(*i));
+        let key = format!("{job}@{}", controller_id(*i));
         xxhash_rust::xxh3::xxh3_64(key.as_bytes())
     };
-    (0..world.nodes.len()).max_by_key(ranked).expect("nodes")
+    (0..world.controllers.len()).max_by_key(ranked).expect("nodes")
 }
 
 #[test]
@@ -159,8 +159,8 @@
     }
     let progress = world.steps.finished(&job);
     assert!((30..90).contains(&progress), "{progress}");
-    for node in 0..NODES {
-        world.crash(node, 3000);
+    for controller in 0..CONTROLLERS {
+        world.crash(controller, 3000);
     }
     world.run(world.now.plus(8000));
     assert_eq!(world.steps.finished(&job), progress);
@@ -176,14 +176,14 @@
         let mut render = sweep(&mut world, 1, 0, 2, 1.0);
         (render.elastic, render.urgency) = (None, Urgency::High);
         (render.cpus, render.estimate_s, render.tasks) = (8.0, 6.0, 12);
-        world.submit(round % NODES, render);
+        world.submit(round % CONTROLLERS, render);
         let mut waited = 0;
         while world.stopped == stopped && waited < 400 {
             world.run(world.now.plus(20));
             waited += 1;
         }
-        world.crash(round % NODES, 2000);
-        world.crash((round + 1) % NODES, 4000);
+        world.crash(round % CONTROLLERS, 2000);
+        world.crash((round + 1) % CONTROLLERS, 4000);
         world.run(world.now.plus(20_000));
     }
     finish(world, &job, 120);
@@ -198,7 +198,7 @@
     let key = format!("cf/pool/{}/{}", worker.machine_type, worker.zone);
     let holder = world.store.get(&key).expect("the pool is held");
     let record: records::HolderRecord = serde_json::from_str(holder.value.get()).expect("a pool");
-    let owner = (0..NODES).find(|i| node_id(*i) == record.owner).expect("a node");
+    let owner = (0..CONTROLLERS).find(|i| controller_id(*i) == record.owner).expect("a node");
     world.crash(owner, 20_000);
     world.run(world.now.plus(15_000));
     assert!(world.store.get(&key).expect("held").version > holder.version, "it did not move");
--- a/crates/cleatfold-control/tests/format.rs
+++ b/crates/cleatfold-control/tests/format.rs
@@ -2,7 +2,7 @@
 
 use cleatfold_control::records::FORMAT_KEY;
 use cleatfold_control::FORMAT;
-use cleatfold_testbed::world::{Happens, Size, World, NODES};
+use cleatfold_testbed::world::{Happens, Size, World, CONTROLLERS};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::Ms;
 
@@ -28,11 +28,11 @@
     world.run(Ms(20_000));
     assert_eq!(world.store.revision(), before, "something was changed");
     assert_eq!(world.store.leases(), 0, "a lease was taken");
-    assert_eq!(world.refused_starts.len(), NODES);
+    assert_eq!(world.refused_starts.len(), CONTROLLERS);
     for (_, why) in &world.refused_starts {
         assert!(why.contains(says), "{why}");
     }
-    assert!(world.nodes.iter().all(|n| n.is_none()));
+    assert!(world.controllers.iter().all(|n| n.is_none()));
 }
 
 #[test]
@@ -63,7 +63,7 @@
     let mut txn = Txn::default();
     txn.delete(FORMAT_KEY);
     world.store.txn(&txn).expect("no guards");
-    (0..NODES).for_each(|i| world.crash(i, 500));
+    (0..CONTROLLERS).for_each(|i| world.crash(i, 500));
     world.run(Ms(600_000));
     assert_eq!(marked(&world), Some(FORMAT));
     assert!(world.refused_starts.is_empty() && world.broken.is_empty(), "{:#?}", world.broken);
@@ -82,7 +82,7 @@
         world.happen(Happens::Outage { until: Ms(30_000) });
         world.run(Ms(29_900));
         assert_eq!(world.store.revision(), before);
-        assert!(world.nodes.iter().flatten().all(|n| !n.is_ready()));
+        assert!(world.controllers.iter().flatten().all(|n| !n.is_ready()));
         world.run(Ms(600_000));
         assert_eq!(marked(&world), Some(FORMAT));
         assert!(world.refused_starts.is_empty() && world.broken.is_empty(), "{:#?}", world.broken);
--- a/crates/cleatfold-control/tests/formats.rs
+++ b/crates/cleatfold-control/tests/formats.rs
@@ -52,7 +52,7 @@
         Key::Part(..) => rewritten::<Table>(fixture),
         Key::Progress(..) => rewritten::<cleatfold_elastic::PartRecord>(fixture),
         Key::Pool(_) | Key::Duty(_) | Key::Workspace(_) => rewritten::<HolderRecord>(fixture),
-        Key::Node(_) => rewritten::<NodeRecord>(fixture),
+        Key::Controller(_) => rewritten::<ControllerRecord>(fixture),
         Key::Slice(_) => rewritten::<SliceRecord>(fixture),
         Key::LossHead(_) => rewritten::<LossHead>(fixture),
         Key::History(_) => rewritten::<HistoryHead>(fixture),
--- a/crates/cleatfold-control/tests/handovers.rs
+++ b/crates/cleatfold-control/tests/handovers.rs
@@ -2,7 +2,7 @@
 
 mod meeting;
 
-use cleatfold_testbed::world::{World, NODES};
+use cleatfold_testbed::world::{World, CONTROLLERS};
 use cleatfold_wire::job::Elastic;
 use cleatfold_wire::*;
 use meeting::*;
@@ -48,7 +48,7 @@
                         world.moments.runs.insert(task, run + 150 * u64::from(j));
                     }
                     ends.push(TaskId { job: spec.id.clone(), ix: TaskIx(0) });
-                    world.submit(j as usize % NODES, spec);
+                    world.submit(j as usize % CONTROLLERS, spec);
                 }
                 // Until the first of them has ended on its machine.
                 let first = |w: &World| {
@@ -159,7 +159,7 @@
         for round in 0..8u64 {
             let mut spec = plain(&mut world, 6, 3.0);
             spec.cpus = 4.0;
-            world.submit(round as usize % NODES, spec);
+            world.submit(round as usize % CONTROLLERS, spec);
             run_for(&mut world, 900 + 130 * (seed % 9));
             let busy: BTreeSet<MachineId> = world.running.values().cloned().collect();
             if let Some(machine) = busy.iter().nth(seed as usize % busy.len().max(1)) {
@@ -191,14 +191,14 @@
         for step in (0..12u64).step_by(2) {
             seed += 1;
             let mut world = region(seed, 12);
-            for i in 0..NODES {
+            for i in 0..CONTROLLERS {
                 world.moments.late_commits.insert(i, (1_200, Ms(60_000)));
             }
             world.run(Ms(4000));
             for n in 0..6u64 {
                 let mut spec = plain(&mut world, 8, [3.0, 8.0, 40.0][n as usize % 3]);
                 (spec.cpus, spec.team) = (2.0, TeamId::new(["free", "tight"][n as usize % 2]));
-                world.submit(n as usize % NODES, spec);
+                world.submit(n as usize % CONTROLLERS, spec);
                 run_for(&mut world, 250);
             }
             run_for(&mut world, 6_000 + 170 * step);
@@ -208,10 +208,10 @@
             loss.befall(&mut world, first);
             for n in 0..3 {
                 let spec = plain(&mut world, 6, 5.0);
-                let job = world.submit((first + 1) % NODES, spec);
+                let job = world.submit((first + 1) % CONTROLLERS, spec);
                 asking(&mut world, 900 + 130 * step);
                 if n == 1 {
-                    withdraw(&mut world, (first + 1) % NODES, &job);
+                    withdraw(&mut world, (first + 1) % CONTROLLERS, &job);
                 }
             }
             asking(&mut world, 2_000);
@@ -219,7 +219,7 @@
             let second = pools.first().and_then(|p| world.holder(p));
             if let Some(second) = second.filter(|s| *s != first) {
                 world.crash(second, 9_000);
-                let third = (0..NODES).find(|i| *i != first && *i != second).expect("three");
+                let third = (0..CONTROLLERS).find(|i| *i != first && *i != second).expect("three");
                 world.crash(third, 9_000);
                 asking(&mut world, 8_000);
                 back += usize::from(world.holder(&pools[0]) == Some(first));
@@ -239,7 +239,7 @@
     for seed in 400..412u64 {
         let mut world = long_tasks(seed);
         let apart = world.most().expect("somebody holds workers");
-        let other = (apart + 1 + seed as usize % 2) % NODES;
+        let other = (apart + 1 + seed as usize % 2) % CONTROLLERS;
         let until = world.now.plus([30_000, 60_000][seed as usize % 2]);
         world.set_apart(apart, until, seed % 3 == 0);
         let jobs: Vec<JobId> = world.jobs.keys().cloned().collect();
--- a/crates/cleatfold-control/tests/lanes.rs
+++ b/crates/cleatfold-control/tests/lanes.rs
@@ -2,7 +2,7 @@
 //! whoever plans most is killed, frozen or cut off.
 
 use cleatfold_control::records::HolderRecord;
-use cleatfold_testbed::world::{node_id, Happens, Size, World, NODES};
+use cleatfold_testbed::world::{controller_id, Happens, Size, World, CONTROLLERS};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 use rand::rngs::SmallRng;
@@ -26,15 +26,15 @@
 
 /// The controllers by how many pools they hold, the most first.
 fn planners(world: &World) -> Vec<usize> {
-    let mut held: BTreeMap<usize, usize> = (0..NODES).map(|n| (n, 0)).collect();
+    let mut held: BTreeMap<usize, usize> = (0..CONTROLLERS).map(|n| (n, 0)).collect();
     for item in world.store.list("cf/pool/", None, 50).items {
         let holder: HolderRecord = serde_json::from_str(item.value.get()).expect("a pool");
-        let node = (0..NODES).find(|n| node_id(*n) == holder.owner);
-        *held.entry(node.expect("a node")).or_default() += 1;
+        let controller = (0..CONTROLLERS).find(|n| controller_id(*n) == holder.owner);
+        *held.entry(controller.expect("a node")).or_default() += 1;
     }
-    let mut nodes: Vec<usize> = (0..NODES).collect();
-    nodes.sort_by_key(|n| std::cmp::Reverse(held[n]));
-    nodes
+    let mut controllers: Vec<usize> = (0..CONTROLLERS).collect();
+    controllers.sort_by_key(|n| std::cmp::Reverse(held[n]));
+    controllers
 }
 
 struct Shape {
@@ -44,7 +44,7 @@
     lane: Urgency,
 }
 
-fn submit(world: &mut World, node: usize, shape: Shape) -> JobId {
+fn submit(world: &mut World, controller: usize, shape: Shape) -> JobId {
     let mut spec = world.some_job();
     spec.team = TeamId::new("free");
     // As users have it: a class is of one lane.
@@ -52,7 +52,7 @@
     (spec.urgency, spec.tasks) = (shape.lane, shape.tasks);
     (spec.cpus, spec.estimate_s) = (shape.cpus, shape.estimate_s);
     (spec.one_zone, spec.spread, spec.types, spec.spot) = (false, false, None, true);
-    world.submit(node, spec)
+    world.submit(controller, spec)
 }
 
 struct Day {
@@ -77,7 +77,7 @@
         world.run(now);
         let alive = |world: &World| -> Vec<usize> {
             let cut = |n: usize| world.cut[n] > now || world.store_cut[n] > now;
-            (0..NODES).filter(|n| world.nodes[*n].is_some() && !cut(*n)).collect()
+            (0..CONTROLLERS).filter(|n| world.controllers[*n].is_some() && !cut(*n)).collect()
         };
         if !fallen && now.0 >= fell {
             fallen = true;
@@ -87,8 +87,8 @@
                 Fall::Calm => {}
                 Fall::Killed => world.crash(who[0], 8000),
                 Fall::Frozen => world.freeze(who[0], 14_000),
-                Fall::Cut => world.at(0, Happens::Cut { node: who[0], until }),
-                Fall::Apart => world.at(0, Happens::StoreCut { node: who[0], until }),
+                Fall::Cut => world.at(0, Happens::Cut { controller: who[0], until }),
+                Fall::Apart => world.at(0, Happens::StoreCut { controller: who[0], until }),
                 Fall::Two => {
                     world.crash(who[0], 8000);
                     world.freeze(who[1], 14_000);
@@ -98,18 +98,22 @@
         // Two background jobs at once now and then: more than there is room for.
         if tick % 40 == 0 {
             for _ in 0..2 {
-                let nodes = alive(&world);
-                let node = nodes[luck.random_range(0..nodes.len())];
+                let controllers = alive(&world);
+                let controller = controllers[luck.random_range(0..controllers.len())];
                 let cpus = [1.0, 2.0, 4.0][luck.random_range(0..3)];
                 let tasks = (200.0 / cpus) as u32;
                 let estimate_s = luck.random_range(4.0..12.0);
                 let lane = Urgency::BestEffort;
-                background.push(submit(&mut world, node, Shape { tasks, cpus, estimate_s, lane }));
+                background.push(submit(
+                    &mut world,
+                    controller,
+                    Shape { tasks, cpus, estimate_s, lane },
+                ));
             }
         }
         if (200..560).contains(&tick) && tick % 12 == 0 {
-            let nodes = alive(&world);
-            let node = nodes[luck.random_range(0..nodes.len())];
+            let controllers = alive(&world);
+            let controller = controllers[luck.random_range(0..controllers.len())];
             let lane = [Urgency::Critical, Urgency::High, Urgency::Normal];
             let shape = Shape {
                 tasks: luck.random_range(1..6),
@@ -117,7 +121,7 @@
                 estimate_s: luck.random_range(2.0..6.0),
                 lane: lane[luck.random_range(0..3)],
             };
-            let job = submit(&mut world, node, shape);
+            let job = submit(&mut world, controller, shape);
             if fallen && now.0 < fell + 30_000 {
                 urgent.push(job);
             }
@@ -220,7 +224,7 @@
         let pool = made(&world).expect("made").key.replace("cf/made/", "cf/pool/");
         let holder = world.store.get(&pool).expect("held");
         let holder: HolderRecord = serde_json::from_str(holder.value.get()).expect("a pool");
-        let owner = (0..NODES).find(|n| node_id(*n) == holder.owner).expect("a node");
+        let owner = (0..CONTROLLERS).find(|n| controller_id(*n) == holder.owner).expect("a node");
         let fell = world.now;
         world.crash(owner, 8000);
         world.run(fell.plus(25_000));
--- a/crates/cleatfold-control/tests/late.rs
+++ b/crates/cleatfold-control/tests/late.rs
@@ -7,7 +7,9 @@
 use cleatfold_control::{Request, StoreRequest};
 use cleatfold_fakes::store::Refusal;
 use cleatfold_roles::Duty;
-use cleatfold_testbed::world::{node_id, Asked, Happens, Purpose, Size, Weights, World, NODES};
+use cleatfold_testbed::world::{
+    controller_id, Asked, Happens, Purpose, Size, Weights, World, CONTROLLERS,
+};
 use cleatfold_wire::job::{Elastic, JobSpec, JobState, Kind, Urgency};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
@@ -48,14 +50,14 @@
     world.poll_everything();
     world.writes_late(kinds.iter().copied(), share, Ms(90_000));
     audited(&mut world, Ms(5_000));
-    for node in 0..NODES {
+    for controller in 0..CONTROLLERS {
         let large = plain(&mut world, 280, 1.0, 2.0);
-        world.submit(node, large);
+        world.submit(controller, large);
         let elastic = sweep(&mut world, 40);
-        world.submit((node + 1) % NODES, elastic);
+        world.submit((controller + 1) % CONTROLLERS, elastic);
         let until = world.now.plus(12_000);
         audited(&mut world, until);
-        world.at(0, Happens::Crash(node));
+        world.at(0, Happens::Crash(controller));
         if let Some(machine) = world.running.values().next().cloned() {
             world.at(3_000, Happens::Die(machine));
         }
@@ -134,11 +136,11 @@
         for i in 0..6 {
             let mut spec = plain(&mut world, 12, 8.0, 4.0);
             (spec.image, spec.image_gb) = (ImageId::new(["m1", "m2", "m3"][i % 3]), 6.0);
-            let job = world.submit(i % NODES, spec);
+            let job = world.submit(i % CONTROLLERS, spec);
             let until = world.now.plus(9_000 + 1_700 * i as u64);
             audited(&mut world, until);
             if i % 2 == 0 {
-                cancel(&mut world, (i + 1) % NODES, &job);
+                cancel(&mut world, (i + 1) % CONTROLLERS, &job);
             }
         }
         audited(&mut world, Ms(260_000));
@@ -187,14 +189,14 @@
 }
 
 /// A user who was not answered comes again, to another controller.
-fn submit_again(world: &mut World, node: usize, spec: &JobSpec) {
+fn submit_again(world: &mut World, controller: usize, spec: &JobSpec) {
     let request = Request::Submit(Box::new(spec.clone()));
-    world.ask(node, Asked::Submit(spec.id.clone()), request);
+    world.ask(controller, Asked::Submit(spec.id.clone()), request);
 }
 
-fn cancel(world: &mut World, node: usize, job: &JobId) {
+fn cancel(world: &mut World, controller: usize, job: &JobId) {
     world.jobs.get_mut(job).expect("known").cancel_asked = true;
-    world.ask(node, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
+    world.ask(controller, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
 }
 
 /// The first of each of these is guarded by the absence of a key that stays: it comes when somebody has written that.
@@ -391,7 +393,7 @@
         // Somebody has it. It is given back by hand, and nobody has taken it yet when the late one comes.
         let holder: HolderRecord =
             serde_json::from_str(txn.changes[0].value.as_ref().expect("a holder").get()).unwrap();
-        let sender = (0..NODES).find(|i| node_id(*i) == holder.owner);
+        let sender = (0..CONTROLLERS).find(|i| controller_id(*i) == holder.owner);
         let sender = sender.expect("a node");
         assert_eq!(
             refused_by(&mut world, &txn),
@@ -414,7 +416,7 @@
             assert_eq!(world.store.get(&key).map(|i| i.version), Some(version));
         }
         let spec = plain(&mut world, 20, 2.0, 4.0);
-        let job = world.submit((sender + 1) % NODES, spec);
+        let job = world.submit((sender + 1) % CONTROLLERS, spec);
         wait_for(&mut world, 120, |w| has_ended(w, &job));
         assert!(Duty::ALL.iter().all(|d| world.store.get(d.key()).is_some()), "all are held");
     }
--- a/crates/cleatfold-control/tests/leaders.rs
+++ b/crates/cleatfold-control/tests/leaders.rs
@@ -6,7 +6,7 @@
 
 mod meeting;
 
-use cleatfold_testbed::world::{Blink, Happens, Moment, Step, Who, World, NODES};
+use cleatfold_testbed::world::{Blink, Happens, Moment, Step, Who, World, CONTROLLERS};
 use cleatfold_wire::*;
 use meeting::*;
 
@@ -68,7 +68,7 @@
             let runs_ms = [5_000, 75_000, 40_000][ix as usize] + 400 * u64::from(n);
             world.moments.runs.insert(TaskId { job: spec.id.clone(), ix: TaskIx(ix) }, runs_ms);
         }
-        world.submit(n as usize % NODES, spec);
+        world.submit(n as usize % CONTROLLERS, spec);
     }
     world.run(Ms(12_000));
     world.ten_leaders(Ms(132_000));
@@ -129,11 +129,12 @@
     world.blinks.plan = Some(blink);
     for (at, tasks, team) in [(4_000, 14, "free"), (9_000, 8, "tight"), (13_000, 10, "free")] {
         world.run(Ms(at));
-        let node = (0..NODES).find(|i| world.nodes[*i].as_ref().is_some_and(|n| n.is_ready()));
+        let controller =
+            (0..CONTROLLERS).find(|i| world.controllers[*i].as_ref().is_some_and(|n| n.is_ready()));
         let mut spec = plain(&mut world, tasks, 7.0);
         spec.team = TeamId::new(team);
-        if let Some(node) = node {
-            world.submit(node, spec);
+        if let Some(controller) = controller {
+            world.submit(controller, spec);
         }
     }
     if let Some((leader, _)) = world.leader() {
@@ -169,7 +170,7 @@
 fn one_returns_at(seed: u64, step: Step, occurrences: impl IntoIterator<Item = u32>) -> usize {
     let mut befell = 0;
     for nth in occurrences {
-        for returns in 0..NODES {
+        for returns in 0..CONTROLLERS {
             for moment in [Moment::Before, Moment::Late, Moment::After] {
                 let blink = Blink { step, nth, who: Who::OneReturns(returns), moment };
                 let mut world = day_with(seed, blink);
@@ -242,8 +243,8 @@
 #[test]
 fn all_end_at_a_new_leaders_first_readings_and_one_returns() {
     for (n, after_ms) in [0, 3, 20, 90, 260, 700].into_iter().enumerate() {
-        for returns in 0..NODES {
-            let seed = 41 + (NODES * n + returns) as u64;
+        for returns in 0..CONTROLLERS {
+            let seed = 41 + (CONTROLLERS * n + returns) as u64;
             let mut world = busy(seed, Ms(45_000));
             let (former, epoch) = world.leader().expect("somebody leads");
             world.crash(former, 7_000);
@@ -253,7 +254,7 @@
             }
             let (leader, _) = world.leader().expect("just seen");
             run_for(&mut world, after_ms);
-            world.one_returns((leader + returns) % NODES, 100 + 150 * n as u64, 11_000);
+            world.one_returns((leader + returns) % CONTROLLERS, 100 + 150 * n as u64, 11_000);
             ends_well_asked(&mut world, 300_000, &format!("seed {seed}, {after_ms} ms after"));
         }
     }
@@ -272,7 +273,7 @@
         for i in 0..10 {
             let mut spec = plain(&mut world, 6, 150.0);
             spec.cpus = 1.0;
-            world.submit(i % NODES, spec);
+            world.submit(i % CONTROLLERS, spec);
             run_for(&mut world, 200);
         }
         world.run(Ms(25_000));
@@ -330,7 +331,7 @@
             for i in 0..9 {
                 let mut spec = plain(&mut world, 5, 150.0);
                 spec.cpus = 1.0;
-                world.submit(i % NODES, spec);
+                world.submit(i % CONTROLLERS, spec);
                 run_for(&mut world, 200);
             }
             world.run(Ms(25_000));
@@ -338,7 +339,7 @@
             let jobs: Vec<JobId> = world.jobs.keys().take(6).cloned().collect();
             let cancel = |w: &mut World| {
                 for (i, job) in jobs.iter().enumerate() {
-                    withdraw(w, (leader + i) % NODES, job);
+                    withdraw(w, (leader + i) % CONTROLLERS, job);
                 }
             };
             let refuse = |w: &mut World| {
@@ -365,7 +366,7 @@
             // Whoever was not told asks again.
             for job in &jobs {
                 if world.jobs[job].cancel_told.is_none() {
-                    withdraw(&mut world, (leader + 1) % NODES, job);
+                    withdraw(&mut world, (leader + 1) % CONTROLLERS, job);
                 }
             }
             ends_well_asked(&mut world, 300_000, &what);
--- a/crates/cleatfold-control/tests/limits.rs
+++ b/crates/cleatfold-control/tests/limits.rs
@@ -5,7 +5,9 @@
 
 use cleatfold_control::records::HolderRecord;
 use cleatfold_roles::Duty;
-use cleatfold_testbed::world::{node_id, team_id, Happens, Purpose, Size, World, NODES};
+use cleatfold_testbed::world::{
+    controller_id, team_id, Happens, Purpose, Size, World, CONTROLLERS,
+};
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::*;
 use meeting::{ends_well, plain, run_for, withdraw, Loss};
@@ -21,7 +23,7 @@
 fn leader(world: &World) -> Option<usize> {
     let item = world.store.get(Duty::Deal.key())?;
     let holder: HolderRecord = serde_json::from_str(item.value.get()).ok()?;
-    (0..world.nodes.len()).find(|i| node_id(*i) == holder.owner)
+    (0..world.controllers.len()).find(|i| controller_id(*i) == holder.owner)
 }
 
 /// Teams of which no further task of two processors may start.
@@ -40,7 +42,7 @@
     for n in 0..Size::SCARCE.teams * 6 {
         let mut spec = plain(&mut world, 3, [12.0, 40.0][n / Size::SCARCE.teams % 2]);
         (spec.team, spec.cpus) = (team_id(n % Size::SCARCE.teams), 2.0);
-        jobs.push(world.submit(n % NODES, spec));
+        jobs.push(world.submit(n % CONTROLLERS, spec));
     }
     let from = world.now;
     while at_limit(&world) < Size::SCARCE.teams {
@@ -87,9 +89,9 @@
     let what = format!("seed {seed} {unreached:?} {loss:?} {order:?}");
     let (mut world, jobs) = at_limits(seed);
     // Orders between controllers and the state service cross.
-    for node in 0..NODES {
+    for controller in 0..CONTROLLERS {
         let until = world.now.plus(40_000);
-        world.moments.late_commits.insert(node, (900, until));
+        world.moments.late_commits.insert(controller, (900, until));
     }
     let runs = |w: &World, job: &JobId| w.running.keys().any(|task| task.job == *job);
     let victims: Vec<JobId> = (0..Size::SCARCE.teams)
@@ -108,7 +110,7 @@
     let first = leader(&world).or(world.most()).expect("somebody leads");
     let lose = |w: &mut World| machines.iter().for_each(|m| unreached.befall(w, m));
     let cancel = |w: &mut World| {
-        victims.iter().for_each(|job| withdraw(w, (first + 1) % NODES, job));
+        victims.iter().for_each(|job| withdraw(w, (first + 1) % CONTROLLERS, job));
     };
     match order {
         Order::LeaderLast => {
@@ -138,7 +140,7 @@
         held = held
             .max(world.running.keys().filter(|t| victims.contains(&t.job) && told(&t.job)).count());
         for job in victims.iter().filter(|job| !told(job)).cloned().collect::<Vec<_>>() {
-            withdraw(&mut world, (first + 2) % NODES, &job);
+            withdraw(&mut world, (first + 2) % CONTROLLERS, &job);
         }
     }
     // What waits takes the places, and no place is lost for ever.
@@ -174,10 +176,10 @@
         for n in 0..16usize {
             let mut spec = plain(&mut world, 5, [3.0, 8.0][n % 2]);
             (spec.team, spec.cpus) = (team_id(n % 4), [1.0, 2.0, 4.0][n % 3]);
-            let job = world.submit(n % NODES, spec);
+            let job = world.submit(n % CONTROLLERS, spec);
             run_for(&mut world, 900);
             if n % 5 == 3 {
-                withdraw(&mut world, (n + 1) % NODES, &job);
+                withdraw(&mut world, (n + 1) % CONTROLLERS, &job);
             }
             if n % 6 == 5 {
                 if let Some(leader) = leader(&world) {
@@ -201,13 +203,13 @@
                 let mut spec = plain(&mut world, 6, 4.0);
                 (spec.team, spec.cpus) = (team_id(n), 1.0);
                 spec.zone = Some(ZoneId::new(["a", "b", "c"][(round + n) % 3]));
-                world.submit(n % NODES, spec);
+                world.submit(n % CONTROLLERS, spec);
                 let mut wide = plain(&mut world, 2, 5.0);
                 (wide.team, wide.cpus) = (team_id(n), [4.0, 8.0][round % 2]);
                 if round == 3 {
                     (wide.kind, wide.cpus) = (Kind::Gang, 4.0);
                 }
-                world.submit(n % NODES, wide);
+                world.submit(n % CONTROLLERS, wide);
             }
             run_for(&mut world, 6_000);
         }
@@ -230,7 +232,7 @@
     while !world.jobs[&late].accepted {
         run_for(&mut world, 5);
     }
-    (0..NODES).for_each(|node| world.crash(node, 10_000_000));
+    (0..CONTROLLERS).for_each(|controller| world.crash(controller, 10_000_000));
     run_for(&mut world, 80_000);
     let found = |w: &World| w.broken.iter().any(|b| b.contains("left waiting"));
     assert!(!found(&world), "{:#?}", world.broken);
@@ -253,7 +255,7 @@
             (spec.cpus, spec.class) = ([1.0, 2.0][n % 2], ClassId::new(["live", "batch"][n % 2]));
             spec.team = team_id(usize::from(n % 5 == 4));
             spec.urgency = [Urgency::Critical, Urgency::Normal, Urgency::BestEffort][n / 2 % 3];
-            world.submit(n % NODES, spec);
+            world.submit(n % CONTROLLERS, spec);
             run_for(&mut world, 1_500);
         }
         run_for(&mut world, 600_000);
--- a/crates/cleatfold-control/tests/losses.rs
+++ b/crates/cleatfold-control/tests/losses.rs
@@ -2,7 +2,7 @@
 
 use cleatfold_control::records::{loss_log_prefix, ArchiveRecord};
 use cleatfold_control::Request;
-use cleatfold_testbed::world::{Asked, Happens, Size, World, NODES};
+use cleatfold_testbed::world::{Asked, Happens, Size, World, CONTROLLERS};
 use cleatfold_wire::losses::Loss;
 use cleatfold_wire::{Attempt, JobId, Ms, TaskId, TeamId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -60,8 +60,8 @@
             world.at(0, Happens::Die(id.clone()));
         }
         assert!(lost.len() > 20, "{} runs to be lost", lost.len());
-        for node in 0..NODES {
-            world.at(300, Happens::Crash(node));
+        for controller in 0..CONTROLLERS {
+            world.at(300, Happens::Crash(controller));
         }
         world.run(Ms(300_000));
         let mut told: BTreeSet<Start> = BTreeSet::new();
--- a/crates/cleatfold-control/tests/meeting/mod.rs
+++ b/crates/cleatfold-control/tests/meeting/mod.rs
@@ -28,11 +28,11 @@
 }
 
 /// Cancels the job at a controller.
-pub fn withdraw(world: &mut World, node: usize, job: &JobId) {
+pub fn withdraw(world: &mut World, controller: usize, job: &JobId) {
     use cleatfold_control::Request;
     use cleatfold_testbed::world::Asked;
     world.jobs.get_mut(job).expect("known").cancel_asked = true;
-    world.ask(node, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
+    world.ask(controller, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
 }
 
 /// Everything accepted comes to its end, and no rule was broken on the way.
@@ -75,17 +75,17 @@
         Loss::AllEnd(7_000),
     ];
 
-    pub fn befall(self, world: &mut World, node: usize) {
+    pub fn befall(self, world: &mut World, controller: usize) {
         let now = world.now;
         match self {
-            Loss::Ends(back) => world.crash(node, back),
-            Loss::Refused(ms) => world.store_cut[node] = now.plus(ms),
-            Loss::Apart(ms, held) => world.set_apart(node, now.plus(ms), held),
-            Loss::Still(ms) => world.freeze(node, ms),
-            Loss::Cut(ms) => world.cut[node] = now.plus(ms),
+            Loss::Ends(back) => world.crash(controller, back),
+            Loss::Refused(ms) => world.store_cut[controller] = now.plus(ms),
+            Loss::Apart(ms, held) => world.set_apart(controller, now.plus(ms), held),
+            Loss::Still(ms) => world.freeze(controller, ms),
+            Loss::Cut(ms) => world.cut[controller] = now.plus(ms),
             Loss::AllEnd(ms) => {
-                for i in 0..world.nodes.len() {
-                    world.crash(i, if i == node { 200 } else { ms });
+                for i in 0..world.controllers.len() {
+                    world.crash(i, if i == controller { 200 } else { ms });
                 }
             }
         }
@@ -97,7 +97,7 @@
     let until = world.now.plus(ms);
     while world.now < until && world.broken.is_empty() {
         run_for(world, 1_000.min(until.since(world.now)));
-        (0..world.nodes.len()).for_each(|i| world.ask_all_at(i));
+        (0..world.controllers.len()).for_each(|i| world.ask_all_at(i));
     }
 }
 
--- a/crates/cleatfold-control/tests/overload.rs
+++ b/crates/cleatfold-control/tests/overload.rs
@@ -1,7 +1,7 @@
 //! More is asked than can be done: what is given up, and what comes back.
 
 use cleatfold_control::Request;
-use cleatfold_testbed::world::{Asked, Size, World, NODES};
+use cleatfold_testbed::world::{Asked, Size, World, CONTROLLERS};
 use cleatfold_wire::{JobId, Ms};
 
 /// Hundreds of machines, few changes a second, and only the users that a test plays.
@@ -12,7 +12,7 @@
 /// A user who waits 5 s, as the protocol has it, and then asks the next node a second later.
 struct User {
     job: JobId,
-    node: usize,
+    controller: usize,
     asks_at: Ms,
     open: Option<(usize, u64)>,
 }
@@ -33,9 +33,9 @@
                 let mut spec = world.some_job();
                 // What they are about is not looked at here.
                 (spec.tasks, spec.one_zone, spec.spread) = (2, false, false);
-                let (job, node) = (spec.id.clone(), (i % 3) as usize);
+                let (job, controller) = (spec.id.clone(), (i % 3) as usize);
                 world.jobs.entry(job.clone()).or_default().spec = Some(spec);
-                users.push(User { job, node, asks_at: world.now, open: None });
+                users.push(User { job, controller, asks_at: world.now, open: None });
             }
             let now = world.now;
             for user in users.iter_mut().filter(|u| u.asks_at <= now) {
@@ -49,9 +49,9 @@
                 }
                 let spec = watch.spec.clone().expect("submitted");
                 let request = Request::Submit(Box::new(spec));
-                world.ask(user.node, Asked::Submit(user.job.clone()), request);
-                user.open = Some((user.node, world.next_rid));
-                user.node = (user.node + 1) % NODES;
+                world.ask(user.controller, Asked::Submit(user.job.clone()), request);
+                user.open = Some((user.controller, world.next_rid));
+                user.controller = (user.controller + 1) % CONTROLLERS;
                 user.asks_at = world.now.plus(5000);
             }
             world.run(Ms((second + 1) * 1000));
@@ -80,9 +80,9 @@
     let reads = world.archive_reads;
     for round in 0..30u64 {
         for job in &jobs {
-            let node = (round % 3) as usize;
+            let controller = (round % 3) as usize;
             let told = world.jobs[job].told;
-            world.ask(node, Asked::Poll(job.clone(), told, true), Request::Poll(job.clone()));
+            world.ask(controller, Asked::Poll(job.clone(), told, true), Request::Poll(job.clone()));
         }
         world.run(Ms(60_000 + 500 * (round + 1)));
     }
--- a/crates/cleatfold-control/tests/repeats.rs
+++ b/crates/cleatfold-control/tests/repeats.rs
@@ -2,7 +2,7 @@
 //! reports of an earlier session, about an attempt that has been started once more.
 
 use cleatfold_control::Request;
-use cleatfold_testbed::world::{Asked, Happens, Size, World, NODES};
+use cleatfold_testbed::world::{Asked, Happens, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::worker::{Exit, TaskState};
 use cleatfold_wire::*;
@@ -21,9 +21,9 @@
     spec
 }
 
-fn withdraw(world: &mut World, node: usize, job: &JobId) {
+fn withdraw(world: &mut World, controller: usize, job: &JobId) {
     world.jobs.get_mut(job).expect("known").cancel_asked = true;
-    world.ask(node, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
+    world.ask(controller, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
 }
 
 /// A job's cancellation changes its record alone, not those of its parts, where the claims of a job in parts are:
@@ -38,7 +38,7 @@
         world.run(Ms(60_000));
         let runs = |world: &World| world.running.keys().filter(|t| t.job == job).count();
         assert_eq!(runs(&world), tasks as usize, "all of it runs");
-        withdraw(&mut world, 1 % NODES, &job);
+        withdraw(&mut world, 1 % CONTROLLERS, &job);
         world.run(Ms(70_000));
         assert!(world.jobs[&job].cancel_told.is_some());
         assert_eq!(runs(&world), 0, "{tasks} tasks: still there after the next reports");
@@ -72,8 +72,8 @@
         world.run(Ms(36_000));
         assert_eq!(world.running.get(&task), Some(&machine), "started once more");
         assert_eq!(world.claims(), claims, "under the same attempt");
-        for node in [owner, (owner + 1) % NODES] {
-            world.at(0, Happens::Copy(node, Box::new(late.clone())));
+        for controller in [owner, (owner + 1) % CONTROLLERS] {
+            world.at(0, Happens::Copy(controller, Box::new(late.clone())));
         }
         world.run(Ms(50_000));
         assert_eq!(world.claims(), claims, "{exit:?}");
--- a/crates/cleatfold-control/tests/seen_token.rs
+++ b/crates/cleatfold-control/tests/seen_token.rs
@@ -82,11 +82,12 @@
         // An order to stop it that was held up, its sender waits no longer; the report of the exit is held
         // up in its turn; the machine hangs until its lease is just over.
         let worker = world.workers.get_mut(&machine).expect("it is there");
-        let (token, session, renewed) = (worker.token, Session(worker.session), worker.renewed);
+        let (token, agent_epoch, renewed) =
+            (worker.token, AgentEpoch(worker.agent_epoch), worker.renewed);
         let commands = vec![Command::Stop { task: task.clone(), attempt, grace_s: 0.0 }];
-        let orders = Orders { token, session, commands };
+        let orders = Orders { token, agent_epoch, commands };
         world.happen(Happens::Orders {
-            node: owner,
+            controller: owner,
             life: u32::MAX,
             machine: machine.clone(),
             orders,
@@ -101,7 +102,7 @@
         }
         let again = world.workers[&machine].tasks.contains_key(&(task.clone(), attempt));
         assert!(
-            again && world.workers[&machine].session == session.0 + 1,
+            again && world.workers[&machine].agent_epoch == agent_epoch.0 + 1,
             "not the day that was meant"
         );
         next_owner_reads(&mut world, &pool, late);
--- a/crates/cleatfold-control/tests/slices.rs
+++ b/crates/cleatfold-control/tests/slices.rs
@@ -8,7 +8,7 @@
 
 /// Ninety limited teams share four pools and 24 changes a second, of which more are refused.
 const CROWDED: Size = Size {
-    nodes: 4,
+    controllers: 4,
     teams: 90,
     all_limited: true,
     limit_cpus: 8.0,
@@ -63,7 +63,7 @@
     for team in 0..CROWDED.teams {
         let mut spec = plain(&mut world, 20, 5.0);
         (spec.team, spec.cpus) = (team_id(team), 1.0);
-        world.submit(team % CROWDED.nodes, spec);
+        world.submit(team % CROWDED.controllers, spec);
         run_for(&mut world, 100);
     }
     run_for(&mut world, 15_000);
--- a/crates/cleatfold-control/tests/unlisted.rs
+++ b/crates/cleatfold-control/tests/unlisted.rs
@@ -2,7 +2,7 @@
 //! jobs that fail wherever they run.
 
 use cleatfold_control::records::{HolderRecord, JobRecord};
-use cleatfold_testbed::world::{node_id, Size, World, NODES};
+use cleatfold_testbed::world::{controller_id, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{JobSpec, Urgency};
 use cleatfold_wire::*;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
     let holder = |pool: &PoolId| {
         let item = world.store.get(&format!("cf/pool/{pool}"))?;
         let record: HolderRecord = serde_json::from_str(item.value.get()).ok()?;
-        (0..NODES).find(|i| node_id(*i) == record.owner)
+        (0..CONTROLLERS).find(|i| controller_id(*i) == record.owner)
     };
     pools.into_iter().filter_map(|(p, n)| Some((p.clone(), (holder(&p)?, n)))).collect()
 }
@@ -48,7 +48,7 @@
     }
     world.run(Ms(25_000));
     let mut held: BTreeMap<usize, usize> = BTreeMap::new();
-    holders(&world).values().for_each(|(node, n)| *held.entry(*node).or_default() += n);
+    holders(&world).values().for_each(|(controller, n)| *held.entry(*controller).or_default() += n);
     let most = held.into_iter().max_by_key(|h| h.1).expect("somebody holds workers").0;
     (world, most)
 }
@@ -107,14 +107,14 @@
     for seed in 10..16 {
         let (mut world, most) = busy(seed);
         // One after the other, then all at once, for longer and shorter than every lease.
-        for (i, for_ms) in [(most, 25_000), ((most + 1) % NODES, 4_000), (most, 2_000)] {
+        for (i, for_ms) in [(most, 25_000), ((most + 1) % CONTROLLERS, 4_000), (most, 2_000)] {
             let spec = plain(&mut world, 20, 6.0);
-            world.submit((i + 1) % NODES, spec);
+            world.submit((i + 1) % CONTROLLERS, spec);
             world.freeze(i, for_ms);
             let now = world.now;
             world.run(now.plus(for_ms / 2 + 3_000));
         }
-        (0..NODES).for_each(|i| world.freeze(i, 15_000));
+        (0..CONTROLLERS).for_each(|i| world.freeze(i, 15_000));
         world.run(Ms(300_000));
         assert_eq!(world.unfinished(), Vec::<JobId>::new(), "seed {seed}");
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
@@ -134,7 +134,7 @@
             world.troubles.broken.insert(spec.id.clone());
             broken.push(spec.id.clone());
         }
-        world.submit(i % NODES, spec);
+        world.submit(i % CONTROLLERS, spec);
         let now = world.now;
         world.run(now.plus(400));
     }
--- a/crates/cleatfold-control/tests/weights.rs
+++ b/crates/cleatfold-control/tests/weights.rs
@@ -1,7 +1,7 @@
 //! Images that many machines want at once, while those who plan their spread fall. The world watches, at every
 //! step, that the seats in the record stay within the bound and that whoever fetches from the origin has one.
 
-use cleatfold_testbed::world::{node_id, Happens, Size, Weights, World, NODES};
+use cleatfold_testbed::world::{controller_id, Happens, Size, Weights, World, CONTROLLERS};
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::*;
 use std::collections::BTreeSet;
@@ -22,7 +22,7 @@
     (spec.tasks, spec.cpus, spec.estimate_s) = (tasks, 8.0, run_s);
     (spec.one_zone, spec.spread, spec.types, spec.spot) = (false, false, None, true);
     (spec.image, spec.image_gb) = (ImageId::new(image), GB);
-    let up = (0..NODES).find(|i| world.nodes[*i].is_some());
+    let up = (0..CONTROLLERS).find(|i| world.controllers[*i].is_some());
     world.submit(up.expect("one is up"), spec)
 }
 
@@ -87,18 +87,18 @@
         submit(&mut world, 24, "m1", 20.0);
         let at = |i: u64| 8_000 + 7_000 * i + 500 * seed;
         for i in 0..5u64 {
-            let node = ((i + seed) % NODES as u64) as usize;
+            let controller = ((i + seed) % CONTROLLERS as u64) as usize;
             match (seed + i) % 4 {
-                0 => world.at(at(i), Happens::Crash(node)),
-                1 => (0..NODES).for_each(|n| world.at(at(i), Happens::Crash(n))),
+                0 => world.at(at(i), Happens::Crash(controller)),
+                1 => (0..CONTROLLERS).for_each(|n| world.at(at(i), Happens::Crash(n))),
                 2 => {
                     let until = Ms(6000 + at(i) + 9_000);
-                    world.at(at(i), Happens::Cut { node, until });
+                    world.at(at(i), Happens::Cut { controller, until });
                 }
                 _ => {
                     let now = world.now;
                     world.run(now.plus(at(0)));
-                    world.freeze(node, 11_000);
+                    world.freeze(controller, 11_000);
                 }
             }
         }
@@ -131,7 +131,7 @@
             3 => holder.lies = true,
             _ => net.leave(now, &source),
         }
-        let owner = (0..NODES).find(|n| world.nodes[*n].is_some()).expect("up");
+        let owner = (0..CONTROLLERS).find(|n| world.controllers[*n].is_some()).expect("up");
         world.at(1000, Happens::Crash(owner));
         run_until(&mut world, 150, |w| having(w, "m1") >= 29);
         if case == 3 {
@@ -153,7 +153,7 @@
     let asked = cleatfold_testbed::world::Asked::Withdraw(cancel.clone());
     world.ask(1, asked, cleatfold_control::Request::Withdraw(cancel.clone()));
     world.run(Ms(21_000));
-    (0..NODES).for_each(|n| world.at(0, Happens::Crash(n)));
+    (0..CONTROLLERS).for_each(|n| world.at(0, Happens::Crash(n)));
     let done = |w: &World| w.running.keys().filter(|t| t.job == keep).count() == 8;
     run_until(&mut world, 120, done);
     run_until(&mut world, 120, |w| w.origin_record().slots.is_empty() && having(w, "m1") >= 8);
@@ -206,6 +206,7 @@
         Some(record.holders.values().map(|n| n.read().len()).sum::<usize>())
     };
     run_until(&mut world, 90, |w| named(w).unwrap_or(0) >= 15);
-    assert!((0..NODES).any(|n| world.nodes[n].is_some() && node_id(n).as_str() == "n0"));
+    assert!((0..CONTROLLERS)
+        .any(|n| world.controllers[n].is_some() && controller_id(n).as_str() == "n0"));
     run_until(&mut world, 200, |w| w.unfinished().is_empty() && named(w).is_none());
 }
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -2,11 +2,11 @@
 
 use cleatfold_control::records::*;
 use cleatfold_control::{Event, Request, Response, StoreReply, StoreRequest, TeamAnswer, TeamAsk};
-use cleatfold_testbed::world::{node_id, Asked, Happens, JobWatch, Size, World, NODES};
+use cleatfold_testbed::world::{controller_id, Asked, Happens, JobWatch, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{JobSpec, JobState, Urgency};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::team::{EndedJob, Holdup};
-use cleatfold_wire::{JobId, MachineId, Ms, NodeId, TeamId, Version};
+use cleatfold_wire::{ControllerId, JobId, MachineId, Ms, TeamId, Version};
 use std::collections::BTreeSet;
 
 const TEAMS: [&str; 2] = ["free", "tight"];
@@ -56,10 +56,16 @@
 }
 
 /// As a team asks: whoever is told to come back does.
-fn ask(world: &mut World, node: usize, team: &str, what: TeamAsk, since: u64) -> Option<Response> {
+fn ask(
+    world: &mut World,
+    controller: usize,
+    team: &str,
+    what: TeamAsk,
+    since: u64,
+) -> Option<Response> {
     for _ in 0..12 {
         world.team_answer = None;
-        world.ask(node, Asked::Team, Request::Team { team: TeamId::new(team), what, since });
+        world.ask(controller, Asked::Team, Request::Team { team: TeamId::new(team), what, since });
         let until = world.now.plus(4200);
         while world.team_answer.is_none() && world.now < until {
             let now = world.now;
@@ -77,10 +83,10 @@
 }
 
 /// The whole history, page by page.
-fn history(world: &mut World, node: usize, team: &str) -> Vec<EndedJob> {
+fn history(world: &mut World, controller: usize, team: &str) -> Vec<EndedJob> {
     let (mut all, mut since) = (Vec::new(), 0);
     for _ in 0..500 {
-        let answer = ask(world, node, team, TeamAsk::History, since);
+        let answer = ask(world, controller, team, TeamAsk::History, since);
         let Some(Response::Team(TeamAnswer::History(page))) = answer else {
             panic!("{team}: {answer:?}");
         };
@@ -95,23 +101,23 @@
     panic!("{team}: no end of pages");
 }
 
-fn check_history(world: &mut World, node: usize, team: &str) {
+fn check_history(world: &mut World, controller: usize, team: &str) {
     let before = model(world, team).len();
-    let told = history(world, node, team);
-    assert!(told.len() >= before, "{team} at node {node}: {} of {before}", told.len());
+    let told = history(world, controller, team);
+    assert!(told.len() >= before, "{team} at node {controller}: {} of {before}", told.len());
     let numbers: Vec<u64> = told.iter().map(|e| e.number).collect();
     assert_eq!(numbers, (0..told.len() as u64).collect::<Vec<_>>(), "dense");
     // Some may have ended while it was read.
     let should = model(world, team).into_iter().take(told.len());
     let should: Vec<JobId> = should.map(|m| m.1).collect();
     let ids: Vec<JobId> = told.into_iter().map(|e| e.id).collect();
-    assert_eq!(ids, should, "{team} at node {node}");
+    assert_eq!(ids, should, "{team} at node {controller}");
 }
 
 fn keeper(world: &World, team: &str) -> Option<usize> {
     let item = world.store.get(&workspace_key(&TeamId::new(team)))?;
     let holder: HolderRecord = serde_json::from_str(item.value.get()).expect("a holder");
-    (0..NODES).find(|i| node_id(*i) == holder.owner)
+    (0..CONTROLLERS).find(|i| controller_id(*i) == holder.owner)
 }
 
 /// Ordinary days of troubles, and the keepers themselves killed, frozen and cut off, packets held, again
@@ -125,13 +131,13 @@
             world.run(Ms(second * 1000));
             if second % 7 == 0 && (10..110).contains(&second) {
                 let team = TEAMS[(second / 7 % 2) as usize];
-                if let Some(node) = keeper(&world, team) {
+                if let Some(controller) = keeper(&world, team) {
                     let until = Ms((second + 5) * 1000);
                     match (second / 7 + seed) % 4 {
-                        0 => world.at(0, Happens::Crash(node)),
-                        1 => world.freeze(node, 5000),
-                        2 => world.at(0, Happens::StoreCut { node, until }),
-                        _ => world.at(0, Happens::Cut { node, until }),
+                        0 => world.at(0, Happens::Crash(controller)),
+                        1 => world.freeze(controller, 5000),
+                        2 => world.at(0, Happens::StoreCut { controller, until }),
+                        _ => world.at(0, Happens::Cut { controller, until }),
                     }
                 }
             }
@@ -151,8 +157,8 @@
         let ended: usize = TEAMS.iter().map(|t| model(&world, t).len()).sum();
         assert!(ended > 150 && written as usize > ended / 2, "{written} of {ended}");
         for team in TEAMS {
-            for node in 0..NODES {
-                check_history(&mut world, node, team);
+            for controller in 0..CONTROLLERS {
+                check_history(&mut world, controller, team);
             }
         }
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
@@ -194,15 +200,15 @@
                 held += 1;
                 let nobody = Happens::Wake(MachineId::new("nobody"));
                 let event = world.events.insert(number, nobody).expect("on its way");
-                let Happens::StoreRequest { node, life, op, request, .. } = event else {
+                let Happens::StoreRequest { controller, life, op, request, .. } = event else {
                     unreachable!("looked for above")
                 };
                 let unknown = Event::Store { op, reply: StoreReply::Unknown };
-                world.at(1500, Happens::Node(node, life, Box::new(unknown)));
-                let late = Happens::StoreRequest { node, life, op, request, answered: false };
+                world.at(1500, Happens::Controller(controller, life, Box::new(unknown)));
+                let late = Happens::StoreRequest { controller, life, op, request, answered: false };
                 world.at(45_000, late);
                 if seed % 2 == 0 {
-                    world.at(0, Happens::Crash(node));
+                    world.at(0, Happens::Crash(controller));
                 }
             }
             if world.now.0 % 3000 < 2 {
@@ -244,7 +250,7 @@
         (spec.tasks, spec.cpus, spec.types) = (1 + (i % 3) as u32, 4.0, None);
         (spec.one_zone, spec.spread, spec.spot, spec.zone) = (false, false, true, None);
         specs.push(spec.clone());
-        world.submit(i % NODES, spec);
+        world.submit(i % CONTROLLERS, spec);
         let now = world.now;
         world.run(now.plus(20));
     }
@@ -256,7 +262,7 @@
         let mut told = Vec::new();
         let (mut since, mut pages) = (0, 0);
         loop {
-            let answer = ask(&mut world, pages % NODES, team, TeamAsk::Jobs, since);
+            let answer = ask(&mut world, pages % CONTROLLERS, team, TeamAsk::Jobs, since);
             let Some(Response::Team(TeamAnswer::Jobs(page))) = answer else { panic!("{answer:?}") };
             let text = serde_json::to_string(&page).unwrap();
             assert!(text.len() <= 64 * 1024 && other.iter().all(|id| !text.contains(id.as_str())));
@@ -304,8 +310,8 @@
     let good = world.store.get(&key).expect("written by now");
     let spoilt = put(&mut world, &key, r#"{"f":"what"}"#);
     let others = head(&world, "tight").upto;
-    for node in 0..NODES {
-        world.at(2000 * (1 + node as u64), Happens::Crash(node));
+    for controller in 0..CONTROLLERS {
+        world.at(2000 * (1 + controller as u64), Happens::Crash(controller));
     }
     world.run(Ms(100_000));
     assert_eq!(world.store.get(&key).map(|i| i.version), Some(spoilt), "written over");
@@ -352,8 +358,8 @@
         let watch = JobWatch { spec: Some(spec.clone()), accepted: true, ..JobWatch::default() };
         world.jobs.insert(spec.id.clone(), watch);
         world.keeps = 200;
-        for (at, node) in [(4000, 0), (9000, 1), (14_000, 2), (19_000, 0), (24_000, 1)] {
-            world.at(at, Happens::Crash(node));
+        for (at, controller) in [(4000, 0), (9000, 1), (14_000, 2), (19_000, 0), (24_000, 1)] {
+            world.at(at, Happens::Crash(controller));
         }
         world.run(Ms(26_000));
         world.keeps = 10_000;
@@ -361,8 +367,8 @@
         for team in TEAMS {
             check_groups(&world, team);
             assert!(head(&world, team).entries >= 240, "{}", head(&world, team).entries);
-            for node in 0..NODES {
-                check_history(&mut world, node, team);
+            for controller in 0..CONTROLLERS {
+                check_history(&mut world, controller, team);
             }
         }
         let told = history(&mut world, 0, "free");
@@ -403,20 +409,26 @@
     let mut world = World::sized(61, false, Size { most_jobs: 0, ..Size::SMALL });
     world.run(Ms(200_000));
     let first = |team: &str, world: &World| {
-        let nodes: Vec<NodeId> =
-            (0..NODES).filter(|i| world.nodes[*i].is_some()).map(node_id).collect();
-        cleatfold_workspace::owner::first(&TeamId::new(team), nodes.iter()).cloned()
+        let controllers: Vec<ControllerId> = (0..CONTROLLERS)
+            .filter(|i| world.controllers[*i].is_some())
+            .map(controller_id)
+            .collect();
+        cleatfold_workspace::owner::first(&TeamId::new(team), controllers.iter()).cloned()
     };
     for round in 0..6 {
         let team = TEAMS[round % 2];
-        let node = keeper(&world, team).expect("kept");
-        assert_eq!(Some(node_id(node)), first(team, &world), "where it belongs once all is quiet");
+        let controller = keeper(&world, team).expect("kept");
+        assert_eq!(
+            Some(controller_id(controller)),
+            first(team, &world),
+            "where it belongs once all is quiet"
+        );
         let version = world.store.get(&workspace_key(&TeamId::new(team))).map(|i| i.version);
         let fell = world.now;
         match round % 3 {
-            0 => world.crash(node, 20_000),
-            1 => world.at(0, Happens::StoreCut { node, until: fell.plus(20_000) }),
-            _ => world.freeze(node, 20_000),
+            0 => world.crash(controller, 20_000),
+            1 => world.at(0, Happens::StoreCut { controller, until: fell.plus(20_000) }),
+            _ => world.freeze(controller, 20_000),
         }
         while world.store.get(&workspace_key(&TeamId::new(team))).map(|i| i.version) == version {
             let now = world.now;
--- a/crates/cleatfold-control/tests/world.rs
+++ b/crates/cleatfold-control/tests/world.rs
@@ -2,7 +2,7 @@
 //! laboratory's, which measures in it as well.
 
 use cleatfold_control::{records, Event, Request};
-use cleatfold_testbed::world::{node_id, Asked, Happens, JobWatch, Size, World, NODES};
+use cleatfold_testbed::world::{controller_id, Asked, Happens, JobWatch, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{JobState, Urgency};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,7 +39,7 @@
 fn an_owner_that_is_cut_off_lets_its_workers_go() {
     let mut world = World::new(5, false);
     world.run(Ms(4000));
-    assert!(world.nodes[0].as_ref().is_some_and(|n| n.is_ready()));
+    assert!(world.controllers[0].as_ref().is_some_and(|n| n.is_ready()));
     let mut spec = world.some_job();
     (spec.tasks, spec.cpus, spec.estimate_s) = (3, 1.0, 400.0);
     spec.urgency = Urgency::Critical;
@@ -62,13 +62,13 @@
     let key = format!("cf/pool/{}/{}", machine.machine_type, machine.zone);
     let holder = world.store.get(&key).expect("the pool is held");
     let record: records::HolderRecord = serde_json::from_str(holder.value.get()).expect("a pool");
-    let owner = (0..NODES).find(|i| node_id(*i) == record.owner).expect("a node");
+    let owner = (0..CONTROLLERS).find(|i| controller_id(*i) == record.owner).expect("a node");
 
     // No peer tells it, and no one can delete its machines instead.
     (world.mesh_off, world.cloud_off) = (true, true);
     world.store_cut[owner] = Ms(400_000);
     world.run(cut.plus(1000));
-    let other = (owner + 1) % NODES;
+    let other = (owner + 1) % CONTROLLERS;
     world.jobs.get_mut(&id).expect("known").cancel_asked = true;
     world.asked.insert((other, 1_000_001), Asked::Withdraw(id.clone()));
     let request = Request::Withdraw(id.clone());
@@ -103,10 +103,10 @@
             waited += 1;
             assert!(waited < 5_000, "job {n} never ended");
         }
-        for (node, rid) in [(0, rid + 1), (2, rid + 2)] {
+        for (controller, rid) in [(0, rid + 1), (2, rid + 2)] {
             let told = world.jobs[&id].told;
-            world.asked.insert((node, rid), Asked::Poll(id.clone(), told, true));
-            world.give(node, Event::Request { rid, request: Request::Poll(id.clone()) });
+            world.asked.insert((controller, rid), Asked::Poll(id.clone(), told, true));
+            world.give(controller, Event::Request { rid, request: Request::Poll(id.clone()) });
             world.run(world.now.plus(400));
         }
         world.run(world.now.plus(3000));
@@ -160,25 +160,25 @@
 /// of workers moving to another node and back cost every node seconds of processor time.
 #[test]
 fn a_restarted_node_gets_its_pools_back() {
-    let owners = |world: &World| -> BTreeMap<String, (NodeId, Version)> {
+    let owners = |world: &World| -> BTreeMap<String, (ControllerId, Version)> {
         let read = |v: &str| serde_json::from_str::<records::HolderRecord>(v).expect("a pool");
         let pools = world.store.list("cf/pool/", None, 99).items;
         pools.iter().map(|i| (i.key.clone(), (read(i.value.get()).owner, i.version))).collect()
     };
-    let stop = |world: &mut World, node: usize, back_ms: u64| {
-        world.nodes[node] = None;
-        world.lives[node] += 1;
-        world.at(back_ms, Happens::Restart(node));
+    let stop = |world: &mut World, controller: usize, back_ms: u64| {
+        world.controllers[controller] = None;
+        world.lives[controller] += 1;
+        world.at(back_ms, Happens::Restart(controller));
     };
     let mut tried = 0..;
-    let (mut world, before, node) = loop {
+    let (mut world, before, controller) = loop {
         let mut world = World::new(tried.next().expect("a seed"), false);
         // First some pool has to be away from the node of its zone, where any leader would put it.
         world.run(Ms(30_000));
         stop(&mut world, 0, 8000);
         world.run(Ms(39_500));
         let before = owners(&world);
-        let away = before.iter().find(|(p, o)| p.ends_with("/a") && o.0 != node_id(0));
+        let away = before.iter().find(|(p, o)| p.ends_with("/a") && o.0 != controller_id(0));
         let Some((_, (owner, _))) = away else { continue };
         // Whoever has far more than an equal part does not get all of it back.
         let weight = |key: &str| {
@@ -189,17 +189,18 @@
         };
         let all: usize = before.keys().map(|p| weight(p)).sum();
         let own: usize = before.iter().filter(|p| p.1 .0 == *owner).map(|p| weight(p.0)).sum();
-        if own * NODES <= all * 2 {
-            let node = (0..NODES).find(|i| node_id(*i) == *owner).expect("a node");
-            break (world, before, node);
+        if own * CONTROLLERS <= all * 2 {
+            let controller =
+                (0..CONTROLLERS).find(|i| controller_id(*i) == *owner).expect("a node");
+            break (world, before, controller);
         }
     };
-    stop(&mut world, node, 1500);
+    stop(&mut world, controller, 1500);
     world.run(Ms(43_000));
     for (pool, (owner, token)) in owners(&world) {
         let (old_owner, old_token) = &before[&pool];
         assert_eq!(owner, *old_owner, "{pool}");
-        assert_eq!(token > *old_token, owner == node_id(node), "{pool}");
+        assert_eq!(token > *old_token, owner == controller_id(controller), "{pool}");
     }
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
 }
--- a/crates/cleatfold-control/tests/zones.rs
+++ b/crates/cleatfold-control/tests/zones.rs
@@ -4,7 +4,7 @@
 
 mod meeting;
 
-use cleatfold_testbed::world::{Happens, World, NODES};
+use cleatfold_testbed::world::{Happens, World, CONTROLLERS};
 use cleatfold_wire::*;
 use meeting::{ends_well, owner, plain, region, run_for, withdraw};
 use std::collections::BTreeSet;
@@ -62,7 +62,7 @@
     let mut spec = plain(&mut world, tasks, 30.0);
     let (cpus, memory_gb) = size_of_tasks(tasks);
     (spec.cpus, spec.memory_gb, spec.one_zone) = (cpus, memory_gb, true);
-    let job = world.submit(seed as usize % NODES, spec);
+    let job = world.submit(seed as usize % CONTROLLERS, spec);
     let id = job.clone();
     wait_until(&mut world, 40_000, "the bound job", |w| running(w, &id) >= tasks as usize * 2 / 3);
     let zone = zones_of(&world, &job).into_iter().next().expect("it runs");
@@ -127,7 +127,7 @@
                 1 => spec.spread = true,
                 _ => spec.zone = Some(ZoneId::new(ZONES[(seed + n) as usize % 3])),
             }
-            world.submit(n as usize % NODES, spec);
+            world.submit(n as usize % CONTROLLERS, spec);
         }
         wait_until(&mut world, 60_000, "the jobs", |w| w.running.len() > 300);
         run_for(&mut world, 300 * (seed % 5));
@@ -160,7 +160,7 @@
     for seed in 40..46u64 {
         let mut world = region(seed, 16);
         run_for(&mut world, 4_000);
-        let inside = seed as usize % NODES;
+        let inside = seed as usize % CONTROLLERS;
         let zone = ZoneId::new(ZONES[inside]);
         let mut cancelled = Vec::new();
         for n in 0..6u64 {
@@ -171,7 +171,7 @@
                 1 => spec.spread = true,
                 _ => spec.one_zone = true,
             }
-            let job = world.submit(n as usize % NODES, spec);
+            let job = world.submit(n as usize % CONTROLLERS, spec);
             if n < 2 {
                 cancelled.push(job);
             }
@@ -182,11 +182,11 @@
         });
         let until = world.now.plus([14_000, 35_000, 70_000][seed as usize % 3]);
         world.set_apart(inside, until, seed % 2 == 0);
-        for outside in (0..NODES).filter(|node| *node != inside) {
+        for outside in (0..CONTROLLERS).filter(|controller| *controller != inside) {
             world.troubles.cuts.insert(outside, (until, Some(zone.clone())));
         }
         run_for(&mut world, 1_500 * (seed % 4) + 50);
-        let outside = (inside + 1) % NODES;
+        let outside = (inside + 1) % CONTROLLERS;
         for job in &cancelled {
             withdraw(&mut world, outside, job);
         }
--- a/crates/cleatfold-fakes/src/worker.rs
+++ b/crates/cleatfold-fakes/src/worker.rs
@@ -27,9 +27,9 @@
     pub memory_gb: f64,
     pub lease_ms: u64,
     pub fetch_ms: u64,
-    pub session: u64,
+    pub agent_epoch: u64,
     pub seq: u64,
-    pub token: Token,
+    pub token: FencingToken,
     pub tasks: BTreeMap<(TaskId, Attempt), Task>,
     /// Those of its tasks that are members of elastic jobs and run.
     pub members: BTreeMap<(TaskId, Attempt), Member>,
@@ -60,9 +60,9 @@
             memory_gb: 32.0,
             lease_ms: 10_000,
             fetch_ms: 500,
-            session: 1,
+            agent_epoch: 1,
             seq: 0,
-            token: Token(0),
+            token: FencingToken(0),
             tasks: BTreeMap::new(),
             members: BTreeMap::new(),
             endpoint: None,
@@ -79,7 +79,7 @@
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: Session(self.session),
+            agent_epoch: AgentEpoch(self.agent_epoch),
             seq: Seq(self.seq),
             token: self.token,
             notice_s: None,
@@ -102,17 +102,17 @@
         }
     }
 
-    /// The answer to the report sent at `sent` in `session`, executed at `now`. `job` finds a
+    /// The answer to the report sent at `sent` in `agent_epoch`, executed at `now`. `job` finds a
     /// submitted job and how long its task runs.
     pub fn answer(
         &mut self,
         now: Ms,
         sent: Ms,
-        session: u64,
+        agent_epoch: u64,
         reply: &ReportReply,
         job: impl Fn(&TaskId) -> Option<(JobSpec, u64, bool)>,
     ) -> Vec<Happening> {
-        if session != self.session || reply.token < self.token {
+        if agent_epoch != self.agent_epoch || reply.token < self.token {
             return Vec::new();
         }
         self.token = reply.token;
@@ -127,7 +127,7 @@
         orders: &Orders,
         job: impl Fn(&TaskId) -> Option<(JobSpec, u64, bool)>,
     ) -> Option<Vec<Happening>> {
-        if orders.token < self.token || orders.session.0 != self.session {
+        if orders.token < self.token || orders.agent_epoch.0 != self.agent_epoch {
             return None;
         }
         self.token = orders.token;
@@ -240,7 +240,7 @@
         self.images.waiting.clear();
         let tasks = std::mem::take(&mut self.tasks).into_iter().filter(|(_, t)| t.exit.is_none());
         let lost = tasks.map(|((task, _), _)| Happening::Dropped(task)).collect();
-        self.session += 1;
+        self.agent_epoch += 1;
         self.renewed = now;
         lost
     }
--- a/crates/cleatfold-priority/tests/explored.rs
+++ b/crates/cleatfold-priority/tests/explored.rs
@@ -50,7 +50,7 @@
 
 /// What a controller has read, and remembers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-struct Node {
+struct Controller {
     token: Option<u64>,
     place: Place,
     claims: u64,
@@ -64,7 +64,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct State {
-    nodes: [Node; 2],
+    controllers: [Controller; 2],
     owner: Option<usize>,
     token: u64,
     place: Place,
@@ -97,15 +97,17 @@
 }
 
 /// Whether the room that a node has read stands, by the service's own rule.
-fn stands(node: &Node) -> bool {
-    let urgent_has = node.place == Place::Urgent;
+fn stands(controller: &Controller) -> bool {
+    let urgent_has = controller.place == Place::Urgent;
     let seen = Seen { waits: u32::from(!urgent_has), here: u32::from(urgent_has), wall_ms: 0 };
-    node.made > 0 && record().rooms[0].stands(seen)
+    controller.made > 0 && record().rooms[0].stands(seen)
 }
 
-fn barred(node: &Node, g: Guards) -> bool {
+fn barred(controller: &Controller, g: Guards) -> bool {
     let other = JobId::new("other");
-    g.keep && stands(node) && record().rooms[0].bars(Urgency::Critical, &other, Urgency::BestEffort)
+    g.keep
+        && stands(controller)
+        && record().rooms[0].bars(Urgency::Critical, &other, Urgency::BestEffort)
 }
 
 fn step(s: &State, g: Guards) -> Vec<State> {
@@ -117,61 +119,61 @@
             t.token += 1;
             t.owner = Some(n);
             // It has read all that stood when it got the pool, and remembers nothing.
-            t.nodes[n] = Node {
+            t.controllers[n] = Controller {
                 token: Some(t.token),
                 place: s.place,
                 claims: s.claims,
                 made: s.made,
-                ..Node::default()
+                ..Controller::default()
             };
             next.push(t);
         }
-        let node = s.nodes[n];
+        let controller = s.controllers[n];
         // It reads.
-        let read = Node { place: s.place, claims: s.claims, made: s.made, ..node };
-        if read != node {
+        let read = Controller { place: s.place, claims: s.claims, made: s.made, ..controller };
+        if read != controller {
             let mut t = s.clone();
-            t.nodes[n] = read;
+            t.controllers[n] = read;
             next.push(t);
         }
         // Or reads that the pool is another's.
-        if node.token.is_some_and(|k| k < s.token) {
+        if controller.token.is_some_and(|k| k < s.token) {
             let mut t = s.clone();
-            t.nodes[n] = Node { token: None, ..read };
+            t.controllers[n] = Controller { token: None, ..read };
             next.push(t);
         }
-        let Some(token) = node.token else { continue };
+        let Some(token) = controller.token else { continue };
         // It plans: the urgent one wants the place.
-        let coming = node.asked || (g.count && stands(&node));
-        if node.place == Place::Old && !coming {
+        let coming = controller.asked || (g.count && stands(&controller));
+        if controller.place == Place::Old && !coming {
             let mut t = s.clone();
-            t.nodes[n].asked = true;
-            t.ways.insert((n, Way::Write { token, seen: node.made }));
+            t.controllers[n].asked = true;
+            t.ways.insert((n, Way::Write { token, seen: controller.made }));
             if !g.durable_first {
                 t.ways.insert((n, Way::Stop));
             }
             next.push(t);
         }
         // What a former owner was making it goes on making; its own it tells once it is durable.
-        if stands(&node) && node.place == Place::Old && node.told != token {
+        if stands(&controller) && controller.place == Place::Old && controller.told != token {
             let mut t = s.clone();
-            t.nodes[n].told = token;
+            t.controllers[n].told = token;
             t.ways.insert((n, Way::Stop));
             next.push(t);
         }
         // The exit is recorded by the owner, whose worker reports it.
-        if s.left && node.place == Place::Old && s.place == Place::Old && s.owner == Some(n) {
+        if s.left && controller.place == Place::Old && s.place == Place::Old && s.owner == Some(n) {
             let mut t = s.clone();
             t.place = Place::Free;
             t.claims += 1;
-            (t.nodes[n].place, t.nodes[n].claims) = (t.place, t.claims);
+            (t.controllers[n].place, t.controllers[n].claims) = (t.place, t.claims);
             next.push(t);
         }
-        if node.place == Place::Free {
+        if controller.place == Place::Free {
             // The first that is not barred is claimed for. That the urgent one was not sent here, or is
             // not considered for another reason, is part of the play: only the room's record makes sure.
-            let seen = node.claims;
-            let whos = match barred(&node, g) {
+            let seen = controller.claims;
+            let whos = match barred(&controller, g) {
                 true => vec![Place::Urgent],
                 false => vec![Place::Urgent, Place::Low],
             };
@@ -198,8 +200,8 @@
                     if t.rooms > 1 {
                         t.broken.insert("room was made twice for one need");
                     }
-                    if s.nodes[n].token == Some(token) {
-                        t.nodes[n].made = t.made;
+                    if s.controllers[n].token == Some(token) {
+                        t.controllers[n].made = t.made;
                     }
                 }
             }
--- a/crates/cleatfold-reachability/src/letting.rs
+++ b/crates/cleatfold-reachability/src/letting.rs
@@ -6,7 +6,7 @@
 //! becomes of it: sent away by the others it is back in a moment and still unserved; served, it does not come
 //! back, or with a higher token.
 
-use cleatfold_wire::{MachineId, Ms, NodeId, PoolId};
+use cleatfold_wire::{ControllerId, MachineId, Ms, PoolId};
 use std::collections::BTreeMap;
 
 /// The way to another controller and back (PROTOCOL: half a second to go where it is sent), and a moment
@@ -46,7 +46,7 @@
 pub enum Answer {
     Keep,
     /// To this controller, or to whichever it finds.
-    LetGo(Option<NodeId>),
+    LetGo(Option<ControllerId>),
 }
 
 impl Letting {
@@ -73,7 +73,7 @@
         pool: &PoolId,
         machine: &MachineId,
         idle: bool,
-        peers: &[NodeId],
+        peers: &[ControllerId],
         now: Ms,
     ) -> Answer {
         if peers.is_empty() {
--- a/crates/cleatfold-reachability/src/lib.rs
+++ b/crates/cleatfold-reachability/src/lib.rs
@@ -18,7 +18,7 @@
 pub use standing::Standing;
 pub use strays::{Came, Strays};
 
-use cleatfold_wire::{MachineId, Ms, NodeId, ZoneId};
+use cleatfold_wire::{ControllerId, MachineId, Ms, ZoneId};
 use std::collections::BTreeMap;
 
 /// Who has heard of a zone so much later than its owner reaches what that does not. Covers the way
@@ -86,22 +86,34 @@
     }
 
     /// A zone's workers left a controller that was alive, and another took them over.
-    pub fn left(&mut self, node: &NodeId, zone: &ZoneId, now: Ms) {
-        self.standing.left(node, zone, now);
+    pub fn left(&mut self, controller: &ControllerId, zone: &ZoneId, now: Ms) {
+        self.standing.left(controller, zone, now);
     }
 
-    fn of_zone(&self, me: &NodeId, node: &NodeId, zone: &ZoneId, now: Ms) -> Option<Hears> {
-        if node == me {
+    fn of_zone(
+        &self,
+        me: &ControllerId,
+        controller: &ControllerId,
+        zone: &ZoneId,
+        now: Ms,
+    ) -> Option<Hears> {
+        if controller == me {
             let contact = self.zones.get(zone);
             return contact.map(|c| Hears { at: c.heard_at(), lost: c.is_lost() });
         }
-        self.peers.of_zone(node, zone, now)
+        self.peers.of_zone(controller, zone, now)
     }
 
     /// Whether a share of the zone's machines may be given to the controller.
-    pub fn may_hold(&self, me: &NodeId, node: &NodeId, zone: &ZoneId, now: Ms) -> bool {
-        let lost = self.of_zone(me, node, zone, now).is_some_and(|h| h.lost);
-        !lost && !self.standing.is_shunned(node, zone, now)
+    pub fn may_hold(
+        &self,
+        me: &ControllerId,
+        controller: &ControllerId,
+        zone: &ZoneId,
+        now: Ms,
+    ) -> bool {
+        let lost = self.of_zone(me, controller, zone, now).is_some_and(|h| h.lost);
+        !lost && !self.standing.is_shunned(controller, zone, now)
     }
 
     /// Whether `other` reaches the zone's workers where `owner`, a live controller, does not: it has heard of
@@ -110,9 +122,9 @@
     /// gave them up.)
     pub fn reaches_instead(
         &self,
-        me: &NodeId,
-        other: &NodeId,
-        owner: &NodeId,
+        me: &ControllerId,
+        other: &ControllerId,
+        owner: &ControllerId,
         zone: &ZoneId,
         now: Ms,
     ) -> bool {
--- a/crates/cleatfold-reachability/src/peers.rs
+++ b/crates/cleatfold-reachability/src/peers.rs
@@ -1,6 +1,6 @@
 //! What is heard of the other controllers, and what they say of themselves.
 
-use cleatfold_wire::{Ms, NodeId, ZoneId};
+use cleatfold_wire::{ControllerId, Ms, ZoneId};
 use std::collections::BTreeMap;
 
 /// What a peer says of itself is forgotten after so long.
@@ -29,34 +29,34 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
-    peers: BTreeMap<NodeId, Peer>,
+    peers: BTreeMap<ControllerId, Peer>,
 }
 
 impl Peers {
-    fn peer(&mut self, node: &NodeId) -> &mut Peer {
-        self.peers.entry(node.clone()).or_default()
+    fn peer(&mut self, controller: &ControllerId) -> &mut Peer {
+        self.peers.entry(controller.clone()).or_default()
     }
 
-    pub fn heard_of(&mut self, node: &NodeId, now: Ms) {
-        self.peer(node).heard = Some(now);
+    pub fn heard_of(&mut self, controller: &ControllerId, now: Ms) {
+        self.peer(controller).heard = Some(now);
     }
 
     /// It read the state service at that moment.
-    pub fn read(&mut self, node: &NodeId, at: Ms) {
-        self.peer(node).contact = Some(at);
+    pub fn read(&mut self, controller: &ControllerId, at: Ms) {
+        self.peer(controller).contact = Some(at);
     }
 
-    pub fn hears(&mut self, node: &NodeId, zones: BTreeMap<ZoneId, Hears>, now: Ms) {
-        self.peer(node).zones = Some((now, zones));
+    pub fn hears(&mut self, controller: &ControllerId, zones: BTreeMap<ZoneId, Hears>, now: Ms) {
+        self.peer(controller).zones = Some((now, zones));
     }
 
-    pub fn heard(&self, node: &NodeId) -> Option<Ms> {
-        self.peers.get(node).and_then(|p| p.heard)
+    pub fn heard(&self, controller: &ControllerId) -> Option<Ms> {
+        self.peers.get(controller).and_then(|p| p.heard)
     }
 
     /// When it last read the state service, by its own word.
-    pub fn contact(&self, node: &NodeId) -> Option<Ms> {
-        self.peers.get(node).and_then(|p| p.contact)
+    pub fn contact(&self, controller: &ControllerId) -> Option<Ms> {
+        self.peers.get(controller).and_then(|p| p.contact)
     }
 
     /// Some peer was heard of within the last `ms`.
@@ -70,8 +70,8 @@
     }
 
     /// What it has said lately of the zone's workers.
-    pub fn of_zone(&self, node: &NodeId, zone: &ZoneId, now: Ms) -> Option<Hears> {
-        let (at, zones) = self.peers.get(node)?.zones.as_ref()?;
+    pub fn of_zone(&self, controller: &ControllerId, zone: &ZoneId, now: Ms) -> Option<Hears> {
+        let (at, zones) = self.peers.get(controller)?.zones.as_ref()?;
         zones.get(zone).filter(|_| now.since(*at) <= SAID_MS).copied()
     }
 
--- a/crates/cleatfold-reachability/src/standing.rs
+++ b/crates/cleatfold-reachability/src/standing.rs
@@ -1,6 +1,6 @@
 //! Controllers whose workers left them.
 
-use cleatfold_wire::{Ms, NodeId, ZoneId};
+use cleatfold_wire::{ControllerId, Ms, ZoneId};
 use std::collections::BTreeMap;
 
 const FIRST_MS: u64 = 15_000;
@@ -18,12 +18,12 @@
 /// it again, every ten seconds for as long as the cut lasted.)
 #[derive(Clone, Debug, Default)]
 pub struct Standing {
-    left: BTreeMap<(NodeId, ZoneId), Left>,
+    left: BTreeMap<(ControllerId, ZoneId), Left>,
 }
 
 impl Standing {
-    pub fn left(&mut self, node: &NodeId, zone: &ZoneId, now: Ms) {
-        let key = (node.clone(), zone.clone());
+    pub fn left(&mut self, controller: &ControllerId, zone: &ZoneId, now: Ms) {
+        let key = (controller.clone(), zone.clone());
         let known = self.left.get(&key).copied();
         let pause_ms = match known {
             // Another pool of the zone, a moment later: the same occasion.
@@ -36,8 +36,8 @@
         self.left.insert(key, Left { at: now, pause_ms });
     }
 
-    pub fn is_shunned(&self, node: &NodeId, zone: &ZoneId, now: Ms) -> bool {
-        let key = (node.clone(), zone.clone());
+    pub fn is_shunned(&self, controller: &ControllerId, zone: &ZoneId, now: Ms) -> bool {
+        let key = (controller.clone(), zone.clone());
         self.left.get(&key).is_some_and(|l| now.since(l.at) < l.pause_ms)
     }
 }
--- a/crates/cleatfold-reachability/src/strays.rs
+++ b/crates/cleatfold-reachability/src/strays.rs
@@ -1,6 +1,6 @@
 //! Workers that come here in vain, since they cannot get through to their pool's owner.
 
-use cleatfold_wire::{MachineId, Ms, NodeId, PoolId, Seq, Session, Token};
+use cleatfold_wire::{AgentEpoch, ControllerId, FencingToken, MachineId, Ms, PoolId, Seq};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How a worker that cannot reach its owner shows: it comes to us again and again.
@@ -29,8 +29,8 @@
 #[derive(Clone, Debug)]
 struct Question {
     machine: MachineId,
-    number: (Session, Seq),
-    owner: NodeId,
+    number: (AgentEpoch, Seq),
+    owner: ControllerId,
     at: Ms,
 }
 
@@ -38,15 +38,15 @@
 pub struct Strays {
     came: BTreeMap<MachineId, (PoolId, VecDeque<Ms>)>,
     /// Under which token each pool was last seen, and since when.
-    tokens: BTreeMap<PoolId, (Token, Ms)>,
+    tokens: BTreeMap<PoolId, (FencingToken, Ms)>,
     asked: BTreeMap<PoolId, Question>,
     /// What each machine said when it was last found astray by its own word.
-    astray: BTreeMap<MachineId, (Session, Seq, Ms)>,
+    astray: BTreeMap<MachineId, (AgentEpoch, Seq, Ms)>,
 }
 
 impl Strays {
     /// A pool was read to be under this token.
-    pub fn see_token(&mut self, pool: &PoolId, token: Token, now: Ms) {
+    pub fn see_token(&mut self, pool: &PoolId, token: FencingToken, now: Ms) {
         match self.tokens.get_mut(pool) {
             Some(seen) if seen.0 == token => {}
             Some(seen) => *seen = (token, now),
@@ -73,10 +73,10 @@
     /// controller to the next.)
     pub fn came(
         &mut self,
-        (machine, number): (&MachineId, (Session, Seq)),
+        (machine, number): (&MachineId, (AgentEpoch, Seq)),
         pool: &PoolId,
         machines: usize,
-        (owner, heard): (&NodeId, Option<Ms>),
+        (owner, heard): (&ControllerId, Option<Ms>),
         lease_ms: u64,
         now: Ms,
     ) -> Came {
@@ -120,23 +120,23 @@
     pub fn answered(
         &mut self,
         machine: &MachineId,
-        said: Option<(Session, Seq)>,
-        hears: impl Fn(&PoolId, &NodeId) -> bool,
+        said: Option<(AgentEpoch, Seq)>,
+        hears: impl Fn(&PoolId, &ControllerId) -> bool,
         now: Ms,
-    ) -> Option<(PoolId, NodeId)> {
+    ) -> Option<(PoolId, ControllerId)> {
         let pool = self.asked.iter().find(|(_, q)| q.machine == *machine)?.0.clone();
         let question = self.asked.get(&pool)?.clone();
-        let (session, seq) = said?;
+        let (agent_epoch, seq) = said?;
         let after = seq.0.checked_sub(question.number.1 .0);
-        let same = session == question.number.0 && after.is_some_and(|n| n <= MESSAGES);
+        let same = agent_epoch == question.number.0 && after.is_some_and(|n| n <= MESSAGES);
         if !same || now.since(question.at) > 2 * ASK_MS {
             return None;
         }
         let number = question.number;
-        let before = self.astray.insert(machine.clone(), (session, seq, now));
+        let before = self.astray.insert(machine.clone(), (agent_epoch, seq, now));
         self.astray.retain(|_, a| now.since(a.2) <= WINDOW_MS);
-        let again = before.is_some_and(|(session, seq, at)| {
-            number > (session, seq) && now.since(at) <= WINDOW_MS
+        let again = before.is_some_and(|(agent_epoch, seq, at)| {
+            number > (agent_epoch, seq) && now.since(at) <= WINDOW_MS
         });
         if !again && hears(&pool, &question.owner) {
             return None;
--- a/crates/cleatfold-reachability/tests/hearing.rs
+++ b/crates/cleatfold-reachability/tests/hearing.rs
@@ -82,8 +82,8 @@
     PoolId::parse("small/a").expect("a pool")
 }
 
-fn peers() -> Vec<NodeId> {
-    vec![NodeId::new("n1"), NodeId::new("n2")]
+fn peers() -> Vec<ControllerId> {
+    vec![ControllerId::new("n1"), ControllerId::new("n2")]
 }
 
 /// Alone cut off, others serve its pools: all workers are let go some seconds later.
--- a/crates/cleatfold-reachability/tests/reach.rs
+++ b/crates/cleatfold-reachability/tests/reach.rs
@@ -1,15 +1,15 @@
 //! Who reaches whom, against a world in which it is known what is cut and what is dead.
 
 use cleatfold_reachability::{Came, Hears, Reach, Standing, Strays, Timing};
-use cleatfold_wire::{MachineId, Ms, NodeId, PoolId, Seq, Session, Token, ZoneId};
+use cleatfold_wire::{AgentEpoch, ControllerId, FencingToken, MachineId, Ms, PoolId, Seq, ZoneId};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-const NODES: usize = 3;
+const CONTROLLERS: usize = 3;
 const MACHINES: usize = 6;
 
-fn node(i: usize) -> NodeId {
-    NodeId::new(format!("n{i}"))
+fn controller(i: usize) -> ControllerId {
+    ControllerId::new(format!("n{i}"))
 }
 fn machine(i: usize) -> MachineId {
     MachineId::new(format!("vm-{i:06}"))
@@ -24,7 +24,7 @@
 impl World {
     fn new() -> Self {
         let timing = Timing { report_ms: 1000 };
-        Self { views: (0..NODES).map(|_| Reach::new(timing)).collect(), now: Ms(1000) }
+        Self { views: (0..CONTROLLERS).map(|_| Reach::new(timing)).collect(), now: Ms(1000) }
     }
 
     /// `reached` says which machines a controller reaches.
@@ -34,7 +34,7 @@
         while self.now < until {
             self.now = self.now.plus(500);
             let now = self.now;
-            for i in 0..NODES {
+            for i in 0..CONTROLLERS {
                 let reports = i == 0 && (0..MACHINES).any(|m| reached(0, m));
                 if reports && now.0.is_multiple_of(1000) {
                     self.views[i].heard(&zone, now);
@@ -48,8 +48,8 @@
                 if now.0.is_multiple_of(1000) {
                     let told: BTreeMap<ZoneId, Hears> =
                         self.views[i].hears().map(|(z, h)| (z.clone(), h)).collect();
-                    for j in (0..NODES).filter(|j| *j != i) {
-                        self.views[j].peers.hears(&node(i), told.clone(), now);
+                    for j in (0..CONTROLLERS).filter(|j| *j != i) {
+                        self.views[j].peers.hears(&controller(i), told.clone(), now);
                     }
                 }
             }
@@ -59,7 +59,13 @@
     /// Whether this controller sees that another one reaches what the first does not.
     fn sees(&self, me: usize, other: usize) -> bool {
         let zone = ZoneId::new("a");
-        self.views[me].reaches_instead(&node(me), &node(other), &node(0), &zone, self.now)
+        self.views[me].reaches_instead(
+            &controller(me),
+            &controller(other),
+            &controller(0),
+            &zone,
+            self.now,
+        )
     }
 }
 
@@ -70,7 +76,7 @@
     world.run(20_000, |_, _| true);
     for _ in 0..60 {
         world.run(500, |_, _| false);
-        for me in 0..NODES {
+        for me in 0..CONTROLLERS {
             assert!(!world.sees(me, 1) && !world.sees(me, 2), "at {:?}", world.now);
         }
     }
@@ -80,14 +86,24 @@
 fn a_cut_controller_is_known_by_all_within_seven_seconds() {
     let mut world = World::new();
     world.run(20_000, |_, _| true);
-    world.run(7_000, |node, _| node != 0);
-    for me in 0..NODES {
+    world.run(7_000, |controller, _| controller != 0);
+    for me in 0..CONTROLLERS {
         assert!(world.sees(me, 1) || world.sees(me, 2), "controller {me}");
-        assert!(!world.views[me].may_hold(&node(me), &node(0), &ZoneId::new("a"), world.now));
+        assert!(!world.views[me].may_hold(
+            &controller(me),
+            &controller(0),
+            &ZoneId::new("a"),
+            world.now
+        ));
     }
     world.run(5_000, |_, _| true);
-    for me in 0..NODES {
-        assert!(world.views[me].may_hold(&node(me), &node(0), &ZoneId::new("a"), world.now));
+    for me in 0..CONTROLLERS {
+        assert!(world.views[me].may_hold(
+            &controller(me),
+            &controller(0),
+            &ZoneId::new("a"),
+            world.now
+        ));
     }
 }
 
@@ -99,27 +115,33 @@
     world.views[0].stood_still(now);
     assert!(world.views[0].hears().all(|(_, h)| !h.lost && h.at == now));
     let zone = ZoneId::new("a");
-    assert!(!world.views[0].reaches_instead(&node(0), &node(1), &node(0), &zone, now));
+    assert!(!world.views[0].reaches_instead(
+        &controller(0),
+        &controller(1),
+        &controller(0),
+        &zone,
+        now
+    ));
 }
 
 proptest! {
     /// Whatever machines are dead, nobody is taken for better than an owner that hears of the zone; and
     /// fewer than three dead ones never make a controller look cut.
     #[test]
-    fn dead_machines_do_not_make_a_cut(dead in prop::collection::vec(any::<bool>(), MACHINES), cut in 0usize..NODES) {
+    fn dead_machines_do_not_make_a_cut(dead in prop::collection::vec(any::<bool>(), MACHINES), cut in 0usize..CONTROLLERS) {
         let alive = |m: usize| !dead[m];
         let mut world = World::new();
         world.run(15_000, |_, _| true);
-        world.run(30_000, |node, m| alive(m) && (node != cut || cut == 0));
+        world.run(30_000, |controller, m| alive(m) && (controller != cut || cut == 0));
         let zone = ZoneId::new("a");
         let few = dead.iter().filter(|d| **d).count() < 3;
-        for me in 0..NODES {
-            for other in 1..NODES {
+        for me in 0..CONTROLLERS {
+            for other in 1..CONTROLLERS {
                 let sees = world.sees(me, other);
                 prop_assert!(!sees, "nobody is better than the owner here");
             }
             if few && (me != cut || cut == 0) {
-                prop_assert!(world.views[me].may_hold(&node(me), &node(me), &zone, world.now));
+                prop_assert!(world.views[me].may_hold(&controller(me), &controller(me), &zone, world.now));
             }
         }
     }
@@ -131,10 +153,10 @@
         let zone = ZoneId::new("a");
         for gap in gaps {
             now = now.plus(gap);
-            standing.left(&node(0), &zone, now);
-            prop_assert!(standing.is_shunned(&node(0), &zone, now));
-            prop_assert!(!standing.is_shunned(&node(1), &zone, now));
-            prop_assert!(!standing.is_shunned(&node(0), &zone, now.plus(240_000)));
+            standing.left(&controller(0), &zone, now);
+            prop_assert!(standing.is_shunned(&controller(0), &zone, now));
+            prop_assert!(!standing.is_shunned(&controller(1), &zone, now));
+            prop_assert!(!standing.is_shunned(&controller(0), &zone, now.plus(240_000)));
         }
     }
 }
@@ -143,10 +165,10 @@
 fn a_pool_comes_after_a_quarter_of_its_workers_that_came_twice_and_say_so_themselves() {
     let pool = PoolId::parse("small/a").expect("a pool");
     let mut strays = Strays::default();
-    let silent = |_: &PoolId, _: &NodeId| false;
-    strays.see_token(&pool, Token(7), Ms(1_000));
-    let owner = (&node(0), Some(Ms(19_000)));
-    let number = |n| (Session(1), Seq(n));
+    let silent = |_: &PoolId, _: &ControllerId| false;
+    strays.see_token(&pool, FencingToken(7), Ms(1_000));
+    let owner = (&controller(0), Some(Ms(19_000)));
+    let number = |n| (AgentEpoch(1), Seq(n));
     let came = |strays: &mut Strays, i, n, at| {
         strays.came((&machine(i), number(n)), &pool, 8, owner, 3_000, Ms(at))
     };
@@ -160,14 +182,17 @@
     // Gone, or deaf: no answer. A copy: it has long said more. In another session: what it said is over.
     assert_eq!(strays.answered(&machine(1), None, silent, Ms(19_700)), None);
     assert_eq!(strays.answered(&machine(1), Some(number(400)), silent, Ms(19_700)), None);
-    assert_eq!(strays.answered(&machine(1), Some((Session(2), Seq(42))), silent, Ms(19_700)), None);
+    assert_eq!(
+        strays.answered(&machine(1), Some((AgentEpoch(2), Seq(42))), silent, Ms(19_700)),
+        None
+    );
     assert_eq!(
         strays.answered(&machine(0), Some(number(8)), silent, Ms(19_700)),
         None,
         "not asked"
     );
     let moved = strays.answered(&machine(1), Some(number(42)), silent, Ms(19_700));
-    assert_eq!(moved, Some((pool.clone(), node(0))));
+    assert_eq!(moved, Some((pool.clone(), controller(0))));
     strays.arrived(&machine(0));
     assert_eq!(came(&mut strays, 2, 1, 19_700), Came::No);
 }
@@ -177,12 +202,12 @@
 /// moved pools 7 to 12 times a minute.)
 #[test]
 fn a_pool_stays_where_its_zone_is_heard_unless_a_worker_is_astray_twice() {
-    let (pool, owner) = (PoolId::parse("small/a").expect("a pool"), node(0));
-    let number = |n| (Session(1), Seq(n));
-    let (yes, no) = (|_: &PoolId, _: &NodeId| true, |_: &PoolId, _: &NodeId| false);
+    let (pool, owner) = (PoolId::parse("small/a").expect("a pool"), controller(0));
+    let number = |n| (AgentEpoch(1), Seq(n));
+    let (yes, no) = (|_: &PoolId, _: &ControllerId| true, |_: &PoolId, _: &ControllerId| false);
     let asked = |last: u64, at: u64| {
         let mut strays = Strays::default();
-        strays.see_token(&pool, Token(7), Ms(1_000));
+        strays.see_token(&pool, FencingToken(7), Ms(1_000));
         let heard = (&owner, Some(Ms(at)));
         for (n, at) in [(last - 1, at - 1_500), (last, at)] {
             strays.came((&machine(0), number(n)), &pool, 1, heard, 3_000, Ms(at));
--- a/crates/cleatfold-roles/src/roster.rs
+++ b/crates/cleatfold-roles/src/roster.rs
@@ -6,7 +6,7 @@
 
 use crate::duty::Duty;
 use crate::vacancies::Vacancies;
-use cleatfold_wire::{Ms, NodeId};
+use cleatfold_wire::{ControllerId, Ms};
 use std::collections::BTreeSet;
 
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
 }
 
 /// The place of `me` among those who should hold the duty.
-pub fn rank(duty: Duty, me: &NodeId, live: &BTreeSet<NodeId>) -> usize {
+pub fn rank(duty: Duty, me: &ControllerId, live: &BTreeSet<ControllerId>) -> usize {
     let me = live.range(..me.clone()).count();
     let first = duty as usize % live.len().max(1);
     (me + live.len() - first) % live.len().max(1)
@@ -26,8 +26,8 @@
     pub fn see<'a>(
         &mut self,
         now: Ms,
-        me: &NodeId,
-        live: impl Iterator<Item = &'a NodeId>,
+        me: &ControllerId,
+        live: impl Iterator<Item = &'a ControllerId>,
         held: impl Fn(Duty) -> bool,
     ) {
         self.vacancies.see(now, me, live, Duty::ALL.iter(), |duty| held(*duty));
@@ -35,14 +35,24 @@
 
     /// A duty that is ours to take now: one that stands empty, or that was ours before we were
     /// restarted.
-    pub fn take(&mut self, now: Ms, me: &NodeId, was_mine: impl Fn(Duty) -> bool) -> Option<Duty> {
+    pub fn take(
+        &mut self,
+        now: Ms,
+        me: &ControllerId,
+        was_mine: impl Fn(Duty) -> bool,
+    ) -> Option<Duty> {
         let all = Duty::ALL.iter();
-        let rank = |duty: &Duty, live: &BTreeSet<NodeId>| rank(*duty, me, live);
+        let rank = |duty: &Duty, live: &BTreeSet<ControllerId>| rank(*duty, me, live);
         self.vacancies.take(now, 1, all, rank, |duty| was_mine(*duty)).pop()
     }
 
     /// A duty of ours that should go back to its first controller now.
-    pub fn give(&mut self, now: Ms, me: &NodeId, mine: impl Fn(Duty) -> bool) -> Option<Duty> {
+    pub fn give(
+        &mut self,
+        now: Ms,
+        me: &ControllerId,
+        mine: impl Fn(Duty) -> bool,
+    ) -> Option<Duty> {
         // Dealing stays: whoever deals knows what it has just dealt.
         let mine = Duty::ALL.iter().filter(|d| **d != Duty::Deal && mine(**d));
         self.vacancies.give(now, mine, |duty, live| rank(*duty, me, live))
--- a/crates/cleatfold-roles/src/vacancies.rs
+++ b/crates/cleatfold-roles/src/vacancies.rs
@@ -5,7 +5,7 @@
 //! is listed but does nothing. A thing stays where it is; to its first controller it goes only after
 //! all has been quiet, one at a time.
 
-use cleatfold_wire::{Ms, NodeId};
+use cleatfold_wire::{ControllerId, Ms};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How much longer the next controller waits before it takes what is vacant.
@@ -18,7 +18,7 @@
     /// Since when a thing has been seen without a holder.
     vacant: BTreeMap<K, Ms>,
     asked: BTreeSet<K>,
-    live: BTreeSet<NodeId>,
+    live: BTreeSet<ControllerId>,
     /// When somebody last came or went, or a thing of ours moved.
     moved: Ms,
 }
@@ -39,17 +39,17 @@
     pub fn see<'a, 'k>(
         &mut self,
         now: Ms,
-        me: &NodeId,
-        live: impl Iterator<Item = &'a NodeId>,
+        me: &ControllerId,
+        live: impl Iterator<Item = &'a ControllerId>,
         all: impl Iterator<Item = &'k K>,
         held: impl Fn(&K) -> bool,
     ) where
         K: 'k,
     {
-        let mut nodes: BTreeSet<NodeId> = live.cloned().collect();
-        nodes.insert(me.clone());
-        if nodes != self.live {
-            (self.live, self.moved) = (nodes, now);
+        let mut controllers: BTreeSet<ControllerId> = live.cloned().collect();
+        controllers.insert(me.clone());
+        if controllers != self.live {
+            (self.live, self.moved) = (controllers, now);
         }
         for thing in all {
             if held(thing) {
@@ -60,7 +60,7 @@
         }
     }
 
-    pub fn live(&self) -> &BTreeSet<NodeId> {
+    pub fn live(&self) -> &BTreeSet<ControllerId> {
         &self.live
     }
 
@@ -70,7 +70,7 @@
         now: Ms,
         most: usize,
         all: impl Iterator<Item = &'k K>,
-        rank: impl Fn(&K, &BTreeSet<NodeId>) -> usize,
+        rank: impl Fn(&K, &BTreeSet<ControllerId>) -> usize,
         was_mine: impl Fn(&K) -> bool,
     ) -> Vec<K>
     where
@@ -92,7 +92,7 @@
         &mut self,
         now: Ms,
         mut mine: impl Iterator<Item = &'k K>,
-        rank: impl Fn(&K, &BTreeSet<NodeId>) -> usize,
+        rank: impl Fn(&K, &BTreeSet<ControllerId>) -> usize,
     ) -> Option<K>
     where
         K: 'k,
--- a/crates/cleatfold-roles/tests/explored.rs
+++ b/crates/cleatfold-roles/tests/explored.rs
@@ -8,7 +8,7 @@
 use cleatfold_wire::{Ms, TypeId, Version, ZoneId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const NODES: usize = 2;
+const CONTROLLERS: usize = 2;
 /// How often the duty may change hands, and how many requests a controller may name.
 const HANDS: u64 = 2;
 const NAMES: u32 = 1;
@@ -31,7 +31,7 @@
 /// A write on its way.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Write {
-    node: usize,
+    controller: usize,
     life: u64,
     epoch: Version,
     record: Version,
@@ -40,7 +40,7 @@
 }
 
 #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
-struct Node {
+struct Controller {
     life: u64,
     duty: Option<(usize, Version)>,
     book: (Version, RentBook),
@@ -53,7 +53,7 @@
 
 #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct State {
-    nodes: [Node; NODES],
+    controllers: [Controller; CONTROLLERS],
     duty: Option<(usize, Version)>,
     book: (Version, RentBook),
     revision: u64,
@@ -74,7 +74,7 @@
         // Its holder's lease ends.
         next.push(State { duty: None, ..s.clone() });
     }
-    for n in 0..NODES {
+    for n in 0..CONTROLLERS {
         if s.duty.is_none() && s.hands < HANDS {
             let mut t = s.clone();
             t.revision += 1;
@@ -82,21 +82,23 @@
             t.duty = Some((n, Version(t.revision)));
             next.push(t);
         }
-        let node = &s.nodes[n];
-        if node.duty != s.duty || node.book != s.book {
+        let controller = &s.controllers[n];
+        if controller.duty != s.duty || controller.book != s.book {
             let mut t = s.clone();
-            (t.nodes[n].duty, t.nodes[n].book) = (s.duty, s.book.clone());
+            (t.controllers[n].duty, t.controllers[n].book) = (s.duty, s.book.clone());
             next.push(t);
         }
-        if n == 0 && node.life < 1 {
+        if n == 0 && controller.life < 1 {
             // Restarted: all it knew is gone, its writes and calls are still on their way.
             let mut t = s.clone();
-            t.nodes[n] = Node { life: node.life + 1, ..Node::default() };
+            t.controllers[n] = Controller { life: controller.life + 1, ..Controller::default() };
             next.push(t);
         }
-        let Some((_, epoch)) = node.duty.filter(|d| d.0 == n && !node.writing) else { continue };
+        let Some((_, epoch)) = controller.duty.filter(|d| d.0 == n && !controller.writing) else {
+            continue;
+        };
         let mut t = s.clone();
-        let me = &mut t.nodes[n];
+        let me = &mut t.controllers[n];
         let coming = me.desk.coming(&me.book.1).count();
         let has = me.machines > 0 || (g.count_intents && coming > 0);
         let new: Vec<Intent> = (!has && me.named < NAMES)
@@ -119,7 +121,7 @@
                 t.calls.extend(step.calls.iter().map(|i| (n, life, i.name.clone())));
             }
             let (book, calls) = (step.book, step.calls);
-            t.writes.insert(Write { node: n, life, epoch, record: known.0, book, calls });
+            t.writes.insert(Write { controller: n, life, epoch, record: known.0, book, calls });
             next.push(t);
         }
     }
@@ -136,19 +138,19 @@
                 t.broken.insert("a former holder wrote");
             }
         }
-        let same_life = s.nodes[write.node].life == write.life;
+        let same_life = s.controllers[write.controller].life == write.life;
         let mut lost = t.clone();
         if same_life {
-            let me = &mut t.nodes[write.node];
+            let me = &mut t.controllers[write.controller];
             me.writing = false;
             if done {
                 me.book = t.book.clone();
                 me.desk.called(&write.calls);
                 let names = write.calls.iter().map(|i| i.name.clone());
-                t.calls.extend(names.map(|name| (write.node, write.life, name)));
+                t.calls.extend(names.map(|name| (write.controller, write.life, name)));
             }
             // Or its answer is lost: the outcome is read.
-            lost.nodes[write.node].writing = false;
+            lost.controllers[write.controller].writing = false;
             next.push(lost);
         }
         next.push(t);
@@ -164,8 +166,8 @@
         if t.rented.values().sum::<u32>() > 1 {
             t.broken.insert("rented twice for one need");
         }
-        if s.nodes[*n].life == *life {
-            let me = &mut t.nodes[*n];
+        if s.controllers[*n].life == *life {
+            let me = &mut t.controllers[*n];
             me.desk.answered(name, Answer::Given, Ms(0));
             me.machines = 1;
         }
--- a/crates/cleatfold-testbed/src/capacity/hollow.rs
+++ b/crates/cleatfold-testbed/src/capacity/hollow.rs
@@ -77,7 +77,7 @@
 /// What all hollow workers of a run share.
 #[derive(Clone)]
 pub struct Setup {
-    pub controllers: Vec<(NodeId, String)>,
+    pub controllers: Vec<(ControllerId, String)>,
     pub traffic: Arc<Traffic>,
     pub counters: Arc<Counters>,
     pub report_s: f64,
@@ -184,7 +184,7 @@
 
 struct Report {
     sent: Ms,
-    session: u64,
+    agent_epoch: u64,
     exchange: Pin<Box<dyn Future<Output = Exchanged>>>,
 }
 
@@ -250,16 +250,16 @@
                     }
                     None => break,
                 },
-                (sent, session, exchanged) = answered(&mut self.report) => {
+                (sent, agent_epoch, exchanged) = answered(&mut self.report) => {
                     self.report = None;
                     self.connection = exchanged.0;
-                    self.reported(sent, session, exchanged.1);
+                    self.reported(sent, agent_epoch, exchanged.1);
                 }
                 _ = tokio::time::sleep_until(wake) => {}
             }
-            let before = self.worker.session;
+            let before = self.worker.agent_epoch;
             let happenings = self.worker.pass(self.now());
-            if self.worker.session > before {
+            if self.worker.agent_epoch > before {
                 self.setup.counters.sessions_lost.fetch_add(1, Relaxed);
             }
             self.tell(happenings);
@@ -305,13 +305,14 @@
             self.setup.counters.reconnects.fetch_add(1, Relaxed);
         }
         let exchange = Box::pin(exchange(self.connection.take(), address, body));
-        self.report = Some(Report { sent: self.now(), session: self.worker.session, exchange });
+        self.report =
+            Some(Report { sent: self.now(), agent_epoch: self.worker.agent_epoch, exchange });
         self.last_sent = Instant::now();
         let pause = self.setup.report_s * rand::rng().random_range(0.75..1.25);
         self.due = self.last_sent + Duration::from_secs_f64(pause);
     }
 
-    fn reported(&mut self, sent: Ms, session: u64, answer: Option<Answer>) {
+    fn reported(&mut self, sent: Ms, agent_epoch: u64, answer: Option<Answer>) {
         let counters = self.setup.counters.clone();
         match answer {
             Some((200, body)) => {
@@ -321,7 +322,7 @@
                 let (token, now) = (self.worker.token, self.now());
                 let traffic = self.setup.traffic.clone();
                 let find = |task: &TaskId| traffic.task(task).map(|(spec, ms)| (spec, ms, false));
-                let happenings = self.worker.answer(now, sent, session, &reply, find);
+                let happenings = self.worker.answer(now, sent, agent_epoch, &reply, find);
                 if self.worker.token > token {
                     self.report_soon();
                 }
@@ -366,7 +367,7 @@
 /// Waits for the answer to the report that is on its way; without one, forever.
 async fn answered(report: &mut Option<Report>) -> (Ms, u64, Exchanged) {
     match report {
-        Some(report) => (report.sent, report.session, report.exchange.as_mut().await),
+        Some(report) => (report.sent, report.agent_epoch, report.exchange.as_mut().await),
         None => std::future::pending().await,
     }
 }
--- a/crates/cleatfold-testbed/src/capacity/measure.rs
+++ b/crates/cleatfold-testbed/src/capacity/measure.rs
@@ -6,7 +6,7 @@
 use super::users::{User, UserEvent};
 use super::watch::{histogram, record, Recovery, Watch};
 use super::{usage, Plan, SizeRow};
-use crate::nodes::{counting_line, Layout, Nodes, OPERATOR_FILE};
+use crate::controllers::{counting_line, Controllers, Layout, OPERATOR_FILE};
 use cleatfold_clients::http::Http;
 use hdrhistogram::Histogram;
 use hyper::Method;
@@ -47,7 +47,7 @@
     plan: &'a Plan,
     workers: usize,
     starts_per_s: f64,
-    nodes: Nodes,
+    controllers: Controllers,
     users: JoinSet<()>,
     _lines: JoinSet<()>,
     hollow: Vec<HollowThread>,
@@ -128,8 +128,8 @@
             hollow.push(HollowThread::start(told)?);
             setups.push(setup);
         }
-        let fleet = hollow.iter().map(|h| h.to.clone()).collect();
-        let state = StateService::start(workers, plan.changes, fleet)?;
+        let inventory = hollow.iter().map(|h| h.to.clone()).collect();
+        let state = StateService::start(workers, plan.changes, inventory)?;
         let mesh: Vec<tokio::net::TcpListener> = bind(plan.controllers).await?;
         let mesh_entries: Vec<String> =
             mesh.iter().map(|l| Ok(l.local_addr()?.to_string())).collect::<Result<_>>()?;
@@ -141,20 +141,20 @@
             cluster: &cluster,
             mesh_entries: &mesh_entries,
         };
-        let mut nodes = Nodes::laid_out(scratch.0.clone(), plan.controllers, &layout)?;
+        let mut controllers = Controllers::laid_out(scratch.0.clone(), plan.controllers, &layout)?;
         let mesh_bytes = Arc::new(AtomicU64::new(0));
         let mut lines = JoinSet::new();
-        for (listener, to) in mesh.into_iter().zip(&nodes.mesh_addresses) {
+        for (listener, to) in mesh.into_iter().zip(&controllers.mesh_addresses) {
             lines.spawn_local(counting_line(listener, to.clone(), mesh_bytes.clone()));
         }
         for i in 0..plan.controllers {
-            nodes.start(i)?;
+            controllers.start(i)?;
         }
         let counters = Arc::new(Counters::default());
         let (events_to, events) = mpsc::unbounded_channel();
         for setup in setups {
             let _ = setup.send(Setup {
-                controllers: nodes.named(),
+                controllers: controllers.named(),
                 traffic: traffic.clone(),
                 counters: counters.clone(),
                 report_s: plan.report_s,
@@ -167,7 +167,7 @@
             plan,
             workers,
             starts_per_s,
-            nodes,
+            controllers,
             users: JoinSet::new(),
             _lines: lines,
             hollow,
@@ -195,7 +195,7 @@
     /// Waits until every controller is ready.
     async fn ready(&self) -> Result<()> {
         let since = Instant::now();
-        for address in &self.nodes.addresses {
+        for address in &self.controllers.addresses {
             let url = format!("http://{address}/ready");
             let timeout = Duration::from_secs(1);
             while !matches!(self.http.call(Method::GET, &url, None, timeout).await, Ok((200, _))) {
@@ -242,7 +242,7 @@
 
     /// Once a second: progress, and the bounds.
     fn look_after(&self, seconds: u32) -> Result<()> {
-        let pids: Vec<u32> = self.nodes.pids().into_iter().flatten().collect();
+        let pids: Vec<u32> = self.controllers.pids().into_iter().flatten().collect();
         if let Some(why) = usage::excess(&pids) {
             return Err(Error::other(why));
         }
@@ -283,7 +283,7 @@
         }
         self.tasks += u64::from(spec.tasks);
         self.watch.submitted(&spec);
-        let controllers = self.nodes.addresses.clone();
+        let controllers = self.controllers.addresses.clone();
         let user = User { http: self.http.clone(), controllers, spec, tell: self.tell.clone() };
         self.users.spawn_local(user.run());
     }
@@ -301,7 +301,7 @@
             hollow_cpu_s.push(thread.cpu_s().await);
         }
         let counters = &self.counters;
-        let pids = self.nodes.pids();
+        let pids = self.controllers.pids();
         Snapshot {
             state: self.state.look().await,
             at: Instant::now(),
@@ -325,7 +325,7 @@
 
     /// The controller that holds the leader's record.
     fn leader(&self, state: &StateSeen) -> usize {
-        let named = self.nodes.named();
+        let named = self.controllers.named();
         named.iter().position(|n| state.leader.contains(&format!("\"{}\"", n.0))).unwrap_or(0)
     }
 
@@ -339,9 +339,9 @@
     async fn kill_leader(&mut self, seen: &Snapshot, starts_per_s: f64) -> Result<Recovery> {
         let leader = self.leader(&seen.state);
         eprintln!("{} workers: the leader, controller {leader}, is killed", self.workers);
-        self.nodes.kill(leader);
+        self.controllers.kill(leader);
         let recovery = self.recovery(Instant::now(), starts_per_s).await?;
-        self.nodes.start(leader)?;
+        self.controllers.start(leader)?;
         self.pump(self.plan.warm_s / 2.0).await?;
         Ok(recovery)
     }
@@ -350,11 +350,11 @@
     async fn kill_all(&mut self, starts_per_s: f64) -> Result<Recovery> {
         eprintln!("{} workers: all controllers are killed", self.workers);
         for i in 0..self.plan.controllers {
-            self.nodes.kill(i);
+            self.controllers.kill(i);
         }
         let at = Instant::now();
         for i in 0..self.plan.controllers {
-            self.nodes.start(i)?;
+            self.controllers.start(i)?;
         }
         self.recovery(at, starts_per_s).await
     }
--- a/crates/cleatfold-testbed/src/capacity/state_service.rs
+++ b/crates/cleatfold-testbed/src/capacity/state_service.rs
@@ -74,7 +74,7 @@
     pub fn start(
         workers: usize,
         changes_per_s: f64,
-        fleet: Vec<mpsc::UnboundedSender<ToHollow>>,
+        inventory: Vec<mpsc::UnboundedSender<ToHollow>>,
     ) -> std::io::Result<Self> {
         let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
@@ -87,7 +87,7 @@
             let runtime = runtime.expect("a runtime");
             let local = tokio::task::LocalSet::new();
             local.block_on(&runtime, async move {
-                let mut actor = Actor::new(workers, changes_per_s, fleet);
+                let mut actor = Actor::new(workers, changes_per_s, inventory);
                 actor.populate(workers);
                 tokio::select! {
                     _ = stopped => {}
@@ -122,14 +122,14 @@
     changes_per_s: f64,
     /// Changes that may still be made now; at most those of a second.
     allowance: f64,
-    fleet: Vec<mpsc::UnboundedSender<ToHollow>>,
+    inventory: Vec<mpsc::UnboundedSender<ToHollow>>,
 }
 
 impl Actor {
     fn new(
         workers: usize,
         changes_per_s: f64,
-        fleet: Vec<mpsc::UnboundedSender<ToHollow>>,
+        inventory: Vec<mpsc::UnboundedSender<ToHollow>>,
     ) -> Self {
         let kind = MachineType {
             name: TypeId::new(MACHINE_TYPE),
@@ -152,7 +152,7 @@
             seen: StateSeen::default(),
             changes_per_s,
             allowance: changes_per_s,
-            fleet,
+            inventory,
         }
     }
 
@@ -272,7 +272,7 @@
             }
             ("POST", ["machines", "delete"]) => read(body, |names: Machines| {
                 self.cloud.delete(&names.machines);
-                for sender in &self.fleet {
+                for sender in &self.inventory {
                     let _ = sender.send(ToHollow::Remove(names.machines.clone()));
                 }
                 json(200, &())
@@ -328,7 +328,7 @@
                 spot: request.spot,
                 boot_s,
             };
-            let _ = self.fleet[i % self.fleet.len()].send(ToHollow::Add(worker));
+            let _ = self.inventory[i % self.inventory.len()].send(ToHollow::Add(worker));
         }
         json(200, &Machines { machines: names })
     }
--- a/crates/cleatfold-testbed/src/nodes.rs
+++ b/crates/cleatfold-testbed/src/controllers.rs
@@ -1,6 +1,6 @@
 //! Real controllers as child processes, and a line to one of them that holds packets.
 
-use cleatfold_wire::NodeId;
+use cleatfold_wire::ControllerId;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::path::{Path, PathBuf};
@@ -16,10 +16,10 @@
 
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
-pub struct Nodes {
+pub struct Controllers {
     program: PathBuf,
     dir: PathBuf,
-    ids: Vec<NodeId>,
+    ids: Vec<ControllerId>,
     /// Where users and workers reach them.
     pub addresses: Vec<String>,
     /// Where their mesh listeners are.
@@ -54,7 +54,7 @@
     pub mesh_entries: &'a [String],
 }
 
-impl Nodes {
+impl Controllers {
     /// Writes the settings of `count` controllers into `dir`; none runs yet.
     pub fn prepare(
         dir: PathBuf,
@@ -76,7 +76,8 @@
     /// Writes the settings of `count` controllers by a layout into `dir`; none runs yet.
     pub fn laid_out(dir: PathBuf, count: usize, layout: &Layout) -> std::io::Result<Self> {
         std::fs::create_dir_all(&dir)?;
-        let ids: Vec<NodeId> = (0..count).map(|i| NodeId::new(format!("lab-{i}"))).collect();
+        let ids: Vec<ControllerId> =
+            (0..count).map(|i| ControllerId::new(format!("lab-{i}"))).collect();
         let ports: Vec<(u16, u16)> =
             (0..count).map(|_| Ok((free_port()?, free_port()?))).collect::<std::io::Result<_>>()?;
         let mesh_addresses: Vec<String> =
@@ -112,7 +113,7 @@
         self.children.iter().map(|child| child.as_ref().map(Child::id)).collect()
     }
 
-    pub fn named(&self) -> Vec<(NodeId, String)> {
+    pub fn named(&self) -> Vec<(ControllerId, String)> {
         self.ids.iter().cloned().zip(self.addresses.iter().cloned()).collect()
     }
 
@@ -141,7 +142,7 @@
     }
 }
 
-impl Drop for Nodes {
+impl Drop for Controllers {
     fn drop(&mut self) {
         for i in 0..self.children.len() {
             self.kill(i);
--- a/crates/cleatfold-testbed/src/days.rs
+++ b/crates/cleatfold-testbed/src/days.rs
@@ -11,8 +11,8 @@
 
 #[derive(Clone, Debug, clap::Args)]
 pub struct Plan {
-    #[arg(long, default_value_t = 3, value_parser = count())]
-    pub nodes: usize,
+    #[arg(long = "nodes", default_value_t = 3, value_parser = count())]
+    pub controllers: usize,
     #[arg(long, default_value_t = 4, value_parser = count())]
     pub teams: usize,
     #[arg(long, default_value_t = 24, value_parser = count())]
@@ -59,17 +59,17 @@
 
 impl Plan {
     pub fn region(&self) -> Size {
-        let Plan { nodes, teams, machines, .. } = *self;
+        let Plan { controllers, teams, machines, .. } = *self;
         let usual = if self.scarce { Size::SCARCE } else { Size::SMALL };
         let boot_s = if self.fast_boots { Size::FAST_BOOT_S } else { usual.boot_s };
-        Size { nodes, teams, machines, boot_s, ..usual }
+        Size { controllers, teams, machines, boot_s, ..usual }
     }
 }
 
 impl Default for Plan {
     fn default() -> Self {
         Self {
-            nodes: 3,
+            controllers: 3,
             teams: 4,
             machines: 24,
             scarce: false,
--- a/crates/cleatfold-testbed/src/elastic.rs
+++ b/crates/cleatfold-testbed/src/elastic.rs
@@ -1,6 +1,6 @@
 //! The experiment of elastic jobs: a sweep grows and shrinks while renders arrive.
 
-use crate::nodes::{holding_line, Nodes, ZONES};
+use crate::controllers::{holding_line, Controllers, ZONES};
 use crate::region::{self, Seen, ToRegion};
 use cleatfold_clients::http::Http;
 use cleatfold_wire::cloud::MachineType;
@@ -103,7 +103,7 @@
 
 /// A region with running controllers.
 pub struct Up {
-    pub nodes: Nodes,
+    pub controllers: Controllers,
     pub region: mpsc::UnboundedSender<ToRegion>,
     pub http: Http,
     pub entries: Vec<String>,
@@ -118,17 +118,17 @@
     ) -> std::io::Result<Up> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?.to_string();
-        let mut nodes = Nodes::prepare(dir, count, &address, CHANGES_PER_S)?;
-        let mut named = nodes.named();
+        let mut controllers = Controllers::prepare(dir, count, &address, CHANGES_PER_S)?;
+        let mut named = controllers.named();
         if let Some(seed) = held {
             named[0].1 = holding_line(named[0].1.clone(), 0.2, seed).await?;
         }
         let entries = named.iter().map(|n| n.1.clone()).collect();
         let region = region::start(listener, named, types(), machines, CHANGES_PER_S);
         for i in 0..count {
-            nodes.start(i)?;
+            controllers.start(i)?;
         }
-        let up = Up { nodes, region, http: Http::anywhere(), entries };
+        let up = Up { controllers, region, http: Http::anywhere(), entries };
         let since = Instant::now();
         while up.call(Method::GET, "/ready", None).await.is_none_or(|a| a.0 != 200) {
             if since.elapsed() > Duration::from_secs(30) {
@@ -243,15 +243,15 @@
             }
         }
         if killed < plan.kills && down.is_none() && now >= next_kill {
-            let node = rng.random_range(0..3);
-            tracing::info!(node, "kill -9");
-            up.nodes.kill(node);
+            let controller = rng.random_range(0..3);
+            tracing::info!(controller, "kill -9");
+            up.controllers.kill(controller);
             killed += 1;
-            down = Some((node, now + Duration::from_secs(1)));
+            down = Some((controller, now + Duration::from_secs(1)));
             next_kill = now + Duration::from_secs(rng.random_range(9..14));
         }
-        if let Some((node, _)) = down.filter(|d| now >= d.1) {
-            up.nodes.start(node)?;
+        if let Some((controller, _)) = down.filter(|d| now >= d.1) {
+            up.controllers.start(controller)?;
             down = None;
         }
         let over = seen.finished.get(&sweep.id).copied().unwrap_or(0) >= plan.steps
--- a/crates/cleatfold-testbed/src/lib.rs
+++ b/crates/cleatfold-testbed/src/lib.rs
@@ -2,10 +2,10 @@
 //! loopback. Not part of the product.
 
 pub mod capacity;
+pub mod controllers;
 pub mod days;
 pub mod elastic;
 pub mod history;
-pub mod nodes;
 pub mod pairs;
 pub mod region;
 pub mod scale;
--- a/crates/cleatfold-testbed/src/pairs.rs
+++ b/crates/cleatfold-testbed/src/pairs.rs
@@ -82,10 +82,10 @@
     let size = plan.region();
     let mut world = World::sized(pair.luck(seed), false, size);
     world.poll_everything();
-    let Times { lease_ms, cancel_ms, node_ttl_ms, report_ms } = size.times();
+    let Times { lease_ms, cancel_ms, controller_lease_ms, report_ms } = size.times();
     let rng = &mut world.rng;
     let begins = rng.random_range(20_000..28_000);
-    let means = [0, 300, report_ms, node_ttl_ms, lease_ms, cancel_ms - lease_ms, cancel_ms];
+    let means = [0, 300, report_ms, controller_lease_ms, lease_ms, cancel_ms - lease_ms, cancel_ms];
     let around = means[rng.random_range(0..means.len())];
     // Some come a little earlier than that, some later.
     let offset = match around {
@@ -191,7 +191,7 @@
         if !day.broken.is_empty() {
             println!(
                 "  again: cleatfold-testbed region --pair {} --seed {} --seeds 1 --nodes {} --teams {} --machines {}",
-                day.pair, day.seed, plan.nodes, plan.teams, plan.machines
+                day.pair, day.seed, plan.controllers, plan.teams, plan.machines
             );
         }
     }
--- a/crates/cleatfold-testbed/src/region.rs
+++ b/crates/cleatfold-testbed/src/region.rs
@@ -40,7 +40,7 @@
     Reported {
         machine: MachineId,
         sent: Ms,
-        session: u64,
+        agent_epoch: u64,
         answer: Option<Answer>,
     },
     MemberTold {
@@ -75,7 +75,7 @@
 
 pub struct Region {
     start: Instant,
-    nodes: Vec<(NodeId, String)>,
+    controllers: Vec<(ControllerId, String)>,
     store: Store,
     cloud: Cloud,
     workers: BTreeMap<MachineId, Worker>,
@@ -105,7 +105,7 @@
 /// Serves the region at `listener`; returns whom to speak to.
 pub fn start(
     listener: tokio::net::TcpListener,
-    nodes: Vec<(NodeId, String)>,
+    controllers: Vec<(ControllerId, String)>,
     types: Vec<MachineType>,
     capacity: usize,
     changes_per_s: f64,
@@ -116,7 +116,7 @@
     (cloud.types, cloud.capacity) = (types, capacity);
     let mut region = Region {
         start: Instant::now(),
-        nodes,
+        controllers,
         store: Store::default(),
         cloud,
         workers: BTreeMap::new(),
@@ -175,8 +175,8 @@
             ToRegion::Http { method, path, query, body, answer } => {
                 let _ = answer.send(self.answer(&method, &path, &query, &body));
             }
-            ToRegion::Reported { machine, sent, session, answer } => {
-                self.reported(machine, sent, session, answer)
+            ToRegion::Reported { machine, sent, agent_epoch, answer } => {
+                self.reported(machine, sent, agent_epoch, answer)
             }
             ToRegion::MemberTold { machine, key, answer } => self.member_told(machine, key, answer),
             ToRegion::Describe(spec) => {
@@ -258,13 +258,13 @@
     /// Sends something to a controller; `back` makes a message to us of the answer.
     fn call(
         &self,
-        node: usize,
+        controller: usize,
         path: String,
         body: Vec<u8>,
         back: impl FnOnce(Option<Answer>) -> ToRegion + 'static,
     ) {
         let (http, me) = (self.http.clone(), self.me.clone());
-        let url = format!("http://{}{path}", self.nodes[node].1);
+        let url = format!("http://{}{path}", self.controllers[controller].1);
         tokio::task::spawn_local(async move {
             let reply = http.call(Method::POST, &url, Some(body), Duration::from_secs(4)).await;
             let _ = me.send(back(reply.ok().map(|(code, body)| (code, body.to_vec()))));
@@ -278,12 +278,12 @@
             return;
         };
         let report: Report = worker.report();
-        let session = worker.session;
+        let agent_epoch = worker.agent_epoch;
         let body = serde_json::to_vec(&report).unwrap_or_default();
         self.call(line.target, "/hello".into(), body, move |answer| ToRegion::Reported {
             machine,
             sent,
-            session,
+            agent_epoch,
             answer,
         });
     }
@@ -291,12 +291,12 @@
     fn node_named(&self, body: &[u8]) -> Option<usize> {
         let redirect: Redirect = serde_json::from_slice(body).ok()?;
         let to = redirect.report_to?;
-        self.nodes.iter().position(|n| n.0 == to)
+        self.controllers.iter().position(|n| n.0 == to)
     }
 
-    fn reported(&mut self, machine: MachineId, sent: Ms, session: u64, answer: Option<Answer>) {
+    fn reported(&mut self, machine: MachineId, sent: Ms, agent_epoch: u64, answer: Option<Answer>) {
         let now = self.now();
-        let other = (self.lines.get(&machine).map_or(0, |l| l.target) + 1) % self.nodes.len();
+        let other = (self.lines.get(&machine).map_or(0, |l| l.target) + 1) % self.controllers.len();
         let (mut target, mut pause) = (None, REPORT_MS);
         match answer {
             Some((200, body)) if now.since(sent) <= 4000 => {
@@ -309,7 +309,7 @@
                 };
                 let Some(worker) = self.workers.get_mut(&machine) else { return };
                 let before = worker.token;
-                let happenings = worker.answer(now, sent, session, &reply, find);
+                let happenings = worker.answer(now, sent, agent_epoch, &reply, find);
                 // A change is reported soon, but no sooner than after half a second.
                 if worker.token > before || !happenings.is_empty() {
                     pause = 500;
@@ -333,11 +333,15 @@
     }
 
     fn member_asks(&mut self, id: &MachineId, key: (TaskId, Attempt), report: StepReport) {
-        let node = *self.member_targets.entry(key.clone()).or_insert(0);
+        let controller = *self.member_targets.entry(key.clone()).or_insert(0);
         let machine = id.clone();
         let path = format!("/v1/jobs/{}/steps", key.0.job);
         let body = serde_json::to_vec(&report).unwrap_or_default();
-        self.call(node, path, body, move |answer| ToRegion::MemberTold { machine, key, answer });
+        self.call(controller, path, body, move |answer| ToRegion::MemberTold {
+            machine,
+            key,
+            answer,
+        });
     }
 
     fn member_told(&mut self, machine: MachineId, key: (TaskId, Attempt), answer: Option<Answer>) {
@@ -357,7 +361,7 @@
                 member.redirected(now);
             }
             _ => {
-                *target = (*target + 1) % self.nodes.len();
+                *target = (*target + 1) % self.controllers.len();
                 member.unanswered(now);
             }
         }
--- a/crates/cleatfold-testbed/src/scale.rs
+++ b/crates/cleatfold-testbed/src/scale.rs
@@ -81,8 +81,8 @@
         }
         world.run(at);
         let spec = one_task_job(world.some_job());
-        let node = number as usize % world.size.nodes;
-        submitted.push((world.submit(node, spec), at));
+        let controller = number as usize % world.size.controllers;
+        submitted.push((world.submit(controller, spec), at));
     }
     submitted
 }
--- a/crates/cleatfold-testbed/src/weights.rs
+++ b/crates/cleatfold-testbed/src/weights.rs
@@ -1,7 +1,7 @@
 //! Many machines want one large image at once: three real controllers, killed in turn, in a simulated
 //! region; beside what the same machines would need otherwise.
 
-use crate::world::{Size, Weights, World, NODES};
+use crate::world::{Size, Weights, World, CONTROLLERS};
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::*;
 use rand::rngs::SmallRng;
@@ -61,7 +61,7 @@
         (spec.one_zone, spec.spread, spec.spot) = (false, false, true);
         (spec.types, spec.zone) = (Some(vec![TypeId::new("small")]), Some(ZoneId::new(zone)));
         (spec.image, spec.image_gb) = (ImageId::new(if gb < 1.0 { "small" } else { IMAGE }), gb);
-        world.submit(i % NODES, spec);
+        world.submit(i % CONTROLLERS, spec);
     }
 }
 
@@ -101,7 +101,7 @@
         // In turn, over most of the time that it takes at least; the first early, while turns are given.
         let part = (kill as f64 + rng.random_range(0.0..1.0)) / plan.kills as f64;
         let at = (bound_s * 800.0 * part.powi(2)) as u64;
-        world.at(at, crate::world::Happens::Crash(kill % NODES));
+        world.at(at, crate::world::Happens::Crash(kill % CONTROLLERS));
     }
     let image = ImageId::new(IMAGE);
     let (mut half_s, mut all_s) = (None, None);
--- a/crates/cleatfold-testbed/src/world.rs
+++ b/crates/cleatfold-testbed/src/world.rs
@@ -35,7 +35,7 @@
 pub use drawn::{Aim, Trouble};
 pub use late::Purpose;
 pub use polls::TurnedAway;
-pub use size::{node_id, team_id, Size, Times, NODES};
+pub use size::{controller_id, team_id, Size, Times, CONTROLLERS};
 pub use sizes::SizeRow;
 pub use written::{ChangeCounts, ChangeKind};
 
@@ -63,23 +63,23 @@
 pub enum Happens {
     Tick(usize),
     /// To a node's incarnation.
-    Node(usize, u32, Box<Event>),
+    Controller(usize, u32, Box<Event>),
     StoreRequest {
-        node: usize,
+        controller: usize,
         life: u32,
         op: u64,
         request: StoreRequest,
         answered: bool,
     },
     CloudRequest {
-        node: usize,
+        controller: usize,
         life: u32,
         op: u64,
         request: CloudRequest,
     },
     WorkerReports(MachineId),
     ReportArrives {
-        node: usize,
+        controller: usize,
         machine: MachineId,
         sent: Ms,
         report: Report,
@@ -88,7 +88,7 @@
         machine: MachineId,
         number: u64,
         sent: Ms,
-        session: u64,
+        agent_epoch: u64,
         response: Response,
     },
     WorkerTimeout {
@@ -103,12 +103,12 @@
     Restart(usize),
     /// A controller ends, and is back after so long.
     Ends {
-        node: usize,
+        controller: usize,
         back_ms: u64,
     },
     /// It ends again once one of these pools has another token.
     OnceMoved {
-        node: usize,
+        controller: usize,
         tokens: BTreeMap<PoolId, Option<Version>>,
         until: Ms,
     },
@@ -120,11 +120,11 @@
     /// Users of one-task jobs.
     SmallJobs,
     Cut {
-        node: usize,
+        controller: usize,
         until: Ms,
     },
     StoreCut {
-        node: usize,
+        controller: usize,
         until: Ms,
     },
     Outage {
@@ -147,7 +147,7 @@
     Asks(JobId),
     /// A user does something about a job that has just changed.
     Looks {
-        node: usize,
+        controller: usize,
         job: JobId,
         what: Look,
     },
@@ -156,7 +156,7 @@
     /// A worker may have something to do by itself.
     Wake(MachineId),
     MemberAsks {
-        node: usize,
+        controller: usize,
         machine: MachineId,
         key: MemberKey,
         number: u64,
@@ -169,7 +169,7 @@
         response: Option<Response>,
     },
     Orders {
-        node: usize,
+        controller: usize,
         life: u32,
         machine: MachineId,
         orders: Orders,
@@ -221,7 +221,7 @@
     pub queue: BinaryHeap<Reverse<(Ms, u64)>>,
     pub events: BTreeMap<u64, Happens>,
     pub number: u64,
-    pub nodes: Vec<Option<Node>>,
+    pub controllers: Vec<Option<Controller>>,
     pub lives: Vec<u32>,
     pub cut: Vec<Ms>,
     pub store_cut: Vec<Ms>,
@@ -327,10 +327,12 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             number: 0,
-            nodes: (0..size.nodes).map(|i| Some(Node::new(config(i, size)))).collect(),
-            lives: vec![0; size.nodes],
-            cut: vec![Ms(0); size.nodes],
-            store_cut: vec![Ms(0); size.nodes],
+            controllers: (0..size.controllers)
+                .map(|i| Some(Controller::new(config(i, size))))
+                .collect(),
+            lives: vec![0; size.controllers],
+            cut: vec![Ms(0); size.controllers],
+            store_cut: vec![Ms(0); size.controllers],
             outage: Ms(0),
             store: Store::default(),
             cloud,
@@ -373,7 +375,7 @@
             mesh_off: false,
             mesh_cut: BTreeSet::new(),
             cloud_off: false,
-            slow_answers: vec![0; size.nodes],
+            slow_answers: vec![0; size.controllers],
             troubles: Default::default(),
             net: size.weights.map(|w| w.net()),
             images_moved: Ms(0),
@@ -394,7 +396,7 @@
             written: Default::default(),
             digest: None,
         };
-        for i in 0..size.nodes {
+        for i in 0..size.controllers {
             world.at(10 + i as u64, Happens::Tick(i));
         }
         // Without jobs of their own, users are left out.
@@ -414,9 +416,9 @@
     }
 
     /// Network delay: short, unless the node is cut off and the packets are held.
-    fn delay(&mut self, node: usize) -> u64 {
+    fn delay(&mut self, controller: usize) -> u64 {
         let usual = self.rng.random_range(1..8);
-        let held = self.cut[node].since(self.now);
+        let held = self.cut[controller].since(self.now);
         if held > 0 {
             held + usual
         } else {
@@ -442,23 +444,24 @@
         self.now = self.now.max(until);
     }
 
-    pub fn give(&mut self, node: usize, event: Event) {
-        let Some(event) = self.kept_back(node, event) else { return };
+    pub fn give(&mut self, controller: usize, event: Event) {
+        let Some(event) = self.kept_back(controller, event) else { return };
         let (now, wall) = (self.now, 1_000_000 + self.now.0);
-        let Some(n) = &mut self.nodes[node] else { return };
+        let Some(n) = &mut self.controllers[controller] else { return };
         let began = std::time::Instant::now();
         let effects = n.handle(now, wall, event);
         self.handled += 1;
         self.busy += began.elapsed();
         if let Some(digest) = &mut self.digest {
-            digest.add(node, now, &effects);
+            digest.add(controller, now, &effects);
         }
-        let life = self.lives[node];
+        let life = self.lives[controller];
         for effect in effects {
             match effect {
-                Effect::Reply { rid, response } => self.on_reply(node, rid, response),
+                Effect::Reply { rid, response } => self.on_reply(controller, rid, response),
                 Effect::Store { op, request, .. } => {
-                    let mut delay = self.delay(node) + self.troubles.held_apart(node, self.now);
+                    let mut delay =
+                        self.delay(controller) + self.troubles.held_apart(controller, self.now);
                     delay += self.late_by(&request);
                     let lost = self.trouble && self.rng.random_bool(0.01);
                     if lost && self.rng.random_bool(0.5) {
@@ -475,63 +478,69 @@
                             _ => StoreReply::Refused,
                         };
                         let event = Box::new(Event::Store { op, reply });
-                        self.at(meetings::STORE_MS, Happens::Node(node, life, event));
+                        self.at(meetings::STORE_MS, Happens::Controller(controller, life, event));
                     }
                     if answered && back > 0 {
-                        self.meetings.back.insert((node, life, op), back);
+                        self.meetings.back.insert((controller, life, op), back);
                     }
-                    self.at(delay, Happens::StoreRequest { node, life, op, request, answered });
+                    self.at(
+                        delay,
+                        Happens::StoreRequest { controller, life, op, request, answered },
+                    );
                 }
                 Effect::Cloud { op, request, .. } => {
-                    let delay = self.delay(node) + 100;
-                    self.at(delay, Happens::CloudRequest { node, life, op, request });
+                    let delay = self.delay(controller) + 100;
+                    self.at(delay, Happens::CloudRequest { controller, life, op, request });
                 }
                 Effect::Order { machine, orders, .. } => {
-                    self.send_command(node, machine, orders);
+                    self.send_command(controller, machine, orders);
                 }
                 Effect::Probe { machine, .. } => {
-                    let delay = 2 * self.delay(node);
+                    let delay = 2 * self.delay(controller);
                     let cut = self.machine_cut(&machine);
                     let (troubles, now) = (&self.troubles, self.now);
                     let hangs = self.hung.get(&machine).is_some_and(|until| *until > now);
                     let said = self.workers.get_mut(&machine).and_then(|w| {
-                        let reached = !troubles.cut_off(node, &w.zone, now)
+                        let reached = !troubles.cut_off(controller, &w.zone, now)
                             && !troubles.is_deaf(w, now)
                             && delay < 1000;
                         // Before it is up it answers nobody.
                         let reached = reached && !cut;
                         let there = reached && !hangs && w.renewed <= now;
-                        there.then(|| w.report()).map(|r| (r.session, r.seq))
+                        there.then(|| w.report()).map(|r| (r.agent_epoch, r.seq))
                     });
                     let event = Event::Probed { machine, said };
-                    self.at(delay.min(1000), Happens::Node(node, life, Box::new(event)));
+                    self.at(
+                        delay.min(1000),
+                        Happens::Controller(controller, life, Box::new(event)),
+                    );
                 }
-                Effect::Mesh { to, message } => self.on_mesh(node, to, &message),
+                Effect::Mesh { to, message } => self.on_mesh(controller, to, &message),
                 Effect::Refuse { why } => {
                     // Its process ends; whoever started it sees why.
-                    self.nodes[node] = None;
-                    self.lives[node] += 1;
-                    self.refused_starts.push((node, why));
+                    self.controllers[controller] = None;
+                    self.lives[controller] += 1;
+                    self.refused_starts.push((controller, why));
                 }
             }
         }
     }
 
-    fn on_mesh(&mut self, node: usize, to: Option<NodeId>, message: &Message) {
+    fn on_mesh(&mut self, controller: usize, to: Option<ControllerId>, message: &Message) {
         if self.mesh_off {
             return;
         }
-        for peer in (0..self.nodes.len()).filter(|p| *p != node) {
-            if to.as_ref().is_some_and(|t| *t != node_id(peer)) {
+        for peer in (0..self.controllers.len()).filter(|p| *p != controller) {
+            if to.as_ref().is_some_and(|t| *t != controller_id(peer)) {
                 continue;
             }
-            let cut = self.mesh_cut.contains(&(node, peer));
-            if cut || self.troubles.apart(node, peer, self.now) {
+            let cut = self.mesh_cut.contains(&(controller, peer));
+            if cut || self.troubles.apart(controller, peer, self.now) {
                 continue;
             }
-            let delay = self.delay(node).max(self.delay(peer));
-            let event = Event::Mesh { from: node_id(node), message: message.clone() };
-            self.at(delay, Happens::Node(peer, self.lives[peer], Box::new(event)));
+            let delay = self.delay(controller).max(self.delay(peer));
+            let event = Event::Mesh { from: controller_id(controller), message: message.clone() };
+            self.at(delay, Happens::Controller(peer, self.lives[peer], Box::new(event)));
         }
     }
 
@@ -541,25 +550,25 @@
                 self.give(i, Event::Tick);
                 self.at(50, Happens::Tick(i));
             }
-            Happens::Node(i, life, event) => {
+            Happens::Controller(i, life, event) => {
                 if self.lives[i] == life {
                     self.give(i, *event);
                 }
             }
-            Happens::StoreRequest { node, life, op, request, answered } => {
-                let due = self.blink_due(node, &request);
+            Happens::StoreRequest { controller, life, op, request, answered } => {
+                let due = self.blink_due(controller, &request);
                 if let Some(due) = due.as_ref().filter(|d| !blinks::is_after(d)) {
                     self.blinks_now(due);
                 }
                 if let Some(ms) = blinks::late(due.as_ref()) {
-                    let request = Happens::StoreRequest { node, life, op, request, answered };
+                    let request = Happens::StoreRequest { controller, life, op, request, answered };
                     return self.at(ms, request);
                 }
                 let is_txn = matches!(request, StoreRequest::Txn(_));
                 let late = (!answered).then(|| late::purpose(&request)).flatten();
                 let reply = if self.outage > self.now
-                    || self.store_cut[node] > self.now
-                    || self.troubles.refused_apart(node, self.now)
+                    || self.store_cut[controller] > self.now
+                    || self.troubles.refused_apart(controller, self.now)
                 {
                     StoreReply::Refused
                 } else {
@@ -570,68 +579,79 @@
                     self.blinks_now(&due);
                 }
                 if answered {
-                    let back = self.meetings.back.remove(&(node, life, op)).unwrap_or_default();
-                    let late = self.slow_answers[node] + self.commit_late(node, is_txn) + back;
-                    let delay = self.delay(node) + late;
+                    let back =
+                        self.meetings.back.remove(&(controller, life, op)).unwrap_or_default();
+                    let late =
+                        self.slow_answers[controller] + self.commit_late(controller, is_txn) + back;
+                    let delay = self.delay(controller) + late;
                     let event = Box::new(Event::Store { op, reply });
-                    self.at(delay, Happens::Node(node, life, event));
+                    self.at(delay, Happens::Controller(controller, life, event));
                 }
             }
-            Happens::CloudRequest { node, life, op, request } => {
-                let due = self.call_blink_due(node, &request);
+            Happens::CloudRequest { controller, life, op, request } => {
+                let due = self.call_blink_due(controller, &request);
                 if let Some(due) = due.as_ref().filter(|d| !blinks::is_after(d)) {
                     self.blinks_now(due);
                 }
                 if let Some(ms) = blinks::late(due.as_ref()) {
-                    return self.at(ms, Happens::CloudRequest { node, life, op, request });
+                    return self.at(ms, Happens::CloudRequest { controller, life, op, request });
                 }
                 let reply = self.execute_cloud(request);
                 if let Some(due) = due.filter(blinks::is_after) {
                     self.blinks_now(&due);
                 }
-                let delay = self.delay(node) + 50;
-                self.at(delay, Happens::Node(node, life, Box::new(Event::Cloud { op, reply })));
+                let delay = self.delay(controller) + 50;
+                self.at(
+                    delay,
+                    Happens::Controller(controller, life, Box::new(Event::Cloud { op, reply })),
+                );
             }
             Happens::WorkerReports(id) => self.worker_reports(id),
-            Happens::ReportArrives { node, machine, sent, report } => {
-                if self.nodes[node].is_none() {
+            Happens::ReportArrives { controller, machine, sent, report } => {
+                if self.controllers[controller].is_none() {
                     return;
                 }
                 self.next_rid += 1;
                 let rid = self.next_rid;
-                let asked = Asked::Report(machine, sent, report.session.0, report.seq.0);
-                self.asked.insert((node, rid), asked);
-                self.give(node, Event::Report { rid, report: report.into_raw() });
+                let asked = Asked::Report(machine, sent, report.agent_epoch.0, report.seq.0);
+                self.asked.insert((controller, rid), asked);
+                self.give(controller, Event::Report { rid, report: report.into_raw() });
             }
-            Happens::WorkerAnswer { machine, number, sent, session, response } => {
-                self.worker_answer(machine, number, sent, session, response)
+            Happens::WorkerAnswer { machine, number, sent, agent_epoch, response } => {
+                self.worker_answer(machine, number, sent, agent_epoch, response)
             }
             Happens::WorkerTimeout { machine, number } => {
                 let Some(link) = self.links.get_mut(&machine) else { return };
                 if link.waiting == Some(number) {
                     link.waiting = None;
-                    link.target = (link.target + 1) % self.nodes.len();
+                    link.target = (link.target + 1) % self.controllers.len();
                     self.report_in(1000, machine);
                 }
             }
             Happens::User(u) => self.user(u),
             Happens::Crash(i) => {
-                if self.nodes[i].is_some() {
+                if self.controllers[i].is_some() {
                     let back = self.rng.random_range(3000..6000);
                     self.crash(i, back);
                 }
             }
             Happens::Blink(i) => self.blink_node(i),
             Happens::Thaw(i, life) => self.thaw(i, life),
-            Happens::Restart(i) if self.nodes[i].is_some() => {}
+            Happens::Restart(i) if self.controllers[i].is_some() => {}
             Happens::Restart(i) if self.stays_away(i) => {}
-            Happens::Restart(i) => self.nodes[i] = Some(Node::new(config(i, self.size))),
-            Happens::Ends { node, back_ms } => self.crash(node, back_ms),
+            Happens::Restart(i) => {
+                self.controllers[i] = Some(Controller::new(config(i, self.size)))
+            }
+            Happens::Ends { controller, back_ms } => self.crash(controller, back_ms),
             Happens::LeaderEnds { left, until } => self.leader_ends(left, until),
             Happens::SmallJobs => self.small_jobs_go_on(),
-            Happens::OnceMoved { node, tokens, until } => self.once_moved(node, tokens, until),
-            Happens::Cut { node, until } => self.cut[node] = self.cut[node].max(until),
-            Happens::StoreCut { node, until } => self.store_cut[node] = until,
+            Happens::OnceMoved { controller, tokens, until } => {
+                self.once_moved(controller, tokens, until)
+            }
+            Happens::Cut { controller, until } => {
+                self.cut[controller] = self.cut[controller].max(until)
+            }
+            Happens::StoreCut { controller, until } => self.store_cut[controller] = until,
             Happens::Outage { until } => {
                 self.outage = self.outage.max(until);
                 // Whatever expired meanwhile has its full time again.
@@ -650,32 +670,32 @@
             Happens::Befalls(trouble, for_ms) => self.befalls(trouble, for_ms),
             Happens::Meets(trouble, for_ms, aim) => self.meets(trouble, for_ms, aim),
             Happens::Insists => self.insists(),
-            Happens::Copy(node, report) => self.copy_arrives(node, *report),
+            Happens::Copy(controller, report) => self.copy_arrives(controller, *report),
             Happens::Cancels(job) => self.cancels(job),
             Happens::LeadershipCheck => self.leadership_check(),
             Happens::Asks(job) => self.asks(job),
-            Happens::Looks { node, job, what } => self.looks(node, job, what),
+            Happens::Looks { controller, job, what } => self.looks(controller, job, what),
             Happens::Odd => self.odd(),
-            Happens::MemberAsks { node, machine, key, number, report } => {
-                if self.nodes[node].is_none() {
+            Happens::MemberAsks { controller, machine, key, number, report } => {
+                if self.controllers[controller].is_none() {
                     return;
                 }
                 self.next_rid += 1;
                 let rid = self.next_rid;
-                self.asked.insert((node, rid), Asked::Steps(machine, key, number));
+                self.asked.insert((controller, rid), Asked::Steps(machine, key, number));
                 let request = Request::Steps(Box::new(report));
-                self.give(node, Event::Request { rid, request });
+                self.give(controller, Event::Request { rid, request });
             }
             Happens::MemberTold { machine, key, number, response } => {
                 self.member_told(machine, key, number, response)
             }
             held @ Happens::Orders { .. } if self.orders_held(&held) => {}
-            Happens::Orders { node, life, machine, orders, answered } => {
+            Happens::Orders { controller, life, machine, orders, answered } => {
                 let now = self.now;
                 // A machine that hangs executes them when it carries on.
                 if let Some(until) = self.hung.get(&machine).filter(|u| **u > now) {
                     let until = until.since(now) + 1;
-                    let order = Happens::Orders { node, life, machine, orders, answered };
+                    let order = Happens::Orders { controller, life, machine, orders, answered };
                     return self.at(until, order);
                 }
                 self.wake(&machine);
@@ -684,7 +704,7 @@
                 let Some(worker) = self.workers.get_mut(&machine) else { return };
                 if cut || self.troubles.is_deaf(worker, now) {
                     let event = Box::new(Event::Ordered { machine, report: None });
-                    return self.at(4000, Happens::Node(node, life, event));
+                    return self.at(4000, Happens::Controller(controller, life, event));
                 }
                 let report = worker.orders(now, &orders, |_| None).map(|happenings| {
                     let report = worker.report();
@@ -697,8 +717,8 @@
                         return;
                     }
                     let event = Event::Ordered { machine, report: Some(report).filter(|_| !lost) };
-                    let delay = self.delay(node);
-                    self.at(delay, Happens::Node(node, life, Box::new(event)));
+                    let delay = self.delay(controller);
+                    self.at(delay, Happens::Controller(controller, life, Box::new(event)));
                 }
             }
         }
