--- a/crates/cleatfold-testbed/src/world/answers.rs
+++ b/crates/cleatfold-testbed/src/world/answers.rs
@@ -165,24 +165,24 @@
         if self.answers.close_looks <= self.now {
             return;
         }
-        for node in 0..self.nodes.len() {
+        for controller in 0..self.controllers.len() {
             for what in [Look::Polls; LOOKS as usize].into_iter().chain([Look::Repeats]) {
-                self.look_within(node, id, what, LOOK_WITHIN_MS);
+                self.look_within(controller, id, what, LOOK_WITHIN_MS);
             }
         }
         if !state.is_final() && self.rng.random_bool(CANCELLED_AT_ONCE) {
-            let node = self.rng.random_range(0..self.nodes.len());
-            self.look_within(node, id, Look::Cancels, LOOK_WITHIN_MS);
+            let controller = self.rng.random_range(0..self.controllers.len());
+            self.look_within(controller, id, Look::Cancels, LOOK_WITHIN_MS);
         }
     }
 
-    fn look_within(&mut self, node: usize, job: &JobId, what: Look, within_ms: u64) {
+    fn look_within(&mut self, controller: usize, job: &JobId, what: Look, within_ms: u64) {
         let ms = self.rng.random_range(0..within_ms);
-        self.at(ms, Happens::Looks { node, job: job.clone(), what });
+        self.at(ms, Happens::Looks { controller, job: job.clone(), what });
     }
 
-    pub(super) fn looks(&mut self, node: usize, id: JobId, what: Look) {
-        if self.nodes[node].is_none() || self.cut[node] > self.now {
+    pub(super) fn looks(&mut self, controller: usize, id: JobId, what: Look) {
+        if self.controllers[controller].is_none() || self.cut[controller] > self.now {
             return;
         }
         let Some(watch) = self.jobs.get_mut(&id) else { return };
@@ -201,7 +201,7 @@
                 (Asked::Withdraw(id.clone()), Request::Withdraw(id))
             }
         };
-        self.ask(node, asked, request);
+        self.ask(controller, asked, request);
     }
 
     /// A task has completed; if it was its job's last, users may cancel the job just then.
@@ -214,10 +214,10 @@
             return;
         }
         self.answers.cancelled_at_end += 1;
-        for node in 0..self.nodes.len() {
+        for controller in 0..self.controllers.len() {
             for what in [Look::Cancels, Look::Repeats, Look::Polls] {
                 let within = [20, 300, END_MS][self.rng.random_range(0..3)];
-                self.look_within(node, &task.job, what, within);
+                self.look_within(controller, &task.job, what, within);
             }
         }
     }
@@ -228,25 +228,25 @@
         }
         let pause = self.rng.random_range(ODD_EVERY_MS);
         self.at(pause, Happens::Odd);
-        let node = self.rng.random_range(0..self.nodes.len());
+        let controller = self.rng.random_range(0..self.controllers.len());
         match self.rng.random_range(0..4) {
             0 => {
                 let open = |w: &JobWatch| w.accepted && w.told.is_none_or(|t| !t.is_final());
                 if let Some(job) = self.some_known(open) {
-                    self.looks(node, job, Look::Repeats);
+                    self.looks(controller, job, Look::Repeats);
                 }
             }
             1 => {
                 // Nobody has asked for its cancellation in time, so it must stay done.
                 if let Some(job) = self.some_known(|w| w.told == Some(JobState::Done)) {
-                    if self.nodes[node].is_some() && self.cut[node] <= self.now {
-                        self.ask(node, Asked::Withdraw(job.clone()), Request::Withdraw(job));
+                    if self.controllers[controller].is_some() && self.cut[controller] <= self.now {
+                        self.ask(controller, Asked::Withdraw(job.clone()), Request::Withdraw(job));
                     }
                 }
             }
             2 => {
                 let spec = self.impossible_job();
-                self.submit_odd(node, spec);
+                self.submit_odd(controller, spec);
             }
             _ => self.lacks_a_field(),
         }
@@ -277,14 +277,14 @@
     }
 
     /// Submits what can't run. It is nobody's job: whatever but a refusal is wrong.
-    pub fn submit_odd(&mut self, node: usize, spec: JobSpec) {
-        if self.nodes[node].is_none() || self.cut[node] > self.now {
+    pub fn submit_odd(&mut self, controller: usize, spec: JobSpec) {
+        if self.controllers[controller].is_none() || self.cut[controller] > self.now {
             return;
         }
         self.next_rid += 1;
         let rid = self.next_rid;
         self.answers.odd_asked.insert(rid, spec.id.clone());
-        self.give(node, Event::Request { rid, request: Request::Submit(Box::new(spec)) });
+        self.give(controller, Event::Request { rid, request: Request::Submit(Box::new(spec)) });
     }
 
     pub(super) fn judge_odd(&mut self, rid: u64, response: &Response) {
--- a/crates/cleatfold-testbed/src/world/blinks.rs
+++ b/crates/cleatfold-testbed/src/world/blinks.rs
@@ -89,7 +89,11 @@
 
 impl World {
     /// What the transaction is a step of, and the pool or machine it is about.
-    fn step_of(&self, node: usize, txn: &Txn) -> Option<(Step, Option<PoolId>, Option<MachineId>)> {
+    fn step_of(
+        &self,
+        controller: usize,
+        txn: &Txn,
+    ) -> Option<(Step, Option<PoolId>, Option<MachineId>)> {
         let mut found = None;
         for change in &txn.changes {
             let deleted = change.delete.as_deref().and_then(records::parse_key);
@@ -98,7 +102,7 @@
             }
             let (Some(key), Some(value)) = (&change.put, &change.value) else { continue };
             let step = match records::parse_key(key) {
-                Some(Key::Node(_)) => (Step::Enlist, None, None),
+                Some(Key::Controller(_)) => (Step::Enlist, None, None),
                 Some(Key::Duty(_)) => (Step::Elect, None, None),
                 Some(Key::Workspace(_)) => (Step::Keep, None, None),
                 Some(Key::Slice(_)) => (Step::Slice, None, None),
@@ -109,7 +113,7 @@
                     let leader = leader.and_then(|i| {
                         serde_json::from_str::<HolderRecord>(i.value.get()).ok().map(|h| h.owner)
                     });
-                    let takes = owner == node_id(node) && leader != Some(owner.clone());
+                    let takes = owner == controller_id(controller) && leader != Some(owner.clone());
                     let step = if takes { Step::TakeOver } else { Step::Deal };
                     (step, Some(pool), None)
                 }
@@ -139,23 +143,27 @@
     }
 
     /// Whether a blink is due at this request: before it, or after.
-    pub(super) fn blink_due(&mut self, node: usize, request: &StoreRequest) -> Option<Due> {
+    pub(super) fn blink_due(&mut self, controller: usize, request: &StoreRequest) -> Option<Due> {
         self.blinks.plan?;
         let StoreRequest::Txn(txn) = request else { return None };
-        let (step, pool, machine) = self.step_of(node, txn)?;
-        self.due(node, step, pool, machine)
+        let (step, pool, machine) = self.step_of(controller, txn)?;
+        self.due(controller, step, pool, machine)
     }
 
-    pub(super) fn call_blink_due(&mut self, node: usize, request: &CloudRequest) -> Option<Due> {
+    pub(super) fn call_blink_due(
+        &mut self,
+        controller: usize,
+        request: &CloudRequest,
+    ) -> Option<Due> {
         self.blinks.plan?;
         let CloudRequest::Rent(rent) = request else { return None };
         let pool = PoolId { machine_type: rent.machine_type.clone(), zone: rent.zone.clone() };
-        self.due(node, Step::RentCall, Some(pool), None)
+        self.due(controller, Step::RentCall, Some(pool), None)
     }
 
     fn due(
         &mut self,
-        node: usize,
+        controller: usize,
         step: Step,
         pool: Option<PoolId>,
         machine: Option<MachineId>,
@@ -163,25 +171,25 @@
         let seen = self.blinks.seen.entry(step).or_default();
         *seen += 1;
         let plan = self.blinks.plan.filter(|p| p.step == step && p.nth == *seen)?;
-        Some(Due { plan, node, pool, machine })
+        Some(Due { plan, controller, pool, machine })
     }
 
     pub(super) fn blinks_now(&mut self, due: &Due) {
-        let n = self.nodes.len();
+        let n = self.controllers.len();
         let whom = match due.plan.who {
             Who::Controller(offset) => {
-                let i = (due.node + offset) % n;
+                let i = (due.controller + offset) % n;
                 self.blink_at_once(i);
-                node_id(i).to_string()
+                controller_id(i).to_string()
             }
             Who::All => {
                 (0..n).for_each(|i| self.blink_at_once(i));
                 "all".into()
             }
             Who::OneReturns(offset) => {
-                let one = (due.node + offset) % n;
+                let one = (due.controller + offset) % n;
                 self.one_returns(one, BACK_MS, OTHERS_BACK_MS);
-                format!("all but {}", node_id(one))
+                format!("all but {}", controller_id(one))
             }
             Who::Machine(back) => {
                 let Some(machine) = self.whose(due) else { return };
@@ -198,7 +206,7 @@
 
     /// All controllers end; one is back after so long, the others after longer.
     pub fn one_returns(&mut self, one: usize, back_ms: u64, others_back_ms: u64) {
-        for i in (0..self.nodes.len()).filter(|i| *i != one) {
+        for i in (0..self.controllers.len()).filter(|i| *i != one) {
             self.crash(i, others_back_ms);
         }
         self.crash(one, back_ms);
@@ -206,7 +214,7 @@
     }
 
     fn blink_at_once(&mut self, i: usize) {
-        match self.nodes[i] {
+        match self.controllers[i] {
             Some(_) => self.crash(i, BACK_MS),
             None => self.happen(Happens::Restart(i)),
         }
@@ -225,7 +233,7 @@
 
 pub(super) struct Due {
     pub plan: Blink,
-    node: usize,
+    controller: usize,
     pool: Option<PoolId>,
     machine: Option<MachineId>,
 }
--- a/crates/cleatfold-testbed/src/world/commands.rs
+++ b/crates/cleatfold-testbed/src/world/commands.rs
@@ -137,8 +137,8 @@
         }
         watch.cancel_asked = true;
         self.at(REPEAT_MS, Happens::Cancels(job.clone()));
-        if let Some(node) = self.users_node() {
-            self.ask(node, Asked::Withdraw(job.clone()), Request::Withdraw(job));
+        if let Some(controller) = self.users_node() {
+            self.ask(controller, Asked::Withdraw(job.clone()), Request::Withdraw(job));
         }
     }
 
@@ -154,28 +154,29 @@
         (spec.tasks, spec.cpus, spec.estimate_s) = (ELASTIC_TASKS, 1.0, 0.0);
         (spec.one_zone, spec.spread, spec.types) = (false, false, None);
         spec.elastic = Some(Elastic { steps: ELASTIC_STEPS, least: 1, step_s: 1.5 });
-        if let Some(node) = self.users_node() {
-            let job = self.submit(node, spec);
+        if let Some(controller) = self.users_node() {
+            let job = self.submit(controller, spec);
             self.command_faults.elastic = Some(job);
         }
     }
 
     /// Sends a direct command, now or late.
-    pub(super) fn send_command(&mut self, node: usize, machine: MachineId, orders: Orders) {
-        let (life, delay) = (self.lives[node], self.delay(node) + self.order_late());
+    pub(super) fn send_command(&mut self, controller: usize, machine: MachineId, orders: Orders) {
+        let (life, delay) = (self.lives[controller], self.delay(controller) + self.order_late());
         self.only_stops(&machine, &orders);
         let late = self.command_faults.late_commands.filter(|late| late.until > self.now);
         if !late.is_some_and(|late| self.rng.random_bool(late.share)) {
-            return self.at(delay, Happens::Orders { node, life, machine, orders, answered: true });
+            return self
+                .at(delay, Happens::Orders { controller, life, machine, orders, answered: true });
         }
         let unanswered = Event::Ordered { machine: machine.clone(), report: None };
-        self.at(COMMAND_TIMEOUT_MS, Happens::Node(node, life, Box::new(unanswered)));
+        self.at(COMMAND_TIMEOUT_MS, Happens::Controller(controller, life, Box::new(unanswered)));
         let late_ms = self.rng.random_range(LATE_COMMAND_MS);
         let (sent, due) = (self.now, self.now.plus(late_ms));
         self.command_faults.late += 1;
         let held = HeldCommand { machine: machine.clone(), orders: orders.clone(), sent, due };
         self.command_faults.held.push(held);
-        self.at(late_ms, Happens::Orders { node, life, machine, orders, answered: false });
+        self.at(late_ms, Happens::Orders { controller, life, machine, orders, answered: false });
     }
 
     /// A start that is sent directly could be executed after its claim has ended, in the same session and under the
@@ -228,8 +229,8 @@
         self.command_faults.delivered += 1;
         let (from, to) = ARRIVALS_MS[self.rng.random_range(0..ARRIVALS_MS.len())];
         let after = self.rng.random_range(from..to);
-        for node in 0..self.nodes.len() {
-            self.at(after, Happens::Copy(node, Box::new(report.clone())));
+        for controller in 0..self.controllers.len() {
+            self.at(after, Happens::Copy(controller, Box::new(report.clone())));
         }
     }
 
--- a/crates/cleatfold-testbed/src/world/drawn.rs
+++ b/crates/cleatfold-testbed/src/world/drawn.rs
@@ -179,32 +179,32 @@
     }
 
     pub(super) fn befalls(&mut self, kind: Trouble, for_ms: u64) {
-        let node = self.rng.random_range(0..self.nodes.len());
-        let node = self.meetings.aim.take().unwrap_or(node);
-        self.meetings.last = Some(node);
+        let controller = self.rng.random_range(0..self.controllers.len());
+        let controller = self.meetings.aim.take().unwrap_or(controller);
+        self.meetings.last = Some(controller);
         let (now, until) = (self.now, self.now.plus(for_ms));
         let machine = self.some_machine();
         self.troubles.befell.push((now, kind, until));
         match (kind, machine) {
-            (Trouble::Kill, _) => self.happen(Happens::Crash(node)),
-            (Trouble::Blink, _) => self.blink_node(node),
+            (Trouble::Kill, _) => self.happen(Happens::Crash(controller)),
+            (Trouble::Blink, _) => self.blink_node(controller),
             (Trouble::AllBlink, _) => {
                 let apart = self.rng.random_range(0..150);
-                for i in 0..self.nodes.len() {
+                for i in 0..self.controllers.len() {
                     self.at(1 + apart * i as u64, Happens::Blink(i));
                 }
             }
-            (Trouble::Freeze, _) => self.freeze(node, for_ms),
-            (Trouble::Cut, _) => self.happen(Happens::Cut { node, until }),
-            (Trouble::StoreCut, _) => self.happen(Happens::StoreCut { node, until }),
+            (Trouble::Freeze, _) => self.freeze(controller, for_ms),
+            (Trouble::Cut, _) => self.happen(Happens::Cut { controller, until }),
+            (Trouble::StoreCut, _) => self.happen(Happens::StoreCut { controller, until }),
             (Trouble::Apart, _) => {
                 let held = self.rng.random_bool(0.5);
-                self.set_apart(node, until, held);
+                self.set_apart(controller, until, held);
             }
             (Trouble::WorkersCut, _) => {
                 let zone = self.rng.random_range(0..ZONES.len() * 2);
                 let zone = ZONES.get(zone).map(|z| ZoneId::new(*z));
-                self.troubles.cuts.insert(node, (until, zone));
+                self.troubles.cuts.insert(controller, (until, zone));
             }
             (Trouble::Outage, _) => self.happen(Happens::Outage { until }),
             (Trouble::Copies, _) => {
@@ -219,7 +219,7 @@
                 | Trouble::OverAndBack
                 | Trouble::AllButOne,
                 _,
-            ) => self.meeting(kind, node, until),
+            ) => self.meeting(kind, controller, until),
             (
                 Trouble::CloseLooks
                 | Trouble::AnswersLost
--- a/crates/cleatfold-testbed/src/world/insistent.rs
+++ b/crates/cleatfold-testbed/src/world/insistent.rs
@@ -26,11 +26,11 @@
     /// A controller that users come to: mostly one that is ready, at times one that a connection
     /// was left open to.
     pub(super) fn users_node(&mut self) -> Option<usize> {
-        let there = |i: &usize| self.cut[*i] <= self.now && self.nodes[*i].is_some();
-        let all: Vec<usize> = (0..self.nodes.len()).filter(there).collect();
+        let there = |i: &usize| self.cut[*i] <= self.now && self.controllers[*i].is_some();
+        let all: Vec<usize> = (0..self.controllers.len()).filter(there).collect();
         let ready = |i: &usize| {
             !self.troubles.stands_still(*i, self.now)
-                && self.nodes[*i].as_ref().is_some_and(Node::is_ready)
+                && self.controllers[*i].as_ref().is_some_and(Controller::is_ready)
         };
         let ready: Vec<usize> = all.iter().copied().filter(ready).collect();
         let of = if ready.is_empty() || self.rng.random_bool(0.15) { all } else { ready };
@@ -49,8 +49,8 @@
         if goes_on && open.len() < OPEN && self.rng.random_bool(0.7) {
             let spec = self.longer_job();
             self.insistent.mine.insert(spec.id.clone());
-            if let Some(node) = self.users_node() {
-                self.submit(node, spec);
+            if let Some(controller) = self.users_node() {
+                self.submit(controller, spec);
             }
         }
         // What was not answered is asked again.
@@ -60,12 +60,12 @@
             if !(cancel || !accepted && goes_on) || !self.rng.random_bool(0.5) {
                 continue;
             }
-            let Some(node) = self.users_node() else { continue };
+            let Some(controller) = self.users_node() else { continue };
             match watch_spec(&self.jobs, &id) {
                 Some(spec) if !accepted && !cancel => {
-                    self.ask(node, Asked::Submit(id), Request::Submit(Box::new(spec)))
+                    self.ask(controller, Asked::Submit(id), Request::Submit(Box::new(spec)))
                 }
-                _ => self.ask(node, Asked::Withdraw(id.clone()), Request::Withdraw(id)),
+                _ => self.ask(controller, Asked::Withdraw(id.clone()), Request::Withdraw(id)),
             }
         }
         if goes_on && self.rng.random_bool(0.3) {
@@ -97,12 +97,12 @@
             return;
         }
         let id = of[self.rng.random_range(0..of.len())].clone();
-        let Some(node) = self.users_node() else { return };
+        let Some(controller) = self.users_node() else { return };
         self.insistent.asked += 1;
         if let Some(watch) = self.jobs.get_mut(&id) {
             watch.cancel_asked = true;
         }
-        self.ask(node, Asked::Withdraw(id.clone()), Request::Withdraw(id));
+        self.ask(controller, Asked::Withdraw(id.clone()), Request::Withdraw(id));
     }
 
     /// Mostly of a few tasks, whose ends are far apart; many outlast a change of owners.
--- a/crates/cleatfold-testbed/src/world/late.rs
+++ b/crates/cleatfold-testbed/src/world/late.rs
@@ -68,7 +68,7 @@
                 Key::Part(..) => Purpose::Part,
                 Key::Progress(..) => Purpose::Steps,
                 Key::Pool(_) => Purpose::Deal,
-                Key::Node(_) => Purpose::Enlist,
+                Key::Controller(_) => Purpose::Enlist,
                 Key::Slice(_) => Purpose::Slice,
                 Key::LossHead(_) => Purpose::LossLog,
                 Key::Workspace(_) => Purpose::Workspace,
--- a/crates/cleatfold-testbed/src/world/leaders.rs
+++ b/crates/cleatfold-testbed/src/world/leaders.rs
@@ -31,8 +31,8 @@
     pub fn leader(&self) -> Option<(usize, Version)> {
         let item = self.store.get(Duty::Deal.key())?;
         let holder: HolderRecord = serde_json::from_str(item.value.get()).ok()?;
-        let node = (0..self.nodes.len()).find(|i| node_id(*i) == holder.owner)?;
-        Some((node, item.version))
+        let controller = (0..self.controllers.len()).find(|i| controller_id(*i) == holder.owner)?;
+        Some((controller, item.version))
     }
 
     /// Which controller a machine reports to.
@@ -52,7 +52,7 @@
         if left == 0 || self.now >= until {
             return;
         }
-        let there = |(node, _): &(usize, Version)| self.nodes[*node].is_some();
+        let there = |(controller, _): &(usize, Version)| self.controllers[*controller].is_some();
         let Some((leader, epoch)) = self.leader().filter(there) else {
             return self.at(LOOK_AGAIN_MS, Happens::LeaderEnds { left, until });
         };
@@ -66,24 +66,24 @@
 
     /// All controllers end now. The first is back after `away_ms`, each other one `apart_ms` after the one before.
     pub fn all_away(&mut self, away_ms: u64, apart_ms: u64) {
-        let count = self.nodes.len();
+        let count = self.controllers.len();
         let first = self.rng.random_range(0..count);
         for place in 0..count {
-            let node = (first + place) % count;
+            let controller = (first + place) % count;
             let back_ms = away_ms + apart_ms * place as u64;
             let back = self.now.plus(back_ms);
-            self.leaders.away.insert(node, back);
-            self.crash(node, back_ms);
+            self.leaders.away.insert(controller, back);
+            self.crash(controller, back_ms);
             self.over_at(back);
         }
         self.leaders.none_since = Some(self.now);
     }
 
     /// A controller that stays away is started later than something else would have it.
-    pub(super) fn stays_away(&mut self, node: usize) -> bool {
-        let back = self.leaders.away.get(&node).copied().unwrap_or_default();
+    pub(super) fn stays_away(&mut self, controller: usize) -> bool {
+        let back = self.leaders.away.get(&controller).copied().unwrap_or_default();
         if back > self.now {
-            self.at(back.since(self.now), Happens::Restart(node));
+            self.at(back.since(self.now), Happens::Restart(controller));
             return true;
         }
         if let Some(since) = self.leaders.none_since.take() {
--- a/crates/cleatfold-testbed/src/world/look.rs
+++ b/crates/cleatfold-testbed/src/world/look.rs
@@ -8,7 +8,7 @@
     pub fn holder(&self, pool: &PoolId) -> Option<usize> {
         let item = self.store.get(&records::pool_key(pool))?;
         let record: HolderRecord = serde_json::from_str(item.value.get()).ok()?;
-        (0..self.nodes.len()).find(|i| node_id(*i) == record.owner)
+        (0..self.controllers.len()).find(|i| controller_id(*i) == record.owner)
     }
 
     pub fn pool_of(&self, machine: &MachineId) -> Option<PoolId> {
@@ -28,7 +28,9 @@
     /// A region's holder of most workers.
     pub fn most(&self) -> Option<usize> {
         let mut held: BTreeMap<usize, usize> = BTreeMap::new();
-        self.holders().values().for_each(|(node, n)| *held.entry(*node).or_default() += n);
+        self.holders()
+            .values()
+            .for_each(|(controller, n)| *held.entry(*controller).or_default() += n);
         held.into_iter().max_by_key(|h| h.1).map(|h| h.0)
     }
 
--- a/crates/cleatfold-testbed/src/world/meetings.rs
+++ b/crates/cleatfold-testbed/src/world/meetings.rs
@@ -79,9 +79,9 @@
     }
 
     /// The state service refuses the controller, then everybody.
-    pub fn refused_then_outage(&mut self, node: usize, gap_ms: u64, outage_ms: u64) {
+    pub fn refused_then_outage(&mut self, controller: usize, gap_ms: u64, outage_ms: u64) {
         let (begins, until) = (self.now.plus(gap_ms), self.now.plus(gap_ms + outage_ms));
-        self.store_cut[node] = self.store_cut[node].max(begins);
+        self.store_cut[controller] = self.store_cut[controller].max(begins);
         self.at(gap_ms, Happens::Outage { until });
         self.over_at(until);
     }
@@ -100,33 +100,34 @@
 
     /// Holds orders to a machine up; true if they are.
     pub(super) fn orders_held(&mut self, event: &Happens) -> bool {
-        let Happens::Orders { node, life, machine, orders, .. } = event else { return false };
+        let Happens::Orders { controller, life, machine, orders, .. } = event else { return false };
         let Some(until) = self.meetings.held_until(machine, self.now) else { return false };
-        let (node, life, machine, orders) = (*node, *life, machine.clone(), orders.clone());
+        let (controller, life, machine, orders) =
+            (*controller, *life, machine.clone(), orders.clone());
         self.meetings.held_orders += 1;
         let told = Box::new(Event::Ordered { machine: machine.clone(), report: None });
-        self.at(ORDER_MS, Happens::Node(node, life, told));
+        self.at(ORDER_MS, Happens::Controller(controller, life, told));
         let ms = until.since(self.now) + 1;
-        self.at(ms, Happens::Orders { node, life, machine, orders, answered: false });
+        self.at(ms, Happens::Orders { controller, life, machine, orders, answered: false });
         true
     }
 
     /// The controller ends and is back within a second; once a pool of its has a new token or a
     /// new owner it ends again.
-    pub fn over_and_back(&mut self, node: usize) {
-        let pools = self.holders().into_iter().filter(|h| h.1 .0 == node);
+    pub fn over_and_back(&mut self, controller: usize) {
+        let pools = self.holders().into_iter().filter(|h| h.1 .0 == controller);
         let version = |w: &World, p: &PoolId| w.store.get(&records::pool_key(p)).map(|i| i.version);
         let tokens = pools.map(|(p, _)| (p.clone(), version(self, &p))).collect();
         let back_ms = self.rng.random_range(100..900);
-        self.crash(node, back_ms);
+        self.crash(controller, back_ms);
         let until = self.now.plus(25_000);
         self.over_at(until.plus(6_000));
-        self.at(back_ms + 50, Happens::OnceMoved { node, tokens, until });
+        self.at(back_ms + 50, Happens::OnceMoved { controller, tokens, until });
     }
 
     pub(super) fn once_moved(
         &mut self,
-        node: usize,
+        controller: usize,
         tokens: BTreeMap<PoolId, Option<Version>>,
         until: Ms,
     ) {
@@ -135,21 +136,21 @@
             .any(|(p, t)| self.store.get(&records::pool_key(p)).map(|i| i.version) != *t);
         if moved || self.now >= until {
             let back_ms = self.rng.random_range(100..6_000);
-            return self.crash(node, back_ms);
+            return self.crash(controller, back_ms);
         }
-        self.at(100, Happens::OnceMoved { node, tokens, until });
+        self.at(100, Happens::OnceMoved { controller, tokens, until });
     }
 
     /// All controllers end within a second; one is back at once, the others much later.
     pub fn all_but_one(&mut self) {
-        let one = self.rng.random_range(0..self.nodes.len());
-        for node in 0..self.nodes.len() {
+        let one = self.rng.random_range(0..self.controllers.len());
+        for controller in 0..self.controllers.len() {
             let at = self.rng.random_range(0..1_000);
-            let back_ms = match node == one {
+            let back_ms = match controller == one {
                 true => self.rng.random_range(50..400),
                 false => self.rng.random_range(10_000..30_000),
             };
-            self.at(at, Happens::Ends { node, back_ms });
+            self.at(at, Happens::Ends { controller, back_ms });
             self.over_at(self.now.plus(at + back_ms));
         }
     }
@@ -159,8 +160,8 @@
     }
 
     /// One of these troubles, drawn in all that is left open.
-    pub(super) fn meeting(&mut self, kind: Trouble, node: usize, until: Ms) {
-        let most = self.most().unwrap_or(node);
+    pub(super) fn meeting(&mut self, kind: Trouble, controller: usize, until: Ms) {
+        let most = self.most().unwrap_or(controller);
         match kind {
             Trouble::LateWrites => {
                 let share = [0.1, 0.3, 0.6][self.rng.random_range(0..3)];
--- a/crates/cleatfold-testbed/src/world/moments.rs
+++ b/crates/cleatfold-testbed/src/world/moments.rs
@@ -24,8 +24,8 @@
 
 impl World {
     /// How much later than usual the state service's answer to a request reaches the controller.
-    pub(super) fn commit_late(&mut self, node: usize, is_txn: bool) -> u64 {
-        match self.moments.late_commits.get(&node) {
+    pub(super) fn commit_late(&mut self, controller: usize, is_txn: bool) -> u64 {
+        match self.moments.late_commits.get(&controller) {
             Some((most, until)) if is_txn && *until > self.now => self.rng.random_range(0..*most),
             _ => 0,
         }
@@ -54,7 +54,7 @@
         let Some(worker) = self.workers.get(machine) else { return };
         let running = worker.tasks.iter().filter(|((t, _), s)| t == task && s.exit.is_none());
         for attempt in running.map(|((_, attempt), _)| *attempt) {
-            let launch = (machine.clone(), worker.session, task.clone(), attempt);
+            let launch = (machine.clone(), worker.agent_epoch, task.clone(), attempt);
             if !self.moments.launched.insert(launch) {
                 self.broken.push(format!("{:?} launched again {task} on {machine}", self.now));
             }
@@ -80,20 +80,20 @@
     }
 
     /// A user submits a job once more.
-    pub fn submit_again(&mut self, node: usize, job: &JobId) {
+    pub fn submit_again(&mut self, controller: usize, job: &JobId) {
         let Some(spec) = self.jobs.get(job).and_then(|w| w.spec.clone()) else { return };
-        if self.nodes[node].is_some() {
-            self.ask(node, Asked::Submit(job.clone()), Request::Submit(Box::new(spec)));
+        if self.controllers[controller].is_some() {
+            self.ask(controller, Asked::Submit(job.clone()), Request::Submit(Box::new(spec)));
         }
     }
 
     /// Users ask about every job that was accepted, at this controller.
-    pub fn ask_all_at(&mut self, node: usize) {
+    pub fn ask_all_at(&mut self, controller: usize) {
         let known = self.jobs.iter().filter(|j| j.1.accepted);
         let known: Vec<_> = known.map(|(id, w)| (id.clone(), w.told)).collect();
         for (id, told) in known {
-            if self.nodes[node].is_some() && self.cut[node] <= self.now {
-                self.ask(node, Asked::Poll(id.clone(), told, true), Request::Poll(id));
+            if self.controllers[controller].is_some() && self.cut[controller] <= self.now {
+                self.ask(controller, Asked::Poll(id.clone(), told, true), Request::Poll(id));
             }
         }
     }
--- a/crates/cleatfold-testbed/src/world/polls.rs
+++ b/crates/cleatfold-testbed/src/world/polls.rs
@@ -47,13 +47,13 @@
         self.at(pause, Happens::Asks(id.clone()));
         let ready = |i: &usize| {
             let there = self.cut[*i] <= self.now && !self.troubles.stands_still(*i, self.now);
-            there && self.nodes[*i].as_ref().is_some_and(Node::is_ready)
+            there && self.controllers[*i].as_ref().is_some_and(Controller::is_ready)
         };
-        let ready: Vec<usize> = (0..self.nodes.len()).filter(ready).collect();
+        let ready: Vec<usize> = (0..self.controllers.len()).filter(ready).collect();
         if !accepted || ready.is_empty() {
             return;
         }
-        let node = ready[self.rng.random_range(0..ready.len())];
+        let controller = ready[self.rng.random_range(0..ready.len())];
         self.polls.asked += 1;
         let wall_ms = 1_000_000 + self.now.0;
         if self.polls.turned_away.as_ref().is_some_and(|t| t(&id, wall_ms)) {
@@ -61,7 +61,7 @@
             return;
         }
         self.polls.sent.insert(self.next_rid + 1, self.now);
-        self.ask(node, Asked::Poll(id.clone(), told, accepted), Request::Poll(id));
+        self.ask(controller, Asked::Poll(id.clone(), told, accepted), Request::Poll(id));
     }
 
     /// Once all troubles are over, each job that is asked about is told of.
--- a/crates/cleatfold-testbed/src/world/size.rs
+++ b/crates/cleatfold-testbed/src/world/size.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Controllers of a usual region.
-pub const NODES: usize = 3;
+pub const CONTROLLERS: usize = 3;
 pub(super) const LEASE_MS: u64 = 10_000;
 pub(super) const CANCEL_MS: u64 = 40_000;
 pub(super) const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -11,7 +11,7 @@
 /// How large the region is, and what its services take.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Size {
-    pub nodes: usize,
+    pub controllers: usize,
     /// The second of them, and every other one after it, has the limit; or all have.
     pub teams: usize,
     pub all_limited: bool,
@@ -38,7 +38,7 @@
 
 impl Size {
     pub const SMALL: Size = Size {
-        nodes: NODES,
+        controllers: CONTROLLERS,
         teams: 2,
         all_limited: false,
         machines: 9,
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     pub report_ms: u64,
-    pub node_ttl_ms: u64,
+    pub controller_lease_ms: u64,
     pub lease_ms: u64,
     pub cancel_ms: u64,
 }
@@ -93,13 +93,13 @@
     }
 
     pub fn times(&self) -> Times {
-        let Config { report_ms, node_ttl_ms, lease_ms, cancel_ms, .. } = config(0, *self);
-        Times { report_ms, node_ttl_ms, lease_ms, cancel_ms }
+        let Config { report_ms, controller_lease_ms, lease_ms, cancel_ms, .. } = config(0, *self);
+        Times { report_ms, controller_lease_ms, lease_ms, cancel_ms }
     }
 }
 
-pub fn node_id(i: usize) -> NodeId {
-    NodeId::new(format!("n{i}"))
+pub fn controller_id(i: usize) -> ControllerId {
+    ControllerId::new(format!("n{i}"))
 }
 
 pub(super) fn config(i: usize, size: Size) -> Config {
@@ -112,9 +112,12 @@
         gpus_max: 0.0,
     };
     Config {
-        me: node_id(i),
+        me: controller_id(i),
         zone: zone(i),
-        peers: (0..size.nodes).filter(|j| *j != i).map(|j| (node_id(j), zone(j))).collect(),
+        peers: (0..size.controllers)
+            .filter(|j| *j != i)
+            .map(|j| (controller_id(j), zone(j)))
+            .collect(),
         teams: (0..size.teams).map(team).collect(),
         report_ms: size.report_ms,
         lease_ms: size.lease_ms,
@@ -126,7 +129,7 @@
         list_lag_ms: 10_000,
         k: 2,
         sync_ms: 250,
-        node_ttl_ms: 3000,
+        controller_lease_ms: 3000,
         aims: vec![],
         usual_wait_s: 10.0,
         idle_return_s: 20.0,
--- a/crates/cleatfold-testbed/src/world/small_jobs.rs
+++ b/crates/cleatfold-testbed/src/world/small_jobs.rs
@@ -74,8 +74,8 @@
         self.small.submitted += 1;
         self.small.open.insert(spec.id.clone(), job);
         match self.users_node() {
-            Some(node) => {
-                self.submit(node, spec);
+            Some(controller) => {
+                self.submit(controller, spec);
             }
             None => self.know(&spec),
         }
@@ -107,7 +107,7 @@
             self.small.open.remove(id);
             return;
         }
-        let Some(node) = self.users_node() else { return };
+        let Some(controller) = self.users_node() else { return };
         let Some(watch) = self.jobs.get_mut(id) else { return };
         let (asked, request) = match next {
             Next::Submits => {
@@ -124,6 +124,6 @@
         if let Some(job) = self.small.open.get_mut(id) {
             job.asked = self.now;
         }
-        self.ask(node, asked, request);
+        self.ask(controller, asked, request);
     }
 }
--- a/crates/cleatfold-testbed/src/world/starvation.rs
+++ b/crates/cleatfold-testbed/src/world/starvation.rs
@@ -208,8 +208,8 @@
     /// Its pool's owner is about to return it.
     fn is_emptied(&self, machine: &MachineId) -> bool {
         let owner = self.pool_of(machine).and_then(|pool| self.holder(&pool));
-        let owner = owner.and_then(|i| self.nodes[i].as_ref());
-        owner.is_some_and(|node| node.empties(machine))
+        let owner = owner.and_then(|i| self.controllers[i].as_ref());
+        owner.is_some_and(|controller| controller.empties(machine))
     }
 
     fn could_start_on<'a>(
--- a/crates/cleatfold-testbed/src/world/troubles.rs
+++ b/crates/cleatfold-testbed/src/world/troubles.rs
@@ -35,13 +35,13 @@
 }
 
 impl Troubles {
-    pub fn cut_off(&self, node: usize, zone: &ZoneId, now: Ms) -> bool {
-        let cut = self.cuts.get(&node).filter(|c| c.0 > now);
+    pub fn cut_off(&self, controller: usize, zone: &ZoneId, now: Ms) -> bool {
+        let cut = self.cuts.get(&controller).filter(|c| c.0 > now);
         cut.is_some_and(|c| c.1.as_ref().is_none_or(|z| z == zone))
     }
 
-    pub fn stands_still(&self, node: usize, now: Ms) -> bool {
-        self.frozen.get(&node).is_some_and(|f| f.0 > now)
+    pub fn stands_still(&self, controller: usize, now: Ms) -> bool {
+        self.frozen.get(&controller).is_some_and(|f| f.0 > now)
     }
 
     /// Whether nothing told reaches the machine.
@@ -55,17 +55,17 @@
             })
     }
 
-    fn apart_until(&self, node: usize, now: Ms) -> Option<(Ms, bool)> {
-        self.apart.get(&node).filter(|a| a.0 > now).copied()
+    fn apart_until(&self, controller: usize, now: Ms) -> Option<(Ms, bool)> {
+        self.apart.get(&controller).filter(|a| a.0 > now).copied()
     }
 
     /// For how long a call of the controller is held.
-    pub(super) fn held_apart(&self, node: usize, now: Ms) -> u64 {
-        self.apart_until(node, now).filter(|a| a.1).map_or(0, |a| a.0.since(now))
+    pub(super) fn held_apart(&self, controller: usize, now: Ms) -> u64 {
+        self.apart_until(controller, now).filter(|a| a.1).map_or(0, |a| a.0.since(now))
     }
 
-    pub(super) fn refused_apart(&self, node: usize, now: Ms) -> bool {
-        self.apart_until(node, now).is_some_and(|a| !a.1)
+    pub(super) fn refused_apart(&self, controller: usize, now: Ms) -> bool {
+        self.apart_until(controller, now).is_some_and(|a| !a.1)
     }
 
     /// Whether the two controllers do not hear of one another.
@@ -76,14 +76,16 @@
 
 impl World {
     /// The controller stands still while its clocks run on.
-    pub fn freeze(&mut self, node: usize, for_ms: u64) {
-        self.troubles.frozen.insert(node, (self.now.plus(for_ms), Vec::new()));
-        self.at(for_ms, Happens::Thaw(node, self.lives[node]));
+    pub fn freeze(&mut self, controller: usize, for_ms: u64) {
+        self.troubles.frozen.insert(controller, (self.now.plus(for_ms), Vec::new()));
+        self.at(for_ms, Happens::Thaw(controller, self.lives[controller]));
     }
 
     /// Keeps back what comes for a controller that stands still; its clock's ticks are not made up for.
-    pub(super) fn kept_back(&mut self, node: usize, event: Event) -> Option<Event> {
-        let Some((until, kept)) = self.troubles.frozen.get_mut(&node) else { return Some(event) };
+    pub(super) fn kept_back(&mut self, controller: usize, event: Event) -> Option<Event> {
+        let Some((until, kept)) = self.troubles.frozen.get_mut(&controller) else {
+            return Some(event);
+        };
         if *until <= self.now {
             return Some(event);
         }
@@ -94,10 +96,10 @@
     }
 
     /// It goes on, with all that has come meanwhile before its first tick.
-    pub(super) fn thaw(&mut self, node: usize, life: u32) {
-        let kept = self.troubles.frozen.remove(&node).map(|f| f.1).unwrap_or_default();
-        if self.lives[node] == life {
-            kept.into_iter().for_each(|event| self.give(node, event));
+    pub(super) fn thaw(&mut self, controller: usize, life: u32) {
+        let kept = self.troubles.frozen.remove(&controller).map(|f| f.1).unwrap_or_default();
+        if self.lives[controller] == life {
+            kept.into_iter().for_each(|event| self.give(controller, event));
         }
     }
 
@@ -105,12 +107,12 @@
     pub(super) fn plan_troubles(&mut self) {
         for _ in 0..14 {
             let at = self.rng.random_range(5_000..110_000u64);
-            let node = self.rng.random_range(0..self.nodes.len());
+            let controller = self.rng.random_range(0..self.controllers.len());
             let long = Ms(1000 + at + self.rng.random_range(2_000..45_000u64));
             let event = match self.rng.random_range(0..7) {
-                0 | 1 => Happens::Crash(node),
-                2 | 3 => Happens::Cut { node, until: long },
-                4 => Happens::StoreCut { node, until: long },
+                0 | 1 => Happens::Crash(controller),
+                2 | 3 => Happens::Cut { controller, until: long },
+                4 => Happens::StoreCut { controller, until: long },
                 5 => {
                     Happens::Outage { until: Ms(1000 + at + self.rng.random_range(1_000..20_000)) }
                 }
@@ -124,36 +126,36 @@
         // All at once, now and then.
         if self.rng.random_bool(0.3) {
             let at = self.rng.random_range(30_000..100_000);
-            for node in 0..self.nodes.len() {
-                self.at(at, Happens::Crash(node));
+            for controller in 0..self.controllers.len() {
+                self.at(at, Happens::Crash(controller));
             }
         }
     }
 
     /// Ends a controller at once; it is back after a while. What it had sent is still executed.
-    pub fn crash(&mut self, node: usize, back_ms: u64) {
-        if self.nodes[node].take().is_some() {
+    pub fn crash(&mut self, controller: usize, back_ms: u64) {
+        if self.controllers[controller].take().is_some() {
             // What had come for it while it stood still is lost with it.
-            self.troubles.frozen.remove(&node);
-            self.lives[node] += 1;
-            self.at(back_ms, Happens::Restart(node));
+            self.troubles.frozen.remove(&controller);
+            self.lives[controller] += 1;
+            self.at(back_ms, Happens::Restart(controller));
         }
     }
 
     /// The controller's process is back within a fraction of a second. Its lease still stands,
     /// and some of what it had sent is only executed in its next life.
-    pub fn blink_node(&mut self, node: usize) {
+    pub fn blink_node(&mut self, controller: usize) {
         let back_ms = self.rng.random_range(50..400);
-        self.put_off(node, 2_500);
-        self.crash(node, back_ms);
+        self.put_off(controller, 2_500);
+        self.crash(controller, back_ms);
     }
 
     /// Puts off some of what the controller has sent and is still on its way.
-    fn put_off(&mut self, node: usize, most_ms: u64) {
+    fn put_off(&mut self, controller: usize, most_ms: u64) {
         let of_it = |event: &Happens| match event {
-            Happens::StoreRequest { node: n, .. }
-            | Happens::CloudRequest { node: n, .. }
-            | Happens::Orders { node: n, .. } => *n == node,
+            Happens::StoreRequest { controller: n, .. }
+            | Happens::CloudRequest { controller: n, .. }
+            | Happens::Orders { controller: n, .. } => *n == controller,
             _ => false,
         };
         let sent = self.events.iter().filter(|e| of_it(e.1)).map(|e| *e.0);
@@ -168,8 +170,8 @@
 
     /// The controller loses the state service and the other controllers, but not its workers and
     /// not its users. Its calls are refused, or held until the end.
-    pub fn set_apart(&mut self, node: usize, until: Ms, held: bool) {
-        self.troubles.apart.insert(node, (until, held));
+    pub fn set_apart(&mut self, controller: usize, until: Ms, held: bool) {
+        self.troubles.apart.insert(controller, (until, held));
     }
 
     /// Nothing that is told the machine reaches it; its reports arrive.
@@ -194,18 +196,18 @@
             return;
         }
         let late = self.rng.random_range(copies.late_ms.0..copies.late_ms.1);
-        let node = self.rng.random_range(0..self.nodes.len());
-        self.at(late, Happens::Copy(node, Box::new(report.clone())));
+        let controller = self.rng.random_range(0..self.controllers.len());
+        self.at(late, Happens::Copy(controller, Box::new(report.clone())));
     }
 
-    pub(super) fn copy_arrives(&mut self, node: usize, report: Report) {
-        if self.nodes[node].is_none() {
+    pub(super) fn copy_arrives(&mut self, controller: usize, report: Report) {
+        if self.controllers[controller].is_none() {
             return;
         }
         self.troubles.copied += 1;
         self.next_rid += 1;
         let rid = self.next_rid;
-        self.give(node, Event::Report { rid, report: report.into_raw() });
+        self.give(controller, Event::Report { rid, report: report.into_raw() });
     }
 
     /// The machine stands still for a moment; its connection is gone, its session goes on.
@@ -227,7 +229,7 @@
     }
 
     fn reconnects(&mut self, machine: &MachineId, after_ms: u64) {
-        let target = self.rng.random_range(0..self.nodes.len());
+        let target = self.rng.random_range(0..self.controllers.len());
         let Some(link) = self.links.get_mut(machine) else { return };
         (link.waiting, link.target) = (None, target);
         self.report_in(after_ms + 1, machine.clone());
--- a/crates/cleatfold-testbed/src/world/users.rs
+++ b/crates/cleatfold-testbed/src/world/users.rs
@@ -3,17 +3,20 @@
 use super::*;
 
 impl World {
-    pub(super) fn on_reply(&mut self, node: usize, rid: u64, response: Response) {
+    pub(super) fn on_reply(&mut self, controller: usize, rid: u64, response: Response) {
         self.judge_odd(rid, &response);
         let sent = self.polls.sent.remove(&rid);
         let late = sent.is_some_and(|at| self.now.since(at) > polls::WAITS_MS);
-        match self.asked.remove(&(node, rid)) {
-            Some(Asked::Report(machine, sent, session, number)) => {
-                let delay = self.delay(node);
-                self.at(delay, Happens::WorkerAnswer { machine, number, sent, session, response });
+        match self.asked.remove(&(controller, rid)) {
+            Some(Asked::Report(machine, sent, agent_epoch, number)) => {
+                let delay = self.delay(controller);
+                self.at(
+                    delay,
+                    Happens::WorkerAnswer { machine, number, sent, agent_epoch, response },
+                );
             }
             Some(Asked::Steps(machine, key, number)) => {
-                let delay = self.delay(node);
+                let delay = self.delay(controller);
                 let response = Some(response);
                 self.at(delay, Happens::MemberTold { machine, key, number, response });
             }
@@ -23,7 +26,7 @@
                 }
             }
             Some(Asked::Team) => self.team_answer = Some(response),
-            Some(asked) if self.cut[node] <= self.now && !late => {
+            Some(asked) if self.cut[controller] <= self.now && !late => {
                 self.judge_count(rid, &response);
                 self.judge_order(rid, &asked, &response);
                 self.judge_answer(asked, response)
@@ -36,8 +39,8 @@
         let pause = self.size.pause_ms;
         let pause = self.rng.random_range(pause / 3..pause * 5 / 3);
         self.at(pause, Happens::User(u));
-        let node = self.rng.random_range(0..self.nodes.len());
-        if self.nodes[node].is_none() || self.cut[node] > self.now {
+        let controller = self.rng.random_range(0..self.controllers.len());
+        if self.controllers[controller].is_none() || self.cut[controller] > self.now {
             return;
         }
         let known: Vec<JobId> = self.jobs.keys().cloned().collect();
@@ -63,7 +66,7 @@
                     (asked, Request::Poll(id))
                 }
             };
-        self.ask(node, asked, request);
+        self.ask(controller, asked, request);
     }
 
     pub fn some_job(&mut self) -> JobSpec {
@@ -109,10 +112,10 @@
     }
 
     /// Submits a job at a node, as a user does.
-    pub fn submit(&mut self, node: usize, spec: JobSpec) -> JobId {
+    pub fn submit(&mut self, controller: usize, spec: JobSpec) -> JobId {
         let id = spec.id.clone();
         self.know(&spec);
-        self.ask(node, Asked::Submit(id.clone()), Request::Submit(Box::new(spec)));
+        self.ask(controller, Asked::Submit(id.clone()), Request::Submit(Box::new(spec)));
         id
     }
 
@@ -126,12 +129,12 @@
         }
     }
 
-    pub fn ask(&mut self, node: usize, asked: Asked, request: Request) {
+    pub fn ask(&mut self, controller: usize, asked: Asked, request: Request) {
         self.next_rid += 1;
         let rid = self.next_rid;
         self.note_count(rid, &asked);
         self.note_known(rid, &asked);
-        self.asked.insert((node, rid), asked);
-        self.give(node, Event::Request { rid, request });
+        self.asked.insert((controller, rid), asked);
+        self.give(controller, Event::Request { rid, request });
     }
 }
--- a/crates/cleatfold-testbed/src/world/watch.rs
+++ b/crates/cleatfold-testbed/src/world/watch.rs
@@ -123,7 +123,7 @@
                     let Some(worker) = self.workers.get(&group.machine) else { continue };
                     let task = TaskId { job: new.spec.id.clone(), ix };
                     // In a later session an exit that was reported may be forgotten already.
-                    let forgotten = worker.session > 1;
+                    let forgotten = worker.agent_epoch > 1;
                     let listed = worker.tasks.contains_key(&(task.clone(), attempt));
                     if new.table.claims.iter().any(stands) || forgotten || listed {
                         continue;
--- a/crates/cleatfold-testbed/src/world/workers.rs
+++ b/crates/cleatfold-testbed/src/world/workers.rs
@@ -51,19 +51,19 @@
     }
 
     pub(super) fn member_asks(&mut self, id: &MachineId, key: MemberKey, report: StepReport) {
-        let home = self.rng.random_range(0..self.nodes.len());
+        let home = self.rng.random_range(0..self.controllers.len());
         let mute = self.is_mute(id);
         let link = self.member_links.entry(key.clone()).or_insert((home, 0));
         link.1 += 1;
-        let (node, number) = *link;
+        let (controller, number) = *link;
         let (machine, response) = (id.clone(), None);
         self.at(5000, Happens::MemberTold { machine, key: key.clone(), number, response });
         if mute {
             return;
         }
-        let delay = self.delay(node);
+        let delay = self.delay(controller);
         let machine = id.clone();
-        self.at(delay, Happens::MemberAsks { node, machine, key, number, report });
+        self.at(delay, Happens::MemberAsks { controller, machine, key, number, report });
     }
 
     pub(super) fn member_told(
@@ -91,11 +91,11 @@
             }
             Some(Response::Refusal { code: 409, .. }) => member.lost(),
             Some(Response::Redirect(Some(to))) => {
-                link.0 = (0..self.nodes.len()).find(|i| node_id(*i) == to).unwrap_or(0);
+                link.0 = (0..self.controllers.len()).find(|i| controller_id(*i) == to).unwrap_or(0);
                 member.redirected(now);
             }
             _ => {
-                link.0 = (link.0 + 1) % self.nodes.len();
+                link.0 = (link.0 + 1) % self.controllers.len();
                 member.unanswered(now);
             }
         }
@@ -111,7 +111,7 @@
         self.has_images(&mut worker);
         self.booted += 1;
         self.workers.insert(id.clone(), worker);
-        let target = self.rng.random_range(0..self.nodes.len());
+        let target = self.rng.random_range(0..self.controllers.len());
         self.links.insert(id.clone(), Link { target, waiting: None, due: Ms(0) });
         self.report_in(boot_ms, id);
     }
@@ -144,17 +144,17 @@
         let report = worker.report();
         let number = report.seq.0;
         link.waiting = Some(number);
-        let node = link.target;
+        let controller = link.target;
         self.at(4000, Happens::WorkerTimeout { machine: id.clone(), number });
         self.copy_perhaps(&report);
         self.keep_perhaps(&report);
         let unreached = self.machine_cut(&id) || self.is_mute(&id);
-        let cut = unreached || self.troubles.cut_off(node, &report.zone, now);
-        if self.nodes[node].is_none() || cut {
+        let cut = unreached || self.troubles.cut_off(controller, &report.zone, now);
+        if self.controllers[controller].is_none() || cut {
             return;
         }
-        let delay = self.delay(node);
-        self.at(delay, Happens::ReportArrives { node, machine: id, sent: now, report });
+        let delay = self.delay(controller);
+        self.at(delay, Happens::ReportArrives { controller, machine: id, sent: now, report });
     }
 
     pub(super) fn worker_answer(
@@ -162,18 +162,18 @@
         id: MachineId,
         number: u64,
         sent: Ms,
-        session: u64,
+        agent_epoch: u64,
         response: Response,
     ) {
         let now = self.now;
         if let Some(until) = self.hung.get(&id).filter(|u| **u > now) {
             let until = until.since(now) + 1;
-            let answer = Happens::WorkerAnswer { machine: id, number, sent, session, response };
+            let answer = Happens::WorkerAnswer { machine: id, number, sent, agent_epoch, response };
             return self.at(until, answer);
         }
         if let Some(until) = self.meetings.held_until(&id, now) {
             let until = until.since(now) + 1;
-            let answer = Happens::WorkerAnswer { machine: id, number, sent, session, response };
+            let answer = Happens::WorkerAnswer { machine: id, number, sent, agent_epoch, response };
             return self.at(until, answer);
         }
         let Some(link) = self.links.get_mut(&id) else { return };
@@ -201,7 +201,7 @@
                     })
                 };
                 let Some(worker) = self.workers.get_mut(&id) else { return };
-                let happenings = worker.answer(now, sent, session, &reply, find);
+                let happenings = worker.answer(now, sent, agent_epoch, &reply, find);
                 self.judge(&id, happenings);
                 self.wake(&id);
                 let report_ms = self.size.report_ms;
@@ -209,13 +209,14 @@
                 self.report_in(pause, id);
             }
             Response::Redirect(Some(to)) => {
-                let target = (0..self.nodes.len()).find(|i| node_id(*i) == to).unwrap_or(0);
+                let target =
+                    (0..self.controllers.len()).find(|i| controller_id(*i) == to).unwrap_or(0);
                 let pause = if link.target == target { 1000 } else { 100 };
                 link.target = target;
                 self.report_in(pause, id);
             }
             _ => {
-                link.target = (link.target + 1) % self.nodes.len();
+                link.target = (link.target + 1) % self.controllers.len();
                 self.report_in(1000, id);
             }
         }
--- a/crates/cleatfold-testbed/tests/days.rs
+++ b/crates/cleatfold-testbed/tests/days.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn five_controllers_under_every_trouble() {
-    days(&Plan { nodes: 5, troubles: 30, ..Plan::default() }, 10..12);
+    days(&Plan { controllers: 5, troubles: 30, ..Plan::default() }, 10..12);
 }
 
 #[test]
--- a/crates/cleatfold-testbed/tests/pairs.rs
+++ b/crates/cleatfold-testbed/tests/pairs.rs
@@ -108,11 +108,11 @@
     // Nothing else starts one of them before.
     world.happen(Happens::Restart(0));
     run_for(&mut world, lease_ms + 2_900);
-    assert_eq!(world.nodes.iter().flatten().count(), 0);
+    assert_eq!(world.controllers.iter().flatten().count(), 0);
     run_for(&mut world, 200);
-    assert_eq!(world.nodes.iter().flatten().count(), 1);
+    assert_eq!(world.controllers.iter().flatten().count(), 1);
     run_for(&mut world, 4_000);
-    assert_eq!(world.nodes.iter().flatten().count(), 3);
+    assert_eq!(world.controllers.iter().flatten().count(), 3);
     assert_eq!(world.leaders.longest_away_ms, lease_ms + 3_000);
 }
 
@@ -160,10 +160,10 @@
     assert!(world.command_faults.delivered > 20 && world.troubles.copied > 20);
     let mut world = busy(size);
     let machine = world.running.values().next().expect("a busy machine").clone();
-    let session = world.workers[&machine].session;
+    let agent_epoch = world.workers[&machine].agent_epoch;
     world.mute(&machine, Ms(45_000));
     world.run(Ms(36_000));
-    assert!(world.workers.get(&machine).is_none_or(|w| w.session > session));
+    assert!(world.workers.get(&machine).is_none_or(|w| w.agent_epoch > agent_epoch));
     assert!(world.running.values().all(|m| *m != machine));
     let mut world = busy(size);
     world.cancel_now(5, Some(6_000));
@@ -192,7 +192,7 @@
         world.refused_then_outage(most, 2_000, 45_000);
         assert!(world.store_cut[most] == Ms(27_000) && world.outage == Ms(0));
         world.run(Ms(27_500));
-        assert!(world.nodes.iter().flatten().count() == 3 && world.outage == Ms(72_000));
+        assert!(world.controllers.iter().flatten().count() == 3 && world.outage == Ms(72_000));
         world.troubles_over()
     };
     assert_eq!(refused, Ms(72_000));
@@ -205,9 +205,9 @@
     let mut world = busy();
     world.all_but_one();
     world.run(Ms(28_000));
-    assert_eq!(world.nodes.iter().flatten().count(), 1);
+    assert_eq!(world.controllers.iter().flatten().count(), 1);
     world.run(Ms(57_000));
-    assert_eq!(world.nodes.iter().flatten().count(), 3);
+    assert_eq!(world.controllers.iter().flatten().count(), 3);
     let mut world = busy();
     let most = world.most().expect("somebody holds machines");
     let life = world.lives[most];
--- a/crates/cleatfold-wire/src/ids.rs
+++ b/crates/cleatfold-wire/src/ids.rs
@@ -48,7 +48,7 @@
 );
 name_type!(
     /// A controller node's name.
-    NodeId
+    ControllerId
 );
 name_type!(
     /// A machine type's name.
@@ -138,7 +138,7 @@
 );
 number_type!(
     /// Who may command a worker; the version of its pool's key.
-    Token(u64)
+    FencingToken(u64)
 );
 number_type!(
     /// The how-manyeth start of a task. Only ever grows.
@@ -146,7 +146,7 @@
 );
 number_type!(
     /// A worker's session; grows when its lease expires.
-    Session(u64)
+    AgentEpoch(u64)
 );
 number_type!(
     /// Orders the messages of one worker session.
--- a/crates/cleatfold-wire/src/worker.rs
+++ b/crates/cleatfold-wire/src/worker.rs
@@ -83,11 +83,11 @@
     #[serde(rename = "pretees")]
     pub spot: bool,
     #[serde(rename = "veille")]
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     #[serde(rename = "numero")]
     pub seq: Seq,
     #[serde(rename = "jeton")]
-    pub token: Token,
+    pub token: FencingToken,
     #[serde(rename = "preavisS", default)]
     pub notice_s: Option<f64>,
     /// What it holds, whole or in part. Only workers that fetch from one another say so.
@@ -111,7 +111,7 @@
             machine_type: self.machine_type,
             zone: self.zone,
             spot: self.spot,
-            session: self.session,
+            agent_epoch: self.agent_epoch,
             seq: self.seq,
             token: self.token,
             notice_s: self.notice_s,
@@ -175,7 +175,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportReply {
     #[serde(rename = "jeton")]
-    pub token: Token,
+    pub token: FencingToken,
     #[serde(rename = "consignes")]
     pub commands: Vec<Command>,
 }
@@ -183,16 +183,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
     #[serde(rename = "rapporteA", default, skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<NodeId>,
+    pub report_to: Option<ControllerId>,
 }
 
 /// `POST /orders`, straight to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
     #[serde(rename = "jeton")]
-    pub token: Token,
+    pub token: FencingToken,
     #[serde(rename = "veille")]
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     #[serde(rename = "consignes")]
     pub commands: Vec<Command>,
 }
--- a/crates/cleatfold-workspace/tests/ended.rs
+++ b/crates/cleatfold-workspace/tests/ended.rs
@@ -51,14 +51,14 @@
         let last = all.last().map_or(0, |e| e.version);
         let ours: Vec<JobId> =
             all.iter().filter(|e| e.team == team()).map(|e| e.entry.job.clone()).collect();
-        let mut nodes = [Ended::default(), Ended::default()];
+        let mut controllers = [Ended::default(), Ended::default()];
         let mut heads = [HistoryHead::default(), HistoryHead::default()];
         let mut stands = HistoryHead::default();
         let mut written: Vec<JobId> = Vec::new();
         let mut now = 0;
         for (n, what, amount) in moves {
             now = (now + amount / 8).min(last);
-            let ended = &mut nodes[n];
+            let ended = &mut controllers[n];
             let head = &mut heads[n];
             match what {
                 // Reads on; or all since the head; or loses what it has read.
--- a/crates/cleatfold-workspace/tests/owner.rs
+++ b/crates/cleatfold-workspace/tests/owner.rs
@@ -1,21 +1,21 @@
 //! Who keeps which team.
 
-use cleatfold_wire::{NodeId, TeamId};
+use cleatfold_wire::{ControllerId, TeamId};
 use cleatfold_workspace::owner::{first, rank};
 use cleatfold_workspace::page::by_place;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn nodes(n: usize) -> BTreeSet<NodeId> {
-    (0..n).map(|i| NodeId::new(format!("node-{i}"))).collect()
+fn controllers(n: usize) -> BTreeSet<ControllerId> {
+    (0..n).map(|i| ControllerId::new(format!("node-{i}"))).collect()
 }
 
 #[test]
 fn a_controller_that_goes_leaves_only_its_own_teams_and_to_all() {
-    let all = nodes(5);
+    let all = controllers(5);
     let teams: Vec<TeamId> = (0..200).map(|i| TeamId::new(format!("team-{i}"))).collect();
-    let gone = NodeId::new("node-2");
-    let rest: BTreeSet<NodeId> = all.iter().filter(|n| **n != gone).cloned().collect();
-    let mut counts: BTreeMap<&NodeId, usize> = BTreeMap::new();
+    let gone = ControllerId::new("node-2");
+    let rest: BTreeSet<ControllerId> = all.iter().filter(|n| **n != gone).cloned().collect();
+    let mut counts: BTreeMap<&ControllerId, usize> = BTreeMap::new();
     let mut heirs = BTreeSet::new();
     for team in &teams {
         let owner = first(team, all.iter()).unwrap();
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -7,11 +7,11 @@
 use crate::settings::Settings;
 use bytes::Bytes;
 use cleatfold_clients::{cloud, mesh, store, workers};
-use cleatfold_control::{Effect, Event, Node, Request, Response};
+use cleatfold_control::{Controller, Effect, Event, Request, Response};
 use cleatfold_ingress::{Class, Desk, Level, Pressure, Turns};
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::worker::RawReport;
-use cleatfold_wire::{JobId, Ms, NodeId};
+use cleatfold_wire::{ControllerId, JobId, Ms};
 use std::collections::HashMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::TcpListener;
@@ -65,7 +65,7 @@
     store: mpsc::UnboundedSender<store::Job>,
     cloud: mpsc::UnboundedSender<cloud::Job>,
     workers: mpsc::UnboundedSender<workers::Job>,
-    mesh: HashMap<NodeId, mpsc::Sender<Bytes>>,
+    mesh: HashMap<ControllerId, mpsc::Sender<Bytes>>,
     answers: HashMap<u64, oneshot::Sender<Response>>,
     /// Why this process has to end.
     refused: Option<String>,
@@ -100,7 +100,7 @@
         }
     }
 
-    fn send(&self, to: Option<NodeId>, message: &Message) {
+    fn send(&self, to: Option<ControllerId>, message: &Message) {
         let frame = mesh::encode(message);
         for (peer, queue) in &self.mesh {
             if to.as_ref().is_none_or(|t| t == peer) {
@@ -154,8 +154,8 @@
     let mut mesh_queues = HashMap::new();
     for peer in &settings.peers {
         let (queue, frames) = mpsc::channel(64);
-        mesh_queues.insert(peer.node.clone(), queue);
-        let me = settings.node.clone();
+        mesh_queues.insert(peer.controller.clone(), queue);
+        let me = settings.controller.clone();
         tokio::task::spawn_local(mesh::dial(me, peer.endpoint.to_string(), frames));
     }
     let door = crate::serve::Door { sockets: settings.sockets(), idle: settings.idle_connection() };
@@ -171,9 +171,9 @@
     };
     let mut config = settings.control();
     operator.apply(&mut config);
-    tracing::info!(node = %settings.node, zone = %settings.zone, "serving");
+    tracing::info!(controller = %settings.controller, zone = %settings.zone, "serving");
     CoreActor {
-        node: Node::new(config),
+        controller: Controller::new(config),
         outlets,
         start: Instant::now(),
         desk: Desk::default(),
@@ -195,7 +195,7 @@
 
 /// Owns the node's state; everything else speaks to it by messages.
 struct CoreActor {
-    node: Node,
+    controller: Controller,
     outlets: Outlets,
     start: Instant,
     desk: Desk<Ask>,
@@ -262,7 +262,7 @@
     fn handle(&mut self, event: Event) {
         let wall_ms = wall_ms();
         let steady = Ms(self.millis(Instant::now()));
-        for effect in self.node.handle(steady, wall_ms, event) {
+        for effect in self.controller.handle(steady, wall_ms, event) {
             if let Effect::Reply { rid, response } = &effect {
                 let job = self.polls.remove(rid);
                 if let (Some(job), Response::Refusal { code: 503, .. }) = (job, response) {
@@ -284,10 +284,10 @@
         if self.pressure.level() != self.told {
             self.told = self.pressure.level();
             tracing::info!(level = ?self.told, waiting = self.desk.len(), "pressure");
-            self.node.set_stretch(self.pressure.stretch());
+            self.controller.set_stretch(self.pressure.stretch());
         }
         self.handle(Event::Tick);
-        let vitals = Vitals { ready: self.node.is_ready(), level: self.pressure.level() };
+        let vitals = Vitals { ready: self.controller.is_ready(), level: self.pressure.level() };
         self.say.send_if_modified(|known| std::mem::replace(known, vitals) != vitals);
     }
 
--- a/crates/cleatfold/src/operator.rs
+++ b/crates/cleatfold/src/operator.rs
@@ -79,7 +79,7 @@
             config.sync_ms = ms;
         }
         if let Some(ms) = self.node_lease_ms {
-            config.node_ttl_ms = ms;
+            config.controller_lease_ms = ms;
         }
         if let Some(s) = self.idle_return_s {
             config.idle_return_s = s;
--- a/crates/cleatfold/src/settings.rs
+++ b/crates/cleatfold/src/settings.rs
@@ -2,7 +2,7 @@
 
 use cleatfold_clients::store::Budget;
 use cleatfold_control::{Aim, AimKind, Config, Team};
-use cleatfold_wire::{ClassId, NodeId, TeamId, ZoneId};
+use cleatfold_wire::{ClassId, ControllerId, TeamId, ZoneId};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -21,7 +21,7 @@
 #[derive(Debug, Deserialize)]
 pub struct Settings {
     #[serde(rename = "host_name")]
-    pub node: NodeId,
+    pub controller: ControllerId,
     #[serde(rename = "area")]
     pub zone: ZoneId,
     #[serde(rename = "serve_on")]
@@ -37,7 +37,7 @@
 #[derive(Debug, Deserialize)]
 pub struct Peer {
     #[serde(rename = "host_name")]
-    pub node: NodeId,
+    pub controller: ControllerId,
     #[serde(rename = "area")]
     pub zone: ZoneId,
     pub endpoint: SocketAddr,
@@ -51,7 +51,8 @@
 
 #[derive(Debug, Deserialize)]
 pub struct Cluster {
-    pub nodes: u32,
+    #[serde(rename = "nodes")]
+    pub controllers: u32,
     pub zones: Vec<ZoneId>,
     #[serde(default)]
     pub teams: Vec<TeamSettings>,
@@ -189,10 +190,10 @@
         if c.state.value_kb < 8.0 {
             return wrong("cluster.state.value_kb", "must be at least 8");
         }
-        if c.nodes == 0 || c.nodes as usize != self.peers.len() + 1 {
+        if c.controllers == 0 || c.controllers as usize != self.peers.len() + 1 {
             return wrong("cluster.nodes", "does not match members");
         }
-        if self.peers.iter().any(|p| p.node == self.node) {
+        if self.peers.iter().any(|p| p.controller == self.controller) {
             return wrong("members", "names this node itself");
         }
         if c.zones.is_empty() {
@@ -216,9 +217,9 @@
         let c = &self.cluster;
         let ms = |s: f64| (s * 1000.0) as u64;
         Config {
-            me: self.node.clone(),
+            me: self.controller.clone(),
             zone: self.zone.clone(),
-            peers: self.peers.iter().map(|p| (p.node.clone(), p.zone.clone())).collect(),
+            peers: self.peers.iter().map(|p| (p.controller.clone(), p.zone.clone())).collect(),
             teams: c
                 .teams
                 .iter()
@@ -243,7 +244,7 @@
             // A node that restarts within its lease keeps its pools. Where workers report seldom
             // little is lost by waiting a moment longer for it: whoever took its pools over could
             // start nothing before their next reports.
-            node_ttl_ms: (ms(c.workers.report_s) * 7 / 8).clamp(3000, 7000),
+            controller_lease_ms: (ms(c.workers.report_s) * 7 / 8).clamp(3000, 7000),
             aims: c.objectives.iter().filter_map(Objective::aim).collect(),
             usual_wait_s: 30.0,
             // Where no team has a guarantee or a limit, nobody accounts for capacity and speed
