--- a/crates/cleatfold-admission/src/decide.rs
+++ b/crates/cleatfold-admission/src/decide.rs
@@ -1,8 +1,8 @@
 //! From what is asked and what there is to an allotment.
 
-use crate::allot::{Allotment, Entry, Group};
-use crate::bands::{Band, Sizes};
 use crate::fill::{fill, Need};
+use crate::overload_quota::{Entry, Group, OverloadQuota};
+use crate::size_classes::{SizeClass, Sizes};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::TeamId;
 use std::collections::BTreeMap;
@@ -53,13 +53,13 @@
 }
 
 impl Bounds {
-    pub fn band(&self, work: f64, tasks: u32) -> Band {
+    pub fn size_class(&self, work: f64, tasks: u32) -> SizeClass {
         if work >= self.work || tasks >= self.tasks {
-            Band::Large
+            SizeClass::Large
         } else if work <= self.small {
-            Band::Small
+            SizeClass::Small
         } else {
-            Band::Middle
+            SizeClass::Middle
         }
     }
 }
@@ -152,7 +152,7 @@
 
 /// How many seconds a job of the group that comes now would wait in the ordinary order, less what
 /// goes to the floors of less urgent ones.
-pub fn expected_wait(view: &View, known: &Allotment, of: &Demand) -> f64 {
+pub fn expected_wait(view: &View, known: &OverloadQuota, of: &Demand) -> f64 {
     let floor = |g: &Demand| {
         known.entry(&g.group.team, &g.group.class).map_or(0.0, |e| e.floor as f64 / 1000.0)
     };
@@ -180,7 +180,7 @@
 pub fn decide(
     rules: &Rules,
     judge: &mut Judge,
-    known: &Allotment,
+    known: &OverloadQuota,
     view: &View,
     now_s: f64,
 ) -> Vec<Entry> {
--- a/crates/cleatfold-admission/src/room.rs
+++ b/crates/cleatfold-admission/src/long_work_limit.rs
@@ -1,4 +1,4 @@
-//! Room for what comes.
+//! LongWorkLimit for what comes.
 //!
 //! Work that runs long gives its place back late. A team that finds the region half empty could
 //! fill it with such work, and everybody who comes in the next minutes would wait for it: once a guest's
@@ -25,14 +25,14 @@
 
 /// What a team's long work may hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Room {
+pub struct LongWorkLimit {
     /// Tasks that run longer are long.
     pub longer_than_s: f64,
     /// The part of all processors that they may hold together.
     pub part: f64,
 }
 
-impl Room {
+impl LongWorkLimit {
     pub fn is_long(&self, run_s: f64) -> bool {
         run_s > self.longer_than_s
     }
@@ -41,12 +41,12 @@
 /// The room of a team's long work of this urgency; none: nobody else asks for anything that it could
 /// hold up. `capacity` in processors. Teams count by heads: one without a guarantee still has half of its
 /// jobs to be served.
-pub fn room<T: Ord, U: Ord + Copy>(
+pub fn long_work_limit<T: Ord, U: Ord + Copy>(
     asks: &BTreeMap<T, Vec<Asks<U>>>,
     capacity: f64,
     team: &T,
     urgency: U,
-) -> Option<Room> {
+) -> Option<LongWorkLimit> {
     // Less urgent work can be stopped for this, or waits behind it in any case.
     let mut others: Vec<(&T, &Asks<U>)> = Vec::new();
     for (other, asks) in asks.iter().filter(|(t, _)| *t != team) {
@@ -61,5 +61,5 @@
     teams.dedup();
     let even = 1.0 / (1 + teams.len()) as f64;
     let left = 1.0 - SPARE * rate / capacity;
-    Some(Room { longer_than_s: LONG * run_s, part: left.max(even).min(1.0) })
+    Some(LongWorkLimit { longer_than_s: LONG * run_s, part: left.max(even).min(1.0) })
 }
--- a/crates/cleatfold-admission/src/meter.rs
+++ b/crates/cleatfold-admission/src/meter.rs
@@ -1,6 +1,6 @@
 //! What each group asks for: its rate, and how its work is spread over its jobs.
 
-use crate::allot::Group;
+use crate::overload_quota::Group;
 use cleatfold_wire::ClassId;
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/cleatfold-admission/src/allot.rs
+++ b/crates/cleatfold-admission/src/overload_quota.rs
@@ -1,6 +1,6 @@
 //! What the controllers agree on while the region is overloaded.
 
-use crate::bands::Sizes;
+use crate::size_classes::Sizes;
 use cleatfold_wire::{ClassId, TeamId, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
 
 /// What is done about overload, under a number that only grows. Empty while there is none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Allotment {
+pub struct OverloadQuota {
     #[serde(rename = "g")]
     pub generation: u64,
     /// Under which version of the leader's key it was decided.
@@ -59,7 +59,7 @@
     pub entries: Vec<Entry>,
 }
 
-impl Allotment {
+impl OverloadQuota {
     pub fn entry(&self, team: &TeamId, class: &ClassId) -> Option<&Entry> {
         self.entries.iter().find(|e| e.team == *team && e.class == *class)
     }
--- a/crates/cleatfold-admission/src/bands.rs
+++ b/crates/cleatfold-admission/src/size_classes.rs
@@ -20,7 +20,7 @@
 const SOON: f64 = 0.85;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Band {
+pub enum SizeClass {
     Small,
     Middle,
     Large,
@@ -51,16 +51,16 @@
 }
 
 impl Sizes {
-    pub fn band(&self, work: f64, tasks: u32) -> Band {
+    pub fn size_class(&self, work: f64, tasks: u32) -> SizeClass {
         let (small, most) = (self.small as f64, self.work as f64);
-        Bounds { small, work: most, tasks: self.tasks }.band(work, tasks)
+        Bounds { small, work: most, tasks: self.tasks }.size_class(work, tasks)
     }
 
-    pub fn floor(&self, band: Band) -> i64 {
-        match band {
-            Band::Small => 0,
-            Band::Middle => self.middle,
-            Band::Large => self.large,
+    pub fn floor(&self, size_class: SizeClass) -> i64 {
+        match size_class {
+            SizeClass::Small => 0,
+            SizeClass::Middle => self.middle,
+            SizeClass::Large => self.large,
         }
     }
 }
@@ -111,9 +111,9 @@
 
 /// How much of each job goes before everybody else's, for one class and band. Jobs in any order; ties in acceptance
 /// are broken by `turn`, so every node that reads the same decides the same.
-pub fn lift(terms: Terms, now_ms: u64, jobs: &[Waiting]) -> Vec<i64> {
+pub fn promote(terms: Terms, now_ms: u64, jobs: &[Waiting]) -> Vec<i64> {
     let Terms { floor, begin_ms, short } = terms;
-    let mut lifted = vec![0; jobs.len()];
+    let mut promoted = vec![0; jobs.len()];
     let mut begun: Vec<usize> = (0..jobs.len()).filter(|&i| jobs[i].begun).collect();
     begun.sort_by_key(|&i| (jobs[i].accepted_ms, jobs[i].turn));
     let is_late = |j: &Waiting| late(begin_ms, j.accepted_ms, now_ms);
@@ -140,7 +140,7 @@
         // One task at least: none that has begun stands still.
         let give = due.min(left.max(jobs[i].each.min(due)));
         left -= give;
-        lifted[i] = (give - jobs[i].has).clamp(0, jobs[i].needs);
+        promoted[i] = (give - jobs[i].has).clamp(0, jobs[i].needs);
     }
     let most = floor * if short { UNDER_WAY_SHORT } else { UNDER_WAY };
     // New ones begin while all that is under way can go on.
@@ -151,8 +151,8 @@
             break;
         }
         wanted += due;
-        lifted[i] = due.min((left - left % each).max(each));
-        left -= lifted[i];
+        promoted[i] = due.min((left - left % each).max(each));
+        left -= promoted[i];
         begun.push(i);
     }
     // All of it only as far as the band has less than its floor, or urgent work waits beside a class that has
@@ -164,16 +164,16 @@
         let one = j.has == 0 && (j.begun || spare > -(floor / BEGINNINGS));
         let least = if one { each } else { 0 };
         let most = spare.max(0) - spare.max(0) % each;
-        lifted[i] = lifted[i].min(most.max(least));
-        spare -= lifted[i];
+        promoted[i] = promoted[i].min(most.max(least));
+        spare -= promoted[i];
     }
     // And what of the floor nobody has, goes to the first.
     for i in begun {
-        let more = (jobs[i].needs - lifted[i]).min(spare).max(0);
+        let more = (jobs[i].needs - promoted[i]).min(spare).max(0);
         // In whole tasks.
         let more = more - more % jobs[i].each.max(1);
-        lifted[i] += more;
+        promoted[i] += more;
         spare -= more;
     }
-    lifted
+    promoted
 }
--- a/crates/cleatfold-admission/tests/decide.rs
+++ b/crates/cleatfold-admission/tests/decide.rs
@@ -1,7 +1,7 @@
 //! Who counts as not served in time, for how long, and that nobody starves or is overtaken for ever.
 
 use cleatfold_admission::{
-    decide, order, Allotment, Bounds, Demand, Entry, Group, Judge, Meter, Rules, Small, View,
+    decide, order, Bounds, Demand, Entry, Group, Judge, Meter, OverloadQuota, Rules, Small, View,
 };
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::{ClassId, TeamId};
@@ -42,11 +42,11 @@
 
 struct Decider {
     judge: Judge,
-    known: Allotment,
+    known: OverloadQuota,
 }
 
 impl Decider {
-    fn new(known: Allotment) -> Self {
+    fn new(known: OverloadQuota) -> Self {
         Self { judge: Judge::default(), known }
     }
 
@@ -56,7 +56,7 @@
             let next = decide(&Rules::default(), &mut self.judge, &self.known, view, f64::from(s));
             if self.known.differs(&next) {
                 let generation = self.known.generation + 1;
-                self.known = Allotment { generation, entries: next, ..self.known.clone() };
+                self.known = OverloadQuota { generation, entries: next, ..self.known.clone() };
             }
         }
     }
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_class_that_would_starve_gets_a_floor_and_the_urgent_one_none() {
-    let mut decider = Decider::new(Allotment::default());
+    let mut decider = Decider::new(OverloadQuota::default());
     decider.run(&overload(), 0, 4);
     assert!(decider.known.is_empty(), "not for a moment's queue");
     decider.run(&overload(), 4, 10);
@@ -78,7 +78,7 @@
 
 #[test]
 fn while_machines_still_come_a_long_queue_says_nothing() {
-    let mut decider = Decider::new(Allotment::default());
+    let mut decider = Decider::new(OverloadQuota::default());
     decider.run(&View { settled: false, ..overload() }, 0, 60);
     assert!(decider.known.is_empty());
 }
@@ -86,7 +86,7 @@
 /// The queue under an allotment is shorter than without; if that ended it, it would begin anew.
 #[test]
 fn it_does_not_swing() {
-    let mut decider = Decider::new(Allotment::default());
+    let mut decider = Decider::new(OverloadQuota::default());
     decider.run(&overload(), 0, 10);
     let mut half = overload();
     half.groups[1].waiting = 0.7 * 300.0 * 50.0;
@@ -104,7 +104,7 @@
 
 #[test]
 fn a_new_holder_goes_on_from_what_was_written() {
-    let mut first = Decider::new(Allotment::default());
+    let mut first = Decider::new(OverloadQuota::default());
     first.run(&overload(), 0, 10);
     let mut second = Decider::new(first.known.clone());
     second.run(&View { settled: false, ..overload() }, 0, 3);
@@ -119,7 +119,7 @@
         Demand { limit: 100.0, ..demand("a", Urgency::Normal, 60_000.0, 300.0) },
         demand("b", Urgency::BestEffort, 0.0, 100.0),
     ];
-    let mut decider = Decider::new(Allotment::default());
+    let mut decider = Decider::new(OverloadQuota::default());
     decider.run(&view, 0, 10);
     let pressed: Vec<&str> = decider.known.entries.iter().map(|e| e.team.as_str()).collect();
     assert_eq!(pressed, ["a"], "there is room in the region, but not for this team");
@@ -140,7 +140,7 @@
             })
             .collect();
         let view = View { capacity: 1000.0, settled: true, groups };
-        let mut decider = Decider::new(Allotment::default());
+        let mut decider = Decider::new(OverloadQuota::default());
         decider.run(&view, 0, 10);
         let entries = &decider.known.entries;
         let sum: i64 = entries.iter().map(|e| e.floor).sum();
@@ -194,9 +194,13 @@
 
 #[test]
 fn a_floor_lifts_until_it_is_reached_and_no_further() {
-    assert_eq!(order::lift(10_000, 0, [4000, 4000, 4000, 4000]), 3);
-    assert_eq!(order::lift(10_000, 9000, [4000, 4000]), 1);
-    assert_eq!(order::lift(10_000, 10_000, [4000]), 0, "a group that has its floor waits its turn");
+    assert_eq!(order::promote(10_000, 0, [4000, 4000, 4000, 4000]), 3);
+    assert_eq!(order::promote(10_000, 9000, [4000, 4000]), 1);
+    assert_eq!(
+        order::promote(10_000, 10_000, [4000]),
+        0,
+        "a group that has its floor waits its turn"
+    );
 }
 
 #[test]
@@ -234,7 +238,7 @@
         .collect();
     groups[3].rate = 1500.0;
     let view = View { capacity: 1000.0, settled: true, groups };
-    let mut decider = Decider::new(Allotment::default());
+    let mut decider = Decider::new(OverloadQuota::default());
     decider.run(&view, 0, 10);
     assert_eq!(decider.known.entries.len(), 6);
     for e in &decider.known.entries {
@@ -251,7 +255,7 @@
     view.groups[0].rate = 600.0;
     view.groups[1].should = Small { most: 200.0, part: 0.5, waiting: 100_000.0 };
     let floor = |view: &View| {
-        let mut decider = Decider::new(Allotment::default());
+        let mut decider = Decider::new(OverloadQuota::default());
         decider.run(view, 0, 10);
         decider.known.entries[0].floor as f64 / 1000.0
     };
--- a/crates/cleatfold-admission/tests/sizes.rs
+++ b/crates/cleatfold-admission/tests/sizes.rs
@@ -3,9 +3,10 @@
 //! What is wanted of it follows from the work (`docs/admission.md`, "Sizes"): the smaller half and half of the largest tenth are
 //! some 0.4 of all work, half of each size some 0.6.
 
-use cleatfold_admission::bands::{chosen, late, lift, width, Terms, Waiting};
+use cleatfold_admission::size_classes::{chosen, late, promote, width, Terms, Waiting};
 use cleatfold_admission::{
-    decide, order, Allotment, Band, Bounds, Demand, Entry, Group, Judge, Meter, Rules, Small, View,
+    decide, order, Bounds, Demand, Entry, Group, Judge, Meter, OverloadQuota, Rules, SizeClass,
+    Small, View,
 };
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::{ClassId, TeamId};
@@ -107,9 +108,10 @@
         let waits = |mine: &dyn Fn(&Job) -> bool| -> f64 {
             jobs.iter().filter(|j| mine(j)).map(|j| rest(j)).sum()
         };
-        let of = |band: Band| {
+        let of = |size_class: SizeClass| {
             let counts = |j: &Job| j.started > 0 || !late(240_000, j.at * 1000, now * 1000);
-            rules.of_each * waits(&|j| counts(j) && bounds.band(j.work(), j.tasks) == band)
+            rules.of_each
+                * waits(&|j| counts(j) && bounds.size_class(j.work(), j.tasks) == size_class)
         };
         Some(Demand {
             group: group.clone(),
@@ -131,12 +133,12 @@
             middle: Small {
                 most: largest.work,
                 part: rules.of_each * largest.between,
-                waiting: of(Band::Middle),
+                waiting: of(SizeClass::Middle),
             },
             large: Small {
                 most: f64::INFINITY,
                 part: rules.of_each * largest.part,
-                waiting: of(Band::Large),
+                waiting: of(SizeClass::Large),
             },
             bounds,
             typical: must.typical,
@@ -149,11 +151,11 @@
 }
 
 /// What starts next, first ones first: which job and how many tasks of it.
-fn queue(jobs: &[Job], known: &Allotment, now: u64, sized: bool) -> Vec<(usize, u32)> {
+fn queue(jobs: &[Job], known: &OverloadQuota, now: u64, sized: bool) -> Vec<(usize, u32)> {
     type Upper = Vec<(usize, Waiting)>;
     type Lower = (i64, Vec<(u64, usize, i64)>);
     let mut small: BTreeMap<&ClassId, Lower> = BTreeMap::new();
-    let mut upper: BTreeMap<(&ClassId, Band), Upper> = BTreeMap::new();
+    let mut upper: BTreeMap<(&ClassId, SizeClass), Upper> = BTreeMap::new();
     let mut places = Vec::new();
     for (i, job) in jobs.iter().enumerate() {
         if job.at > now || job.ended.is_some() {
@@ -166,9 +168,15 @@
             let w = order::Waiting { accepted_ms: job.at * 1000, rest, begun: job.started > 0 };
             key.1 = order::past_use(entry, w, now * 1000);
             key.3 = order::place(entry, w, now * 1000);
-            let band = entry.sizes.as_ref().map_or(Band::Small, |s| s.band(job.work(), job.tasks));
-            if sized && band != Band::Small {
-                upper.entry((&job.group.class, band)).or_default().push((i, job.waiting(entry)));
+            let size_class = entry
+                .sizes
+                .as_ref()
+                .map_or(SizeClass::Small, |s| s.size_class(job.work(), job.tasks));
+            if sized && size_class != SizeClass::Small {
+                upper
+                    .entry((&job.group.class, size_class))
+                    .or_default()
+                    .push((i, job.waiting(entry)));
             } else {
                 let class = small.entry(&job.group.class).or_default();
                 class.0 += i64::from(job.running()) * 1000;
@@ -187,26 +195,30 @@
     let mut first: BTreeMap<usize, i64> = BTreeMap::new();
     for (class, (has, mut waiting)) in small {
         waiting.sort();
-        let n =
-            order::lift(of(class).iter().map(|e| e.floor).sum(), has, waiting.iter().map(|w| w.2));
+        let n = order::promote(
+            of(class).iter().map(|e| e.floor).sum(),
+            has,
+            waiting.iter().map(|w| w.2),
+        );
         first.extend(waiting[..n].iter().map(|w| (w.1, w.2)));
     }
-    for ((class, band), jobs) in upper {
-        let floor = of(class).iter().filter_map(|e| e.sizes.as_ref()).map(|s| s.floor(band)).sum();
+    for ((class, size_class), jobs) in upper {
+        let floor =
+            of(class).iter().filter_map(|e| e.sizes.as_ref()).map(|s| s.floor(size_class)).sum();
         let waiting: Vec<Waiting> = jobs.iter().map(|j| j.1).collect();
-        let lifted = {
+        let promoted = {
             let short = of(class).iter().filter_map(|e| e.sizes.as_ref()).any(|s| s.short);
-            lift(Terms { floor, begin_ms: 240_000, short }, now * 1000, &waiting)
+            promote(Terms { floor, begin_ms: 240_000, short }, now * 1000, &waiting)
         };
-        first.extend(jobs.iter().zip(lifted).filter(|(_, l)| *l > 0).map(|(j, l)| (j.0, l)));
+        first.extend(jobs.iter().zip(promoted).filter(|(_, l)| *l > 0).map(|(j, l)| (j.0, l)));
     }
     let mut all = Vec::new();
     for (key, left) in places {
-        let lifted = (first.get(&key.4).copied().unwrap_or(0) / 1000) as u32;
-        if lifted > 0 {
-            all.push(((false, false, key.2, key.3, key.4), lifted));
+        let promoted = (first.get(&key.4).copied().unwrap_or(0) / 1000) as u32;
+        if promoted > 0 {
+            all.push(((false, false, key.2, key.3, key.4), promoted));
         }
-        all.push((key, left - lifted));
+        all.push((key, left - promoted));
     }
     all.sort();
     all.into_iter().map(|(key, tasks)| (key.4, tasks)).collect()
@@ -216,7 +228,7 @@
     let rules = Rules::default();
     let mut jobs = traffic(seed, times);
     let (mut judge, mut known, mut meter) =
-        (Judge::default(), Allotment::default(), Meter::default());
+        (Judge::default(), OverloadQuota::default(), Meter::default());
     let mut running: Vec<(u64, usize)> = Vec::new();
     for now in 0..DAY {
         for job in jobs.iter().filter(|j| j.at == now) {
@@ -236,7 +248,7 @@
             let view = view(&jobs, &meter, &rules, now);
             let next = decide(&rules, &mut judge, &known, &view, now as f64);
             if known.differs(&next) {
-                known = Allotment { entries: next, ..known };
+                known = OverloadQuota { entries: next, ..known };
             }
         }
         for (i, tasks) in queue(&jobs, &known, now, sized) {
@@ -332,7 +344,7 @@
 #[test]
 fn a_record_written_before_there_were_sizes_is_read() {
     let old = r#"{"g":3,"h":7,"e":[{"q":"a","c":"x","f":5000,"t":60,"p":300000,"l":0}]}"#;
-    let known: Allotment = serde_json::from_str(old).expect("as it was written");
+    let known: OverloadQuota = serde_json::from_str(old).expect("as it was written");
     let entry = known.entry(&TeamId::new("a"), &ClassId::new("x")).expect("its entry");
     assert_eq!((entry.floor, &entry.sizes), (5000, &None));
     assert_eq!(serde_json::to_string(&known).expect("a record"), old, "and written alike");
@@ -387,25 +399,25 @@
             }
         }
     }
-    let mut lifted: Vec<i64> =
+    let mut promoted: Vec<i64> =
         jobs.iter().zip(&granted).map(|(j, g)| (g - j.has).clamp(0, j.needs)).collect();
     let mut spare = floor - jobs.iter().map(|j| j.has).sum::<i64>();
     for &i in &under_way {
-        let (j, most) = (&jobs[i], lifted[i]);
-        lifted[i] = 0;
+        let (j, most) = (&jobs[i], promoted[i]);
+        promoted[i] = 0;
         let one = j.has == 0 && (j.begun || spare > -(floor / 4));
-        while lifted[i] < most && (spare > 0 || (one && lifted[i] == 0)) {
-            lifted[i] += 1;
+        while promoted[i] < most && (spare > 0 || (one && promoted[i] == 0)) {
+            promoted[i] += 1;
             spare -= 1;
         }
     }
     for i in under_way {
-        while spare > 0 && lifted[i] < jobs[i].needs {
-            lifted[i] += 1;
+        while spare > 0 && promoted[i] < jobs[i].needs {
+            promoted[i] += 1;
             spare -= 1;
         }
     }
-    lifted
+    promoted
 }
 
 fn a_job() -> impl Strategy<Value = Waiting> {
@@ -432,17 +444,17 @@
         turned in 0usize..12,
     ) {
         let terms = Terms { floor, begin_ms: 240_000, short };
-        let lifted = lift(terms, 400_000, &jobs);
-        prop_assert_eq!(&lifted, &model(floor, short, 400_000, &jobs));
+        let promoted = promote(terms, 400_000, &jobs);
+        prop_assert_eq!(&promoted, &model(floor, short, 400_000, &jobs));
         // A node may know them in any order.
         let mut other = jobs.clone();
         other.rotate_left(turned % jobs.len().max(1));
-        let mut again = lift(terms, 400_000, &other);
+        let mut again = promote(terms, 400_000, &other);
         again.rotate_right(turned % jobs.len().max(1));
-        prop_assert_eq!(&lifted, &again);
+        prop_assert_eq!(&promoted, &again);
         // No show beginnings: what has begun never stands still.
-        for (job, lifted) in jobs.iter().zip(&lifted) {
-            prop_assert!(!job.begun || job.needs == 0 || job.has + lifted > 0);
+        for (job, promoted) in jobs.iter().zip(&promoted) {
+            prop_assert!(!job.begun || job.needs == 0 || job.has + promoted > 0);
         }
     }
 }
--- a/crates/cleatfold-backfill/src/timeline.rs
+++ b/crates/cleatfold-backfill/src/availability.rs
@@ -6,11 +6,11 @@
 use cleatfold_wire::Ms;
 
 #[derive(Clone, Debug)]
-pub struct Timeline {
+pub struct AvailabilityProfile {
     steps: Vec<(Ms, Resources)>,
 }
 
-impl Timeline {
+impl AvailabilityProfile {
     /// All of `total` is free from `ready` on.
     pub fn new(ready: Ms, total: Resources) -> Self {
         Self { steps: vec![(ready, total)] }
@@ -94,7 +94,7 @@
     }
 
     /// How many of `tasks` have room from `start` until `finish`.
-    pub fn room(&self, start: Ms, finish: Ms, each: &Resources, tasks: u32) -> u32 {
+    pub fn free_capacity(&self, start: Ms, finish: Ms, each: &Resources, tasks: u32) -> u32 {
         let first = self.steps.partition_point(|s| s.0 <= start);
         if first == 0 {
             return 0;
--- a/crates/cleatfold-backfill/src/victims.rs
+++ b/crates/cleatfold-backfill/src/preemption.rs
@@ -44,16 +44,16 @@
 
 /// A machine.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct MachineLoad {
     pub free: Resources,
     pub running: Vec<Running>,
 }
 
 /// Places made on one machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct Preemption {
     /// Index of the machine.
-    pub seat: usize,
+    pub machine: usize,
     pub tasks: u32,
     /// Whom to stop, by the caller's names.
     pub stop: Vec<usize>,
@@ -77,12 +77,13 @@
 
 /// The cheapest way to one more place on a machine, if there is one: candidates in the order of
 /// their loss until the task fits, less whoever is not needed after all.
-fn one_place(need: &Need, seat: &Seat) -> Option<(Vec<usize>, u64)> {
-    let mut free = seat.free;
+fn one_place(need: &Need, machine: &MachineLoad) -> Option<(Vec<usize>, u64)> {
+    let mut free = machine.free;
     if free.fits(&need.each, 1) > 0 {
         return Some((vec![], 0));
     }
-    let mut candidates: Vec<&Running> = seat.running.iter().filter(|r| may_stop(need, r)).collect();
+    let mut candidates: Vec<&Running> =
+        machine.running.iter().filter(|r| may_stop(need, r)).collect();
     candidates.sort_by_key(|r| (!r.yields, r.loss, r.id));
     let mut chosen: Vec<&Running> = Vec::new();
     for r in candidates {
@@ -108,11 +109,11 @@
 }
 
 /// Makes room for up to `tasks`, one place after the other, each where the least is lost; never
-/// stops more than that takes. Takes the places out of `seats`.
-pub fn make_room(need: &Need, seats: &mut [Seat], tasks: u32) -> Vec<Room> {
-    let mut rooms: Vec<Room> = Vec::new();
+/// stops more than that takes. Takes the places out of `loads`.
+pub fn choose_preemptions(need: &Need, loads: &mut [MachineLoad], tasks: u32) -> Vec<Preemption> {
+    let mut rooms: Vec<Preemption> = Vec::new();
     let mut offers: Vec<Option<(Vec<usize>, u64)>> =
-        seats.iter().map(|s| one_place(need, s)).collect();
+        loads.iter().map(|s| one_place(need, s)).collect();
     for _ in 0..tasks {
         let best = offers
             .iter()
@@ -121,24 +122,24 @@
             .min();
         let Some((loss, _, i)) = best else { break };
         let (stop, _) = offers[i].take().expect("chosen above");
-        let seat = &mut seats[i];
-        seat.running.retain(|r| {
+        let machine = &mut loads[i];
+        machine.running.retain(|r| {
             let gone = stop.contains(&r.id);
             if gone {
-                seat.free += r.each;
+                machine.free += r.each;
             }
             !gone
         });
-        seat.free -= need.each;
-        match rooms.iter_mut().find(|r| r.seat == i) {
+        machine.free -= need.each;
+        match rooms.iter_mut().find(|r| r.machine == i) {
             Some(room) => {
                 room.tasks += 1;
                 room.loss += loss;
                 room.stop.extend(stop);
             }
-            None => rooms.push(Room { seat: i, tasks: 1, stop, loss }),
+            None => rooms.push(Preemption { machine: i, tasks: 1, stop, loss }),
         }
-        offers[i] = one_place(need, &seats[i]);
+        offers[i] = one_place(need, &loads[i]);
     }
     rooms
 }
--- a/crates/cleatfold-backfill/src/chart.rs
+++ b/crates/cleatfold-backfill/src/profile.rs
@@ -4,8 +4,8 @@
 //! left; so a later request may use a hole but never moves an earlier reservation. Tasks of
 //! an array are reserved in chunks: as many as fit one machine at one time.
 
+use crate::availability::AvailabilityProfile;
 use crate::resources::Resources;
-use crate::timeline::Timeline;
 use cleatfold_wire::{ImageId, Ms};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -15,8 +15,8 @@
 
 /// One machine's future.
 #[derive(Clone, Debug)]
-pub struct MachineChart {
-    free: Timeline,
+pub struct MachineProfile {
+    free: AvailabilityProfile,
     pub spot: bool,
     /// May start tasks at once. A machine that is still booting has a chart but is not open.
     pub open: bool,
@@ -30,10 +30,10 @@
     pub slowness: f64,
 }
 
-impl MachineChart {
+impl MachineProfile {
     pub fn new(ready: Ms, total: Resources, spot: bool, open: bool) -> Self {
         Self {
-            free: Timeline::new(ready, total),
+            free: AvailabilityProfile::new(ready, total),
             spot,
             open,
             images: Vec::new(),
@@ -56,9 +56,9 @@
     }
 
     /// How many tasks can run from `start` on, and until when.
-    fn room(&self, request: &Request, start: Ms, tasks: u32) -> (Ms, u32) {
+    fn free_capacity(&self, request: &Request, start: Ms, tasks: u32) -> (Ms, u32) {
         let finish = self.finish(request, self.image_ready(request), start);
-        (finish, self.free.room(start, finish, &request.each, tasks))
+        (finish, self.free.free_capacity(start, finish, &request.each, tasks))
     }
 
     /// When the request's image is (or is expected to be) here, if it is or will be.
@@ -119,11 +119,11 @@
 
 /// Reserves a gang at the first moment at which all of its tasks fit.
 fn plan_gang(
-    machines: &mut [MachineChart],
+    machines: &mut [MachineProfile],
     usable: &[usize],
     number: usize,
     request: &Request,
-    mut limit: Option<&mut Timeline>,
+    mut limit: Option<&mut AvailabilityProfile>,
     out: &mut Vec<Reservation>,
 ) {
     let mut starts: Vec<Ms> = usable.iter().flat_map(|&i| machines[i].free.starts()).collect();
@@ -137,7 +137,7 @@
             if left == 0 {
                 break;
             }
-            let (finish, count) = machines[i].room(request, start, left);
+            let (finish, count) = machines[i].free_capacity(request, start, left);
             if count > 0 {
                 parts.push((i, count, finish));
                 left -= count;
@@ -149,7 +149,7 @@
         // They wait for one another: the last image holds them all.
         let finish = parts.iter().map(|p| p.2).max().unwrap_or(start);
         if let Some(limit) = limit.as_deref_mut() {
-            if limit.room(start, finish, &request.each, request.tasks) < request.tasks {
+            if limit.free_capacity(start, finish, &request.each, request.tasks) < request.tasks {
                 continue;
             }
             limit.carve(start, finish, request.each.times(request.tasks));
@@ -171,8 +171,8 @@
 /// left simply waits unreserved behind all the others. A request's limit is a resource like a
 /// machine's: what it does not hold is reserved when it does, and takes no room until then.
 pub fn plan(
-    machines: &mut [MachineChart],
-    limits: &mut [Timeline],
+    machines: &mut [MachineProfile],
+    limits: &mut [AvailabilityProfile],
     requests: &[Request],
     mut chunks: usize,
 ) -> Vec<Reservation> {
@@ -184,7 +184,7 @@
             continue;
         }
         let usable =
-            |i: usize, m: &MachineChart| (request.spot || !m.spot) && !request.avoid.contains(&i);
+            |i: usize, m: &MachineProfile| (request.spot || !m.spot) && !request.avoid.contains(&i);
         if request.gang {
             let usable: Vec<usize> =
                 (0..machines.len()).filter(|&i| usable(i, &machines[i])).collect();
@@ -205,7 +205,7 @@
             },
             None => Ms(0),
         };
-        let candidate = |i: usize, m: &MachineChart, tasks: u32, from: Ms| {
+        let candidate = |i: usize, m: &MachineProfile, tasks: u32, from: Ms| {
             let (start, finish, count) = m.earliest(request, tasks, from)?;
             let sooner = if start <= now { request.prompt_ms } else { 0 };
             let by = finish.0.saturating_sub(sooner) / 1000;
@@ -230,7 +230,7 @@
             let m = &mut machines[i];
             if let Some(l) = request.limit {
                 let limit = &mut limits[l];
-                count = limit.room(start, finish, &request.each, count);
+                count = limit.free_capacity(start, finish, &request.each, count);
                 if count == 0 {
                     // It may start there as soon as the limit holds a task for as long as it runs.
                     let image = m.image_ready(request);
--- a/crates/cleatfold-backfill/tests/model.rs
+++ b/crates/cleatfold-backfill/tests/model.rs
@@ -1,6 +1,8 @@
 //! The chart against a slow plain model that tries every moment on every machine.
 
-use cleatfold_backfill::{plan, MachineChart, Request, Reservation, Resources, Timeline};
+use cleatfold_backfill::{
+    plan, AvailabilityProfile, MachineProfile, Request, Reservation, Resources,
+};
 use cleatfold_wire::{ImageId, Ms};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -25,7 +27,7 @@
     ready + r.run_ms
 }
 
-fn room(free: &[Resources], r: &Request, from: u64, until: u64, tasks: u32) -> u32 {
+fn free_capacity(free: &[Resources], r: &Request, from: u64, until: u64, tasks: u32) -> u32 {
     (from / SECOND..until / SECOND)
         .map(|s| free[s as usize].fits(&r.each, tasks))
         .min()
@@ -48,9 +50,9 @@
                 }
                 let first = (0..HORIZON as u64 / 2).map(|s| s * SECOND).find_map(|start| {
                     let end = finish(m, r, start);
-                    let mut count = room(&m.free, r, start, end, left);
+                    let mut count = free_capacity(&m.free, r, start, end, left);
                     if let Some(l) = r.limit {
-                        count = room(&limits[l], r, start, end, count);
+                        count = free_capacity(&limits[l], r, start, end, count);
                     }
                     (count > 0).then_some((end, start, m.free[0].cpus, i, count))
                 });
@@ -104,9 +106,9 @@
 }
 
 struct Case {
-    charts: Vec<MachineChart>,
+    profiles: Vec<MachineProfile>,
     machines: Vec<ModelMachine>,
-    limits: Vec<Timeline>,
+    limits: Vec<AvailabilityProfile>,
     model_limits: Vec<Vec<Resources>>,
     requests: Vec<Request>,
 }
@@ -114,20 +116,20 @@
 fn some_case(seed: u64) -> Case {
     let mut rng = SmallRng::seed_from_u64(seed);
     let total = Resources::new(8.0, 0.0, 16.0);
-    let mut charts = Vec::new();
+    let mut profiles = Vec::new();
     let mut machines = Vec::new();
     for _ in 0..rng.random_range(1..5) {
         let spot = rng.random_bool(0.4);
-        let mut chart = MachineChart::new(Ms(0), total, spot, true);
+        let mut profile = MachineProfile::new(Ms(0), total, spot, true);
         let mut free = vec![total; HORIZON];
         for _ in 0..rng.random_range(0..4) {
             // What runs already.
             let end = rng.random_range(1..20u64);
             let each = Resources::new(2.0, 0.0, 3.0);
-            chart.carve(Ms(0), Ms(end * SECOND), each);
+            profile.carve(Ms(0), Ms(end * SECOND), each);
             free.iter_mut().take(end as usize).for_each(|f| *f -= each);
         }
-        charts.push(chart);
+        profiles.push(profile);
         machines.push(ModelMachine { free, spot, images: vec![] });
     }
     let requests = (0..rng.random_range(1..9)).map(|_| some_request(&mut rng)).collect();
@@ -144,17 +146,17 @@
         for (at, more) in &ends {
             free.iter_mut().skip((at.0 / SECOND) as usize).for_each(|f| *f += *more);
         }
-        limits.push(Timeline::growing(Ms(0), now, ends));
+        limits.push(AvailabilityProfile::growing(Ms(0), now, ends));
         model_limits.push(free);
     }
-    Case { charts, machines, limits, model_limits, requests }
+    Case { profiles, machines, limits, model_limits, requests }
 }
 
 #[test]
 fn the_chart_reserves_as_the_plain_model_does() {
     for seed in 0..300 {
         let mut case = some_case(seed);
-        let fast = plan(&mut case.charts, &mut case.limits, &case.requests, 10_000);
+        let fast = plan(&mut case.profiles, &mut case.limits, &case.requests, 10_000);
         let slow = model(&mut case.machines, &mut case.model_limits, &case.requests);
         assert_eq!(fast, slow, "seed {seed}");
     }
@@ -164,10 +166,11 @@
 fn later_requests_never_move_earlier_reservations() {
     for seed in 300..400 {
         let case = some_case(seed);
-        let all = plan(&mut case.charts.clone(), &mut case.limits.clone(), &case.requests, 10_000);
+        let all =
+            plan(&mut case.profiles.clone(), &mut case.limits.clone(), &case.requests, 10_000);
         for n in 0..case.requests.len() {
             let some = plan(
-                &mut case.charts.clone(),
+                &mut case.profiles.clone(),
                 &mut case.limits.clone(),
                 &case.requests[..n],
                 10_000,
@@ -185,7 +188,7 @@
         for r in &mut case.requests {
             r.gang = true;
         }
-        let reservations = plan(&mut case.charts, &mut case.limits, &case.requests, 10_000);
+        let reservations = plan(&mut case.profiles, &mut case.limits, &case.requests, 10_000);
         for (number, r) in case.requests.iter().enumerate() {
             let mine: Vec<_> = reservations.iter().filter(|x| x.request == number).collect();
             if mine.is_empty() {
@@ -217,8 +220,8 @@
 #[test]
 fn a_team_at_its_limit_takes_no_room_from_others() {
     let total = Resources::new(8.0, 0.0, 100.0);
-    let mut charts: Vec<MachineChart> =
-        (0..4).map(|_| MachineChart::new(Ms(0), total, false, true)).collect();
+    let mut profiles: Vec<MachineProfile> =
+        (0..4).map(|_| MachineProfile::new(Ms(0), total, false, true)).collect();
     let request = |limit, tasks| Request {
         each: Resources::new(1.0, 0.0, 1.0),
         tasks,
@@ -235,8 +238,8 @@
     requests.push(request(None, 32));
     let later = Resources::new(2.0, 0.0, 1e6);
     let none = Resources::new(0.0, 0.0, 1e6);
-    let mut limits = [Timeline::growing(Ms(0), none, [(Ms(5 * SECOND), later)])];
-    let reservations = plan(&mut charts, &mut limits, &requests, 400);
+    let mut limits = [AvailabilityProfile::growing(Ms(0), none, [(Ms(5 * SECOND), later)])];
+    let reservations = plan(&mut profiles, &mut limits, &requests, 400);
     let soon = |r: &&Reservation| r.start < Ms(10 * SECOND);
     let others: u32 =
         reservations.iter().filter(|r| r.request == 500).filter(soon).map(|r| r.tasks).sum();
--- a/crates/cleatfold-backfill/tests/victims.rs
+++ b/crates/cleatfold-backfill/tests/preemption.rs
@@ -1,6 +1,6 @@
 //! The chooser of victims against the rules and a search through every choice.
 
-use cleatfold_backfill::victims::{make_room, may_stop, Need, Running, Seat};
+use cleatfold_backfill::preemption::{choose_preemptions, may_stop, MachineLoad, Need, Running};
 use cleatfold_backfill::Resources;
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::TeamId;
@@ -10,16 +10,16 @@
 const URGENCIES: [Urgency; 4] =
     [Urgency::Critical, Urgency::High, Urgency::Normal, Urgency::BestEffort];
 
-fn some_seat(rng: &mut SmallRng, next: &mut usize) -> Seat {
-    let mut seat = Seat { free: Resources::new(8.0, 0.0, 32.0), running: vec![] };
+fn some_load(rng: &mut SmallRng, next: &mut usize) -> MachineLoad {
+    let mut machine = MachineLoad { free: Resources::new(8.0, 0.0, 32.0), running: vec![] };
     for _ in 0..rng.random_range(0..7) {
         let each = Resources::new(f64::from(rng.random_range(1..4)), 0.0, 2.0);
-        if seat.free.fits(&each, 1) == 0 {
+        if machine.free.fits(&each, 1) == 0 {
             continue;
         }
-        seat.free -= each;
+        machine.free -= each;
         *next += 1;
-        seat.running.push(Running {
+        machine.running.push(Running {
             id: *next,
             each,
             urgency: URGENCIES[rng.random_range(0..4)],
@@ -30,7 +30,7 @@
             loss: rng.random_range(0..50),
         });
     }
-    seat
+    machine
 }
 
 #[test]
@@ -39,8 +39,8 @@
     for seed in 0..2000 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut next = 0;
-        let before: Vec<Seat> =
-            (0..rng.random_range(1..4)).map(|_| some_seat(&mut rng, &mut next)).collect();
+        let before: Vec<MachineLoad> =
+            (0..rng.random_range(1..4)).map(|_| some_load(&mut rng, &mut next)).collect();
         let need = Need {
             each: Resources::new(f64::from(rng.random_range(1..6)), 0.0, 2.0),
             urgency: URGENCIES[rng.random_range(0..4)],
@@ -50,14 +50,14 @@
             worth: 1000,
         };
         let tasks = rng.random_range(1..5);
-        let rooms = make_room(&need, &mut before.clone(), tasks);
+        let rooms = choose_preemptions(&need, &mut before.clone(), tasks);
         assert!(rooms.iter().map(|r| r.tasks).sum::<u32>() <= tasks);
-        for room in &rooms {
+        for free_capacity in &rooms {
             made += 1;
-            let seat = &before[room.seat];
-            let stopped = |r: &&Running| room.stop.contains(&r.id);
-            let gone: Vec<&Running> = seat.running.iter().filter(stopped).collect();
-            assert_eq!(gone.len(), room.stop.len(), "seed {seed}: stopped elsewhere");
+            let machine = &before[free_capacity.machine];
+            let stopped = |r: &&Running| free_capacity.stop.contains(&r.id);
+            let gone: Vec<&Running> = machine.running.iter().filter(stopped).collect();
+            assert_eq!(gone.len(), free_capacity.stop.len(), "seed {seed}: stopped elsewhere");
             for r in &gone {
                 assert!(may_stop(&need, r), "seed {seed}: {r:?} for {need:?}");
                 let urgent = need.urgency < r.urgency;
@@ -66,9 +66,12 @@
                 let yields = r.yields && need.urgency <= r.urgency;
                 assert!(yields || need.preempts && (urgent || guarantee));
             }
-            let freed = gone.iter().fold(seat.free, |f, r| f + r.each);
-            assert!(freed.fits(&need.each, room.tasks) == room.tasks, "seed {seed}: no room");
-            if room.tasks == 1 {
+            let freed = gone.iter().fold(machine.free, |f, r| f + r.each);
+            assert!(
+                freed.fits(&need.each, free_capacity.tasks) == free_capacity.tasks,
+                "seed {seed}: no room"
+            );
+            if free_capacity.tasks == 1 {
                 for r in &gone {
                     let without = freed - r.each;
                     assert_eq!(without.fits(&need.each, 1), 0, "seed {seed}: one too many");
@@ -78,9 +81,9 @@
         if rooms.is_empty() {
             // Then stopping everybody who may be stopped would not do on any machine.
             none += 1;
-            for seat in &before {
-                let may = seat.running.iter().filter(|r| may_stop(&need, r));
-                let all = may.fold(seat.free, |f, r| f + r.each);
+            for machine in &before {
+                let may = machine.running.iter().filter(|r| may_stop(&need, r));
+                let all = may.fold(machine.free, |f, r| f + r.each);
                 assert_eq!(all.fits(&need.each, 1), 0, "seed {seed}");
             }
         }
--- a/crates/cleatfold-cancellation-broadcast/src/lib.rs
+++ b/crates/cleatfold-cancellation-broadcast/src/lib.rs
@@ -64,16 +64,16 @@
     }
 
     /// A peer says so, which therefore knows. True if it is news.
-    pub fn told<'a>(
+    pub fn received<'a>(
         &mut self,
         job: &JobId,
         from: &ControllerId,
         peers: impl Iterator<Item = &'a ControllerId>,
         now: Ms,
     ) -> bool {
-        let news = self.note(job, now, peers, |_| now);
+        let is_new = self.note(job, now, peers, |_| now);
         self.acknowledged(from, job);
-        news
+        is_new
     }
 
     fn note<'a>(
--- a/crates/cleatfold-cancellation-broadcast/tests/notices.rs
+++ b/crates/cleatfold-cancellation-broadcast/tests/broadcast.rs
@@ -33,7 +33,7 @@
                     continue;
                 }
                 for job in &jobs {
-                    all[to].told(job, &controller(from), peers(to).iter(), now);
+                    all[to].received(job, &controller(from), peers(to).iter(), now);
                 }
                 if up.contains(&(to, from)) {
                     jobs.iter().for_each(|job| all[from].acknowledged(&controller(to), job));
--- a/crates/cleatfold-clients/src/cloud.rs
+++ b/crates/cleatfold-clients/src/cloud.rs
@@ -33,7 +33,8 @@
         while let Ok(job) = queue.try_recv() {
             waiting.push_back(job);
         }
-        let acts = |j: &Job| matches!(j.request, CloudRequest::Rent(_) | CloudRequest::Delete(_));
+        let acts =
+            |j: &Job| matches!(j.request, CloudRequest::ScaleOut(_) | CloudRequest::Delete(_));
         let next = waiting.iter().position(acts).unwrap_or(0);
         let Some(job) = waiting.remove(next) else { continue };
         let started = Instant::now();
@@ -52,7 +53,7 @@
             let from = from.as_ref().map(|f| format!("from={f}&")).unwrap_or_default();
             (Method::GET, format!("/machines?{from}page=500"), None)
         }
-        CloudRequest::Rent(rent) => {
+        CloudRequest::ScaleOut(rent) => {
             (Method::POST, "/machines".to_string(), serde_json::to_vec(rent).ok())
         }
         CloudRequest::Delete(machines) => (
@@ -70,11 +71,11 @@
         }
         (200, CloudRequest::List { .. }) => serde_json::from_slice::<MachineList>(&body)
             .map(|l| CloudReply::List { machines: l.machines, more: l.more }),
-        (200, CloudRequest::Rent(_)) => {
+        (200, CloudRequest::ScaleOut(_)) => {
             serde_json::from_slice::<Machines>(&body).map(|m| CloudReply::Rented(m.machines))
         }
         (200, CloudRequest::Delete(_)) => Ok(CloudReply::Deleted),
-        (503, CloudRequest::Rent(_)) => {
+        (503, CloudRequest::ScaleOut(_)) => {
             let text = String::from_utf8_lossy(&body);
             Ok(if text.contains("capacity") { CloudReply::NoCapacity } else { CloudReply::Failed })
         }
--- a/crates/cleatfold-clients/src/store.rs
+++ b/crates/cleatfold-clients/src/store.rs
@@ -6,8 +6,8 @@
 //! out: the rest would be refused there, and all of it at once when it returns.
 
 use crate::http::{Http, NoAnswer};
-use cleatfold_control::{Lane, StoreReply, StoreRequest};
-use cleatfold_ingress::{Backoff, Breaker, Outlet, RetryBudget};
+use cleatfold_control::{CallPriority, StoreReply, StoreRequest};
+use cleatfold_ingress::{Backoff, Breaker, OutgoingQueue, RetryBudget};
 use cleatfold_wire::store::{Events, Grant, Granted, Item, Page, Revision};
 use hyper::Method;
 use serde::de::DeserializeOwned;
@@ -17,7 +17,7 @@
 
 pub struct Job {
     pub op: u64,
-    pub lane: Lane,
+    pub priority: CallPriority,
     pub request: StoreRequest,
 }
 
@@ -68,7 +68,8 @@
     answer: impl Fn(u64, StoreReply) + Clone + 'static,
 ) {
     let http = Http::new(&endpoint);
-    let mut waiting: Outlet<(Job, u32)> = Outlet::new(Lane::Poll as usize + 1);
+    let mut waiting: OutgoingQueue<(Job, u32)> =
+        OutgoingQueue::new(CallPriority::Poll as usize + 1);
     let mut requests = Bucket { level: budget.requests_per_s * 0.5, rate: budget.requests_per_s };
     let mut changes = Bucket { level: budget.writes_per_s * 0.5, rate: budget.writes_per_s };
     let mut filled = Instant::now();
@@ -105,7 +106,7 @@
         }
         for (job, tries) in new {
             let changes = writes(&job.request);
-            waiting.push(job.lane as usize, now_ms, changes, (job, tries));
+            waiting.push(job.priority as usize, now_ms, changes, (job, tries));
         }
         let now = Instant::now();
         let passed = now.duration_since(filled).as_secs_f64();
@@ -131,14 +132,14 @@
                 job = queue.recv() => match job {
                     Some(job) => {
                         let changes = writes(&job.request);
-                        waiting.push(job.lane as usize, now_ms, changes, (job, 0));
+                        waiting.push(job.priority as usize, now_ms, changes, (job, 0));
                     }
                     None => return,
                 },
             }
             continue;
         };
-        if job.lane > Lane::Renewal && breaker.is_open() && !breaker.admits(now_ms) {
+        if job.priority > CallPriority::Renewal && breaker.is_open() && !breaker.admits(now_ms) {
             // Certainly not executed; whoever asked knows when to come back.
             answer(job.op, StoreReply::Refused);
             continue;
@@ -148,12 +149,12 @@
         retries.note_call();
         let (http, answer, tell) = (http.clone(), answer.clone(), tell.clone());
         tokio::task::spawn_local(async move {
-            let Job { op, lane, request } = job;
+            let Job { op, priority, request } = job;
             let call = execute(&http, &request).await;
             if matches!(call, Called::Busy) {
                 let pause = BUSY.pause_ms(tries, &mut rand::rng());
                 tokio::time::sleep(Duration::from_millis(pause)).await;
-                let again = Some((Job { op, lane, request }, tries + 1));
+                let again = Some((Job { op, priority, request }, tries + 1));
                 let _ = tell.send(Outcome { answered: true, again });
                 return;
             }
--- a/crates/cleatfold-clients/src/workers.rs
+++ b/crates/cleatfold-clients/src/workers.rs
@@ -2,7 +2,7 @@
 //! the answer to the worker's next report, and whoever asks goes on to ask another worker.
 
 use crate::http::Http;
-use cleatfold_wire::worker::{Orders, RawReport, Report};
+use cleatfold_wire::worker::{Heartbeat, Orders, RawHeartbeat};
 use cleatfold_wire::{AgentEpoch, MachineId, Seq};
 use hyper::Method;
 use std::time::Duration;
@@ -20,9 +20,9 @@
     Inspect,
 }
 
-pub enum Told {
+pub enum CallResult {
     /// The worker's report after the orders; none where they were not executed or nothing is known of it.
-    Ordered(Option<Report>),
+    Ordered(Option<Heartbeat>),
     /// The number of its newest message; none: no answer.
     Inspected(Option<(AgentEpoch, Seq)>),
 }
@@ -30,7 +30,7 @@
 /// Runs until the queue's senders are gone.
 pub async fn run(
     mut queue: mpsc::UnboundedReceiver<Job>,
-    answer: impl Fn(MachineId, Told) + Clone + 'static,
+    answer: impl Fn(MachineId, CallResult) + Clone + 'static,
 ) {
     let http = Http::anywhere();
     while let Some(job) = queue.recv().await {
@@ -43,19 +43,21 @@
             let told = match &job.what {
                 Call::Orders(orders) => {
                     let body = serde_json::to_vec(orders).ok();
-                    Told::Ordered(match call(Method::POST, "/orders", body).await {
+                    CallResult::Ordered(match call(Method::POST, "/orders", body).await {
                         Ok((200, body)) => serde_json::from_slice(&body).ok(),
                         _ => None,
                     })
                 }
-                Call::Inspect => Told::Inspected(match call(Method::GET, "/inspect", None).await {
-                    // Whatever it answers, it is reached.
-                    Ok((_, body)) => Some(
-                        serde_json::from_slice::<RawReport>(&body)
-                            .map_or_else(|_| Default::default(), |r| (r.agent_epoch, r.seq)),
-                    ),
-                    Err(_) => None,
-                }),
+                Call::Inspect => {
+                    CallResult::Inspected(match call(Method::GET, "/inspect", None).await {
+                        // Whatever it answers, it is reached.
+                        Ok((_, body)) => Some(
+                            serde_json::from_slice::<RawHeartbeat>(&body)
+                                .map_or_else(|_| Default::default(), |r| (r.agent_epoch, r.seq)),
+                        ),
+                        Err(_) => None,
+                    })
+                }
             };
             answer(job.machine, told);
         });
--- a/crates/cleatfold-control/src/admission.rs
+++ b/crates/cleatfold-control/src/admission.rs
@@ -5,18 +5,20 @@
 //! no harm: every claim is guarded as ever. The writer's word is guarded by its duty's key: a
 //! holder that was replaced cannot overwrite what the next one has written.
 
-use crate::cache::Live;
+use crate::cache::CachedJob;
 use crate::config::AimKind;
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
 use crate::inventory::Machine;
 use crate::records::*;
-use crate::state::admission::{work, LongWork, LOOK_MS, SETTLED_MS};
-use cleatfold_admission::bands;
+use crate::state::admission::{work, LongWork, MEASUREMENT_INTERVAL_MS, SETTLED_MS};
+use cleatfold_admission::long_work_limit::LongWorkLimit;
 use cleatfold_admission::meter::{Largest, Spread};
-use cleatfold_admission::room::Room;
-use cleatfold_admission::{decide, Allotment, Band, Bounds, Demand, Entry, Group, Small, View};
-use cleatfold_roles::Duty;
+use cleatfold_admission::size_classes;
+use cleatfold_admission::{
+    decide, Bounds, Demand, Entry, Group, OverloadQuota, SizeClass, Small, View,
+};
+use cleatfold_roles::Role;
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
@@ -28,7 +30,7 @@
 const ENTRY_BYTES: usize = 260;
 
 /// For the log: floors of the small, the middle and the largest, in processors.
-fn told(e: &Entry) -> (&TeamId, &ClassId, i64, Option<(i64, i64, bool)>) {
+fn quota_for_log(e: &Entry) -> (&TeamId, &ClassId, i64, Option<(i64, i64, bool)>) {
     let upper = e.sizes.as_ref().map(|s| (s.middle / 1000, s.large / 1000, s.short));
     (&e.team, &e.class, e.floor / 1000, upper)
 }
@@ -39,12 +41,12 @@
 
 impl Controller {
     /// What the agreement says of the job's group, if it is not served in time.
-    pub(crate) fn allotted(&self, live: &Live) -> Option<&Entry> {
-        let allotment = &self.cache.allotment.1;
-        if allotment.is_empty() || live.width().is_some() || self.cfg.admission.is_none() {
+    pub(crate) fn overload_entry(&self, live: &CachedJob) -> Option<&Entry> {
+        let overload_quota = &self.cache.overload_quota.1;
+        if overload_quota.is_empty() || live.width().is_some() || self.cfg.admission.is_none() {
             return None;
         }
-        allotment.entry(&live.record.spec.team, &live.record.spec.class)
+        overload_quota.entry(&live.record.spec.team, &live.record.spec.class)
     }
 
     /// Whether a job that is not known yet would only wait past its use, and then after how many
@@ -52,7 +54,7 @@
     /// node and at every retry, as long as the allotment stands.
     pub(crate) fn refused_for_now(&self, spec: &JobSpec) -> Option<u32> {
         self.cfg.admission.as_ref()?;
-        let most = self.cache.allotment.1.entry(&spec.team, &spec.class)?.most?;
+        let most = self.cache.overload_quota.1.entry(&spec.team, &spec.class)?.most?;
         let refused = spec.kind == Kind::Array && work(spec, spec.tasks) > most as f64;
         // An allotment is looked at again after STAND_MS; a retry before that is in vain.
         let spread = xxhash_rust::xxh3::xxh3_64(spec.id.as_str().as_bytes()) % 8;
@@ -73,16 +75,18 @@
 
     /// Measures, at every node, so that whoever decides next knows what the last one knew.
     pub(crate) fn keep_admission(&mut self) {
-        if self.cfg.admission.is_none() || self.now.since(self.admission.looked) < LOOK_MS {
+        if self.cfg.admission.is_none()
+            || self.now.since(self.admission.last_checked) < MEASUREMENT_INTERVAL_MS
+        {
             return;
         }
-        self.admission.looked = self.now;
+        self.admission.last_checked = self.now;
         let wall_s = self.wall_ms as f64 / 1000.0;
         self.admission.note_arrivals(&self.cache.jobs, wall_s);
         self.admission.note_capacity(self.now, self.processors());
         self.admission.note_asks(wall_s);
-        if self.holds(Duty::Allot) && self.in_contact() && self.list_at.is_some() {
-            self.allot();
+        if self.holds(Role::OverloadQuota) && self.in_contact() && self.list_at.is_some() {
+            self.decide_overload_quota();
         }
     }
 
@@ -97,7 +101,7 @@
             return long;
         }
         let mut jobs: BTreeMap<&TeamId, Vec<(bool, u64, &JobId, f64)>> = BTreeMap::new();
-        let mut rooms: BTreeMap<(&TeamId, Urgency), Option<Room>> = BTreeMap::new();
+        let mut limits: BTreeMap<(&TeamId, Urgency), Option<LongWorkLimit>> = BTreeMap::new();
         for (id, live) in &self.cache.jobs {
             let spec = &live.record.spec;
             let limited = self.cfg.team(&spec.team).is_none_or(|t| t.is_limited());
@@ -105,24 +109,29 @@
             if limited || !waits || spec.kind != Kind::Array || live.width().is_some() {
                 continue;
             }
-            let room = rooms.entry((&spec.team, spec.urgency));
-            let known = *room.or_insert_with(|| {
-                cleatfold_admission::room::room(asks, capacity, &spec.team, spec.urgency)
+            let limit = limits.entry((&spec.team, spec.urgency));
+            let known = *limit.or_insert_with(|| {
+                cleatfold_admission::long_work_limit::long_work_limit(
+                    asks,
+                    capacity,
+                    &spec.team,
+                    spec.urgency,
+                )
             });
-            let Some(mut room) = known.filter(|r| r.is_long(spec.estimate_s)) else { continue };
+            let Some(mut limit) = known.filter(|r| r.is_long(spec.estimate_s)) else { continue };
             // What it is promised while it is not served in time, it has in any case.
-            let floor = self.allotted(live).map_or(0.0, |e| e.floor as f64 / 1000.0);
-            room.part = room.part.max(floor / capacity.max(1.0)).min(1.0);
+            let floor = self.overload_entry(live).map_or(0.0, |e| e.floor as f64 / 1000.0);
+            limit.part = limit.part.max(floor / capacity.max(1.0)).min(1.0);
             let rest = spec.cpus * f64::from(live.unfinished());
             let begun = live.claimed + live.done > 0;
             let job = (!begun, live.place(), id, rest);
             jobs.entry(&spec.team).or_default().push(job);
-            let known = long.rooms.entry(spec.team.clone()).or_insert(room);
-            known.part = known.part.max(room.part);
+            let known = long.limits.entry(spec.team.clone()).or_insert(limit);
+            known.part = known.part.max(limit.part);
         }
         for (team, mut jobs) in jobs {
             jobs.sort_by(|a, b| (a.0, a.1, a.2).cmp(&(b.0, b.1, b.2)));
-            let mut left = long.rooms[team].part * capacity;
+            let mut left = long.limits[team].part * capacity;
             for (i, (new, _, id, rest)) in jobs.into_iter().enumerate() {
                 // Only what fits whole is begun beside others, or all are in the end half done.
                 if i > 0 && (left <= 0.0 || (new && rest > left)) {
@@ -151,7 +160,7 @@
     /// of no capacity one lease after its pools had left it, and jobs of limited teams waited beside free machines.)
     fn is_silent(&self, machine: &Machine) -> bool {
         let Some((_, since)) = self.owned_since.get(&machine.pool) else { return false };
-        let reported = machine.heard().map(|at| at.max(machine.known).max(*since));
+        let reported = machine.last_heartbeat().map(|at| at.max(machine.known).max(*since));
         reported.is_some_and(|at| self.now.since(at) >= self.cfg.lease_ms)
     }
 
@@ -210,15 +219,15 @@
             sum.waiting += waits;
             sum.must += up_to(must.most);
             sum.should += up_to(should.most);
-            let band = bounds(must, largest).band(work(spec, spec.tasks), spec.tasks);
+            let size_class = bounds(must, largest).size_class(work(spec, spec.tasks), spec.tasks);
             // What can no longer begin in time waits for what is left.
             let begun = live.claimed + live.done > 0;
-            let late = bands::late(begin_ms, live.record.accepted_ms, self.wall_ms);
-            match band {
+            let late = size_classes::late(begin_ms, live.record.accepted_ms, self.wall_ms);
+            match size_class {
                 _ if late && !begun => {}
-                Band::Small => {}
-                Band::Middle => sum.middle += waits,
-                Band::Large => sum.large += waits,
+                SizeClass::Small => {}
+                SizeClass::Middle => sum.middle += waits,
+                SizeClass::Large => sum.large += waits,
             }
             sum.running += 0.5 * work(spec, live.claimed);
             sum.patience += self.patience_s(spec);
@@ -262,10 +271,10 @@
     }
 
     /// The holder's part: decides, and writes what has changed.
-    fn allot(&mut self) {
+    fn decide_overload_quota(&mut self) {
         let view = self.view();
         let Some(rules) = &self.cfg.admission else { return };
-        let (version, known) = &self.cache.allotment;
+        let (version, known) = &self.cache.overload_quota;
         let now_s = self.now.0 as f64 / 1000.0;
         let mut entries = decide(rules, &mut self.admission.judge, known, &view, now_s);
         entries.truncate(self.cfg.value_bytes / ENTRY_BYTES);
@@ -275,26 +284,26 @@
         if self.admission.inflight || stands || !known.differs(&entries) {
             return;
         }
-        let Some(epoch) = self.epoch(Duty::Allot) else { return };
+        let Some(epoch) = self.epoch(Role::OverloadQuota) else { return };
         tracing::info!(
             generation = known.generation + 1,
             groups = entries.len(),
             capacity = view.capacity,
-            entries = ?entries.iter().map(told).collect::<Vec<_>>(),
+            entries = ?entries.iter().map(quota_for_log).collect::<Vec<_>>(),
             "allotting"
         );
-        let next = Allotment { generation: known.generation + 1, epoch, entries };
+        let next = OverloadQuota { generation: known.generation + 1, epoch, entries };
         let mut txn = Txn::default();
-        txn.guard(ALLOTMENT, *version);
-        txn.guard(Duty::Allot.key(), epoch);
-        txn.put(ALLOTMENT, &next, None);
+        txn.guard(OVERLOAD_QUOTA_KEY, *version);
+        txn.guard(Role::OverloadQuota.key(), epoch);
+        txn.put(OVERLOAD_QUOTA_KEY, &next, None);
         self.admission.inflight = true;
         self.admission.written = self.now;
-        self.store(Lane::Claim, StoreRequest::Txn(txn), Pending::Allot);
+        self.store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::OverloadQuota);
     }
 
     /// Whatever came of it, the next reading tells.
-    pub(crate) fn on_allotted(&mut self) {
+    pub(crate) fn on_overload_quota_written(&mut self) {
         self.admission.inflight = false;
         self.want_sync = true;
         self.tell(None, cleatfold_wire::mesh::Message::Changed);
--- a/crates/cleatfold-control/src/archive.rs
+++ b/crates/cleatfold-control/src/archive.rs
@@ -8,7 +8,7 @@
 //! answered in time whatever comes of it, and their number is bounded; and what others ended is
 //! read for all jobs at once (`follow`), so that hardly anybody has to ask.
 
-use crate::pending::{EventNumber, Waiting};
+use crate::pending::{EventNumber, WaitingRequest};
 use cleatfold_wire::*;
 use std::collections::BTreeMap;
 
@@ -16,9 +16,9 @@
 const MOST: usize = 128;
 
 #[derive(Default)]
-pub(crate) struct Lookups {
+pub(crate) struct ArchiveLookups {
     /// By job: when its question was sent, and who waits for the answer.
-    asked: BTreeMap<JobId, (EventNumber, Vec<Waiting>)>,
+    asked: BTreeMap<JobId, (EventNumber, Vec<WaitingRequest>)>,
     /// Ends up to this revision have been read.
     pub read_to: Version,
     pub following: bool,
@@ -31,11 +31,11 @@
     Ask,
     UnderWay,
     /// Too many are under way.
-    Full(Vec<Waiting>),
+    Full(Vec<WaitingRequest>),
 }
 
-impl Lookups {
-    pub fn join(&mut self, job: &JobId, waiting: Vec<Waiting>, now: EventNumber) -> Joined {
+impl ArchiveLookups {
+    pub fn join(&mut self, job: &JobId, waiting: Vec<WaitingRequest>, now: EventNumber) -> Joined {
         if let Some((_, known)) = self.asked.get_mut(job) {
             known.extend(waiting);
             return Joined::UnderWay;
@@ -48,12 +48,12 @@
     }
 
     /// The answer is here: when its question was sent, and who waits for it.
-    pub fn leave(&mut self, job: &JobId) -> (EventNumber, Vec<Waiting>) {
+    pub fn leave(&mut self, job: &JobId) -> (EventNumber, Vec<WaitingRequest>) {
         self.asked.remove(job).unwrap_or_default()
     }
 
     /// Takes out whoever has waited too long.
-    pub fn give_up(&mut self, mut late: impl FnMut(&Waiting) -> bool) -> Vec<u64> {
+    pub fn give_up(&mut self, mut late: impl FnMut(&WaitingRequest) -> bool) -> Vec<u64> {
         let mut gone = Vec::new();
         for (_, waiting) in self.asked.values_mut() {
             waiting.retain(|w| {
--- a/crates/cleatfold-control/src/cache.rs
+++ b/crates/cleatfold-control/src/cache.rs
@@ -5,10 +5,10 @@
 //! cannot turn a key back.
 
 use crate::records::*;
-use cleatfold_admission::Allotment;
+use cleatfold_admission::OverloadQuota;
 use cleatfold_backfill::Resources;
 use cleatfold_elastic::{Part, PartRecord, Progress, Width};
-use cleatfold_roles::{Duty, RentBook};
+use cleatfold_roles::{Role, ScaleOutIntents};
 use cleatfold_wire::store::{Event, Item};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -17,7 +17,7 @@
 pub type ProgressMap = BTreeMap<u32, (Version, Part)>;
 
 #[derive(Clone, Debug)]
-pub struct Live {
+pub struct CachedJob {
     pub record: JobRecord,
     pub version: Version,
     pub each: Resources,
@@ -31,7 +31,7 @@
     pub by_pool: Vec<(PoolId, u32)>,
 }
 
-impl Live {
+impl CachedJob {
     /// Where it stands among jobs of its kind: the revision at which it was accepted.
     pub fn place(&self) -> u64 {
         cleatfold_priority::place_of(self.record.place, self.version)
@@ -77,7 +77,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Holding {
+pub struct PoolOwnership {
     pub owner: ControllerId,
     pub incarnation: u64,
     pub token: FencingToken,
@@ -124,33 +124,33 @@
 pub struct StateCache {
     /// Every change up to this revision is in.
     pub applied: Version,
-    pub jobs: BTreeMap<JobId, Live>,
+    pub jobs: BTreeMap<JobId, CachedJob>,
     pub parts: BTreeMap<JobId, PartMap>,
     pub progress: BTreeMap<JobId, ProgressMap>,
-    pub pools: BTreeMap<PoolId, Holding>,
+    pub pools: BTreeMap<PoolId, PoolOwnership>,
     pub controllers: BTreeMap<ControllerId, (u64, Version)>,
     /// Who holds what, and under which epoch.
-    pub duties: BTreeMap<Duty, (HolderRecord, Version)>,
+    pub roles: BTreeMap<Role, (HolderRecord, Version)>,
     /// What was asked of the cloud, or is about to be.
-    pub rents: (Version, RentBook),
+    pub scale_out_intents: (Version, ScaleOutIntents),
     pub slices: BTreeMap<TeamId, (Version, SliceRecord)>,
     /// What is agreed on while there is overload.
-    pub allotment: (Version, Allotment),
+    pub overload_quota: (Version, OverloadQuota),
     pub loss_heads: BTreeMap<TeamId, (Version, LossHead)>,
     /// Who keeps each team's workspace, and under which token.
     pub workspaces: BTreeMap<TeamId, (Version, HolderRecord)>,
     pub histories: BTreeMap<TeamId, (Version, HistoryHead)>,
     /// Room that is being made, by pool.
-    pub made: BTreeMap<PoolId, (Version, MadeRecord)>,
+    pub preemptions: BTreeMap<PoolId, (Version, PreemptionRecord)>,
     /// Images that are being spread.
-    pub weights: BTreeMap<ImageId, (Version, SpreadRecord)>,
-    /// Live jobs of each team, by place.
+    pub image_holders: BTreeMap<ImageId, (Version, SpreadRecord)>,
+    /// CachedJob jobs of each team, by place.
     pub by_team: BTreeMap<TeamId, BTreeSet<(u64, JobId)>>,
     /// Keys whose last value cannot be read: nobody acts on what they held before, nor writes over them.
     pub unreadable: BTreeSet<String>,
     /// Who fetches from the origin.
     pub origin: (Version, OriginRecord),
-    /// Live jobs that have lost something.
+    /// CachedJob jobs that have lost something.
     pub lossy: BTreeSet<JobId>,
     /// All claims, by machine.
     pub claims: BTreeMap<MachineId, MachineClaims>,
@@ -190,7 +190,7 @@
 
     /// Everything up to `applied` is in, and what has gone since is gone: an answer to a change of ours that comes
     /// after a reading that showed it would put back parts and claims that others have ended meanwhile.
-    pub fn is_news(&self, version: Version) -> bool {
+    pub fn is_newer(&self, version: Version) -> bool {
         version > self.applied
     }
 
@@ -203,13 +203,13 @@
             Key::Controller(id) => self.controllers.get(id).map(|n| n.1),
             Key::Slice(team) => self.slices.get(team).map(|s| s.0),
             Key::LossHead(team) => self.loss_heads.get(team).map(|h| h.0),
-            Key::Duty(duty) => self.duties.get(duty).map(|h| h.1),
+            Key::Role(role) => self.roles.get(role).map(|h| h.1),
             Key::Workspace(team) => self.workspaces.get(team).map(|h| h.0),
             Key::History(team) => self.histories.get(team).map(|h| h.0),
-            Key::Made(pool) => self.made.get(pool).map(|h| h.0),
-            Key::Weights(image) => self.weights.get(image).map(|h| h.0),
-            Key::Rents => Some(self.rents.0).filter(|v| *v > Version(0)),
-            Key::Allotment => Some(self.allotment.0).filter(|v| *v > Version(0)),
+            Key::Preemption(pool) => self.preemptions.get(pool).map(|h| h.0),
+            Key::ImageHolders(image) => self.image_holders.get(image).map(|h| h.0),
+            Key::ScaleOutIntents => Some(self.scale_out_intents.0).filter(|v| *v > Version(0)),
+            Key::OverloadQuota => Some(self.overload_quota.0).filter(|v| *v > Version(0)),
             Key::Origin => Some(self.origin.0).filter(|v| *v > Version(0)),
         };
         live.or_else(|| self.removed.get(key).copied()).unwrap_or_default()
@@ -224,7 +224,7 @@
     }
 
     pub fn set(&mut self, key: &str, value: &str, version: Version) {
-        if self.is_news(version) {
+        if self.is_newer(version) {
             self.put(key, value, version);
         }
     }
@@ -247,8 +247,10 @@
             }
             Key::Pool(id) => serde_json::from_str(value).map(|r: HolderRecord| {
                 let token = FencingToken(version.0);
-                self.pools
-                    .insert(id, Holding { owner: r.owner, incarnation: r.incarnation, token });
+                self.pools.insert(
+                    id,
+                    PoolOwnership { owner: r.owner, incarnation: r.incarnation, token },
+                );
             }),
             Key::Controller(id) => serde_json::from_str(value).map(|r: ControllerRecord| {
                 self.controllers.insert(id, (r.incarnation, version));
@@ -259,11 +261,11 @@
             Key::LossHead(team) => serde_json::from_str(value).map(|r| {
                 self.loss_heads.insert(team, (version, r));
             }),
-            Key::Allotment => serde_json::from_str(value).map(|allotment| {
-                self.allotment = (version, allotment);
+            Key::OverloadQuota => serde_json::from_str(value).map(|overload_quota| {
+                self.overload_quota = (version, overload_quota);
             }),
-            Key::Duty(duty) => serde_json::from_str(value).map(|holder| {
-                self.duties.insert(duty, (holder, version));
+            Key::Role(role) => serde_json::from_str(value).map(|holder| {
+                self.roles.insert(role, (holder, version));
             }),
             Key::Workspace(team) => serde_json::from_str(value).map(|r| {
                 self.workspaces.insert(team, (version, r));
@@ -271,14 +273,14 @@
             Key::History(team) => serde_json::from_str(value).map(|r| {
                 self.histories.insert(team, (version, r));
             }),
-            Key::Made(pool) => serde_json::from_str(value).map(|r| {
-                self.made.insert(pool, (version, r));
+            Key::Preemption(pool) => serde_json::from_str(value).map(|r| {
+                self.preemptions.insert(pool, (version, r));
             }),
-            Key::Weights(image) => serde_json::from_str(value).map(|r| {
-                self.weights.insert(image, (version, r));
+            Key::ImageHolders(image) => serde_json::from_str(value).map(|r| {
+                self.image_holders.insert(image, (version, r));
             }),
-            Key::Rents => serde_json::from_str(value).map(|book| {
-                self.rents = (version, book);
+            Key::ScaleOutIntents => serde_json::from_str(value).map(|book| {
+                self.scale_out_intents = (version, book);
             }),
             Key::Origin => serde_json::from_str(value).map(|record| {
                 self.origin = (version, record);
@@ -297,7 +299,7 @@
 
     pub fn remove(&mut self, key: &str, version: Version) {
         let Some(parsed) = parse_key(key) else { return };
-        if !self.is_news(version) || version <= self.version_of(key, &parsed) {
+        if !self.is_newer(version) || version <= self.version_of(key, &parsed) {
             return;
         }
         self.unreadable.remove(key);
@@ -345,8 +347,8 @@
             Key::LossHead(team) => {
                 self.loss_heads.remove(&team);
             }
-            Key::Duty(duty) => {
-                self.duties.remove(&duty);
+            Key::Role(role) => {
+                self.roles.remove(&role);
             }
             Key::Workspace(team) => {
                 self.workspaces.remove(&team);
@@ -354,14 +356,14 @@
             Key::History(team) => {
                 self.histories.remove(&team);
             }
-            Key::Made(pool) => {
-                self.made.remove(&pool);
+            Key::Preemption(pool) => {
+                self.preemptions.remove(&pool);
             }
-            Key::Weights(image) => {
-                self.weights.remove(&image);
+            Key::ImageHolders(image) => {
+                self.image_holders.remove(&image);
             }
-            Key::Rents => self.rents = Default::default(),
-            Key::Allotment => self.allotment = Default::default(),
+            Key::ScaleOutIntents => self.scale_out_intents = Default::default(),
+            Key::OverloadQuota => self.overload_quota = Default::default(),
             Key::Origin => self.origin = Default::default(),
         }
         if self.removed.insert(key.to_string(), version).is_none() {
@@ -388,7 +390,7 @@
             self.lossy.insert(id.clone());
         }
         let each = record.each();
-        let live = Live {
+        let live = CachedJob {
             record,
             version,
             each,
@@ -410,7 +412,7 @@
         }
     }
 
-    fn leave_team(&mut self, id: &JobId, live: &Live) {
+    fn leave_team(&mut self, id: &JobId, live: &CachedJob) {
         if let Some(jobs) = self.by_team.get_mut(&live.record.spec.team) {
             jobs.remove(&(live.place(), id.clone()));
         }
--- a/crates/cleatfold-control/src/cancellations.rs
+++ b/crates/cleatfold-control/src/cancellations.rs
@@ -8,7 +8,7 @@
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::*;
 
-const LOOK_MS: u64 = 250;
+const BROADCAST_INTERVAL_MS: u64 = 250;
 
 impl Controller {
     fn peers(&self) -> impl Iterator<Item = &ControllerId> {
@@ -46,14 +46,14 @@
 
     /// At each tick.
     pub(crate) fn keep_cancellations(&mut self) {
-        if self.now.since(self.cancellations.looked) >= LOOK_MS {
-            self.cancellations.looked = self.now;
+        if self.now.since(self.cancellations.last_checked) >= BROADCAST_INTERVAL_MS {
+            self.cancellations.last_checked = self.now;
             self.tell_cancelled();
         }
     }
 
     fn tell_cancelled(&mut self) {
-        let (peers, keep_ms) = (&self.reach.view.peers, self.cfg.cancel_ms);
+        let (peers, keep_ms) = (&self.reachability.view.peers, self.cfg.cancel_ms);
         let due = self.cancellations.broadcast.due(self.now, keep_ms, |n| peers.contact(n));
         for (peer, jobs) in due {
             let jobs = jobs.iter().map(|j| j.to_string()).collect();
@@ -64,7 +64,7 @@
     pub(crate) fn on_cancelled(&mut self, from: ControllerId, jobs: Vec<String>) {
         let mut broadcast = std::mem::take(&mut self.cancellations.broadcast);
         for job in jobs.iter().map(JobId::new) {
-            if broadcast.told(&job, &from, self.peers(), self.now) {
+            if broadcast.received(&job, &from, self.peers(), self.now) {
                 // Its machines' reports call for orders now, though they say what they said before.
                 self.cache.restamp(&job);
             }
--- a/crates/cleatfold-control/src/config.rs
+++ b/crates/cleatfold-control/src/config.rs
@@ -50,7 +50,7 @@
     pub peers: Vec<(ControllerId, ZoneId)>,
     pub teams: Vec<Team>,
     /// Time between two reports of a worker.
-    pub report_ms: u64,
+    pub heartbeat_interval_ms: u64,
     /// The lease of a worker: without an answer for so long a worker stops its tasks.
     pub lease_ms: u64,
     /// All tasks of a cancelled job are gone within this time.
@@ -87,12 +87,12 @@
     /// How much of each team's history is kept.
     pub history: cleatfold_workspace::Keep,
     /// Images that many want at once are fetched in stages; none: each machine for itself.
-    pub weights: Option<cleatfold_image_distribution::Settings>,
+    pub image_distribution: Option<cleatfold_image_distribution::Settings>,
 }
 
 impl Config {
     /// Losses that a job's answer names; the team's log has more.
-    pub const LOSSES_TOLD: usize = 16;
+    pub const MAX_REPORTED_LOSSES: usize = 16;
 
     /// The team of this name, if there is one.
     pub fn team(&self, name: &TeamId) -> Option<&Team> {
@@ -105,14 +105,14 @@
     /// six seconds an owner once deleted a pool whose workers were still looking for it.)
     pub fn given_up_ms(&self) -> u64 {
         let round = 5000 * (self.peers.len() as u64 + 1);
-        (self.report_ms * 5 / 2 + 4000).max(round)
+        (self.heartbeat_interval_ms * 5 / 2 + 4000).max(round)
     }
 
     /// After so long without the state service an owner stops answering workers. A job may
     /// have been cancelled elsewhere right after our last reading; the workers' lease must
     /// have run out before `cancel_s` has. The margin covers 0.05% of clock drift on either
     /// side, the answer that was on its way, and late timers.
-    pub fn deaf_limit_ms(&self) -> u64 {
+    pub fn stale_read_limit_ms(&self) -> u64 {
         let drift = self.cancel_ms / 1000;
         self.cancel_ms.saturating_sub(self.lease_ms).saturating_sub(2000 + drift)
     }
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -6,14 +6,14 @@
 use crate::inventory::Inventory;
 use crate::records::*;
 use crate::schedule::Plans;
-use crate::state::jobs::Local;
-use cleatfold_roles::Roster;
+use crate::state::jobs::LocalJobState;
+use cleatfold_roles::RoleAssignment;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub(crate) use crate::pending::{EventNumber, Pending, Submission, Wait, Waiting};
+pub(crate) use crate::pending::{EventNumber, Pending, Submission, WaitReason, WaitingRequest};
 
 pub struct Controller {
     pub(crate) cfg: Config,
@@ -22,11 +22,11 @@
     pub(crate) event: EventNumber,
     /// Time of day in milliseconds; orders the queue, decides nothing else.
     pub(crate) wall_ms: u64,
-    pub(crate) stretch: u64,
+    pub(crate) backpressure: u64,
     pub(crate) out: Vec<Effect>,
     pub(crate) next_op: u64,
     pub(crate) ops: BTreeMap<u64, Pending>,
-    pub(crate) resend: Vec<(Ms, u64, Lane, StoreRequest)>,
+    pub(crate) resend: Vec<(Ms, u64, CallPriority, StoreRequest)>,
 
     pub(crate) format_check: crate::state::format::FormatCheck,
     pub(crate) cache: StateCache,
@@ -37,7 +37,7 @@
     pub(crate) sync_inflight: bool,
     pub(crate) sync_sent: Ms,
     pub(crate) want_sync: bool,
-    pub(crate) pace: crate::pace::Pace,
+    pub(crate) rate_limiter: crate::rate_limiter::ChangeRateLimiter,
     /// Something may be due to be recorded.
     pub(crate) flush_due: bool,
     /// Jobs that may have something to be recorded.
@@ -54,19 +54,19 @@
     enlisting: bool,
     /// When our own key was last settled; what came of it shows in readings sent since.
     enlisted: Option<Ms>,
-    pub(crate) roster: Roster,
+    pub(crate) role_assignment: RoleAssignment,
     pub(crate) leader_since: Option<Ms>,
-    pub(crate) dealing: Option<u64>,
+    pub(crate) pending_assignment: Option<u64>,
     /// When the leader last looked whether pools have to be dealt.
-    pub(crate) deal_looked: Ms,
-    pub(crate) deal_settled: Ms,
-    pub(crate) dealt: BTreeMap<PoolId, Ms>,
+    pub(crate) assignment_checked_at: Ms,
+    pub(crate) assignment_confirmed_at: Ms,
+    pub(crate) pool_assigned_at: BTreeMap<PoolId, Ms>,
 
-    pub(crate) locals: BTreeMap<JobId, Local>,
+    pub(crate) job_states: BTreeMap<JobId, LocalJobState>,
     pub(crate) submitting: crate::submissions::Submitting,
-    pub(crate) waiting: Vec<Waiting>,
-    pub(crate) terminal: crate::requests::Terminal,
-    pub(crate) archive: crate::archive::Lookups,
+    pub(crate) waiting: Vec<WaitingRequest>,
+    pub(crate) terminal_jobs: crate::requests::TerminalJobCache,
+    pub(crate) archive: crate::archive::ArchiveLookups,
     pub(crate) losses: crate::state::losses::Losses,
 
     pub(crate) inventory: Inventory,
@@ -76,9 +76,9 @@
     pub(crate) list_at: Option<Ms>,
     pub(crate) list_acc: Vec<cleatfold_wire::cloud::ListedMachine>,
     pub(crate) owned_since: BTreeMap<PoolId, (FencingToken, Ms)>,
-    pub(crate) held: BTreeMap<MachineId, crate::workers::Held>,
+    pub(crate) long_polls: BTreeMap<MachineId, crate::workers::LongPoll>,
     /// Who reaches whom.
-    pub(crate) reach: crate::state::reach::Reaching,
+    pub(crate) reachability: crate::state::reachability::ReachabilityState,
     pub(crate) started: Option<Ms>,
     pub(crate) last_tick: Ms,
     pub(crate) watched: Ms,
@@ -87,32 +87,32 @@
     pub(crate) hinted: BTreeMap<PoolId, (ControllerId, FencingToken)>,
     pub(crate) alive_sent: Ms,
     pub(crate) plans: Plans,
-    pub(crate) dirty: bool,
-    pub(crate) renting: crate::renting::Renting,
+    pub(crate) replan_needed: bool,
+    pub(crate) scale_out: crate::scale_out::ScaleOutState,
     pub(crate) assigned_at: Ms,
-    pub(crate) limits: crate::limits::Limits,
+    pub(crate) limits: crate::quota::Limits,
     pub(crate) admission: crate::state::admission::Admission,
     pub(crate) workspaces: crate::state::workspaces::Workspaces,
     pub(crate) teams: crate::state::teams::Teams,
-    pub(crate) lanes: crate::state::lanes::Lanes,
+    pub(crate) priority: crate::state::priority::PriorityState,
     pub(crate) image_distribution: crate::state::image_distribution::ImageDistribution,
-    pub(crate) cleanup_inflight: bool,
+    pub(crate) garbage_collection_inflight: bool,
     /// Tasks of our machines that are told to leave.
-    pub(crate) stops: crate::state::stops::Stops,
+    pub(crate) evictions: crate::state::evictions::Evictions,
     pub(crate) completed_at: Ms,
     pub(crate) cancellations: crate::state::cancellations::Cancellations,
 }
 
 impl Controller {
     pub fn new(cfg: Config) -> Self {
-        let reach = crate::state::reach::Reaching::new(&cfg);
-        let limits = crate::limits::Limits::new(&cfg.me);
+        let reachability = crate::state::reachability::ReachabilityState::new(&cfg);
+        let limits = crate::quota::Limits::new(&cfg.me);
         Self {
             cfg,
             now: Ms(0),
             event: EventNumber(0),
             wall_ms: 0,
-            stretch: 1,
+            backpressure: 1,
             out: Vec::new(),
             next_op: 1,
             ops: BTreeMap::new(),
@@ -126,7 +126,7 @@
             sync_inflight: false,
             sync_sent: Ms(0),
             want_sync: false,
-            pace: Default::default(),
+            rate_limiter: Default::default(),
             flush_due: false,
             unsent: BTreeSet::new(),
             fresh: None,
@@ -137,16 +137,16 @@
             incarnation: None,
             enlisting: false,
             enlisted: None,
-            roster: Default::default(),
+            role_assignment: Default::default(),
             leader_since: None,
-            dealing: None,
-            deal_looked: Ms(0),
-            deal_settled: Ms(0),
-            dealt: BTreeMap::new(),
-            locals: BTreeMap::new(),
+            pending_assignment: None,
+            assignment_checked_at: Ms(0),
+            assignment_confirmed_at: Ms(0),
+            pool_assigned_at: BTreeMap::new(),
+            job_states: BTreeMap::new(),
             submitting: Default::default(),
             waiting: Vec::new(),
-            terminal: Default::default(),
+            terminal_jobs: Default::default(),
             archive: Default::default(),
             losses: Default::default(),
             inventory: Inventory::default(),
@@ -156,33 +156,33 @@
             list_at: None,
             list_acc: Vec::new(),
             owned_since: BTreeMap::new(),
-            held: BTreeMap::new(),
-            reach,
+            long_polls: BTreeMap::new(),
+            reachability,
             started: None,
             last_tick: Ms(0),
             watched: Ms(0),
             hinted: BTreeMap::new(),
             alive_sent: Ms(0),
             plans: Plans::default(),
-            dirty: false,
-            renting: Default::default(),
+            replan_needed: false,
+            scale_out: Default::default(),
             assigned_at: Ms(0),
             limits,
             admission: Default::default(),
             workspaces: Default::default(),
             teams: Default::default(),
-            lanes: Default::default(),
+            priority: Default::default(),
             image_distribution: Default::default(),
-            cleanup_inflight: false,
-            stops: Default::default(),
+            garbage_collection_inflight: false,
+            evictions: Default::default(),
             completed_at: Ms(0),
             cancellations: Default::default(),
         }
     }
 
     /// Under pressure what costs much and is not urgent is done so many times less often.
-    pub fn set_stretch(&mut self, stretch: u64) {
-        self.stretch = stretch.max(1);
+    pub fn set_backpressure(&mut self, backpressure: u64) {
+        self.backpressure = backpressure.max(1);
     }
 
     /// Handles one event; returns what is to be done.
@@ -196,12 +196,12 @@
         match event {
             Event::Tick => self.tick(),
             Event::Request { rid, request } => self.on_request(rid, request),
-            Event::Report { rid, report } => self.on_report(rid, report),
+            Event::Heartbeat { rid, report } => self.on_heartbeat(rid, report),
             Event::Store { op, reply } => self.on_store(op, reply),
             Event::Cloud { op, reply } => self.on_cloud(op, reply),
             Event::Mesh { from, message } => self.on_mesh(from, message),
             Event::Ordered { machine, report } => self.on_ordered(machine, report),
-            Event::Probed { machine, said } => self.on_probed(machine, said),
+            Event::Probed { machine, answer } => self.on_probed(machine, answer),
         }
         if std::mem::take(&mut self.flush_due) {
             self.flush();
@@ -213,14 +213,19 @@
         self.out.push(Effect::Reply { rid, response });
     }
 
-    pub(crate) fn store(&mut self, lane: Lane, request: StoreRequest, pending: Pending) -> u64 {
+    pub(crate) fn store(
+        &mut self,
+        priority: CallPriority,
+        request: StoreRequest,
+        pending: Pending,
+    ) -> u64 {
         let op = self.next_op;
         self.next_op += 1;
         self.ops.insert(op, pending);
         if let StoreRequest::Txn(txn) = &request {
-            self.pace.spend(txn.changes.len());
+            self.rate_limiter.spend(txn.changes.len());
         }
-        self.out.push(Effect::Store { op, lane, request });
+        self.out.push(Effect::Store { op, priority, request });
         op
     }
 
@@ -243,24 +248,24 @@
             tracing::info!(gap, "held up");
             for m in self.inventory.machines.values_mut() {
                 m.known = m.known.max(self.now);
-                m.ears.excuse();
+                m.partition_detector.excuse();
             }
-            self.reach.view.stood_still(self.now);
+            self.reachability.view.stood_still(self.now);
         }
         self.last_tick = self.now;
-        for (at, op, lane, request) in std::mem::take(&mut self.resend) {
+        for (at, op, priority, request) in std::mem::take(&mut self.resend) {
             if at <= self.now {
                 if let StoreRequest::Txn(txn) = &request {
-                    self.pace.spend(txn.changes.len());
+                    self.rate_limiter.spend(txn.changes.len());
                 }
-                self.out.push(Effect::Store { op, lane, request });
+                self.out.push(Effect::Store { op, priority, request });
             } else {
-                self.resend.push((at, op, lane, request));
+                self.resend.push((at, op, priority, request));
             }
         }
         self.fail_stale_waits();
-        self.answer_held(&[]);
-        self.settle_unanswered();
+        self.answer_long_polls(&[]);
+        self.resolve_unanswered();
         self.keep_format();
         self.keep_lease();
         self.keep_mirror();
@@ -277,11 +282,11 @@
         if !self.serving() {
             return;
         }
-        self.keep_reach();
-        self.keep_duties();
+        self.maintain_reachability();
+        self.maintain_roles();
         self.keep_workspaces();
-        self.keep_lanes();
-        self.keep_weights();
+        self.maintain_priority();
+        self.maintain_image_distribution();
         self.watch_machines();
         self.complete_jobs();
         self.plan_if_due();
@@ -318,12 +323,12 @@
             return false;
         }
         // A worker that we let go was served elsewhere: the state service is there for others.
-        if !self.in_contact() && self.reach.view.letting.others_serve() {
+        if !self.in_contact() && self.reachability.view.worker_release.others_serve() {
             return false;
         }
         // In an outage that all share, leaving would only lose the users their connections.
         // Where a peer still reads the state service, the users are better served there.
-        self.in_contact() || !self.reach.view.peers.someone_reads(self.now)
+        self.in_contact() || !self.reachability.view.peers.someone_reads(self.now)
     }
 
     /// Whether this controller gives the machine no new tasks because it is to be returned.
@@ -344,13 +349,21 @@
                 self.lease_asked = true;
                 self.lease_sent = self.now;
                 let sent = self.now;
-                self.store(Lane::Renewal, StoreRequest::Grant { ttl_ms }, Pending::Grant { sent });
+                self.store(
+                    CallPriority::Renewal,
+                    StoreRequest::Grant { ttl_ms },
+                    Pending::Grant { sent },
+                );
             }
             Some(lease) if self.now.since(self.lease_sent) >= ttl_ms / 3 => {
                 self.lease_asked = true;
                 self.lease_sent = self.now;
                 let sent = self.now;
-                self.store(Lane::Renewal, StoreRequest::Extend(lease), Pending::Extend { sent });
+                self.store(
+                    CallPriority::Renewal,
+                    StoreRequest::Extend(lease),
+                    Pending::Extend { sent },
+                );
             }
             _ => {}
         }
@@ -369,7 +382,7 @@
                     &ControllerRecord { incarnation },
                     Some(lease),
                 );
-                self.store(Lane::Renewal, StoreRequest::Txn(txn), Pending::Enlist);
+                self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Enlist);
             }
         }
     }
@@ -384,7 +397,7 @@
                 let sent = self.now;
                 let from = self.load_from.clone();
                 let request = StoreRequest::List { prefix: LIVE.into(), from, most: None };
-                self.store(Lane::Renewal, request, Pending::Load { sent });
+                self.store(CallPriority::Renewal, request, Pending::Load { sent });
             }
             return;
         }
@@ -404,7 +417,7 @@
             self.sync_sent = self.now;
             let request = StoreRequest::Changes { prefix: LIVE.into(), from: self.cache.applied };
             let (sent, sent_at) = (self.now, self.event);
-            self.store(Lane::Renewal, request, Pending::Sync { sent, sent_at });
+            self.store(CallPriority::Renewal, request, Pending::Sync { sent, sent_at });
         }
     }
 
@@ -434,8 +447,8 @@
             _ => {
                 self.begin_ended();
                 let gone = |id: &&JobId| !self.cache.jobs.contains_key(*id);
-                let gone: Vec<JobId> = self.locals.keys().filter(gone).cloned().collect();
-                gone.iter().for_each(|job| self.drop_local(job));
+                let gone: Vec<JobId> = self.job_states.keys().filter(gone).cloned().collect();
+                gone.iter().for_each(|job| self.discard_job_state(job));
                 self.loaded = true;
                 // The pages are from different moments: only the next reading is complete.
                 self.want_sync = true;
@@ -454,20 +467,20 @@
         match reply {
             StoreReply::Events(events) => {
                 if !events.events.is_empty() {
-                    self.dirty = true;
+                    self.replan_needed = true;
                 }
                 for event in &events.events {
                     self.cache.apply_event(event);
                 }
                 self.cache.applied = self.cache.applied.max(events.revision);
                 self.fresh = Some(self.fresh.map_or(sent, |f| f.max(sent)));
-                self.reach.view.letting.reset();
+                self.reachability.view.worker_release.reset();
                 if self.limits.blind.is_some_and(|b| b <= sent_at) {
                     self.limits.blind = None;
                 }
-                for local in self.locals.values_mut() {
-                    if local.stale_since.is_some_and(|s| s <= sent_at) {
-                        local.stale_since = None;
+                for job_state in self.job_states.values_mut() {
+                    if job_state.stale_since.is_some_and(|s| s <= sent_at) {
+                        job_state.stale_since = None;
                     }
                 }
                 self.after_sync(sent_at);
@@ -480,12 +493,12 @@
     fn after_sync(&mut self, sent_at: EventNumber) {
         self.note_read_cancellations();
         for job in std::mem::take(&mut self.cache.gone) {
-            self.archive.stale |= self.terminal.get(&job).is_none();
-            self.drop_local(&job);
+            self.archive.stale |= self.terminal_jobs.get(&job).is_none();
+            self.discard_job_state(&job);
         }
         self.follow_archive();
         self.note_ownership();
-        self.settle_unanswered();
+        self.resolve_unanswered();
         self.answer_waiting(sent_at);
         self.sync_if_due();
     }
@@ -511,7 +524,7 @@
                 m.images_changed = true;
             }
             self.owned_since.insert(pool, (token, self.now));
-            self.dirty = true;
+            self.replan_needed = true;
         }
         let cache = &self.cache;
         self.hinted
@@ -578,11 +591,11 @@
                 }
                 self.want_sync = true;
             }
-            Pending::Duty(duty) => self.on_duty(duty, reply),
-            Pending::Rents(step) => self.on_rents_written(*step, reply),
-            Pending::Deal => {
-                self.dealing = None;
-                self.deal_settled = self.now;
+            Pending::Role(role) => self.on_role_written(role, reply),
+            Pending::ScaleOutIntents(step) => self.on_scale_out_written(*step, reply),
+            Pending::PoolAssignment => {
+                self.pending_assignment = None;
+                self.assignment_confirmed_at = self.now;
                 self.want_sync = true;
                 if matches!(reply, StoreReply::Committed(_)) {
                     self.tell(None, Message::Changed);
@@ -598,13 +611,13 @@
             Pending::History(write) => self.on_history(op, *write, reply),
             Pending::Oldest { team, token } => self.on_oldest(team, token, reply),
             Pending::ArchivePage => self.on_archive_page(reply),
-            Pending::TeamHistory(turning) => self.on_team_history(*turning, reply),
-            Pending::Allot => self.on_allotted(),
-            Pending::Made(making) => self.on_made(*making, reply),
+            Pending::TeamHistory(read) => self.on_team_history(*read, reply),
+            Pending::OverloadQuota => self.on_overload_quota_written(),
+            Pending::Preemption(making) => self.on_preemption_written(*making, reply),
             Pending::Origin { txn, record } => self.on_origin(op, txn, record, reply),
             Pending::Spread => self.on_spread(),
-            Pending::Cleanup => {
-                self.cleanup_inflight = false;
+            Pending::GarbageCollection => {
+                self.garbage_collection_inflight = false;
                 self.want_sync = true;
             }
             _ => {}
@@ -612,8 +625,15 @@
     }
 
     /// Sends a transaction with an unknown outcome once more: the same guards decide.
-    pub(crate) fn again(&mut self, op: u64, lane: Lane, txn: Txn, pending: Pending, ms: u64) {
+    pub(crate) fn again(
+        &mut self,
+        op: u64,
+        priority: CallPriority,
+        txn: Txn,
+        pending: Pending,
+        ms: u64,
+    ) {
         self.ops.insert(op, pending);
-        self.resend.push((self.now.plus(ms), op, lane, StoreRequest::Txn(txn)));
+        self.resend.push((self.now.plus(ms), op, priority, StoreRequest::Txn(txn)));
     }
 }
--- a/crates/cleatfold-control/src/effects.rs
+++ b/crates/cleatfold-control/src/effects.rs
@@ -3,14 +3,14 @@
 //! An event is everything a controller is told; an effect is everything it asks to be done. The requests to the
 //! state service and the cloud and their replies are parts of both.
 
-use cleatfold_wire::cloud::{ListedMachine, MachineType, RentRequest};
+use cleatfold_wire::cloud::{ListedMachine, MachineType, ScaleOutRequest};
 use cleatfold_wire::job::{JobSpec, JobStatus};
 use cleatfold_wire::losses::TeamLosses;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::steps::{StepReply, StepReport};
 use cleatfold_wire::store::{Events, Item, Page, Txn};
 use cleatfold_wire::team::{TeamHistory, TeamJobs, TeamQueue};
-use cleatfold_wire::worker::{Orders, RawReport, Report, ReportReply};
+use cleatfold_wire::worker::{Heartbeat, HeartbeatResponse, Orders, RawHeartbeat};
 use cleatfold_wire::*;
 
 /// What a user asks.
@@ -59,9 +59,9 @@
         rid: u64,
         request: Request,
     },
-    Report {
+    Heartbeat {
         rid: u64,
-        report: RawReport,
+        report: RawHeartbeat,
     },
     Store {
         op: u64,
@@ -78,13 +78,13 @@
     /// A worker's report after it executed direct orders; none: no answer, or not executed.
     Ordered {
         machine: MachineId,
-        report: Option<Report>,
+        report: Option<Heartbeat>,
     },
     /// A worker answered a question that only asked whether it is reached, with the number of its newest
     /// message; none: no answer.
     Probed {
         machine: MachineId,
-        said: Option<(AgentEpoch, Seq)>,
+        answer: Option<(AgentEpoch, Seq)>,
     },
 }
 
@@ -106,7 +106,7 @@
     Steps(StepReply),
     Losses(TeamLosses),
     Team(TeamAnswer),
-    Worker(ReportReply),
+    Worker(HeartbeatResponse),
     /// 421; the worker should report there, or just elsewhere.
     Redirect(Option<ControllerId>),
 }
@@ -130,7 +130,7 @@
 
 /// Which calls to the state service go first when the rate is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Lane {
+pub enum CallPriority {
     /// Leases, roles, and the reading that everything rests on.
     Renewal,
     /// Claims, ends and cancellations.
@@ -187,7 +187,7 @@
 pub enum CloudRequest {
     Types,
     List { from: Option<MachineId> },
-    Rent(RentRequest),
+    ScaleOut(ScaleOutRequest),
     Delete(Vec<MachineId>),
 }
 
@@ -212,7 +212,7 @@
     /// The answer to a request or a report.
     Reply { rid: u64, response: Response },
     /// A call to the state service; its reply comes as an event with the same `op`.
-    Store { op: u64, lane: Lane, request: StoreRequest },
+    Store { op: u64, priority: CallPriority, request: StoreRequest },
     /// A call to the cloud; its reply comes as an event with the same `op`.
     Cloud {
         op: u64,
--- a/crates/cleatfold-control/src/fault_attribution.rs
+++ b/crates/cleatfold-control/src/fault_attribution.rs
@@ -1,9 +1,9 @@
 //! Failed tasks: what the records and the machines' owners know of them, as `cleatfold_fault_attribution` judges.
 
-use crate::cache::Live;
+use crate::cache::CachedJob;
 use crate::controller::Controller;
-use crate::state::jobs::Local;
-use cleatfold_fault_attribution::{pause_ms, standing, Evidence, Failure, Standing};
+use crate::state::jobs::LocalJobState;
+use cleatfold_fault_attribution::{pause_ms, verdict, Evidence, Failure, Verdict};
 use cleatfold_wire::job::{JobState, Kind};
 use cleatfold_wire::*;
 use std::collections::BTreeSet;
@@ -11,13 +11,13 @@
 impl Controller {
     /// The job's failed starts: those in its record, which every controller reads, and those that
     /// are on their way there.
-    fn failures(&self, id: &JobId, local: Option<&Local>) -> Vec<Failure> {
+    fn failures(&self, id: &JobId, job_state: Option<&LocalJobState>) -> Vec<Failure> {
         let mut failures = Vec::new();
         if self.cache.lossy.contains(id) {
             self.cache.tables(id).for_each(|t| failures.extend(t.losses.failures()));
         }
-        for end in local.iter().flat_map(|l| &l.ends).filter(|e| e.why == "error") {
-            let at_ms = local.map_or(0, |l| l.failed_ms);
+        for end in job_state.iter().flat_map(|l| &l.ends).filter(|e| e.why == "error") {
+            let at_ms = job_state.map_or(0, |l| l.failed_ms);
             let (machine, task, attempt) = (end.machine.clone(), end.ix, end.attempt);
             failures.push(Failure { machine, task, attempt, at_ms });
         }
@@ -25,29 +25,40 @@
     }
 
     /// What is to be thought of a job, if anything of it has failed.
-    fn standing(&self, id: &JobId, live: &Live, local: Option<&Local>) -> Option<Standing> {
-        let failures = self.failures(id, local);
-        (!failures.is_empty()).then(|| self.judged(&failures, live, local))
+    fn verdict(
+        &self,
+        id: &JobId,
+        live: &CachedJob,
+        job_state: Option<&LocalJobState>,
+    ) -> Option<Verdict> {
+        let failures = self.failures(id, job_state);
+        (!failures.is_empty()).then(|| self.judged(&failures, live, job_state))
     }
 
-    fn judged(&self, failures: &[Failure], live: &Live, local: Option<&Local>) -> Standing {
-        let done = live.done + local.map_or(0, |l| l.ends.iter().filter(|e| e.done).count() as u32);
-        standing(failures, done, |id| self.is_faulty(id), self.wall_ms)
+    fn judged(
+        &self,
+        failures: &[Failure],
+        live: &CachedJob,
+        job_state: Option<&LocalJobState>,
+    ) -> Verdict {
+        let done =
+            live.done + job_state.map_or(0, |l| l.ends.iter().filter(|e| e.done).count() as u32);
+        verdict(failures, done, |id| self.is_faulty(id), self.wall_ms)
     }
 
     /// How many of `tasks` that wait may be planned and rented for now. What pauses waits for its
     /// turn or its user: it holds no place, nothing is rented for it, and no idle machine kept.
-    pub(crate) fn may_start(&self, id: &JobId, live: &Live, tasks: u32) -> u32 {
+    pub(crate) fn may_start(&self, id: &JobId, live: &CachedJob, tasks: u32) -> u32 {
         if tasks == 0 {
             return 0;
         }
-        let standing = self.standing(id, live, self.locals.get(id));
-        standing.map_or(tasks, |s| self.startable(&s, live, tasks))
+        let verdict = self.verdict(id, live, self.job_states.get(id));
+        verdict.map_or(tasks, |s| self.startable(&s, live, tasks))
     }
 
-    fn startable(&self, standing: &Standing, live: &Live, tasks: u32) -> u32 {
-        let may = standing.may_start(tasks, live.claimed, self.wall_ms);
-        let pauses = matches!(standing, Standing::Sound { pausing } if !pausing.is_empty());
+    fn startable(&self, verdict: &Verdict, live: &CachedJob, tasks: u32) -> u32 {
+        let may = verdict.may_start(tasks, live.claimed, self.wall_ms);
+        let pauses = matches!(verdict, Verdict::Sound { pausing } if !pausing.is_empty());
         match live.record.spec.kind {
             // Whole or not at all.
             Kind::Gang if may > 0 && !pauses => tasks,
@@ -57,28 +68,28 @@
     }
 
     /// The tasks that must not be claimed now, and how many may be of the others.
-    pub(crate) fn claimable(&self, id: &JobId, live: &Live) -> (BTreeSet<TaskIx>, u32) {
+    pub(crate) fn claimable(&self, id: &JobId, live: &CachedJob) -> (BTreeSet<TaskIx>, u32) {
         let tasks = live.record.spec.tasks;
-        let Some(standing) = self.standing(id, live, self.locals.get(id)) else {
+        let Some(verdict) = self.verdict(id, live, self.job_states.get(id)) else {
             return (BTreeSet::new(), tasks);
         };
-        let most = self.startable(&standing, live, tasks);
-        match standing {
-            Standing::Sound { pausing } => (pausing, most),
-            Standing::Suspect { .. } => (BTreeSet::new(), most),
+        let most = self.startable(&verdict, live, tasks);
+        match verdict {
+            Verdict::Sound { pausing } => (pausing, most),
+            Verdict::Suspect { .. } => (BTreeSet::new(), most),
         }
     }
 
     /// It fails wherever it runs, and its record says so.
-    pub(crate) fn is_suspect(&self, id: &JobId, live: &Live) -> bool {
+    pub(crate) fn is_suspect(&self, id: &JobId, live: &CachedJob) -> bool {
         self.cache.lossy.contains(id)
-            && matches!(self.standing(id, live, None), Some(Standing::Suspect { .. }))
+            && matches!(self.verdict(id, live, None), Some(Verdict::Suspect { .. }))
     }
 
     /// Machines of a plan (by index) that a job should not be tried on again: those that it failed
     /// on, unless that is all of them.
     pub(crate) fn avoided(&self, id: &JobId, machines: &[MachineId]) -> Vec<usize> {
-        let failures = self.failures(id, self.locals.get(id));
+        let failures = self.failures(id, self.job_states.get(id));
         let failed = |m: &MachineId| failures.iter().any(|f| f.machine == *m);
         let avoid: Vec<usize> = match failures.is_empty() {
             true => vec![],
@@ -92,9 +103,9 @@
     }
 
     /// Why tasks of a job failed, since when, and what comes of it.
-    pub(crate) fn why(&self, id: &JobId, live: &Live) -> Option<String> {
-        let local = self.locals.get(id);
-        let mut failures = self.failures(id, local);
+    pub(crate) fn why(&self, id: &JobId, live: &CachedJob) -> Option<String> {
+        let job_state = self.job_states.get(id);
+        let mut failures = self.failures(id, job_state);
         failures.sort_by_key(|f| f.at_ms);
         let (first, last) = (failures.first()?, failures.last()?);
         let machines: BTreeSet<&MachineId> = failures.iter().map(|f| &f.machine).collect();
@@ -106,7 +117,7 @@
             failures.len(),
             machines.len()
         );
-        if let Standing::Suspect { until_ms } = self.judged(&failures, live, local) {
+        if let Verdict::Suspect { until_ms } = self.judged(&failures, live, job_state) {
             let next = until_ms.saturating_sub(self.wall_ms) / 1000;
             why += &format!("; it fails wherever it runs, next try in {next} s");
         }
@@ -116,7 +127,7 @@
     /// A task has failed on one of our machines.
     pub(crate) fn note_failed(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
         let wall_ms = self.wall_ms;
-        self.local(&task.job).failed_ms = wall_ms;
+        self.job_state(&task.job).failed_ms = wall_ms;
         let pause_s = pause_ms(attempt) / 1000;
         tracing::info!(job = %task.job, task = task.ix.0, attempt = attempt.0, %machine, pause_s, "task failed");
         if let Some(machine) = self.inventory.machines.get_mut(machine) {
@@ -139,23 +150,23 @@
             if faulty {
                 tracing::info!(machine = %id, "what works elsewhere fails here: returning it");
                 (m.faulty, m.draining) = (true, true);
-                self.dirty = true;
+                self.replan_needed = true;
             }
         }
     }
 
     fn evidence(&self, machine: &MachineId, job: &JobId, task: TaskIx) -> Evidence {
         let Some(live) = self.cache.jobs.get(job) else {
-            let done = self.terminal.get(job).is_some_and(|s| s.state == JobState::Done);
+            let done = self.terminal_jobs.get(job).is_some_and(|s| s.state == JobState::Done);
             return if done { Evidence::WorksElsewhere } else { Evidence::NoEvidence };
         };
-        let local = self.locals.get(job);
+        let job_state = self.job_states.get(job);
         let elsewhere =
             |f: &Failure| f.task == task && f.machine != *machine && !self.is_faulty(&f.machine);
-        if self.failures(job, local).iter().any(elsewhere) {
+        if self.failures(job, job_state).iter().any(elsewhere) {
             return Evidence::NoEvidence;
         }
-        let ends = local.iter().flat_map(|l| &l.ends);
+        let ends = job_state.iter().flat_map(|l| &l.ends);
         if live.done > 0 || ends.into_iter().any(|e| e.done) {
             return Evidence::WorksElsewhere;
         }
--- a/crates/cleatfold-control/src/format.rs
+++ b/crates/cleatfold-control/src/format.rs
@@ -27,7 +27,11 @@
     pub(crate) fn keep_format(&mut self) {
         if self.format_check.state == Format::Unread && self.now >= self.format_check.not_before {
             self.format_check.state = Format::Asked;
-            self.store(Lane::Renewal, StoreRequest::Get(FORMAT_KEY.into()), Pending::Format);
+            self.store(
+                CallPriority::Renewal,
+                StoreRequest::Get(FORMAT_KEY.into()),
+                Pending::Format,
+            );
         }
     }
 
@@ -44,7 +48,7 @@
                 let mut txn = Txn::default();
                 txn.guard(FORMAT_KEY, Version(0));
                 txn.put(FORMAT_KEY, &Marker { version: FORMAT }, None);
-                self.store(Lane::Renewal, StoreRequest::Txn(txn), Pending::FormatWritten);
+                self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::FormatWritten);
                 Format::Asked
             }
             _ => self.ask_format_again(),
--- a/crates/cleatfold-control/src/weights.rs
+++ b/crates/cleatfold-control/src/image_distribution.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Between two looks at all spreads, two changes of the slots, and two of who holds what.
-const LOOK_MS: u64 = 250;
+const DISTRIBUTION_INTERVAL_MS: u64 = 250;
 const SLOTS_MS: u64 = 1500;
 const HOLDERS_MS: u64 = 5000;
 /// An image that no more machines want has no record of its own.
@@ -20,14 +20,15 @@
 
 impl Controller {
     /// At each tick, once we serve.
-    pub(crate) fn keep_weights(&mut self) {
-        let Some(settings) = self.cfg.weights.clone() else { return };
-        if self.now.since(self.image_distribution.looked) < LOOK_MS * self.stretch
+    pub(crate) fn maintain_image_distribution(&mut self) {
+        let Some(settings) = self.cfg.image_distribution.clone() else { return };
+        if self.now.since(self.image_distribution.last_checked)
+            < DISTRIBUTION_INTERVAL_MS * self.backpressure
             || !self.in_contact()
         {
             return;
         }
-        self.image_distribution.looked = self.now;
+        self.image_distribution.last_checked = self.now;
         self.image_distribution.note_ran(&self.inventory.machines, &self.cache.jobs);
         let (wants, in_use) = self.wants(&settings);
         let seen = self.seen(&settings);
@@ -35,7 +36,7 @@
         let pools: BTreeSet<PoolId> =
             self.owned_since.keys().filter(|p| self.my_token(p).is_some()).cloned().collect();
         let spreads: BTreeMap<ImageId, SpreadRecord> =
-            self.cache.weights.iter().map(|(i, r)| (i.clone(), r.1.clone())).collect();
+            self.cache.image_holders.iter().map(|(i, r)| (i.clone(), r.1.clone())).collect();
         let mut distributor = std::mem::take(&mut self.image_distribution.distributor);
         let (origin, come) = distributor.pass(&View {
             now: self.now,
@@ -55,7 +56,7 @@
         if let Some(origin) = origin {
             self.write_slots(origin);
         }
-        self.answer_held(&come);
+        self.answer_long_polls(&come);
     }
 
     /// Proven to fetch nothing: deleted, its lease run out, or unknown to whoever owned its pool
@@ -96,12 +97,12 @@
                     machine: group.machine.clone(),
                     pool: group.pool.clone(),
                     image: spec.image.clone(),
-                    lane: spec.urgency as u8,
+                    urgency: spec.urgency as u8,
                     gang: spec.kind == Kind::Gang,
                     place: live.place(),
                     mb_per_s: settings.slot(kind.map_or(1.0, |t| t.fetch_gb_per_s)),
                     // Of others' machines nothing is known: they decide themselves.
-                    hears: images.is_none_or(|i| i.is_some()),
+                    supports_peer_fetch: images.is_none_or(|i| i.is_some()),
                     stuck: images.is_some_and(Controller::is_stuck),
                     pushes_out: None,
                 });
@@ -172,7 +173,7 @@
     /// Whether a claim's machine may be told to start, and where from it fetches what is not there
     /// (nothing: from the origin). None: its turn has not come.
     pub(crate) fn fetch_turn(&self, id: &MachineId, job: &JobId) -> Option<Vec<String>> {
-        let Some(settings) = &self.cfg.weights else { return Some(vec![]) };
+        let Some(settings) = &self.cfg.image_distribution else { return Some(vec![]) };
         let Some(live) = self.cache.jobs.get(job) else { return Some(vec![]) };
         let spec = &live.record.spec;
         if !settings.is_large(spec.image_gb) {
@@ -222,7 +223,7 @@
 
     /// What a machine was told to fetch shows in its next report, or it was not told.
     pub(crate) fn note_fetches(&mut self, id: &MachineId, commands: &[Command]) {
-        let Some(settings) = &self.cfg.weights else { return };
+        let Some(settings) = &self.cfg.image_distribution else { return };
         let large = commands.iter().any(|c| {
             let Command::Start { task, .. } = c else { return false };
             let live = self.cache.jobs.get(&task.job);
@@ -262,7 +263,7 @@
         self.image_distribution.slots_inflight = true;
         self.image_distribution.slots_at = self.now;
         let request = StoreRequest::Txn(txn.clone());
-        self.store(Lane::Claim, request, Pending::Origin { txn, record });
+        self.store(CallPriority::Claim, request, Pending::Origin { txn, record });
     }
 
     pub(crate) fn on_origin(&mut self, op: u64, txn: Txn, record: OriginRecord, reply: StoreReply) {
@@ -270,14 +271,20 @@
             // It may yet be executed: until that is decided what it gives back is not used.
             StoreReply::Unknown | StoreReply::Refused => {
                 let again = txn.clone();
-                return self.again(op, Lane::Claim, again, Pending::Origin { txn, record }, 300);
+                return self.again(
+                    op,
+                    CallPriority::Claim,
+                    again,
+                    Pending::Origin { txn, record },
+                    300,
+                );
             }
             StoreReply::Committed(version) => {
                 if self.cache.origin.0 < version {
                     self.cache.origin = (version, record);
                 }
                 // Those whose slot it is need not wait for the next look.
-                self.image_distribution.looked = Ms(0);
+                self.image_distribution.last_checked = Ms(0);
             }
             // Somebody else was first.
             _ => {
@@ -299,7 +306,8 @@
         let mut last = BTreeSet::new();
         for image in wanted.keys() {
             let mut ours = seen.iter().filter(|(_, s)| s.has(image)).map(|(m, _)| m);
-            let elsewhere = self.cache.weights.get(*image).into_iter().flat_map(|r| &r.1.holders);
+            let elsewhere =
+                self.cache.image_holders.get(*image).into_iter().flat_map(|r| &r.1.holders);
             let mut elsewhere = elsewhere.filter(|(p, _)| !self.owned_since.contains_key(*p));
             if let (Some(only), None, None) = (ours.next(), ours.next(), elsewhere.next()) {
                 last.insert(only.clone());
@@ -311,16 +319,16 @@
         {
             return;
         }
-        let known = self.cache.weights.keys();
+        let known = self.cache.image_holders.keys();
         let images: BTreeSet<ImageId> = known.chain(wanted.keys().copied()).cloned().collect();
         for image in &images {
-            let old = self.cache.weights.get(image);
+            let old = self.cache.image_holders.get(image);
             let many = wanted.get(image).is_some_and(|m| m.len() > HANDFUL);
             let mut txn = Txn::default();
-            txn.guard(weights_key(image), old.map(|o| o.0).unwrap_or_default());
+            txn.guard(image_holders_key(image), old.map(|o| o.0).unwrap_or_default());
             if old.is_some() && !wanted.contains_key(image) {
                 // Nobody uses it any more. (It may be wanted again: then it is written anew.)
-                txn.delete(weights_key(image));
+                txn.delete(image_holders_key(image));
             } else if old.is_some() || many {
                 let mut new = old.map(|o| o.1.clone()).unwrap_or_default();
                 for pool in self.owned_since.keys() {
@@ -343,13 +351,13 @@
                 if old.is_some_and(|o| o.1 == new) || (old.is_none() && new.holders.is_empty()) {
                     continue;
                 }
-                txn.put(weights_key(image), &new, None);
+                txn.put(image_holders_key(image), &new, None);
             } else {
                 continue;
             }
             self.image_distribution.holders_inflight = true;
             self.image_distribution.holders_at = self.now;
-            self.store(Lane::Poll, StoreRequest::Txn(txn), Pending::Spread);
+            self.store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::Spread);
             return;
         }
     }
--- a/crates/cleatfold-control/src/inventory.rs
+++ b/crates/cleatfold-control/src/inventory.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Clone, Debug)]
-pub struct LastReport {
+pub struct LastHeartbeat {
     pub agent_epoch: AgentEpoch,
     pub seq: Seq,
     /// The highest token the worker had seen when it sent it.
@@ -37,12 +37,12 @@
     pub was_listed: bool,
     /// When it was rented, by the list's age.
     pub born: Ms,
-    pub report: Option<LastReport>,
+    pub report: Option<LastHeartbeat>,
     /// When a report last came that shows it alive: newer than all before, under the token that we have its pool
     /// under. A late copy shows neither.
-    pub heard: Option<Ms>,
+    pub last_heartbeat: Option<Ms>,
     /// Whether it hears us.
-    pub ears: cleatfold_reachability::Ears,
+    pub partition_detector: cleatfold_reachability::OneWayPartitionDetector,
     /// When we last answered a report of it with 200, and under which token.
     pub answered: Option<(Ms, FencingToken)>,
     /// When the cloud takes it away.
@@ -77,8 +77,8 @@
             was_listed: false,
             born: now,
             report: None,
-            heard: None,
-            ears: Default::default(),
+            last_heartbeat: None,
+            partition_detector: Default::default(),
             answered: None,
             notice: None,
             images: VecDeque::new(),
@@ -96,7 +96,10 @@
 
     /// May be given new tasks, as far as its own state goes.
     pub fn takes_work(&self) -> bool {
-        !self.draining && !self.deleting && self.notice.is_none() && !self.ears.is_deaf()
+        !self.draining
+            && !self.deleting
+            && self.notice.is_none()
+            && !self.partition_detector.is_partitioned()
     }
 
     /// By its last report.
@@ -105,8 +108,8 @@
         listed.into_iter().any(|t| t.state != TaskState::Exited)
     }
 
-    pub fn heard(&self) -> Option<Ms> {
-        self.heard
+    pub fn last_heartbeat(&self) -> Option<Ms> {
+        self.last_heartbeat
     }
 
     /// Notes the use of an image and forgets the least recently used beyond the cache.
--- a/crates/cleatfold-control/src/jobs.rs
+++ b/crates/cleatfold-control/src/jobs.rs
@@ -8,9 +8,9 @@
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
 use crate::records::*;
-use crate::state::jobs::{part_of, End, JobTx, Local, Outcome};
+use crate::state::jobs::{part_of, ClaimEnd, JobTransaction, LocalJobState, Outcome};
 use crate::state::sent::Sent;
-use crate::state::steps::{judge, Judged};
+use crate::state::steps::{judge, JudgedReports};
 use cleatfold_elastic::Verdict;
 use cleatfold_wire::job::{JobState, Kind};
 use cleatfold_wire::mesh::Message;
@@ -56,56 +56,60 @@
 }
 
 impl Controller {
-    pub(crate) fn local(&mut self, job: &JobId) -> &mut Local {
-        self.locals.entry(job.clone()).or_default()
+    pub(crate) fn job_state(&mut self, job: &JobId) -> &mut LocalJobState {
+        self.job_states.entry(job.clone()).or_default()
     }
 
     /// The job left the live records: answer who waits by the archive.
-    pub(crate) fn drop_local(&mut self, job: &JobId) {
-        let Some(local) = self.locals.get_mut(job) else {
+    pub(crate) fn discard_job_state(&mut self, job: &JobId) {
+        let Some(job_state) = self.job_states.get_mut(job) else {
             return;
         };
-        let rids = std::mem::take(&mut local.withdrawals);
-        let asked = std::mem::take(&mut local.asked);
-        if !local.busy {
-            self.locals.remove(job);
+        let rids = std::mem::take(&mut job_state.withdrawals);
+        let member_reports = std::mem::take(&mut job_state.member_reports);
+        if !job_state.busy {
+            self.job_states.remove(job);
         }
-        for a in asked {
-            self.wait(a.rid, job.clone(), crate::controller::Wait::Steps(a.report));
+        for a in member_reports {
+            self.wait(a.rid, job.clone(), crate::controller::WaitReason::Steps(a.report));
         }
         for rid in rids {
-            self.wait(rid, job.clone(), crate::controller::Wait::Withdraw);
+            self.wait(rid, job.clone(), crate::controller::WaitReason::Withdraw);
         }
     }
 
     /// A claim whose end is proven and waits to be recorded: the task is on no machine any more.
     pub(crate) fn is_ending(&self, job: &JobId, ix: TaskIx, attempt: Attempt) -> bool {
-        self.locals.get(job).is_some_and(|l| l.is_ending(ix, attempt))
+        self.job_states.get(job).is_some_and(|l| l.is_ending(ix, attempt))
     }
 
-    pub(crate) fn end(&mut self, job: &JobId, end: End) {
+    pub(crate) fn end(&mut self, job: &JobId, end: ClaimEnd) {
         self.note_unsent(job);
-        let local = self.local(job);
-        match local.ends.iter_mut().find(|e| e.ix == end.ix && e.attempt == end.attempt) {
+        let job_state = self.job_state(job);
+        match job_state.ends.iter_mut().find(|e| e.ix == end.ix && e.attempt == end.attempt) {
             // A proof for ever replaces one that needs our token.
             Some(known) if known.fence.is_some() && end.fence.is_none() => *known = end,
             Some(_) => {}
-            None => local.ends.push(end),
+            None => job_state.ends.push(end),
         }
     }
 
-    pub(crate) fn build(&mut self, job: &JobId, selection: Option<Selection>) -> Option<JobTx> {
+    pub(crate) fn build(
+        &mut self,
+        job: &JobId,
+        selection: Option<Selection>,
+    ) -> Option<JobTransaction> {
         let (rank, of) = self.rank();
         let (pausing, mut most) = match self.cache.jobs.get(job) {
             Some(live) => self.claimable(job, live),
             None => Default::default(),
         };
-        let local = self.locals.get_mut(job)?;
-        let wishes = std::mem::take(&mut local.wishes);
+        let job_state = self.job_states.get_mut(job)?;
+        let placement_requests = std::mem::take(&mut job_state.placement_requests);
         let Some(live) = self.cache.jobs.get(job) else {
             // Gone meanwhile: what it still wanted is moot.
-            local.ends.clear();
-            local.abort = false;
+            job_state.ends.clear();
+            job_state.abort = false;
             return None;
         };
         let mut record = live.record.clone();
@@ -118,7 +122,7 @@
         let mut head_changed = false;
         let (mut done, mut claimed) = (live.done, live.claimed);
         // Each touched part is one change; the head, the archive and a part's end need some.
-        let room = self.cfg.txn_ops.saturating_sub(4).max(1).min(self.pace.affords());
+        let room = self.cfg.txn_ops.saturating_sub(4).max(1).min(self.rate_limiter.affords());
 
         fn table_of<'a>(
             record: &'a mut JobRecord,
@@ -138,7 +142,7 @@
         let mut void = Vec::new();
         // Ends of parts that are written anyway are told with the claims, further down.
         let mut later = Vec::new();
-        for end in &local.ends {
+        for end in &job_state.ends {
             if let Some((pool, token)) = &end.fence {
                 if self.owned_since.get(pool).map(|o| o.0) != Some(*token) {
                     void.push(end.clone());
@@ -171,25 +175,26 @@
                 void.push(end.clone());
             }
         }
-        let mut steps = Judged::default();
+        let mut steps = JudgedReports::default();
         let known = self.cache.progress.get(job);
         if let Some(progress) = self.cache.progress_of(job) {
             if record.aborted {
                 // What stays here would be looked at for ever.
                 let cancelled = Verdict::Lost("the job is cancelled");
-                steps.told = local.asked.drain(..).map(|a| (a, cancelled.clone())).collect();
+                steps.verdicts =
+                    job_state.member_reports.drain(..).map(|a| (a, cancelled.clone())).collect();
                 steps.finished = progress.finished();
-            } else if local.abort {
+            } else if job_state.abort {
                 steps.finished = progress.finished();
             } else {
-                steps = judge(progress, &record, &mut local.asked, room);
+                steps = judge(progress, &record, &mut job_state.member_reports, room);
                 crate::state::steps::write(&mut txn, job, known, &steps);
             }
         }
-        local.over = false;
+        job_state.over = false;
 
         let mut claims = Vec::new();
-        if !record.aborted && !local.abort {
+        if !record.aborted && !job_state.abort {
             let tasks = record.spec.tasks;
             let half = tasks.div_ceil(2);
             // A quarter is left for pools and whatever else claims are guarded by.
@@ -205,11 +210,11 @@
             }
             let before = (record.clone(), touched.clone(), txn.guards.len(), head_changed);
             let free_before = tasks - done - claimed;
-            for wish in wishes {
-                if self.owned_since.get(&wish.pool).map(|o| o.0) != Some(wish.token) {
+            for placement in placement_requests {
+                if self.owned_since.get(&placement.pool).map(|o| o.0) != Some(placement.token) {
                     continue;
                 }
-                let zone = &wish.pool.zone;
+                let zone = &placement.pool.zone;
                 if record.spec.one_zone {
                     match &record.zone {
                         Some(bound) if bound == zone => {}
@@ -227,13 +232,13 @@
                         }
                     }
                 }
-                let mut want = wish.tasks.min(most);
+                let mut want = placement.tasks.min(most);
                 if record.spec.spread {
                     let here = by_zone.entry(zone.clone()).or_default();
                     want = want.min(half.saturating_sub(*here));
                     *here += want;
                 }
-                let pool = wish.pool.clone();
+                let pool = placement.pool.clone();
                 let mut made = Vec::new();
                 if record.in_parts() {
                     for part in claim_order(record.part_count(), rank, of) {
@@ -260,7 +265,10 @@
                         let table = table_of(&mut record, &mut touched, parts, Some(part));
                         table.begun_ms.get_or_insert(self.wall_ms);
                         for ix in free.into_iter().take((want as usize) - made.len()) {
-                            made.push((ix, table.claim(&wish.machine, wish.token, &pool, ix)));
+                            made.push((
+                                ix,
+                                table.claim(&placement.machine, placement.token, &pool, ix),
+                            ));
                         }
                     }
                     // Guards of other claims of a spread or one-zone job must notice this one.
@@ -269,7 +277,10 @@
                     let table = &mut record.table;
                     let free = table.free(0, tasks).into_iter().filter(|ix| !pausing.contains(ix));
                     for ix in free.take(want as usize) {
-                        made.push((ix, table.claim(&wish.machine, wish.token, &pool, ix)));
+                        made.push((
+                            ix,
+                            table.claim(&placement.machine, placement.token, &pool, ix),
+                        ));
                     }
                     if !made.is_empty() {
                         table.begun_ms.get_or_insert(self.wall_ms);
@@ -279,8 +290,8 @@
                 if !made.is_empty() {
                     most = most.saturating_sub(made.len() as u32);
                     claimed += made.len() as u32;
-                    guard_pool(&mut txn, &wish.pool, wish.token);
-                    claims.push((wish, made));
+                    guard_pool(&mut txn, &placement.pool, placement.token);
+                    claims.push((placement, made));
                 }
             }
             let made: u32 = claims.iter().map(|c| c.1.len() as u32).sum();
@@ -306,8 +317,8 @@
             }
         }
         // What no longer stands in the record was settled by someone else.
-        local.ends.retain(|e| !void.contains(e));
-        if local.abort && !record.aborted && done < record.spec.tasks {
+        job_state.ends.retain(|e| !void.contains(e));
+        if job_state.abort && !record.aborted && done < record.spec.tasks {
             record.aborted = true;
             head_changed = true;
         }
@@ -342,7 +353,8 @@
                 txn.put(part_key(job, part), &table, None);
             }
         }
-        let withdrawals = if local.abort { std::mem::take(&mut local.withdrawals) } else { vec![] };
+        let withdrawals =
+            if job_state.abort { std::mem::take(&mut job_state.withdrawals) } else { vec![] };
         let result = if over {
             let state = if finished { JobState::Done } else { JobState::Aborted };
             let done = record.spec.elastic.as_ref().map_or(done, |_| steps.finished);
@@ -358,9 +370,9 @@
             Outcome::Ended(archive)
         } else {
             if !head_changed && txn.changes.is_empty() {
-                let told = std::mem::take(&mut steps.told);
+                let verdicts = std::mem::take(&mut steps.verdicts);
                 // Nothing left to say (an abort of an aborted job, an end that was settled).
-                local.abort = false;
+                job_state.abort = false;
                 let state = if record.aborted { JobState::Aborted } else { JobState::Queued };
                 let body = status(job, state, done, claimed);
                 for rid in withdrawals {
@@ -370,15 +382,15 @@
                     });
                 }
                 // What these steps rest on was read from the state service: it is durable.
-                self.answer_steps(told);
+                self.answer_steps(verdicts);
                 return None;
             }
             if head_changed {
                 txn.put(job_key(job), &record, None);
             }
-            Outcome::Live { aborted: record.aborted }
+            Outcome::Active { aborted: record.aborted }
         };
-        Some(JobTx {
+        Some(JobTransaction {
             job: job.clone(),
             txn,
             doubtful: false,
@@ -391,18 +403,18 @@
         })
     }
 
-    pub(crate) fn on_job_tx(&mut self, op: u64, mut tx: JobTx, reply: StoreReply) {
+    pub(crate) fn on_job_tx(&mut self, op: u64, mut tx: JobTransaction, reply: StoreReply) {
         match reply {
             StoreReply::Committed(version) => self.on_job_committed(tx, version),
             StoreReply::Unknown => {
                 tx.doubtful = true;
                 let txn = tx.txn.clone();
-                self.again(op, Lane::Claim, txn, Pending::Job(Box::new(tx)), 200);
+                self.again(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 200);
             }
             // Not executed this time, but an earlier sending may yet be.
             StoreReply::Refused if tx.doubtful => {
                 let txn = tx.txn.clone();
-                self.again(op, Lane::Claim, txn, Pending::Job(Box::new(tx)), 500);
+                self.again(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 500);
             }
             reply => {
                 let conflict = matches!(reply, StoreReply::Conflict(_));
@@ -417,36 +429,38 @@
                     }
                 }
                 let contact = self.in_contact();
-                let local = self.local(&tx.job);
-                local.busy = false;
+                let job_state = self.job_state(&tx.job);
+                job_state.busy = false;
                 if conflict {
-                    local.stale_since = Some(event);
+                    job_state.stale_since = Some(event);
                 } else {
-                    local.not_before = now.plus(500);
+                    job_state.not_before = now.plus(500);
                 }
                 if !tx.withdrawals.is_empty() {
                     if conflict || contact {
-                        local.withdrawals.append(&mut tx.withdrawals);
+                        job_state.withdrawals.append(&mut tx.withdrawals);
                     } else {
                         // The state service is away: say so now; the user comes back.
-                        local.abort = false;
+                        job_state.abort = false;
                     }
                 }
                 // Members are judged anew by what stands then.
-                local.asked.extend(tx.steps.told.into_iter().map(|(asked, _)| asked));
+                job_state.member_reports.extend(
+                    tx.steps.verdicts.into_iter().map(|(member_reports, _)| member_reports),
+                );
                 for rid in tx.withdrawals {
                     self.reply(rid, Response::later("the state service does not answer"));
                 }
                 self.note_unsent(&tx.job);
                 if !self.cache.jobs.contains_key(&tx.job) {
-                    self.drop_local(&tx.job);
+                    self.discard_job_state(&tx.job);
                 }
-                self.dirty = true;
+                self.replan_needed = true;
             }
         }
     }
 
-    fn on_job_committed(&mut self, tx: JobTx, version: Version) {
+    fn on_job_committed(&mut self, tx: JobTransaction, version: Version) {
         let job = tx.job;
         for end in &tx.ends {
             tracing::info!(
@@ -454,10 +468,10 @@
                 why = end.why, "task ended"
             );
         }
-        for (wish, tasks) in &tx.claims {
+        for (placement, tasks) in &tx.claims {
             tracing::info!(
-                job = %job, tasks = tasks.len(), machine = %wish.machine, pool = %wish.pool,
-                token = wish.token.0, "claimed"
+                job = %job, tasks = tasks.len(), machine = %placement.machine, pool = %placement.pool,
+                token = placement.token.0, "claimed"
             );
         }
         // Each key by its version, like any news: a reading may have shown what others made of it since, also
@@ -469,11 +483,11 @@
                 _ => {}
             }
         }
-        self.answer_steps(tx.steps.told);
+        self.answer_steps(tx.steps.verdicts);
         let mut state = JobState::Aborted;
         let (mut done, mut claimed) = (0, 0);
         match tx.result {
-            Outcome::Live { aborted } => {
+            Outcome::Active { aborted } => {
                 if !aborted {
                     state = JobState::Running;
                 }
@@ -486,7 +500,7 @@
                 state = archive.state;
                 done = archive.done;
                 self.find_ended_losses(&job, &archive);
-                self.terminal.insert(job.clone(), archive);
+                self.terminal_jobs.insert(job.clone(), archive);
             }
         }
         if state == JobState::Aborted {
@@ -497,22 +511,22 @@
             self.reply(rid, Response::Status { code: 200, status: body.clone() });
         }
         let gone = !self.cache.jobs.contains_key(&job);
-        let local = self.local(&job);
-        local.busy = false;
+        let job_state = self.job_state(&job);
+        job_state.busy = false;
         let over: BTreeSet<(TaskIx, Attempt)> = tx.ends.iter().map(|e| (e.ix, e.attempt)).collect();
-        local.ends.retain(|e| !over.contains(&(e.ix, e.attempt)));
+        job_state.ends.retain(|e| !over.contains(&(e.ix, e.attempt)));
         if state == JobState::Aborted {
-            local.abort = false;
+            job_state.abort = false;
         }
         if gone {
-            self.drop_local(&job);
+            self.discard_job_state(&job);
         }
         for other in std::mem::take(&mut self.cache.gone) {
-            self.drop_local(&other);
+            self.discard_job_state(&other);
         }
         let claimed: Vec<MachineId> = tx.claims.iter().map(|c| c.0.machine.clone()).collect();
-        self.answer_held(&claimed);
-        self.dirty = true;
+        self.answer_long_polls(&claimed);
+        self.replan_needed = true;
         self.tell(None, Message::Changed);
     }
 
@@ -523,17 +537,17 @@
         attempt: Attempt,
         exit: Exit,
         ran_ms: u64,
-    ) -> End {
+    ) -> ClaimEnd {
         let why = match exit {
             Exit::Done => "done",
             Exit::Stopped => "stopped",
             Exit::Error => "error",
-            Exit::NoRoom => "no room",
+            Exit::InsufficientResources => "no room",
             Exit::Busy => "busy",
             Exit::Unknown => "unknown job",
             Exit::Other => "other",
         };
         let done = exit == Exit::Done;
-        End { machine: machine.clone(), ix, attempt, done, why, ran_ms, fence: None }
+        ClaimEnd { machine: machine.clone(), ix, attempt, done, why, ran_ms, fence: None }
     }
 }
--- a/crates/cleatfold-control/src/leader.rs
+++ b/crates/cleatfold-control/src/leader.rs
@@ -8,7 +8,7 @@
 use crate::queue::Queued;
 use crate::records::*;
 use cleatfold_backfill::pools::{choose, Load};
-use cleatfold_roles::Duty;
+use cleatfold_roles::Role;
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
@@ -16,15 +16,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A pool that changed hands is left where it is for so long.
-const SETTLE_MS: u64 = 10_000;
+const REASSIGNMENT_PAUSE_MS: u64 = 10_000;
 /// A leader that started so lately is likely not the only one that did.
 const JUST_STARTED_MS: u64 = 5000;
-const DEAL_MS: u64 = 200;
+const ASSIGNMENT_INTERVAL_MS: u64 = 200;
 
 impl Controller {
     /// Deals pools and sends jobs to them, for as long as that is ours to do.
     pub(crate) fn lead(&mut self) {
-        if !self.holds(Duty::Deal) {
+        if !self.holds(Role::PoolAssignment) {
             self.leader_since = None;
             return;
         }
@@ -33,31 +33,31 @@
             self.now
         });
         if self.in_contact() {
-            self.deal(since);
+            self.assign_pools(since);
         }
-        if self.now.since(self.assigned_at) >= 500 * self.stretch {
+        if self.now.since(self.assigned_at) >= 500 * self.backpressure {
             self.assign();
         }
     }
 
     // ---- dealing ----
 
-    fn live(&self, holding: &crate::cache::Holding) -> bool {
+    fn live(&self, holding: &crate::cache::PoolOwnership) -> bool {
         self.cache.controllers.get(&holding.owner).is_some_and(|n| n.0 == holding.incarnation)
     }
 
-    fn deal(&mut self, since: Ms) {
+    fn assign_pools(&mut self, since: Ms) {
         // What was dealt last must have been read before anything more is dealt.
-        let read = self.fresh.is_some_and(|f| f >= self.deal_settled);
-        if self.dealing.is_some() || !read || self.cache.controllers.is_empty() {
+        let read = self.fresh.is_some_and(|f| f >= self.assignment_confirmed_at);
+        if self.pending_assignment.is_some() || !read || self.cache.controllers.is_empty() {
             return;
         }
         // Every pool and every machine is looked at: at each tick this alone took a tenth of a
         // leader's processor time in a large fleet.
-        if self.now.since(self.deal_looked) < DEAL_MS {
+        if self.now.since(self.assignment_checked_at) < ASSIGNMENT_INTERVAL_MS {
             return;
         }
-        self.deal_looked = self.now;
+        self.assignment_checked_at = self.now;
         // At a start of all, wait a little for the others rather than deal twice: whoever was
         // first back once had every pool, and hundreds of workers, for the rest of the day.
         let everyone = self.cfg.peers.len() < self.cache.controllers.len();
@@ -130,7 +130,7 @@
             }
         }
         moves.truncate(self.cfg.txn_ops);
-        self.send_deal(moves);
+        self.write_assignments(moves);
     }
 
     /// The live node of a zone.
@@ -151,7 +151,7 @@
         let most = held.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
         let average = held.values().sum::<f64>() / held.len() as f64;
         // Every move costs its workers a change of node: only clear unevenness is worth one.
-        if self.dealt.values().any(|at| self.now.since(*at) < SETTLE_MS) {
+        if self.pool_assigned_at.values().any(|at| self.now.since(*at) < REASSIGNMENT_PAUSE_MS) {
             return None;
         }
         // Not to a controller that its workers do not reach, though that has fewest.
@@ -173,7 +173,7 @@
             .map(|(p, controller, _)| (p.clone(), controller.clone()))
     }
 
-    fn send_deal(&mut self, moves: Vec<(PoolId, ControllerId)>) {
+    fn write_assignments(&mut self, moves: Vec<(PoolId, ControllerId)>) {
         let mut txn = Txn::default();
         for (pool, controller) in moves {
             let Some((incarnation, _)) = self.cache.controllers.get(&controller).copied() else {
@@ -183,27 +183,30 @@
                 self.cache.pools.get(&pool).map(|h| Version(h.token.0)).unwrap_or_default();
             tracing::info!(%pool, %controller, "dealing");
             txn.guard(pool_key(&pool), version);
-            self.reach.dealt(&pool, &controller);
+            self.reachability.note_assignment(&pool, &controller);
             txn.put(pool_key(&pool), &HolderRecord { owner: controller, incarnation }, None);
-            self.dealt.insert(pool, self.now);
+            self.pool_assigned_at.insert(pool, self.now);
         }
         if txn.changes.is_empty() {
             return;
         }
-        let op = self.store(Lane::Renewal, StoreRequest::Txn(txn), Pending::Deal);
-        self.dealing = Some(op);
+        let op = self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::PoolAssignment);
+        self.pending_assignment = Some(op);
     }
 
     /// Workers of a pool come here since they cannot reach its owner: take it.
     pub(crate) fn take_over(&mut self, pool: PoolId, owner: &ControllerId) {
-        let recent = self.dealt.get(&pool).is_some_and(|at| self.now.since(*at) < SETTLE_MS);
-        if recent || self.dealing.is_some() || !self.in_contact() {
+        let recent = self
+            .pool_assigned_at
+            .get(&pool)
+            .is_some_and(|at| self.now.since(*at) < REASSIGNMENT_PAUSE_MS);
+        if recent || self.pending_assignment.is_some() || !self.in_contact() {
             return;
         }
         let me = self.cfg.me.clone();
-        self.reach.view.left(owner, &pool.zone, self.now);
+        self.reachability.view.left(owner, &pool.zone, self.now);
         tracing::info!(%pool, %owner, "its workers come here: taking the pool over");
-        self.send_deal(vec![(pool, me)]);
+        self.write_assignments(vec![(pool, me)]);
     }
 
     // ---- sending jobs to pools ----
@@ -240,7 +243,7 @@
                 continue;
             };
             // Its base has been sent somewhere already, a moment ago or above.
-            if *growth && self.locals.get(id).is_some_and(|l| !l.pools.is_empty()) {
+            if *growth && self.job_states.get(id).is_some_and(|l| !l.pools.is_empty()) {
                 continue;
             }
             let usable = || (0..pools.len()).filter(|&i| self.may_use(live, &pools[i]));
@@ -250,7 +253,7 @@
                 eligible = usable().collect();
             }
             let current: Vec<usize> = self
-                .locals
+                .job_states
                 .get(id)
                 .into_iter()
                 .flat_map(|l| l.pools.iter().filter_map(|p| index.get(p).copied()))
@@ -281,10 +284,10 @@
         pools: Vec<String>,
         jobs: Vec<(String, Vec<u16>)>,
     ) {
-        if self.cache.duties.get(&Duty::Deal).map(|h| &h.0.owner) != Some(from) {
+        if self.cache.roles.get(&Role::PoolAssignment).map(|h| &h.0.owner) != Some(from) {
             return;
         }
-        self.lanes.assigned = Some(self.now);
+        self.priority.assigned = Some(self.now);
         let pools: Vec<Option<PoolId>> = pools.iter().map(|p| PoolId::parse(p)).collect();
         for (job, chosen) in jobs {
             let job = JobId::new(job);
@@ -293,10 +296,10 @@
             }
             let chosen: Vec<PoolId> =
                 chosen.iter().filter_map(|&i| pools.get(i as usize).cloned().flatten()).collect();
-            let local = self.local(&job);
-            if local.pools != chosen {
-                local.pools = chosen;
-                self.dirty = true;
+            let job_state = self.job_state(&job);
+            if job_state.pools != chosen {
+                job_state.pools = chosen;
+                self.replan_needed = true;
             }
         }
     }
--- a/crates/cleatfold-control/src/lib.rs
+++ b/crates/cleatfold-control/src/lib.rs
@@ -10,44 +10,44 @@
 pub mod config;
 mod controller;
 mod deleted_machines;
-mod duties;
 pub mod effects;
-mod entitled;
 mod event_number;
 mod fault_attribution;
 mod format;
+mod image_distribution;
 mod inventory;
 mod jobs;
-mod lanes;
 mod leader;
-mod limits;
 mod losses;
 mod machines;
 mod mesh;
-mod news;
-mod pace;
 mod pending;
+mod preemption;
+mod priority;
 mod queue;
-mod reach;
+mod quota;
+mod rate_limiter;
+mod reachability;
 pub mod records;
-mod renting;
 mod requests;
+mod roles;
+mod scale_out;
 mod schedule;
-mod settle;
-mod shrink;
 mod state;
 mod steps;
 mod submissions;
 mod teams;
-mod weights;
+mod unknown_outcomes;
+mod worker_authority;
 mod workers;
 mod workspaces;
+mod write_batching;
 
 pub use config::{Aim, AimKind, Config, Team};
 pub use controller::Controller;
 pub use deleted_machines::DeletedMachines;
 pub use effects::{
-    CloudReply, CloudRequest, Effect, Event, Lane, Request, Response, StoreReply, StoreRequest,
-    TeamAnswer, TeamAsk,
+    CallPriority, CloudReply, CloudRequest, Effect, Event, Request, Response, StoreReply,
+    StoreRequest, TeamAnswer, TeamAsk,
 };
 pub use format::FORMAT;
--- a/crates/cleatfold-control/src/losses.rs
+++ b/crates/cleatfold-control/src/losses.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 /// An owner looks for losses that are not in the log yet so often.
-const LOOK_MS: u64 = 5000;
+const LOSS_SCAN_INTERVAL_MS: u64 = 5000;
 /// Losses that have waited so long go even where changes are short.
 const WAIT_MS: u64 = 60_000;
 /// Of one record of the log; some 100 bytes each.
@@ -36,7 +36,7 @@
         if self.losses.begin_reading() {
             let from = Version(self.cache.applied.0.saturating_sub(BACK));
             let request = StoreRequest::Changes { prefix: LOSS_LOG.into(), from };
-            self.store(Lane::Poll, request, Pending::LossLog);
+            self.store(CallPriority::Poll, request, Pending::LossLog);
         }
         if self.losses.back && !self.archive.following {
             // What ended while nobody kept the team.
@@ -47,8 +47,8 @@
             self.follow_archive();
         }
         let now = self.now;
-        if now.since(self.losses.looked) >= LOOK_MS {
-            self.losses.looked = now;
+        if now.since(self.losses.last_checked) >= LOSS_SCAN_INTERVAL_MS {
+            self.losses.last_checked = now;
             for id in &self.cache.lossy {
                 let Some(live) = self.cache.jobs.get(id) else { continue };
                 let Some(log) = self.losses.log(&live.record.spec.team) else { continue };
@@ -69,7 +69,7 @@
     }
 
     fn write_losses(&mut self) {
-        if !self.pace.open() {
+        if !self.rate_limiter.open() {
             return;
         }
         let now = self.now;
@@ -81,7 +81,7 @@
         });
         let Some((team, log)) = logs.max_by_key(|(_, l)| l.waited(now)) else { return };
         let pressing = log.waited(now) >= WAIT_MS;
-        if !pressing && (!self.pace.ample() || self.losses.looked != now) {
+        if !pressing && (!self.rate_limiter.ample() || self.losses.last_checked != now) {
             return;
         }
         let (team, token) = (team.clone(), log.token);
@@ -94,7 +94,7 @@
         txn.put(loss_head_key(&team), &LossHead { next: head.next + 1 }, None);
         txn.put(loss_log_key(&team, head.next), &group, None);
         let pending = Pending::LossGroup { team, token, count: group.len(), txn: txn.clone() };
-        self.store(Lane::Poll, StoreRequest::Txn(txn), pending);
+        self.store(CallPriority::Poll, StoreRequest::Txn(txn), pending);
     }
 
     pub(crate) fn on_loss_log(&mut self, reply: StoreReply) {
@@ -126,7 +126,7 @@
             // fails and the group is written once more under the next number.
             StoreReply::Unknown => {
                 let pending = Pending::LossGroup { team, token, count, txn: txn.clone() };
-                return self.again(op, Lane::Poll, txn, pending, 500);
+                return self.again(op, CallPriority::Poll, txn, pending, 500);
             }
             _ => {}
         }
@@ -143,7 +143,7 @@
         let prefix = loss_log_prefix(&team);
         let from = since.checked_sub(1).map(|last| loss_log_key(&team, last));
         self.store(
-            Lane::Poll,
+            CallPriority::Poll,
             StoreRequest::List { prefix, from, most: None },
             Pending::TeamLosses { rid, since },
         );
@@ -154,19 +154,19 @@
             return self.reply(rid, Response::store_unavailable());
         };
         // Whoever has heard all goes on from where he was.
-        let mut told = TeamLosses { losses: Vec::new(), next: since, more: page.more };
+        let mut answer = TeamLosses { losses: Vec::new(), next: since, more: page.more };
         for item in &page.items {
             // No line of an answer may be longer than the protocol allows.
-            if told.losses.len() >= 4 * GROUP {
-                told.more = true;
+            if answer.losses.len() >= 4 * GROUP {
+                answer.more = true;
                 break;
             }
             if let Ok(group) = serde_json::from_str::<Vec<Loss>>(item.value.get()) {
-                told.losses.extend(group);
+                answer.losses.extend(group);
             }
             let number = item.key.rsplit('/').next().and_then(|n| n.parse::<u64>().ok());
-            told.next = number.map_or(told.next, |n| n + 1);
+            answer.next = number.map_or(answer.next, |n| n + 1);
         }
-        self.reply(rid, Response::Losses(told));
+        self.reply(rid, Response::Losses(answer));
     }
 }
--- a/crates/cleatfold-control/src/machines.rs
+++ b/crates/cleatfold-control/src/machines.rs
@@ -1,12 +1,12 @@
 //! What the cloud tells of machines, and what owners see of theirs: silent ones, idle ones, those that are
 //! returned, and those that only their claims tell of.
 
-use crate::cache::Live;
+use crate::cache::CachedJob;
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
 use crate::inventory::Machine;
-use crate::state::jobs::End;
-use cleatfold_roles::Duty;
+use crate::state::jobs::ClaimEnd;
+use cleatfold_roles::Role;
 use cleatfold_wire::cloud::{ListedMachine, MachineState};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +31,7 @@
     /// Half of the cloud's rate is for whoever rents, the others share the rest.
     pub(crate) fn cloud_spacing_ms(&self) -> u64 {
         let others = self.cfg.peers.len();
-        let share = match (others, self.holds(Duty::Rent)) {
+        let share = match (others, self.holds(Role::ScaleOut)) {
             (0, _) => 1.0,
             (_, true) => 0.5,
             (n, false) => 0.5 / n as f64,
@@ -93,13 +93,15 @@
                 self.list_asked = false;
                 self.list_at = self.list_at.map(|_| Ms(self.now.0.saturating_sub(2500)));
             }
-            (Some(Pending::Rent { request, tries }), reply) => self.on_rent(request, tries, reply),
+            (Some(Pending::ScaleOut { request, tries }), reply) => {
+                self.on_scale_out(request, tries, reply)
+            }
             (Some(Pending::Delete { machines }), CloudReply::Deleted) => {
                 for id in machines {
                     self.on_machine_gone(&id, "machine deleted", None);
                     self.inventory.note_deleted(&id);
                 }
-                self.dirty = true;
+                self.replan_needed = true;
             }
             (Some(Pending::Delete { machines }), _) => {
                 for id in machines {
@@ -122,7 +124,7 @@
             let pool =
                 PoolId { machine_type: listed.machine_type.clone(), zone: listed.zone.clone() };
             let machine = self.inventory.machines.entry(listed.id.clone()).or_insert_with(|| {
-                self.dirty = true;
+                self.replan_needed = true;
                 let mut m = Machine::new(pool.clone(), listed.spot, now);
                 m.born = Ms(now.0.saturating_sub((listed.age_s * 1000.0) as u64));
                 m
@@ -141,7 +143,7 @@
         let claims = &self.cache.claims;
         self.inventory.machines.retain(|id, m| {
             now.since(m.listed_at) < silent
-                || m.heard().is_some_and(|h| now.since(h) < silent)
+                || m.last_heartbeat().is_some_and(|h| now.since(h) < silent)
                 || claims.contains_key(id)
         });
     }
@@ -149,9 +151,10 @@
     /// Whether a machine that reports to another controller may still be there: it is in the last list, or no list has
     /// named it yet. Decides what is rented, nothing else.
     pub(crate) fn may_be_there(&self, machine: &Machine) -> bool {
-        let heard = machine.heard().is_some_and(|at| self.now.since(at) <= self.silent_ms());
+        let last_heartbeat =
+            machine.last_heartbeat().is_some_and(|at| self.now.since(at) <= self.silent_ms());
         let listed = machine.listed_at >= self.inventory.listed_at;
-        heard || listed || !machine.was_listed
+        last_heartbeat || listed || !machine.was_listed
     }
 
     /// All claims on a machine that is provably gone are over.
@@ -168,7 +171,7 @@
             let started =
                 self.inventory.machines.get(id).and_then(|m| m.started.get(&(job.clone(), ix)));
             let ran_ms = started.map_or(0, |s| self.now.since(*s));
-            self.end(&job, End { machine, ix, attempt, done: false, why, ran_ms, fence });
+            self.end(&job, ClaimEnd { machine, ix, attempt, done: false, why, ran_ms, fence });
         }
     }
 
@@ -176,7 +179,7 @@
 
     pub(crate) fn watch_machines(&mut self) {
         // Cut off, we would take our own silence for the machines'. Others may hear them.
-        if !self.in_contact() || self.now.since(self.watched) < WATCH_MS * self.stretch {
+        if !self.in_contact() || self.now.since(self.watched) < WATCH_MS * self.backpressure {
             return;
         }
         self.watched = self.now;
@@ -191,12 +194,12 @@
         let mut delete: Vec<MachineId> = Vec::new();
         let mut expired: Vec<(MachineId, PoolId, FencingToken)> = Vec::new();
         let mut turned_silent = false;
-        let mut deaf: Vec<(MachineId, ZoneId)> = Vec::new();
+        let mut partitioned: Vec<(MachineId, ZoneId)> = Vec::new();
         let idle_limit = (self.cfg.idle_return_s * 1000.0) as u64;
         let mut pools: BTreeMap<PoolId, OwnPool> = BTreeMap::new();
-        let rooms = self.team_rooms(|_| 1.0);
+        let headroom = self.team_headroom(|_| 1.0);
         // The same for every pool.
-        let waiting: Vec<&Live> = self
+        let waiting: Vec<&CachedJob> = self
             .cache
             .jobs
             .iter()
@@ -214,12 +217,12 @@
                     }
                     // What waits for its team's limit alone keeps no idle machine. (Hundreds
                     // stood idle for a team that could not start anything.)
-                    if !rooms.contains_key(&spec.team) {
+                    if !headroom.contains_key(&spec.team) {
                         return f64::INFINITY;
                     }
                     *teams.entry(&spec.team).or_default() += spec.cpus * f64::from(j.unclaimed());
                 }
-                teams.into_iter().map(|(team, waits)| waits.min(rooms[team]).max(0.0)).sum()
+                teams.into_iter().map(|(team, waits)| waits.min(headroom[team]).max(0.0)).sum()
             };
             let kind = self.inventory.types.get(&pool.machine_type);
             let boot_ms = kind.map_or(60_000.0, |t| t.boot_s * 1000.0) as u64;
@@ -236,7 +239,7 @@
                 continue;
             }
             let claimed = claims.get(id).is_some_and(|c| !c.is_empty());
-            match m.heard() {
+            match m.last_heartbeat() {
                 None if !claimed => {
                     // Booting, or never coming up.
                     let age = now.since(m.born);
@@ -245,8 +248,8 @@
                     }
                     continue;
                 }
-                heard => {
-                    let base = heard.unwrap_or(m.known).max(m.known).max(own.since);
+                last_heartbeat => {
+                    let base = last_heartbeat.unwrap_or(m.known).max(m.known).max(own.since);
                     let quiet = now.since(base);
                     if quiet > quiet_limit {
                         // Its own lease: the last answer it can have had came from us, under
@@ -271,11 +274,13 @@
                         turned_silent = true;
                         continue;
                     }
-                    // Heard, but it hears nothing: no sign that the zone is reached, and of no use.
-                    if m.ears.is_deaf() {
+                    // Received, but it hears nothing: no sign that the zone is reached, and of no use.
+                    if m.partition_detector.is_partitioned() {
                         zone.0 += 1;
-                        if !claimed && m.ears.deaf_ms(now) > 2 * self.cfg.lease_ms {
-                            deaf.push((id.clone(), m.pool.zone.clone()));
+                        if !claimed
+                            && m.partition_detector.partitioned_ms(now) > 2 * self.cfg.lease_ms
+                        {
+                            partitioned.push((id.clone(), m.pool.zone.clone()));
                         }
                         continue;
                     }
@@ -305,7 +310,7 @@
                 delete.push(id);
             }
         }
-        for (id, zone) in deaf {
+        for (id, zone) in partitioned {
             let (gone, there) = zones.get(&zone).copied().unwrap_or_default();
             if gone <= 2 || gone * 2 <= there {
                 delete.push(id);
@@ -318,7 +323,7 @@
             }
         }
         if turned_silent {
-            self.dirty = true;
+            self.replan_needed = true;
         }
         self.delete(delete);
     }
@@ -331,7 +336,10 @@
         }
         let mut batch = Vec::new();
         for id in ids {
-            let promised = self.locals.values().any(|l| l.wishes.iter().any(|w| w.machine == id))
+            let promised = self
+                .job_states
+                .values()
+                .any(|l| l.placement_requests.iter().any(|w| w.machine == id))
                 || self.ops.values().any(|p| matches!(p, Pending::Job(tx) if tx.names(&id)));
             if promised || batch.len() >= 100 {
                 continue;
--- a/crates/cleatfold-control/src/mesh.rs
+++ b/crates/cleatfold-control/src/mesh.rs
@@ -6,11 +6,11 @@
 
 impl Controller {
     pub(crate) fn on_mesh(&mut self, from: ControllerId, message: Message) {
-        self.reach.view.peers.heard_of(&from, self.now);
+        self.reachability.view.peers.note_message(&from, self.now);
         match message {
             Message::Alive { contact_age_ms } => {
                 let contact = Ms(self.now.0.saturating_sub(contact_age_ms));
-                self.reach.view.peers.read(&from, contact);
+                self.reachability.view.peers.read(&from, contact);
             }
             Message::Changed => {
                 self.want_sync = true;
@@ -31,12 +31,12 @@
             Message::Rented { pool, spot, machines } => {
                 if let Some(pool) = PoolId::parse(&pool) {
                     let machines = machines.into_iter().map(MachineId::new).collect();
-                    self.note_rented(&pool, spot, machines);
+                    self.note_created_machines(&pool, spot, machines);
                 }
             }
             Message::Cancelled { jobs } => self.on_cancelled(from, jobs),
             Message::CancelledAck { jobs } => self.on_cancelled_ack(&from, &jobs),
-            Message::Hears { zones } => self.on_hears(&from, zones),
+            Message::ZoneContact { zones } => self.on_zone_contacts(&from, zones),
             Message::Assign { pools, jobs } => self.on_assign(&from, pools, jobs),
             Message::Promises { pool, token, promises } => {
                 let Some(pool) = PoolId::parse(&pool) else {
@@ -50,7 +50,7 @@
                 }
                 if token >= known {
                     self.plans.remote(pool, token, self.now, promises);
-                    self.dirty = true;
+                    self.replan_needed = true;
                 }
             }
         }
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -2,10 +2,10 @@
 
 pub(crate) use crate::event_number::EventNumber;
 use crate::records::*;
-use crate::state::jobs::JobTx;
+use crate::state::jobs::JobTransaction;
 use crate::state::sent::Sent;
-use cleatfold_roles::Duty;
-use cleatfold_wire::cloud::RentRequest;
+use cleatfold_roles::Role;
+use cleatfold_wire::cloud::ScaleOutRequest;
 use cleatfold_wire::job::JobSpec;
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::store::Txn;
@@ -21,7 +21,7 @@
     Load {
         sent: Ms,
     },
-    Job(Box<JobTx>),
+    Job(Box<JobTransaction>),
     Submit {
         batch: Vec<Submission>,
         txn: Txn,
@@ -46,13 +46,13 @@
     Format,
     FormatWritten,
     /// Taking a duty, or giving it back.
-    Duty(Duty),
+    Role(Role),
     /// The record of rentals, and what to ask for once it is durable.
-    Rents(Box<cleatfold_roles::rents::Step>),
+    ScaleOutIntents(Box<cleatfold_roles::scale_out::Step>),
     /// Any transaction on pool keys or slices: whatever comes of it, the next sync tells.
-    Deal,
-    Slice(Box<crate::limits::SentSlice>),
-    Cleanup,
+    PoolAssignment,
+    Slice(Box<crate::quota::SentSlice>),
+    GarbageCollection,
     /// Seats at the origin.
     Origin {
         txn: Txn,
@@ -60,9 +60,9 @@
     },
     /// Who holds an image.
     Spread,
-    Allot,
+    OverloadQuota,
     /// Room that is being made, and who leaves once that is durable.
-    Made(Box<crate::state::lanes::Making>),
+    Preemption(Box<crate::state::priority::UncommittedPreemption>),
     /// What is in the teams' logs already.
     LossLog,
     /// A group of losses for a team's log.
@@ -86,13 +86,13 @@
     },
     /// The whole archive, for teams of which it is not known what has ended.
     ArchivePage,
-    TeamHistory(Box<crate::state::teams::Turning>),
+    TeamHistory(Box<crate::state::teams::HistoryRead>),
     Types,
     List {
         sent: Ms,
     },
-    Rent {
-        request: RentRequest,
+    ScaleOut {
+        request: ScaleOutRequest,
         tries: u32,
     },
     Delete {
@@ -109,17 +109,17 @@
 
 /// A user request that waits for a reading of the state service.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingRequest {
     pub rid: u64,
     pub job: JobId,
     pub arrived: Ms,
     /// The event that brought it: only a reading that was sent at this one or later answers it.
     pub arrived_at: EventNumber,
-    pub kind: Wait,
+    pub kind: WaitReason,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Wait {
+pub(crate) enum WaitReason {
     Poll,
     /// A submission that cannot run by today's settings: 422 unless it is known already.
     Impossible(String),
--- a/crates/cleatfold-control/src/shrink.rs
+++ b/crates/cleatfold-control/src/preemption.rs
@@ -1,20 +1,20 @@
-//! Making room on machines that are full: members of elastic jobs give way, and ordinary tasks
+//! UncommittedPreemption room on machines that are full: members of elastic jobs give way, and ordinary tasks
 //! are preempted where the protocol allows it and it makes a difference.
 //!
 //! Whom to stop is decided in `cleatfold_backfill::victims`. What is kept here may be lost with the
 //! node: a task whose stop is forgotten just runs on.
 
-use crate::cache::Live;
+use crate::cache::CachedJob;
 use crate::config::AimKind;
 use crate::controller::Controller;
 use crate::effects::*;
 use crate::inventory::Machine;
 use crate::schedule::PoolPlan;
-use crate::state::stops::{Stop, YIELD_MS};
-use cleatfold_backfill::victims::{self, Need, Room, Running, Seat};
-use cleatfold_priority::{MadeRoom, Victim};
+use crate::state::evictions::{Eviction, YIELD_MS};
+use cleatfold_backfill::preemption::{self, MachineLoad, Need, Preemption, Running};
+use cleatfold_priority::{PreemptionPlan, Victim};
 use cleatfold_wire::job::Kind;
-use cleatfold_wire::worker::{Command, Exit, Orders, Report, TaskReport, TaskState};
+use cleatfold_wire::worker::{Command, Exit, Heartbeat, Orders, TaskReport, TaskState};
 use cleatfold_wire::*;
 use std::collections::HashSet;
 
@@ -40,22 +40,25 @@
 
 impl Controller {
     /// Members that an elastic job could use beyond its base.
-    pub(crate) fn growth(&self, id: &JobId, live: &Live) -> u32 {
+    pub(crate) fn growth(&self, id: &JobId, live: &CachedJob) -> u32 {
         let Some(width) = live.width() else { return 0 };
-        let local = self.locals.get(id);
-        if local.is_some_and(|l| l.shrunk.is_some_and(|at| self.now.since(at) < GROW_AGAIN_MS)) {
+        let job_state = self.job_states.get(id);
+        if job_state.is_some_and(|l| l.shrunk.is_some_and(|at| self.now.since(at) < GROW_AGAIN_MS))
+        {
             return 0;
         }
         let fetch = self.inventory.types.values().map(|t| t.fetch_gb_per_s).fold(0.001, f64::max);
-        let start = self.cfg.report_ms + 1000 + (live.record.spec.image_gb / fetch * 1e3) as u64;
+        let start = self.cfg.heartbeat_interval_ms
+            + 1000
+            + (live.record.spec.image_gb / fetch * 1e3) as u64;
         width.growth(live.claimed, start)
     }
 
     /// Looks through the plan for what has to wait, in the queue's order, and makes room for it
     /// where somebody should give way.
-    pub(crate) fn make_room(&mut self, plans: &[PoolPlan], within: &HashSet<JobId>) {
+    pub(crate) fn plan_preemptions(&mut self, plans: &[PoolPlan], within: &HashSet<JobId>) {
         let claims = &self.cache.claims;
-        self.stops.prune(self.now, claims);
+        self.evictions.prune(self.now, claims);
         if !self.cfg.preempt && self.cache.progress.is_empty() && !self.cache.any_elastic() {
             return;
         }
@@ -65,7 +68,7 @@
             if waits.is_empty() {
                 continue;
             }
-            let mut seats: Option<(Vec<Seat>, Vec<Named>)> = None;
+            let mut loads: Option<(Vec<MachineLoad>, Vec<Named>)> = None;
             for wait in waits {
                 let Some((need, save_ms)) = self.need(plan, &wait, within) else { continue };
                 // Nobody could be stopped for it. (Every waiting job looked through a copy of all
@@ -77,9 +80,9 @@
                 if tasks == 0 {
                     continue;
                 }
-                let (seats, names) = seats.get_or_insert_with(|| self.seats(plan, within, save_ms));
+                let (loads, names) = loads.get_or_insert_with(|| self.loads(plan, within, save_ms));
                 let usable = &plan.requests[wait.request];
-                let mut here: Vec<Seat> = seats
+                let mut here: Vec<MachineLoad> = loads
                     .iter()
                     .enumerate()
                     .map(|(i, s)| {
@@ -88,21 +91,21 @@
                         // A machine that has to fetch its image first is no place in time.
                         let cold = need.preempts && !self.has_image(&plan.machines[i], usable);
                         if barred || cold {
-                            Seat { free: Default::default(), running: vec![] }
+                            MachineLoad { free: Default::default(), running: vec![] }
                         } else {
                             s.clone()
                         }
                     })
                     .collect();
-                let rooms = victims::make_room(&need, &mut here, tasks);
-                for room in rooms {
-                    seats[room.seat] = here[room.seat].clone();
-                    if !room.stop.is_empty() {
-                        self.stop_for(plan, &wait, &room, names, save_ms);
+                let choices = preemption::choose_preemptions(&need, &mut here, tasks);
+                for choice in choices {
+                    loads[choice.machine] = here[choice.machine].clone();
+                    if !choice.stop.is_empty() {
+                        self.evict_for(plan, &wait, &choice, names, save_ms);
                     }
                 }
             }
-            self.write_rooms(&plan.pool, plan.token);
+            self.write_preemptions(&plan.pool, plan.token);
         }
     }
 
@@ -115,7 +118,7 @@
         let time = self.time_that_counts(live, within_guarantee, wait.start);
         // While more is asked for than can be done, every stop is work done twice and two changes
         // more, and saves nobody a wait that somebody else does not get.
-        let preempts = self.cfg.preempt && time.is_some() && self.cache.allotment.1.is_empty();
+        let preempts = self.cfg.preempt && time.is_some() && self.cache.overload_quota.1.is_empty();
         // Stopping what has run long costs more than a start that is in time gives: a whole run
         // time as the bound lost kerbrev's rough days 0.03, a quarter of it nothing.
         let worth = if preempts {
@@ -136,7 +139,7 @@
 
     /// The time in milliseconds that is left for stopping somebody, where that would meet an aim
     /// that the reservation would miss. An aim that is lost anyway costs nobody its place.
-    fn time_that_counts(&self, live: &Live, within: bool, start: Ms) -> Option<u64> {
+    fn time_that_counts(&self, live: &CachedJob, within: bool, start: Ms) -> Option<u64> {
         let spec = &live.record.spec;
         let elapsed = self.wall_ms.saturating_sub(live.record.accepted_ms) as f64;
         let aims = self.cfg.aims.iter().filter(|a| a.class == spec.class);
@@ -159,7 +162,7 @@
     /// The pool's part of what waits, without the places that are on their way there.
     fn part_here(&self, plan: &PoolPlan, wait: &Wait) -> u32 {
         let job = &plan.jobs[wait.request];
-        let pools = self.locals.get(job).map(|l| l.pools.as_slice()).unwrap_or_default();
+        let pools = self.job_states.get(job).map(|l| l.pools.as_slice()).unwrap_or_default();
         let part = part_of_pool(job, pools, &plan.pool, wait.tasks, self.wall_ms);
         part.saturating_sub(self.coming(job, &plan.pool))
     }
@@ -175,21 +178,21 @@
     }
 
     /// The pool's machines as the chooser of victims sees them.
-    fn seats(
+    fn loads(
         &self,
         plan: &PoolPlan,
         within: &HashSet<JobId>,
         save_ms: u64,
-    ) -> (Vec<Seat>, Vec<Named>) {
+    ) -> (Vec<MachineLoad>, Vec<Named>) {
         let mut names: Vec<Named> = Vec::new();
-        let mut seats = Vec::new();
+        let mut loads = Vec::new();
         let total = self.inventory.total(&plan.pool.machine_type);
         for (i, id) in plan.machines.iter().enumerate() {
-            let mut seat = Seat { free: total, running: vec![] };
+            let mut seat = MachineLoad { free: total, running: vec![] };
             let machine = self.inventory.machines.get(id).filter(|_| plan.open[i]);
             let Some(machine) = machine else {
                 seat.free = Default::default();
-                seats.push(seat);
+                loads.push(seat);
                 continue;
             };
             for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
@@ -205,30 +208,34 @@
                 names.push(task);
                 seat.running.push(running);
             }
-            seats.push(seat);
+            loads.push(seat);
         }
         // What starts now has its place already.
         for r in plan.reservations.iter().filter(|r| r.start <= self.now) {
-            seats[r.machine].free -= plan.requests[r.request].each.times(r.tasks);
+            loads[r.machine].free -= plan.requests[r.request].each.times(r.tasks);
         }
-        (seats, names)
+        (loads, names)
     }
 
     fn as_victim(
         &self,
         id: &MachineId,
         machine: &Machine,
-        live: &Live,
+        live: &CachedJob,
         task: &Named,
         save_ms: u64,
     ) -> Running {
         let spec = &live.record.spec;
-        let stops =
-            self.locals.get(&task.job).and_then(|l| l.stopped.get(&task.ix)).copied().unwrap_or(0);
+        let evictions = self
+            .job_states
+            .get(&task.job)
+            .and_then(|l| l.stopped.get(&task.ix))
+            .copied()
+            .unwrap_or(0);
         let started = machine.started.get(&(task.job.clone(), task.ix));
         let ran = started.map_or(0, |s| self.now.since(*s));
         let yields = live.width().is_some() && task.ix >= live.beyond;
-        let gained = yields || stops == 0 || ran >= GAIN_MS * u64::from(stops + 1);
+        let gained = yields || evictions == 0 || ran >= GAIN_MS * u64::from(evictions + 1);
         let interval = (spec.checkpoint_s * 1000.0) as u64;
         let lost_ms = match live.width() {
             Some(width) if width.step_ms <= YIELD_MS => 0,
@@ -246,7 +253,7 @@
             stoppable: gained
                 && spec.kind == Kind::Array
                 && !live.record.aborted
-                && self.stops.get(id, &task.job, task.ix).is_none(),
+                && self.evictions.get(id, &task.job, task.ix).is_none(),
             loss: lost_ms * live.each.cpus.max(1) as u64 / 1000,
         }
     }
@@ -259,21 +266,21 @@
         START_MS.saturating_sub(waited + 3 * CHANGE_MS / 2).min(YIELD_MS)
     }
 
-    fn stop_for(
+    fn evict_for(
         &mut self,
         plan: &PoolPlan,
         wait: &Wait,
-        room: &Room,
+        choice: &Preemption,
         names: &[Named],
         save_ms: u64,
     ) {
         let now = self.now;
         let patience = self.patience_ms(&plan.jobs[wait.request]);
-        let id = plan.machines[room.seat].clone();
+        let id = plan.machines[choice.machine].clone();
         let mut leaving = Vec::new();
         let mut last = 0;
         let mut preempts = false;
-        for task in room.stop.iter().filter_map(|v| names.get(*v)) {
+        for task in choice.stop.iter().filter_map(|v| names.get(*v)) {
             let Some(live) = self.cache.jobs.get(&task.job) else { continue };
             let spec = &live.record.spec;
             let grace_ms = match live.width() {
@@ -289,46 +296,46 @@
         }
         let job = plan.jobs[wait.request].clone();
         let had = self.claims_on(&id, &job);
-        let room = MadeRoom {
+        let choice = PreemptionPlan {
             job: job.clone(),
             machine: id,
-            tasks: room.tasks,
+            tasks: choice.tasks,
             had,
-            until_ms: self.wall_ms + last + CHANGE_MS + self.room_ms(),
+            until_ms: self.wall_ms + last + CHANGE_MS + self.preemption_hold_ms(),
             grace_ms: leaving.iter().map(|l| l.1).max().unwrap_or(0),
             stop: leaving.into_iter().map(|l| l.0).collect(),
         };
         let until = now.plus(last + CHANGE_MS);
-        self.stops.expect(job, plan.pool.clone(), room.tasks, until);
+        self.evictions.expect(job, plan.pool.clone(), choice.tasks, until);
         // Members give way to everything, and grow behind everything: their places can't go back to
         // them. What is preempted could take its place again from a successor that knows nothing of it.
         if preempts {
-            self.lanes.new_rooms.push(room);
+            self.priority.new_preemptions.push(choice);
         } else {
-            self.stop_all(plan.token, room);
+            self.evict(plan.token, choice);
         }
     }
 
     /// Tells those who make room to leave.
-    pub(crate) fn stop_all(&mut self, token: FencingToken, room: MadeRoom) {
-        let id = room.machine;
+    pub(crate) fn evict(&mut self, token: FencingToken, choice: PreemptionPlan) {
+        let id = choice.machine;
         let mut commands = Vec::new();
-        for Victim(job, ix, attempt) in room.stop {
+        for Victim(job, ix, attempt) in choice.stop {
             let Some(live) = self.cache.jobs.get(&job) else { continue };
             let elastic = live.width().is_some();
-            let grace_s = room.grace_ms as f64 / 1000.0;
-            let until = self.now.plus(room.grace_ms + CHANGE_MS / 2);
-            let stop = Stop { attempt, until, grace_s };
-            self.stops.insert(&id, &job, ix, stop);
+            let grace_s = choice.grace_ms as f64 / 1000.0;
+            let until = self.now.plus(choice.grace_ms + CHANGE_MS / 2);
+            let eviction = Eviction { attempt, until, grace_s };
+            self.evictions.insert(&id, &job, ix, eviction);
             let now = self.now;
-            let local = self.local(&job);
+            let job_state = self.job_state(&job);
             if elastic {
-                local.shrunk = Some(now);
+                job_state.shrunk = Some(now);
             } else {
-                *local.stopped.entry(ix).or_default() += 1;
+                *job_state.stopped.entry(ix).or_default() += 1;
             }
             tracing::info!(
-                %job, task = ix.0, machine = %id, grace_s, room_for = %room.job, "stopping"
+                %job, task = ix.0, machine = %id, grace_s, room_for = %choice.job, "stopping"
             );
             commands.push(Command::Stop { task: TaskId { job, ix }, attempt, grace_s });
         }
@@ -343,14 +350,14 @@
 
     /// What the answer to a report says to a task that is to leave: told once more, for direct
     /// orders may be lost, and in the end without grace.
-    pub(crate) fn stop_for_room(&self, id: &MachineId, t: &TaskReport) -> Option<Command> {
-        self.stops.repeat(id, t, self.now)
+    pub(crate) fn repeated_eviction(&self, id: &MachineId, t: &TaskReport) -> Option<Command> {
+        self.evictions.repeat(id, t, self.now)
     }
 
     /// A worker has executed direct orders: the exits in its answer are facts. Nothing else is
     /// taken from it, for an answer to a report may be on its way to the worker: what this does
     /// not list may be about to start.
-    pub(crate) fn on_ordered(&mut self, id: MachineId, report: Option<Report>) {
+    pub(crate) fn on_ordered(&mut self, id: MachineId, report: Option<Heartbeat>) {
         let (Some(report), Some(machine)) = (report, self.inventory.machines.get(&id)) else {
             return;
         };
@@ -375,7 +382,7 @@
                 self.on_exit(&id, &t.task, t.attempt, exit, t.saved == Some(true));
             }
         }
-        self.dirty = true;
+        self.replan_needed = true;
     }
 }
 
--- /dev/null
+++ b/crates/cleatfold-control/src/priority.rs
@@ -0,0 +1,207 @@
+//! PriorityState: which pools' promises are believed, decisions that outlive who made them. `cleatfold_priority` decides.
+
+use crate::controller::{Controller, Pending};
+use crate::effects::{CallPriority, StoreReply, StoreRequest};
+use crate::queue::Queued;
+use crate::records::{pool_key, preemption_key};
+use crate::state::priority::UncommittedPreemption;
+use cleatfold_priority::{lives, ListenerHealth, Owner, PreemptionPlan, Seen, StartBarrier};
+use cleatfold_wire::job::Urgency;
+use cleatfold_wire::store::Txn;
+use cleatfold_wire::*;
+use std::collections::BTreeSet;
+
+/// So many jobs that have waited for long are planned for by every pool, the first of the queue.
+const MOST_LATE: usize = 64;
+/// Who was silent for longer than this itself has heard nobody.
+const HELD_UP_MS: u64 = 1_000;
+
+impl Controller {
+    /// At each tick, once we serve.
+    pub(crate) fn maintain_priority(&mut self) {
+        if self.now.since(self.priority.last_checked) > HELD_UP_MS {
+            self.priority.listening = self.now;
+        }
+        self.priority.last_checked = self.now;
+        // Somebody has fallen silent: what waits for his pools is planned for now.
+        let fallen = self.fallen();
+        if fallen != self.priority.fallen {
+            tracing::debug!(pools = ?fallen, "nobody plans for");
+            self.priority.fallen = fallen;
+            self.replan_needed = true;
+        }
+        let closed = |g: &StartBarrier| g.lowest() < Urgency::BestEffort;
+        if self.priority.start_barriers.values().any(closed) {
+            self.want_sync = true;
+            self.sync_if_due();
+        }
+    }
+
+    /// Before each planning: what we know of the others, of pools that have just come, and of what waits.
+    pub(crate) fn refresh_priority(&mut self, queue: &[Queued]) {
+        self.priority.fallen = self.fallen();
+        let (read, assigned) = (self.fresh, self.priority.assigned);
+        let gate = |taken| StartBarrier { taken, read, assigned };
+        self.priority.start_barriers =
+            self.owned_since.iter().map(|(p, o)| (p.clone(), gate(o.1))).collect();
+        self.refresh_waiting(queue);
+        self.adopt_preemptions();
+    }
+
+    /// Which rooms stand in our pools; those that a former owner was making we go on making.
+    fn adopt_preemptions(&mut self) {
+        let owned: Vec<(PoolId, FencingToken)> =
+            self.owned_since.iter().map(|(p, o)| (p.clone(), o.0)).collect();
+        self.priority.preemptions.clear();
+        self.priority.adopted.retain(|p, _| self.owned_since.contains_key(p));
+        for (pool, token) in owned {
+            let Some((_, record)) = self.cache.preemptions.get(&pool) else { continue };
+            let standing = record.plans.iter().filter(|r| self.is_preemption_active(r));
+            let urgency =
+                |r: &PreemptionPlan| self.cache.jobs.get(&r.job).map(|l| l.record.spec.urgency);
+            let preemptions: Vec<(Urgency, PreemptionPlan)> =
+                standing.filter_map(|r| Some((urgency(r)?, r.clone()))).collect();
+            if self.priority.adopted.insert(pool.clone(), token) != Some(token) {
+                for (_, preemption) in &preemptions {
+                    tracing::info!(%pool, job = %preemption.job, machine = %preemption.machine, "room goes on");
+                    self.evict(token, preemption.clone());
+                }
+            }
+            if !preemptions.is_empty() {
+                self.priority.preemptions.insert(pool, preemptions);
+            }
+        }
+    }
+
+    fn is_preemption_active(&self, preemption: &PreemptionPlan) -> bool {
+        let waits = self.cache.jobs.get(&preemption.job).filter(|l| !l.record.aborted);
+        preemption.stands(Seen {
+            waits: waits.map_or(0, |l| l.unclaimed()),
+            here: self.claims_on(&preemption.machine, &preemption.job),
+            wall_ms: self.wall_ms,
+        })
+    }
+
+    /// How many tasks of a job have a place on a machine.
+    pub(crate) fn claims_on(&self, machine: &MachineId, job: &JobId) -> u32 {
+        let on = self.cache.claims.get(machine);
+        on.map_or(0, |c| c.keys().filter(|t| t.0 == *job).count() as u32)
+    }
+
+    /// How long room is kept beyond the time that making it takes: for as long as it may take until somebody
+    /// else has the pool and its workers.
+    pub(crate) fn preemption_hold_ms(&self) -> u64 {
+        self.cfg.controller_lease_ms + 3 * self.cfg.heartbeat_interval_ms
+    }
+
+    /// Tasks that have a place on its way in a pool, as we remember or as is written.
+    pub(crate) fn coming(&self, job: &JobId, pool: &PoolId) -> u32 {
+        let preemptions = self.priority.preemptions.get(pool).into_iter().flatten();
+        let written: u32 = preemptions.filter(|r| r.1.job == *job).map(|r| r.1.tasks).sum();
+        written.max(self.evictions.coming(job, pool))
+    }
+
+    /// Writes down the rooms of a planning, all in one change, under the pool's token; who leaves is told
+    /// once that is durable.
+    pub(crate) fn write_preemptions(&mut self, pool: &PoolId, token: FencingToken) {
+        let preemptions = std::mem::take(&mut self.priority.new_preemptions);
+        if preemptions.is_empty() || self.priority.writing.contains(pool) {
+            return;
+        }
+        let (version, known) = self.cache.preemptions.get(pool).cloned().unwrap_or_default();
+        let record = known.with(preemptions.clone(), |r| self.is_preemption_active(r));
+        let mut txn = Txn::default();
+        txn.guard(pool_key(pool), Version(token.0));
+        txn.guard(preemption_key(pool), version);
+        txn.put(preemption_key(pool), &record, None);
+        self.priority.writing.insert(pool.clone());
+        let uncommitted = UncommittedPreemption { pool: pool.clone(), token, record, preemptions };
+        self.store(
+            CallPriority::Claim,
+            StoreRequest::Txn(txn),
+            Pending::Preemption(Box::new(uncommitted)),
+        );
+    }
+
+    /// Not written, or not known to be: nobody is told to leave. What stands is read, and gone on with.
+    pub(crate) fn on_preemption_written(
+        &mut self,
+        uncommitted: UncommittedPreemption,
+        reply: StoreReply,
+    ) {
+        self.priority.writing.remove(&uncommitted.pool);
+        self.replan_needed = true;
+        let StoreReply::Committed(version) = reply else {
+            if matches!(reply, StoreReply::Unknown) {
+                // It may stand: then it is ours to finish.
+                self.priority.adopted.remove(&uncommitted.pool);
+            }
+            self.want_sync = true;
+            return;
+        };
+        let key = preemption_key(&uncommitted.pool);
+        if let Ok(value) = serde_json::to_string(&uncommitted.record) {
+            self.cache.set(&key, &value, version);
+        }
+        if self.my_token(&uncommitted.pool) == Some(uncommitted.token) {
+            for preemption in uncommitted.preemptions {
+                self.evict(uncommitted.token, preemption);
+            }
+        }
+    }
+
+    fn refresh_waiting(&mut self, queue: &[Queued]) {
+        let (now, priority) = (self.now, &mut self.priority);
+        let urgent = queue.iter().filter(|q| q.urgency < Urgency::BestEffort && !q.growth);
+        let before = std::mem::take(&mut priority.waits);
+        priority.waits =
+            urgent.map(|q| (q.job.clone(), before.get(&q.job).copied().unwrap_or(now))).collect();
+        let late_ms = self.cfg.heartbeat_interval_ms / 2;
+        let late = queue.iter().filter(|q| {
+            let since = priority.waits.get(&q.job).filter(|_| !q.growth);
+            since.is_some_and(|at| now.since(*at) >= late_ms)
+        });
+        priority.late = late.take(MOST_LATE).map(|q| q.job.clone()).collect();
+    }
+
+    fn fallen(&self) -> BTreeSet<PoolId> {
+        let listener_health = self.listener_health();
+        let pools = self.cache.pools.keys();
+        pools.filter(|p| !self.lives_by(p, listener_health)).cloned().collect()
+    }
+
+    fn listener_health(&self) -> ListenerHealth {
+        ListenerHealth {
+            listening_ms: self.now.since(self.priority.listening),
+            hears_any_peer: self
+                .reachability
+                .view
+                .peers
+                .hears_any_peer(self.now, ListenerHealth::silence_ms(self.backpressure)),
+            backpressure: self.backpressure,
+        }
+    }
+
+    /// Whether somebody plans for the pool now.
+    pub(crate) fn lives(&self, pool: &PoolId) -> bool {
+        self.lives_by(pool, self.listener_health())
+    }
+
+    fn lives_by(&self, pool: &PoolId, listener_health: ListenerHealth) -> bool {
+        if self.my_token(pool).is_some() {
+            return true;
+        }
+        let Some(holding) = self.cache.pools.get(pool) else { return false };
+        let (controller, now) = (&holding.owner, self.now);
+        let peers = &self.reachability.view.peers;
+        let known = self.cache.controllers.get(controller);
+        let owner = Owner {
+            stands: known.is_some_and(|n| n.0 == holding.incarnation) && *controller != self.cfg.me,
+            silence_ms: peers.last_message(controller).map(|at| now.since(at)),
+            read_ms: peers.contact(controller).map(|at| now.since(at)),
+            lost_workers: peers.of_zone(controller, &pool.zone, now).is_some_and(|h| h.lost),
+        };
+        // One that was told us over the mesh, and not read yet, is its teller's.
+        self.hinted.contains_key(pool) || lives(owner, listener_health)
+    }
+}
