--- a/crates/cleatfold-control/src/queue.rs
+++ b/crates/cleatfold-control/src/queue.rs
@@ -1,11 +1,11 @@
 //! The queue's order: what of each job waits for a place, and who goes first.
 
-use crate::cache::Live;
+use crate::cache::CachedJob;
 use crate::controller::Controller;
-use crate::state::admission::of_a_band;
-use cleatfold_admission::{bands, order, Band, Sizes};
+use crate::state::admission::size_class_demand;
+use cleatfold_admission::{order, size_classes, SizeClass, Sizes};
 use cleatfold_backfill::order::{Guarantees, Place};
-use cleatfold_priority::moments;
+use cleatfold_priority::acceptance_times;
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -13,7 +13,7 @@
 /// What of a job waits for a place.
 pub(crate) struct Queued {
     pub job: JobId,
-    pub lane: Urgency,
+    pub urgency: Urgency,
     pub tasks: u32,
     /// Members that an elastic job could use beyond its base: they take holes, nothing is rented
     /// for them, and they give way.
@@ -42,11 +42,11 @@
     /// For planning: also which jobs lie within their team's guarantee. A job of which only a part goes before
     /// everybody else's is there twice.
     pub(crate) fn queue_and_guaranteed(&self) -> (Vec<Queued>, HashSet<JobId>) {
-        let mut arrivals: Vec<(&JobId, &Live)> =
+        let mut arrivals: Vec<(&JobId, &CachedJob)> =
             self.cache.jobs.iter().filter(|(_, j)| !j.record.aborted).collect();
         // By the revisions that accepted them: by the times of day, the clock that was ahead came last.
         arrivals.sort_by(|a, b| (a.1.place(), a.0).cmp(&(b.1.place(), b.0)));
-        let moments = moments(arrivals.iter().map(|(_, j)| j.record.accepted_ms));
+        let acceptance_times = acceptance_times(arrivals.iter().map(|(_, j)| j.record.accepted_ms));
         let mut guarantees = Guarantees::new(
             self.cfg
                 .teams
@@ -57,25 +57,25 @@
         let mut guaranteed = HashSet::new();
         let mut places: Vec<(Place, u32, bool)> = Vec::new();
         let mut pressed: BTreeMap<&ClassId, Pressed> = BTreeMap::new();
-        for ((id, live), moment) in arrivals.into_iter().zip(moments) {
+        for ((id, live), moment) in arrivals.into_iter().zip(acceptance_times) {
             let spec = &live.record.spec;
             let unfinished = live.each.times(live.unfinished());
             let within = guarantees.admit(&spec.team, unfinished);
             if within {
                 guaranteed.insert(id.clone());
             }
-            let entry = self.allotted(live);
+            let entry = self.overload_entry(live);
             let waiting = self.may_start(id, live, live.unclaimed());
             let mut small = true;
             if let Some(entry) = entry {
                 let class = pressed.entry(&spec.class).or_default();
                 class.floors.insert(&spec.team, (entry.floor, entry.sizes.as_ref()));
-                let band = entry.sizes.as_ref().map_or(Band::Small, |s| {
-                    s.band(f64::from(spec.tasks) * spec.cpus * spec.estimate_s, spec.tasks)
+                let size_class = entry.sizes.as_ref().map_or(SizeClass::Small, |s| {
+                    s.size_class(f64::from(spec.tasks) * spec.cpus * spec.estimate_s, spec.tasks)
                 });
-                if let (Some(sizes), Some(upper)) = (&entry.sizes, class.upper_mut(band)) {
+                if let (Some(sizes), Some(upper)) = (&entry.sizes, class.larger_mut(size_class)) {
                     small = false;
-                    let mut job = of_a_band(entry, id, live, sizes.begin_ms);
+                    let mut job = size_class_demand(entry, id, live, sizes.begin_ms);
                     job.needs = job.needs.min(live.each.times(waiting).cpus);
                     upper.push((job, (waiting > 0).then_some(places.len())));
                 } else {
@@ -133,18 +133,20 @@
         for mut group in pressed.into_values() {
             let floor = group.floors.values().map(|f| f.0).sum();
             group.waiting.sort_unstable();
-            let lifted = order::lift(floor, group.has, group.waiting.iter().map(|w| w.2));
-            for (_, place, _) in &group.waiting[..lifted] {
+            let promoted = order::promote(floor, group.has, group.waiting.iter().map(|w| w.2));
+            for (_, place, _) in &group.waiting[..promoted] {
                 places[*place].0.beyond_floor = false;
             }
-            for (band, upper) in [(Band::Middle, &group.middle), (Band::Large, &group.large)] {
-                self.lift_band(&group, band, upper, &mut places);
+            for (size_class, upper) in
+                [(SizeClass::Middle, &group.middle), (SizeClass::Large, &group.large)]
+            {
+                self.promote_size_class(&group, size_class, upper, &mut places);
             }
         }
         places.sort();
         let queued = |(p, tasks, growth): (Place, u32, bool)| Queued {
             job: p.id,
-            lane: p.urgency,
+            urgency: p.urgency,
             tasks,
             growth,
         };
@@ -152,24 +154,24 @@
     }
 
     /// What of the jobs of an upper band goes before everybody else's.
-    fn lift_band(
+    fn promote_size_class(
         &self,
         group: &Pressed,
-        band: Band,
-        jobs: &[(bands::Waiting, Option<usize>)],
+        size_class: SizeClass,
+        jobs: &[(size_classes::Waiting, Option<usize>)],
         places: &mut Vec<(Place, u32, bool)>,
     ) {
         let sizes = || group.floors.values().filter_map(|f| f.1);
-        let floor = sizes().map(|s| s.floor(band)).sum();
+        let floor = sizes().map(|s| s.floor(size_class)).sum();
         let begin_ms = sizes().map(|s| s.begin_ms).min().unwrap_or_default();
-        let waiting: Vec<bands::Waiting> = jobs.iter().map(|j| j.0).collect();
+        let waiting: Vec<size_classes::Waiting> = jobs.iter().map(|j| j.0).collect();
         let short = sizes().any(|s| s.short);
-        let terms = bands::Terms { floor, begin_ms, short };
-        let lifted = bands::lift(terms, self.wall_ms, &waiting);
-        for ((job, place), lifted) in jobs.iter().zip(lifted) {
-            let Some(i) = place.filter(|_| lifted > 0) else { continue };
+        let terms = size_classes::Terms { floor, begin_ms, short };
+        let promoted = size_classes::promote(terms, self.wall_ms, &waiting);
+        for ((job, place), promoted) in jobs.iter().zip(promoted) {
+            let Some(i) = place.filter(|_| promoted > 0) else { continue };
             let first = Place { beyond_floor: false, past_use: false, ..places[i].0.clone() };
-            let tasks = (lifted / job.each.max(1)).max(1) as u32;
+            let tasks = (promoted / job.each.max(1)).max(1) as u32;
             // Only an array's tasks come and go one by one.
             let whole = self.cache.jobs.get(&first.id).is_none_or(|live| {
                 let spec = &live.record.spec;
@@ -195,16 +197,19 @@
     /// The small ones by moment: the number of its place, and the processors it needs.
     waiting: Vec<(u64, usize, i64)>,
     /// The others, with the number of their places, if anything of them waits.
-    middle: Vec<(bands::Waiting, Option<usize>)>,
-    large: Vec<(bands::Waiting, Option<usize>)>,
+    middle: Vec<(size_classes::Waiting, Option<usize>)>,
+    large: Vec<(size_classes::Waiting, Option<usize>)>,
 }
 
 impl Pressed<'_> {
-    fn upper_mut(&mut self, band: Band) -> Option<&mut Vec<(bands::Waiting, Option<usize>)>> {
-        match band {
-            Band::Small => None,
-            Band::Middle => Some(&mut self.middle),
-            Band::Large => Some(&mut self.large),
+    fn larger_mut(
+        &mut self,
+        size_class: SizeClass,
+    ) -> Option<&mut Vec<(size_classes::Waiting, Option<usize>)>> {
+        match size_class {
+            SizeClass::Small => None,
+            SizeClass::Middle => Some(&mut self.middle),
+            SizeClass::Large => Some(&mut self.large),
         }
     }
 }
--- a/crates/cleatfold-control/src/queue/tests.rs
+++ b/crates/cleatfold-control/src/queue/tests.rs
@@ -6,7 +6,7 @@
 use cleatfold_wire::job::{JobSpec, Kind};
 use proptest::prelude::*;
 
-const LANES: [Urgency; 4] =
+const URGENCIES: [Urgency; 4] =
     [Urgency::Critical, Urgency::High, Urgency::Normal, Urgency::BestEffort];
 const GUARANTEED: u32 = 6;
 
@@ -26,7 +26,7 @@
         zone: ZoneId::new("a"),
         peers: vec![],
         teams: vec![team("promised", f64::from(GUARANTEED)), team("other", 0.0)],
-        report_ms: 1000,
+        heartbeat_interval_ms: 1000,
         lease_ms: 10_000,
         cancel_ms: 40_000,
         txn_ops: 16,
@@ -44,11 +44,11 @@
         admission: None,
         guarantee_wait_s: None,
         history: Default::default(),
-        weights: None,
+        image_distribution: None,
     })
 }
 
-fn record((lane, promised, cpus, off): Job, n: usize) -> JobRecord {
+fn record((urgency, promised, cpus, off): Job, n: usize) -> JobRecord {
     // Ids that say nothing of the order.
     let id = JobId::new(format!("run-{:06}", (n * 7919 + 13) % 1000));
     let spec = JobSpec {
@@ -56,7 +56,7 @@
         class: ClassId::new("class"),
         team: TeamId::new(if promised { "promised" } else { "other" }),
         kind: Kind::Array,
-        urgency: LANES[lane],
+        urgency: URGENCIES[urgency],
         tasks: 1,
         cpus: f64::from(cpus),
         gpus: 0.0,
--- a/crates/cleatfold-control/src/limits.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -3,14 +3,14 @@
 //! Only a pool's owner changes the pool's part, guarded by the pool's version; so the parts never
 //! add up to more than the limit, and what a pool uses never exceeds its part.
 
-use crate::cache::Live;
+use crate::cache::CachedJob;
 use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::*;
 use crate::records::*;
 use crate::schedule::PoolPlan;
-use cleatfold_admission::room::Room;
-use cleatfold_backfill::chart::FOREVER;
-use cleatfold_backfill::{Resources, Timeline};
+use cleatfold_admission::long_work_limit::LongWorkLimit;
+use cleatfold_backfill::profile::FOREVER;
+use cleatfold_backfill::{AvailabilityProfile, Resources};
 use cleatfold_ingress::{Backoff, Need, PacerLimits, WritePacer};
 use cleatfold_wire::job::{JobSpec, Kind};
 use cleatfold_wire::store::Txn;
@@ -20,13 +20,13 @@
 pub(crate) type Usage = BTreeMap<(TeamId, PoolId), Resources>;
 
 /// As good as none.
-const FAR: i64 = i64::MAX / 8;
+const UNLIMITED: i64 = i64::MAX / 8;
 
 /// A part is kept for what a pool has reserved to start within this time.
 const KEEP_MS: u64 = 10_000;
 
 /// How often it is looked which slices should move.
-const LOOK_MS: u64 = 250;
+const SLICE_INTERVAL_MS: u64 = 250;
 
 /// Slices may take this share of our changes, and what nobody else needs. A write that was refused or came too
 /// late is tried again after a quarter or half of a second, later after four seconds at most.
@@ -61,7 +61,7 @@
     /// When slices may be written.
     pacer: WritePacer<TeamId>,
     pub inflight: BTreeSet<TeamId>,
-    pub looked: Ms,
+    pub last_checked: Ms,
     /// What the last planning could have started but for the pool's part of a team's limit.
     pub short: Usage,
     /// What it reserved to start soon: a part is not given back for that.
@@ -76,7 +76,7 @@
         Self {
             pacer: WritePacer::new(seed, PACER),
             inflight: BTreeSet::new(),
-            looked: Ms::default(),
+            last_checked: Ms::default(),
             short: Usage::new(),
             soon: Usage::new(),
             blind: None,
@@ -106,9 +106,9 @@
         }
     }
 
-    pub fn over_time(&self, now: Ms) -> Timeline {
+    pub fn over_time(&self, now: Ms) -> AvailabilityProfile {
         let back = self.back.iter().map(|(s, what)| (now.plus(s * 1000), *what));
-        Timeline::growing(now, self.left, back)
+        AvailabilityProfile::growing(now, self.left, back)
     }
 }
 
@@ -135,11 +135,11 @@
             let (team, pool) = (teams[i / own.len()], own[i % own.len()]);
             usage.insert((team.clone(), pool.clone()), used);
         }
-        for (id, local) in &self.locals {
-            for wish in &local.wishes {
+        for (id, job_state) in &self.job_states {
+            for placement in &job_state.placement_requests {
                 if let Some(live) = self.cache.jobs.get(id) {
-                    let key = (live.record.spec.team.clone(), wish.pool.clone());
-                    *usage.entry(key).or_default() += live.each.times(wish.tasks);
+                    let key = (live.record.spec.team.clone(), placement.pool.clone());
+                    *usage.entry(key).or_default() += live.each.times(placement.tasks);
                 }
             }
         }
@@ -163,7 +163,7 @@
         pool: &PoolId,
         machines: usize,
         usage: &Usage,
-        rooms: &BTreeMap<TeamId, Room>,
+        rooms: &BTreeMap<TeamId, LongWorkLimit>,
     ) -> Vec<Binding> {
         let capacity = self.inventory.total(&pool.machine_type).times(machines as u32);
         let mut binding = Vec::new();
@@ -179,7 +179,7 @@
             binding.push(Binding { team, longer_than_s: -1.0, left, back });
         }
         for (team, room) in rooms {
-            let mut left = Resources { memory: FAR, gpus: FAR, ..capacity };
+            let mut left = Resources { memory: UNLIMITED, gpus: UNLIMITED, ..capacity };
             left.cpus =
                 (capacity.cpus as f64 * room.part) as i64 - self.long_usage(team, room, pool);
             let (team, back) = (team.clone(), BTreeMap::new());
@@ -189,8 +189,8 @@
     }
 
     /// Thousandths of processors that a team's long work has in a pool, or is about to.
-    fn long_usage(&self, team: &TeamId, room: &Room, pool: &PoolId) -> i64 {
-        let long = |live: &&Live| {
+    fn long_usage(&self, team: &TeamId, room: &LongWorkLimit, pool: &PoolId) -> i64 {
+        let long = |live: &&CachedJob| {
             let spec = &live.record.spec;
             spec.team == *team && room.is_long(spec.estimate_s)
         };
@@ -198,7 +198,7 @@
         for (id, live) in self.cache.jobs.iter().filter(|(_, l)| long(l)) {
             let here = live.by_pool.iter().find(|(p, _)| p == pool).map_or(0, |p| p.1);
             // What has ended holds nothing, whether that is recorded or not.
-            let ends = self.locals.get(id).into_iter().flat_map(|l| &l.ends);
+            let ends = self.job_states.get(id).into_iter().flat_map(|l| &l.ends);
             let in_pool =
                 |m: &MachineId| self.inventory.machines.get(m).is_some_and(|m| m.pool == *pool);
             let ended = ends.filter(|e| in_pool(&e.machine)).count() as u32;
@@ -221,12 +221,12 @@
         let taken = parts().fold((0, 0), |a, (_, s)| (a.0 + s.0, a.1 + s.1));
         let max = Resources::new(team.cpus_max, team.gpus_max, 0.0);
         let of = |max: i64, part: i64, taken: i64| match max {
-            0 => (FAR, 0),
+            0 => (UNLIMITED, 0),
             max => (part, (max - taken).max(0)),
         };
         let (cpus, gpus) = (of(max.cpus, part.0, taken.0), of(max.gpus, part.1, taken.1));
         (
-            Resources { cpus: cpus.0, gpus: gpus.0, memory: FAR },
+            Resources { cpus: cpus.0, gpus: gpus.0, memory: UNLIMITED },
             Resources { cpus: cpus.1, gpus: gpus.1, memory: 0 },
         )
     }
@@ -250,7 +250,10 @@
 
     /// What each limited team could still use in the whole region, `weight` being how much of a
     /// claim counts.
-    pub(crate) fn team_rooms(&self, weight: impl Fn(&Live) -> f64) -> BTreeMap<TeamId, f64> {
+    pub(crate) fn team_headroom(
+        &self,
+        weight: impl Fn(&CachedJob) -> f64,
+    ) -> BTreeMap<TeamId, f64> {
         let limited = self.cfg.teams.iter().filter(|t| t.cpus_max > 0.0);
         let mut rooms: BTreeMap<TeamId, f64> =
             limited.map(|t| (t.name.clone(), t.cpus_max)).collect();
@@ -300,17 +303,17 @@
     /// start right now: asking for all that waits let a pool whose machines the waiting jobs
     /// could not use keep the whole limit, and the team stood still.
     pub(crate) fn keep_slices(&mut self) {
-        if self.now.since(self.limits.looked) < LOOK_MS || !self.in_contact() {
+        if self.now.since(self.limits.last_checked) < SLICE_INTERVAL_MS || !self.in_contact() {
             return;
         }
-        self.limits.looked = self.now;
+        self.limits.last_checked = self.now;
         if self.limits.blind.is_some() {
             return;
         }
         let moves = self.slice_moves();
         let wanted: Vec<(TeamId, Need)> = moves.iter().map(|m| (m.team.clone(), m.need)).collect();
-        self.limits.pacer.refill(self.now.0, self.pace.rate());
-        let admitted = self.limits.pacer.admit(self.now.0, &wanted, self.pace.spare());
+        self.limits.pacer.refill(self.now.0, self.rate_limiter.rate());
+        let admitted = self.limits.pacer.admit(self.now.0, &wanted, self.rate_limiter.spare());
         let mut moves: BTreeMap<TeamId, SliceMove> =
             moves.into_iter().map(|m| (m.team.clone(), m)).collect();
         for team in admitted {
@@ -318,7 +321,7 @@
             self.limits.inflight.insert(team.clone());
             let request = StoreRequest::Txn(txn.clone());
             let sent = SentSlice { team, txn, record, doubtful: false };
-            self.store(Lane::Claim, request, Pending::Slice(Box::new(sent)));
+            self.store(CallPriority::Claim, request, Pending::Slice(Box::new(sent)));
         }
     }
 
@@ -399,7 +402,7 @@
                 if current < version {
                     self.cache.slices.insert(team, (version, record));
                 }
-                self.dirty = true;
+                self.replan_needed = true;
             }
             // It may yet be executed: until that is decided, nothing is claimed by it.
             StoreReply::Unknown => {
@@ -412,7 +415,7 @@
             StoreReply::Refused => {
                 self.limits.inflight.remove(&sent.team);
                 self.limits.pacer.failed(self.now.0, &sent.team);
-                self.dirty = true;
+                self.replan_needed = true;
             }
             _ => {
                 // What stands is known after the next reading; until then it counts as blind.
@@ -428,7 +431,7 @@
     fn resend_slice(&mut self, op: u64, sent: SentSlice) {
         let pause_ms = self.limits.pacer.resend(&sent.team);
         let txn = sent.txn.clone();
-        self.again(op, Lane::Claim, txn, Pending::Slice(Box::new(sent)), pause_ms);
+        self.again(op, CallPriority::Claim, txn, Pending::Slice(Box::new(sent)), pause_ms);
     }
 }
 
--- a/crates/cleatfold-control/src/pace.rs
+++ b/crates/cleatfold-control/src/rate_limiter.rs
@@ -16,13 +16,13 @@
 const MOST_DEBT_S: f64 = 5.0;
 
 #[derive(Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct ChangeRateLimiter {
     level: f64,
     rate: f64,
     filled: Ms,
 }
 
-impl Pace {
+impl ChangeRateLimiter {
     /// `limit` is the whole service's, `controllers` how many live on it.
     pub fn fill(&mut self, now: Ms, limit: f64, controllers: usize) {
         let rate = limit * MARGIN / controllers.max(1) as f64;
@@ -74,24 +74,24 @@
     /// Transactions are sent again for a minute while nothing answers; seconds after that changes go again.
     #[test]
     fn what_was_sent_again_in_vain_is_not_paid_back_for_minutes() {
-        let mut pace = Pace::default();
+        let mut rate_limiter = ChangeRateLimiter::default();
         for ms in (1000..=61_000).step_by(300) {
-            pace.fill(Ms(ms), 15.0, 3);
-            pace.spend(18);
+            rate_limiter.fill(Ms(ms), 15.0, 3);
+            rate_limiter.spend(18);
         }
         let late = 61_000 + (MOST_DEBT_S as u64 + 1) * 1000;
-        pace.fill(Ms(late), 15.0, 3);
-        assert!(pace.open());
+        rate_limiter.fill(Ms(late), 15.0, 3);
+        assert!(rate_limiter.open());
     }
 
     #[test]
     fn a_second_lets_no_more_through_than_our_part() {
-        let mut pace = Pace::default();
+        let mut rate_limiter = ChangeRateLimiter::default();
         let mut sent = 0;
         for ms in (1000..=11_000).step_by(50) {
-            pace.fill(Ms(ms), 30.0, 3);
-            while pace.open() {
-                pace.spend(3);
+            rate_limiter.fill(Ms(ms), 30.0, 3);
+            while rate_limiter.open() {
+                rate_limiter.spend(3);
                 sent += 3;
             }
         }
--- a/crates/cleatfold-control/src/records.rs
+++ b/crates/cleatfold-control/src/records.rs
@@ -11,8 +11,8 @@
 
 use cleatfold_backfill::Resources;
 pub use cleatfold_image_distribution::{OriginRecord, SpreadRecord};
-pub use cleatfold_priority::{MadeRecord, MadeRoom};
-use cleatfold_roles::Duty;
+pub use cleatfold_priority::{PreemptionPlan, PreemptionRecord};
+use cleatfold_roles::Role;
 use cleatfold_wire::job::{JobSpec, JobState, JobStatus};
 use cleatfold_wire::*;
 pub use cleatfold_workspace::{Entry, Group as HistoryGroup, HistoryHead, Summary};
@@ -34,14 +34,14 @@
 const LOSS_HEADS: &str = "cf/loss/";
 const WORKSPACES: &str = "cf/ws/";
 const HISTORIES: &str = "cf/hist/";
-const MADE: &str = "cf/made/";
-const WEIGHTS: &str = "cf/w/";
+const PREEMPTIONS: &str = "cf/made/";
+const IMAGE_HOLDERS: &str = "cf/w/";
 /// Groups of teams' histories, outside of what nodes read at their start.
 pub const HISTORY_LOG: &str = "hist/";
 /// Which version of the records these are.
 pub const FORMAT_KEY: &str = "cf/format";
-pub const RENTS_KEY: &str = "cf/rents";
-pub const ALLOTMENT: &str = "cf/allotment";
+pub const SCALE_OUT_KEY: &str = "cf/rents";
+pub const OVERLOAD_QUOTA_KEY: &str = "cf/allotment";
 /// Who fetches from the origin of images.
 pub const ORIGIN_KEY: &str = "cf/origin";
 
@@ -83,12 +83,12 @@
     format!("{HISTORY_LOG}{team}/{number:012}")
 }
 /// Room that is being made in a pool.
-pub fn made_key(pool: &PoolId) -> String {
-    format!("{MADE}{pool}")
+pub fn preemption_key(pool: &PoolId) -> String {
+    format!("{PREEMPTIONS}{pool}")
 }
 /// An image that is being spread.
-pub fn weights_key(image: &ImageId) -> String {
-    format!("{WEIGHTS}{image}")
+pub fn image_holders_key(image: &ImageId) -> String {
+    format!("{IMAGE_HOLDERS}{image}")
 }
 pub fn slice_key(team: &TeamId) -> String {
     format!("{SLICES}{team}")
@@ -106,11 +106,11 @@
     LossHead(TeamId),
     Workspace(TeamId),
     History(TeamId),
-    Made(PoolId),
-    Weights(ImageId),
-    Duty(Duty),
-    Rents,
-    Allotment,
+    Preemption(PoolId),
+    ImageHolders(ImageId),
+    Role(Role),
+    ScaleOutIntents,
+    OverloadQuota,
     Origin,
 }
 
@@ -135,16 +135,16 @@
         Some(Key::Workspace(TeamId::new(id)))
     } else if let Some(id) = key.strip_prefix(HISTORIES) {
         Some(Key::History(TeamId::new(id)))
-    } else if let Some(id) = key.strip_prefix(MADE) {
-        Some(Key::Made(PoolId::parse(id)?))
-    } else if let Some(id) = key.strip_prefix(WEIGHTS) {
-        Some(Key::Weights(ImageId::new(id)))
-    } else if let Some(duty) = Duty::of_key(key) {
-        Some(Key::Duty(duty))
-    } else if key == RENTS_KEY {
-        Some(Key::Rents)
-    } else if key == ALLOTMENT {
-        Some(Key::Allotment)
+    } else if let Some(id) = key.strip_prefix(PREEMPTIONS) {
+        Some(Key::Preemption(PoolId::parse(id)?))
+    } else if let Some(id) = key.strip_prefix(IMAGE_HOLDERS) {
+        Some(Key::ImageHolders(ImageId::new(id)))
+    } else if let Some(role) = Role::of_key(key) {
+        Some(Key::Role(role))
+    } else if key == SCALE_OUT_KEY {
+        Some(Key::ScaleOutIntents)
+    } else if key == OVERLOAD_QUOTA_KEY {
+        Some(Key::OverloadQuota)
     } else if key == ORIGIN_KEY {
         Some(Key::Origin)
     } else {
@@ -194,7 +194,7 @@
 impl ArchiveRecord {
     /// As its team's history has it.
     pub fn entry(&self, job: &JobId) -> Entry {
-        let lost = self.losses.told(job);
+        let lost = self.losses.entries(job);
         let (done, total) = (self.done, self.losses.total);
         Entry::new(job.clone(), self.state, done, self.summary.clone(), total, lost)
     }
--- a/crates/cleatfold-control/src/records/losses.rs
+++ b/crates/cleatfold-control/src/records/losses.rs
@@ -96,7 +96,7 @@
     }
 
     /// The kept ones by name, oldest first.
-    pub fn told<'a>(&'a self, job: &'a JobId) -> impl Iterator<Item = Loss> + 'a {
+    pub fn entries<'a>(&'a self, job: &'a JobId) -> impl Iterator<Item = Loss> + 'a {
         self.groups.iter().flat_map(move |g| {
             g.tasks.iter().map(move |(ix, attempt)| Loss {
                 task: TaskId { job: job.clone(), ix: *ix },
@@ -124,8 +124,8 @@
     /// As part of a job's answer.
     pub fn answer(&self, job: &JobId, again: bool) -> Option<JobLosses> {
         (!self.is_empty()).then(|| {
-            let mut recent: Vec<Loss> = self.told(job).collect();
-            recent.drain(..recent.len().saturating_sub(Config::LOSSES_TOLD));
+            let mut recent: Vec<Loss> = self.entries(job).collect();
+            recent.drain(..recent.len().saturating_sub(Config::MAX_REPORTED_LOSSES));
             JobLosses { total: self.total, again, recent }
         })
     }
@@ -149,17 +149,17 @@
             );
         }
         assert_eq!(list.total, 300);
-        let told: Vec<Loss> = list.told(&job).collect();
-        assert_eq!(told.len(), LossList::KEPT);
-        assert_eq!(told.last().unwrap().task.ix, TaskIx(299));
-        assert_eq!(told.last().unwrap().machine, MachineId::new("vm-000029"));
+        let entries: Vec<Loss> = list.entries(&job).collect();
+        assert_eq!(entries.len(), LossList::KEPT);
+        assert_eq!(entries.last().unwrap().task.ix, TaskIx(299));
+        assert_eq!(entries.last().unwrap().machine, MachineId::new("vm-000029"));
         // Grouped by machine they are small: a record of 16 KiB holds them beside its claims.
         assert!(serde_json::to_string(&list).unwrap().len() < 2048);
         let mut other = LossList::default();
         other.note(&MachineId::new("vm-1"), LossCause::Lease, 5, (TaskIx(7), Attempt(3)));
         list.take(other);
         assert_eq!(list.total, 301);
-        assert_eq!(list.answer(&job, true).unwrap().recent.len(), Config::LOSSES_TOLD);
+        assert_eq!(list.answer(&job, true).unwrap().recent.len(), Config::MAX_REPORTED_LOSSES);
         assert!(LossList::default().answer(&job, true).is_none());
     }
 }
--- a/crates/cleatfold-control/src/requests.rs
+++ b/crates/cleatfold-control/src/requests.rs
@@ -1,7 +1,7 @@
 //! What users ask: submissions, polls, cancellations.
 
 use crate::archive::Joined;
-use crate::controller::{Controller, EventNumber, Pending, Submission, Wait, Waiting};
+use crate::controller::{Controller, EventNumber, Pending, Submission, WaitReason, WaitingRequest};
 use crate::effects::*;
 use crate::records::*;
 use crate::submissions::SUBMIT_MS;
@@ -11,12 +11,12 @@
 
 /// Answers that are final may be kept: they never change. Bounded; the archive has them all.
 #[derive(Default)]
-pub(crate) struct Terminal {
+pub(crate) struct TerminalJobCache {
     states: BTreeMap<JobId, ArchiveRecord>,
     order: VecDeque<JobId>,
 }
 
-impl Terminal {
+impl TerminalJobCache {
     const KEPT: usize = 4000;
 
     pub fn insert(&mut self, job: JobId, archive: ArchiveRecord) {
@@ -62,13 +62,13 @@
         }
         match request {
             Request::Submit(spec) => self.on_submit(rid, spec),
-            Request::Poll(job) => match self.terminal.get(&job) {
+            Request::Poll(job) => match self.terminal_jobs.get(&job) {
                 Some(status) => self.reply(rid, Response::Status { code: 200, status }),
-                None => self.wait(rid, job, Wait::Poll),
+                None => self.wait(rid, job, WaitReason::Poll),
             },
-            Request::Withdraw(job) => match self.terminal.get(&job) {
+            Request::Withdraw(job) => match self.terminal_jobs.get(&job) {
                 Some(status) => self.reply(rid, Response::Status { code: 200, status }),
-                None => self.wait(rid, job, Wait::Withdraw),
+                None => self.wait(rid, job, WaitReason::Withdraw),
             },
             Request::Steps(report) => self.on_steps(rid, report),
             Request::TeamLosses { team, since } => self.on_team_losses(rid, team, since),
@@ -87,12 +87,12 @@
         }
     }
 
-    pub(crate) fn wait(&mut self, rid: u64, job: JobId, kind: Wait) {
+    pub(crate) fn wait(&mut self, rid: u64, job: JobId, kind: WaitReason) {
         if self.store_away() {
             return self.reply(rid, Response::later("the state service does not answer"));
         }
         let (arrived, arrived_at) = (self.now, self.event);
-        self.waiting.push(Waiting { rid, job, arrived, arrived_at, kind });
+        self.waiting.push(WaitingRequest { rid, job, arrived, arrived_at, kind });
         self.sync_if_due();
     }
 
@@ -102,7 +102,7 @@
         let now = self.now;
         let mut late = Vec::new();
         self.waiting.retain(|w| {
-            let limit = if matches!(w.kind, Wait::Poll) { POLL_MS } else { REQUEST_MS };
+            let limit = if matches!(w.kind, WaitReason::Poll) { POLL_MS } else { REQUEST_MS };
             let give_up = away || now.since(w.arrived) > limit;
             if give_up {
                 late.push(w.rid);
@@ -112,12 +112,13 @@
         // Work whose asker has left is not done: he has asked again, most likely another node.
         // (Both kept it, each batch met jobs that the other had accepted, and failed as a whole;
         // so the more had asked again the fewer were accepted, for good.)
-        let gone = self.submitting.intake.take_late(|at| away || now.since(Ms(at)) > SUBMIT_MS);
+        let gone =
+            self.submitting.submission_queue.take_late(|at| away || now.since(Ms(at)) > SUBMIT_MS);
         late.extend(gone.into_iter().map(|s| s.rid));
         late.extend(self.late_steps(away));
         late.extend(self.late_questions(away));
         late.extend(self.archive.give_up(|w| {
-            let limit = if matches!(w.kind, Wait::Poll) { POLL_MS } else { REQUEST_MS };
+            let limit = if matches!(w.kind, WaitReason::Poll) { POLL_MS } else { REQUEST_MS };
             now.since(w.arrived) > limit
         }));
         for rid in late {
@@ -131,13 +132,13 @@
         let (ripe, rest) =
             std::mem::take(&mut self.waiting).into_iter().partition(|w| w.arrived_at <= sent_at);
         self.waiting = rest;
-        let mut unknown: BTreeMap<JobId, Vec<Waiting>> = BTreeMap::new();
+        let mut unknown: BTreeMap<JobId, Vec<WaitingRequest>> = BTreeMap::new();
         for w in ripe {
-            let w: Waiting = w;
-            if let Wait::Steps(report) = w.kind {
+            let w: WaitingRequest = w;
+            if let WaitReason::Steps(report) = w.kind {
                 // What is not claimed by a reading sent after it came is not claimed.
                 self.take_steps(w.rid, report, true);
-            } else if let Some(status) = self.terminal.get(&w.job) {
+            } else if let Some(status) = self.terminal_jobs.get(&w.job) {
                 self.reply(w.rid, Response::Status { code: 200, status });
             } else if self.cache.jobs.contains_key(&w.job) {
                 self.answer_live(w);
@@ -146,7 +147,7 @@
             }
         }
         for (job, waiting) in unknown {
-            self.look_up(job, waiting);
+            self.query_archive(job, waiting);
         }
         self.answer_teams(Some(sent_at));
     }
@@ -173,14 +174,14 @@
         Some(status)
     }
 
-    fn answer_live(&mut self, w: Waiting) {
+    fn answer_live(&mut self, w: WaitingRequest) {
         let Some(status) = self.live_status(&w.job) else {
             return;
         };
-        if matches!(w.kind, Wait::Withdraw) && status.state != JobState::Aborted {
-            let local = self.local(&w.job);
-            local.abort = true;
-            local.withdrawals.push(w.rid);
+        if matches!(w.kind, WaitReason::Withdraw) && status.state != JobState::Aborted {
+            let job_state = self.job_state(&w.job);
+            job_state.abort = true;
+            job_state.withdrawals.push(w.rid);
             self.note_unsent(&w.job);
             return;
         }
@@ -188,11 +189,11 @@
     }
 
     /// Asks the archive about a job that is not among the live ones.
-    fn look_up(&mut self, job: JobId, waiting: Vec<Waiting>) {
+    fn query_archive(&mut self, job: JobId, waiting: Vec<WaitingRequest>) {
         match self.archive.join(&job, waiting, self.event) {
             Joined::Ask => {
                 let request = StoreRequest::Get(archive_key(&job));
-                self.store(Lane::Poll, request, Pending::Archive { job });
+                self.store(CallPriority::Poll, request, Pending::Archive { job });
             }
             Joined::UnderWay => {}
             Joined::Full(waiting) => {
@@ -211,7 +212,7 @@
                     return;
                 }
                 for w in waiting {
-                    if let Some(status) = self.terminal.get(&job) {
+                    if let Some(status) = self.terminal_jobs.get(&job) {
                         self.reply(w.rid, Response::Status { code: 200, status });
                     }
                 }
@@ -220,15 +221,17 @@
                 for w in waiting {
                     // It may have been accepted since we looked: then it waits once more.
                     let later = w.arrived_at > sent_at;
-                    let known =
-                        self.cache.jobs.contains_key(&job) || self.terminal.get(&job).is_some();
+                    let known = self.cache.jobs.contains_key(&job)
+                        || self.terminal_jobs.get(&job).is_some();
                     if later || known {
                         self.waiting.push(w);
                         continue;
                     }
                     match w.kind {
-                        Wait::Impossible(why) => self.reply(w.rid, Response::refuse(422, why)),
-                        Wait::Known(spec) => {
+                        WaitReason::Impossible(why) => {
+                            self.reply(w.rid, Response::refuse(422, why))
+                        }
+                        WaitReason::Known(spec) => {
                             let (rid, arrived) = (w.rid, w.arrived);
                             self.submitting.push(Submission { rid, spec, arrived });
                         }
@@ -248,7 +251,7 @@
         match serde_json::from_str::<ArchiveRecord>(record) {
             Ok(archive) => {
                 self.find_ended_losses(job, &archive);
-                self.terminal.insert(job.clone(), archive);
+                self.terminal_jobs.insert(job.clone(), archive);
             }
             Err(error) => {
                 tracing::error!(job = %job, %error, "unreadable archive record");
@@ -266,7 +269,7 @@
         }
         let from = self.archive.read_to;
         let request = StoreRequest::Changes { prefix: ARCHIVE.into(), from };
-        self.store(Lane::Poll, request, Pending::Ended { from });
+        self.store(CallPriority::Poll, request, Pending::Ended { from });
     }
 
     pub(crate) fn on_ended(&mut self, from: Version, reply: StoreReply) {
--- a/crates/cleatfold-control/src/duties.rs
+++ b/crates/cleatfold-control/src/roles.rs
@@ -3,7 +3,7 @@
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
 use crate::records::*;
-use cleatfold_roles::Duty;
+use cleatfold_roles::Role;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
 use std::collections::BTreeSet;
@@ -11,70 +11,71 @@
 impl Controller {
     /// Ours, by what was read last. Whatever is done under it outside the state service has to be
     /// durable there first.
-    pub(crate) fn holds(&self, duty: Duty) -> bool {
-        self.epoch(duty).is_some()
+    pub(crate) fn holds(&self, role: Role) -> bool {
+        self.epoch(role).is_some()
     }
 
     /// The version of a duty's key while it is ours: every transaction of the duty is guarded by it.
-    pub(crate) fn epoch(&self, duty: Duty) -> Option<Version> {
-        let (holder, version) = self.cache.duties.get(&duty)?;
+    pub(crate) fn epoch(&self, role: Role) -> Option<Version> {
+        let (holder, version) = self.cache.roles.get(&role)?;
         let ours = holder.owner == self.cfg.me && Some(holder.incarnation) == self.incarnation;
         ours.then_some(*version)
     }
 
     /// A key of ours from before we were restarted: nobody acts under it any more. What was done
     /// under it is not known here, so it is taken anew, under a new epoch, rather than gone on with.
-    fn former_life(&self, duty: Duty) -> Option<Version> {
-        let (holder, version) = self.cache.duties.get(&duty)?;
+    fn former_life(&self, role: Role) -> Option<Version> {
+        let (holder, version) = self.cache.roles.get(&role)?;
         let former = holder.owner == self.cfg.me && Some(holder.incarnation) != self.incarnation;
         former.then_some(*version)
     }
 
-    pub(crate) fn keep_duties(&mut self) {
+    pub(crate) fn maintain_roles(&mut self) {
         let now = self.now;
-        let former: Vec<(Duty, Version)> =
-            Duty::ALL.iter().filter_map(|d| Some((*d, self.former_life(*d)?))).collect();
-        let duties = &self.cache.duties;
+        let former: Vec<(Role, Version)> =
+            Role::ALL.iter().filter_map(|d| Some((*d, self.former_life(*d)?))).collect();
+        let roles = &self.cache.roles;
         let controllers = self.cache.controllers.keys();
-        self.roster.see(now, &self.cfg.me, controllers, |d| duties.contains_key(&d));
+        self.role_assignment.see(now, &self.cfg.me, controllers, |d| roles.contains_key(&d));
         if self.in_contact() {
             if let (Some(lease), Some(incarnation)) = (self.lease, self.incarnation) {
-                let former_of = |d: Duty| former.iter().find(|f| f.0 == d).map(|f| f.1);
-                let mine_before = |d: Duty| former_of(d).is_some();
-                if let Some(duty) = self.roster.take(now, &self.cfg.me, mine_before) {
+                let former_of = |d: Role| former.iter().find(|f| f.0 == d).map(|f| f.1);
+                let mine_before = |d: Role| former_of(d).is_some();
+                if let Some(role) = self.role_assignment.take(now, &self.cfg.me, mine_before) {
                     let holder = HolderRecord { owner: self.cfg.me.clone(), incarnation };
                     let mut txn = Txn::default();
-                    txn.guard(duty.key(), former_of(duty).unwrap_or_default());
-                    txn.put(duty.key(), &holder, Some(lease));
-                    self.store(Lane::Renewal, StoreRequest::Txn(txn), Pending::Duty(duty));
+                    txn.guard(role.key(), former_of(role).unwrap_or_default());
+                    txn.put(role.key(), &holder, Some(lease));
+                    self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Role(role));
                 }
             }
-            let mine: Vec<Duty> = Duty::ALL.into_iter().filter(|d| self.holds(*d)).collect();
-            if let Some(duty) = self.roster.give(now, &self.cfg.me, |d| mine.contains(&d)) {
-                self.give_back(duty);
+            let mine: Vec<Role> = Role::ALL.into_iter().filter(|d| self.holds(*d)).collect();
+            if let Some(role) = self.role_assignment.give(now, &self.cfg.me, |d| mine.contains(&d))
+            {
+                self.give_back(role);
             }
         }
         self.lead();
-        self.keep_renting();
-        if self.holds(Duty::Tidy) {
-            self.clean_up();
+        self.maintain_scale_out();
+        if self.holds(Role::GarbageCollection) {
+            self.collect_garbage();
         }
         self.keep_admission();
     }
 
     /// Lets whoever should hold it have it: guarded, so it is only ever our own holding that ends.
-    fn give_back(&mut self, duty: Duty) {
-        let Some(epoch) = self.epoch(duty) else { return };
-        tracing::info!(duty = duty.key(), "giving back");
+    fn give_back(&mut self, role: Role) {
+        let Some(epoch) = self.epoch(role) else { return };
+        tracing::info!(role = role.key(), "giving back");
         let mut txn = Txn::default();
-        txn.guard(duty.key(), epoch);
-        txn.delete(duty.key());
-        self.store(Lane::Renewal, StoreRequest::Txn(txn), Pending::Duty(duty));
+        txn.guard(role.key(), epoch);
+        txn.delete(role.key());
+        self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Role(role));
     }
 
     /// Whatever came of it, the next reading tells.
-    pub(crate) fn on_duty(&mut self, duty: Duty, reply: StoreReply) {
-        self.roster.settled(duty);
+    pub(crate) fn on_role_written(&mut self, role: Role, reply: StoreReply) {
+        self.role_assignment.settled(role);
         self.want_sync = true;
         if matches!(reply, StoreReply::Committed(_)) {
             self.tell(None, cleatfold_wire::mesh::Message::Changed);
@@ -83,8 +84,8 @@
 
     /// Parts whose job is gone are removed a few at a time. That it is gone is guarded: what is there of a
     /// job that we have only not read yet holds its claims.
-    fn clean_up(&mut self) {
-        if self.cleanup_inflight || !self.in_contact() {
+    fn collect_garbage(&mut self) {
+        if self.garbage_collection_inflight || !self.in_contact() {
             return;
         }
         let parts = self.cache.parts.iter().flat_map(|(id, parts)| {
@@ -104,10 +105,10 @@
             txn.delete(key);
         }
         if !txn.changes.is_empty() {
-            let Some(epoch) = self.epoch(Duty::Tidy) else { return };
-            txn.guard(Duty::Tidy.key(), epoch);
-            self.cleanup_inflight = true;
-            self.store(Lane::Poll, StoreRequest::Txn(txn), Pending::Cleanup);
+            let Some(epoch) = self.epoch(Role::GarbageCollection) else { return };
+            txn.guard(Role::GarbageCollection.key(), epoch);
+            self.garbage_collection_inflight = true;
+            self.store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::GarbageCollection);
         }
     }
 }
--- a/crates/cleatfold-control/src/renting.rs
+++ b/crates/cleatfold-control/src/scale_out.rs
@@ -1,4 +1,4 @@
-//! Renting machines, under the duty of that name: an intent first, then the call.
+//! ScaleOutState machines, under the duty of that name: an intent first, then the call.
 //!
 //! The cloud cannot tell a holder that was replaced from the one that came after it. So what is
 //! asked of it is first written under the duty's epoch: a former holder's write fails, and it has
@@ -10,64 +10,71 @@
 use crate::inventory::Machine;
 use crate::queue::Queued;
 use crate::records::*;
-use cleatfold_roles::rents::Step;
-use cleatfold_roles::{Answer, Desk, Duty, Intent};
-use cleatfold_wire::cloud::RentRequest;
+use cleatfold_roles::scale_out::Step;
+use cleatfold_roles::{Answer, Role, ScaleOutIntent, ScaleOutTracker};
+use cleatfold_wire::cloud::ScaleOutRequest;
 use cleatfold_wire::job::{JobSpec, Kind};
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
 use std::collections::BTreeMap;
 
-const LOOK_MS: u64 = 500;
+const SCALE_OUT_INTERVAL_MS: u64 = 500;
 /// Requests that stand in the record at one time.
-const RENTS: usize = 4;
+const MAX_OPEN_INTENTS: usize = 4;
 /// Machines that one request may ask for, by the protocol.
-const RENT_COUNT: u32 = 50;
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
 #[derive(Debug, Default)]
-pub(crate) struct Renting {
-    desk: Desk,
+pub(crate) struct ScaleOutState {
+    tracker: ScaleOutTracker,
     count: u64,
-    looked: Ms,
+    last_checked: Ms,
     writing: bool,
     /// Since when what we have read may be older than what we wrote.
     stale: Option<Ms>,
 }
 
 impl Controller {
-    /// Rents what is lacking, for as long as that is ours to do and the state service says so.
-    pub(crate) fn keep_renting(&mut self) {
-        let due = self.now.since(self.renting.looked) >= LOOK_MS * self.stretch;
-        if !due || !self.holds(Duty::Rent) || !self.in_contact() || self.list_at.is_none() {
+    /// ScaleOutIntents what is lacking, for as long as that is ours to do and the state service says so.
+    pub(crate) fn maintain_scale_out(&mut self) {
+        let due = self.now.since(self.scale_out.last_checked)
+            >= SCALE_OUT_INTERVAL_MS * self.backpressure;
+        if !due || !self.holds(Role::ScaleOut) || !self.in_contact() || self.list_at.is_none() {
             return;
         }
-        self.renting.looked = self.now;
-        let read = self.renting.stale.is_none_or(|s| self.fresh.is_some_and(|f| f > s));
-        if self.renting.writing || !read {
+        self.scale_out.last_checked = self.now;
+        let read = self.scale_out.stale.is_none_or(|s| self.fresh.is_some_and(|f| f > s));
+        if self.scale_out.writing || !read {
             return;
         }
-        self.renting.stale = None;
-        let new = self.new_intents();
-        let Some(epoch) = self.epoch(Duty::Rent) else { return };
+        self.scale_out.stale = None;
+        let new = self.new_scale_out_intents();
+        let Some(epoch) = self.epoch(Role::ScaleOut) else { return };
         let lag_ms = 2 * self.cfg.list_lag_ms + 5000;
-        let (version, book) = &self.cache.rents;
+        let (version, book) = &self.cache.scale_out_intents;
         let times = (self.now, self.wall_ms);
-        let Some(step) = self.renting.desk.next(book, epoch, new, times, lag_ms) else { return };
+        let Some(step) = self.scale_out.tracker.next(book, epoch, new, times, lag_ms) else {
+            return;
+        };
         let mut txn = Txn::default();
-        txn.guard(RENTS_KEY, *version);
-        txn.guard(Duty::Rent.key(), epoch);
-        txn.put(RENTS_KEY, &step.book, None);
-        self.renting.writing = true;
-        self.store(Lane::Renewal, StoreRequest::Txn(txn), Pending::Rents(Box::new(step)));
+        txn.guard(SCALE_OUT_KEY, *version);
+        txn.guard(Role::ScaleOut.key(), epoch);
+        txn.put(SCALE_OUT_KEY, &step.book, None);
+        self.scale_out.writing = true;
+        self.store(
+            CallPriority::Renewal,
+            StoreRequest::Txn(txn),
+            Pending::ScaleOutIntents(Box::new(step)),
+        );
     }
 
-    fn new_intents(&mut self) -> Vec<Intent> {
+    fn new_scale_out_intents(&mut self) -> Vec<ScaleOutIntent> {
         let Some(incarnation) = self.incarnation else { return vec![] };
         // What is answered and only not yet out of the record holds nobody up.
-        let coming = self.renting.desk.coming(&self.cache.rents.1);
+        let coming = self.scale_out.tracker.coming(&self.cache.scale_out_intents.1);
         let open: Vec<(PoolId, bool)> = coming.map(|i| (i.pool(), i.spot)).collect();
-        let free = RENTS.saturating_sub(open.len());
+        let free = MAX_OPEN_INTENTS.saturating_sub(open.len());
         if free == 0 {
             return vec![];
         }
@@ -79,11 +86,11 @@
             }
             let cpus =
                 self.inventory.types.get(&pool.machine_type).map_or(1.0, |t| t.cpus.max(0.1));
-            let count = ((lack / cpus).ceil() as u32).clamp(1, RENT_COUNT);
-            self.renting.count += 1;
+            let count = ((lack / cpus).ceil() as u32).clamp(1, MAX_MACHINES_PER_REQUEST);
+            self.scale_out.count += 1;
             tracing::info!(%pool, spot, count, lack, "renting");
-            new.push(Intent {
-                name: format!("{}-{}-{}", self.cfg.me, incarnation, self.renting.count),
+            new.push(ScaleOutIntent {
+                name: format!("{}-{}-{}", self.cfg.me, incarnation, self.scale_out.count),
                 machine_type: pool.machine_type,
                 zone: pool.zone,
                 spot,
@@ -94,32 +101,32 @@
         new
     }
 
-    pub(crate) fn on_rents_written(&mut self, step: Step, reply: StoreReply) {
-        self.renting.writing = false;
+    pub(crate) fn on_scale_out_written(&mut self, step: Step, reply: StoreReply) {
+        self.scale_out.writing = false;
         match reply {
             StoreReply::Committed(version) => {
-                if self.cache.rents.0 < version {
-                    self.cache.rents = (version, step.book);
+                if self.cache.scale_out_intents.0 < version {
+                    self.cache.scale_out_intents = (version, step.book);
                 }
-                self.renting.desk.called(&step.calls);
+                self.scale_out.tracker.called(&step.calls);
                 for intent in step.calls {
                     if intent.inherited {
                         tracing::info!(request = %intent.name, "asking once more for what stands");
                     }
                     let request = intent.request();
-                    let pending = Pending::Rent { request: request.clone(), tries: 0 };
-                    self.cloud(CloudRequest::Rent(request), pending);
+                    let pending = Pending::ScaleOut { request: request.clone(), tries: 0 };
+                    self.cloud(CloudRequest::ScaleOut(request), pending);
                 }
             }
             // Perhaps it is durable: then the intents stand, and are met like a former holder's.
             _ => {
-                self.renting.stale = Some(self.now);
+                self.scale_out.stale = Some(self.now);
                 self.want_sync = true;
             }
         }
     }
 
-    pub(crate) fn on_rent(&mut self, request: RentRequest, tries: u32, reply: CloudReply) {
+    pub(crate) fn on_scale_out(&mut self, request: ScaleOutRequest, tries: u32, reply: CloudReply) {
         let pool =
             PoolId { machine_type: request.machine_type.clone(), zone: request.zone.clone() };
         let answer = match reply {
@@ -130,7 +137,7 @@
                 let message =
                     Message::Rented { pool: pool.to_string(), spot: request.spot, machines: names };
                 self.tell(None, message);
-                self.note_rented(&pool, request.spot, machines);
+                self.note_created_machines(&pool, request.spot, machines);
                 if short {
                     Answer::Short
                 } else {
@@ -140,16 +147,21 @@
             CloudReply::NoCapacity => Answer::Short,
             // The same name again rents nothing twice.
             _ if tries < 3 => {
-                let pending = Pending::Rent { request: request.clone(), tries: tries + 1 };
-                return self.cloud(CloudRequest::Rent(request), pending);
+                let pending = Pending::ScaleOut { request: request.clone(), tries: tries + 1 };
+                return self.cloud(CloudRequest::ScaleOut(request), pending);
             }
             _ => Answer::Unknown,
         };
-        self.renting.desk.answered(&request.request, answer, self.now);
+        self.scale_out.tracker.answered(&request.request, answer, self.now);
     }
 
     /// Machines that will come up, as the cloud has just said to us or to whoever rents.
-    pub(crate) fn note_rented(&mut self, pool: &PoolId, spot: bool, machines: Vec<MachineId>) {
+    pub(crate) fn note_created_machines(
+        &mut self,
+        pool: &PoolId,
+        spot: bool,
+        machines: Vec<MachineId>,
+    ) {
         let now = self.now;
         for id in machines {
             if !self.inventory.is_deleted(&id) {
@@ -157,18 +169,18 @@
                 self.inventory.machines.entry(id).or_insert_with(new);
             }
         }
-        self.dirty = true;
+        self.replan_needed = true;
     }
 
     /// What the machines we have and expect will not get through in time, and where it is best
     /// rented for, in processors, most first. Goes through
     /// the queue in order and lets each job take what it may use of the supply; what it lacks
-    /// then is rented in the pool that suits it best. (Renting for the sum of the queue once
+    /// then is rented in the pool that suits it best. (ScaleOutState for the sum of the queue once
     /// filled the region with machines that the waiting jobs could not use.)
     fn lacking(&self) -> Vec<((PoolId, bool), f64)> {
         let usual_wait_s = self.cfg.usual_wait_s;
         let stays = |spec: &JobSpec| (0.5 * spec.estimate_s / usual_wait_s).min(1.0);
-        let mut rooms = self.team_rooms(|live| stays(&live.record.spec));
+        let mut headroom = self.team_headroom(|live| stays(&live.record.spec));
         let mut supply: BTreeMap<(PoolId, bool), f64> = BTreeMap::new();
         for (id, m) in &self.inventory.machines {
             // One that another controller has returned is no supply. (It counted for 50 s more, and what could have
@@ -186,7 +198,7 @@
             *supply.entry((m.pool.clone(), m.spot)).or_default() += free.max(0.0);
         }
         // What stands in the record is on its way, whoever asked for it.
-        for intent in self.renting.desk.coming(&self.cache.rents.1) {
+        for intent in self.scale_out.tracker.coming(&self.cache.scale_out_intents.1) {
             let kind = self.inventory.types.get(&intent.machine_type);
             let cpus = kind.map_or(0.0, |t| t.cpus) * f64::from(intent.count);
             *supply.entry((intent.pool(), intent.spot)).or_default() += cpus;
@@ -206,9 +218,9 @@
             let all = f64::from(unclaimed) * spec.cpus;
             let mut lack = all.min(all * run / target).max(spec.cpus);
             // Nothing is rented for what its team's limit will not let start.
-            if let Some(room) = rooms.get_mut(&spec.team) {
-                lack = lack.min(*room).max(0.0);
-                *room -= lack;
+            if let Some(headroom) = headroom.get_mut(&spec.team) {
+                lack = lack.min(*headroom).max(0.0);
+                *headroom -= lack;
             }
             // Of a spread job, each zone can take only half.
             let mut zones: BTreeMap<ZoneId, f64> = BTreeMap::new();
@@ -235,7 +247,7 @@
     }
 
     /// How long the tasks of a job may still wait if it is to meet what is expected of it.
-    fn slack_s(&self, live: &crate::cache::Live) -> f64 {
+    fn slack_s(&self, live: &crate::cache::CachedJob) -> f64 {
         let spec = &live.record.spec;
         let elapsed = self.wall_ms.saturating_sub(live.record.accepted_ms) as f64 / 1000.0;
         let aims = self.cfg.aims.iter().filter(|a| a.class == spec.class);
@@ -250,7 +262,7 @@
     /// Where to rent for a job: cheap per processor, soon up, and not all in one place.
     fn best_offer(
         &self,
-        live: &crate::cache::Live,
+        live: &crate::cache::CachedJob,
         lacking: &BTreeMap<(PoolId, bool), f64>,
         zones: &BTreeMap<ZoneId, f64>,
         per_zone: f64,
@@ -266,9 +278,9 @@
             }
             for spot in [true, false] {
                 let key = (pool.clone(), spot);
-                let book = &self.cache.rents.1;
+                let book = &self.cache.scale_out_intents.1;
                 let refused = book.is_refused(&pool, spot, self.wall_ms)
-                    || self.renting.desk.was_short(book, &pool, spot);
+                    || self.scale_out.tracker.was_short(book, &pool, spot);
                 if (spot && !live.record.spec.spot) || refused {
                     continue;
                 }
--- a/crates/cleatfold-control/src/schedule.rs
+++ b/crates/cleatfold-control/src/schedule.rs
@@ -1,15 +1,15 @@
 //! From the mirror and the fleet to reservations, promises and claims.
 
-use crate::cache::Live;
+use crate::cache::CachedJob;
 use crate::controller::Controller;
 use crate::effects::Effect;
 use crate::inventory::Machine;
-use crate::limits::{Binding, Usage};
 use crate::queue::Queued;
-use crate::state::jobs::{Local, Wish};
-use crate::state::stops::YIELD_MS;
-use cleatfold_backfill::chart::FOREVER;
-use cleatfold_backfill::{MachineChart, Request, Reservation, Timeline};
+use crate::quota::{Binding, Usage};
+use crate::state::evictions::YIELD_MS;
+use crate::state::jobs::{LocalJobState, PlacementRequest};
+use cleatfold_backfill::profile::FOREVER;
+use cleatfold_backfill::{AvailabilityProfile, MachineProfile, Request, Reservation};
 use cleatfold_priority::{believed, prompt_ms};
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::mesh::{Message, Promise};
@@ -27,7 +27,7 @@
 #[derive(Default)]
 pub(crate) struct Plans {
     planned: Ms,
-    told: Ms,
+    sent_at: Ms,
     /// Promises of other nodes' pools: when they came, and per job when tasks finish.
     remote: BTreeMap<PoolId, (FencingToken, Ms, BTreeMap<JobId, Finishes>)>,
 }
@@ -62,32 +62,32 @@
     pub(crate) fn plan_if_due(&mut self) {
         // Deciding faster than decisions can be recorded only costs.
         // Nor is there much to decide between the reports that tell of what has ended.
-        let least = PLAN_MS.max(self.cfg.report_ms / 15);
-        let interval = least.max(2 * self.pace.ms_per_change()) * self.stretch;
-        if !self.dirty || self.now.since(self.plans.planned) < interval {
+        let least = PLAN_MS.max(self.cfg.heartbeat_interval_ms / 15);
+        let interval = least.max(2 * self.rate_limiter.ms_per_change()) * self.backpressure;
+        if !self.replan_needed || self.now.since(self.plans.planned) < interval {
             return;
         }
         self.plans.planned = self.now;
-        self.dirty = false;
+        self.replan_needed = false;
         // What is not on its way yet is wished anew, by what is known now.
         for job in &self.unsent {
-            if let Some(local) = self.locals.get_mut(job) {
-                local.wishes.clear();
+            if let Some(job_state) = self.job_states.get_mut(job) {
+                job_state.placement_requests.clear();
             }
         }
         if self.owned_since.is_empty() {
             return;
         }
         let (queue, guaranteed) = self.queue_and_guaranteed();
-        self.see_lanes(&queue);
+        self.refresh_priority(&queue);
         let usage = self.limited_usage();
-        let plans = self.chart_pools(&queue, &usage);
+        let plans = self.plan_pools(&queue, &usage);
         self.start_what_is_due(&queue, &plans, usage);
-        self.make_room(&plans, &guaranteed);
+        self.plan_preemptions(&plans, &guaranteed);
         self.tell_promises(&plans);
     }
 
-    fn chart_pools(&self, queue: &[Queued], usage: &Usage) -> Vec<PoolPlan> {
+    fn plan_pools(&self, queue: &[Queued], usage: &Usage) -> Vec<PoolPlan> {
         let pools: Vec<(PoolId, FencingToken)> = self
             .owned_since
             .iter()
@@ -99,13 +99,14 @@
         let long = self.long_work();
         for (pool, token) in pools {
             let members = by_pool.get(&pool).map(Vec::as_slice).unwrap_or_default();
-            let mut binding = self.binding_limits(&pool, members.len(), usage, &long.rooms);
-            let (machines, mut charts) = self.charts(&pool, token, members, &mut binding);
+            let mut binding = self.binding_limits(&pool, members.len(), usage, &long.limits);
+            let (machines, mut profiles) = self.profiles(&pool, token, members, &mut binding);
             if machines.is_empty() {
                 continue;
             }
-            let mut limits: Vec<Timeline> = binding.iter().map(|b| b.over_time(self.now)).collect();
-            let open = charts.iter().map(|c| c.open).collect();
+            let mut limits: Vec<AvailabilityProfile> =
+                binding.iter().map(|b| b.over_time(self.now)).collect();
+            let open = profiles.iter().map(|c| c.open).collect();
             let mut plan = PoolPlan {
                 pool,
                 token,
@@ -118,7 +119,7 @@
             };
             self.requests_for(&mut plan, queue, &binding, &long.later);
             plan.reservations =
-                cleatfold_backfill::plan(&mut charts, &mut limits, &plan.requests, CHUNKS);
+                cleatfold_backfill::plan(&mut profiles, &mut limits, &plan.requests, CHUNKS);
             plans.push(plan);
         }
         plans
@@ -126,87 +127,88 @@
 
     /// A silent machine gets nothing new.
     pub(crate) fn silent_ms(&self) -> u64 {
-        self.cfg.report_ms * 5 / 2 + 500
+        self.cfg.heartbeat_interval_ms * 5 / 2 + 500
     }
 
-    fn charts(
+    fn profiles(
         &self,
         pool: &PoolId,
         token: FencingToken,
         members: &[(&MachineId, &Machine)],
         binding: &mut [Binding],
-    ) -> (Vec<MachineId>, Vec<MachineChart>) {
+    ) -> (Vec<MachineId>, Vec<MachineProfile>) {
         let now = self.now;
         let total = self.inventory.total(&pool.machine_type);
         let Some(kind) = self.inventory.types.get(&pool.machine_type) else {
             return (vec![], vec![]);
         };
         let mut ids = Vec::new();
-        let mut charts = Vec::new();
+        let mut profiles = Vec::new();
         for &(id, m) in members {
             if !m.takes_work() {
                 continue;
             }
-            let mut chart = match &m.report {
+            let mut profile = match &m.report {
                 Some(r) => {
                     if now.since(r.at) > self.silent_ms() {
                         continue;
                     }
                     // The gate: this worker has seen our token, so nobody else commands it.
-                    MachineChart::new(now, total, m.spot, r.token == token)
+                    MachineProfile::new(now, total, m.spot, r.token == token)
                 }
                 None => {
                     let booted = m.born.plus_s(kind.boot_s * 1.2);
                     if now.since(m.born) > (kind.boot_s * 3000.0) as u64 + 10_000 {
                         continue;
                     }
-                    MachineChart::new(booted.max(now.plus(2000)), total, m.spot, false)
+                    MachineProfile::new(booted.max(now.plus(2000)), total, m.spot, false)
                 }
             };
-            chart.fetch_gb_per_s = kind.fetch_gb_per_s;
+            profile.fetch_gb_per_s = kind.fetch_gb_per_s;
             let price = if m.spot { kind.spot_price } else { kind.price };
-            chart.cost = (price / kind.cpus.max(0.001) * 1e6) as u64;
-            chart.images = m.images.iter().map(|(image, _)| (image.clone(), now)).collect();
+            profile.cost = (price / kind.cpus.max(0.001) * 1e6) as u64;
+            profile.images = m.images.iter().map(|(image, _)| (image.clone(), now)).collect();
             // Claims come sorted by job: one look-up serves all of a job's.
-            let mut known: Option<(&JobId, &Live, Option<&Local>, Option<usize>)> = None;
+            let mut known: Option<(&JobId, &CachedJob, Option<&LocalJobState>, Option<usize>)> =
+                None;
             let mut noted: Option<&JobId> = None;
             for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
-                let (live, local, limit) = match known {
-                    Some((last, live, local, limit)) if last == job => (live, local, limit),
+                let (live, job_state, limit) = match known {
+                    Some((last, live, job_state, limit)) if last == job => (live, job_state, limit),
                     _ => {
                         let Some(live) = self.cache.jobs.get(job) else { continue };
                         let limit = binding.iter().position(|b| b.binds(&live.record.spec));
-                        (live, self.locals.get(job), limit)
+                        (live, self.job_states.get(job), limit)
                     }
                 };
-                known = Some((job, live, local, limit));
+                known = Some((job, live, job_state, limit));
                 // Its room is free though its end is not recorded yet. (Waiting for the record
                 // left every place empty for seconds when changes run short.)
-                if local.is_some_and(|l| l.is_ending(*ix, claim.attempt)) {
+                if job_state.is_some_and(|l| l.is_ending(*ix, claim.attempt)) {
                     if let Some(limit) = limit {
                         binding[limit].ends(now, now.plus(1000), live.each);
                     }
                     continue;
                 }
-                let end = self.expected_end(id, m, (job, *ix), live, local);
+                let end = self.expected_end(id, m, (job, *ix), live, job_state);
                 if let Some(limit) = limit {
                     binding[limit].ends(now, end, live.each);
                 }
-                chart.carve(now, end, live.each);
+                profile.carve(now, end, live.each);
                 let image = &live.record.spec.image;
-                if noted != Some(job) && !chart.images.iter().any(|(i, _)| i == image) {
+                if noted != Some(job) && !profile.images.iter().any(|(i, _)| i == image) {
                     let ready = now.plus_s(live.record.spec.image_gb / kind.fetch_gb_per_s);
-                    chart.images.push((image.clone(), ready));
+                    profile.images.push((image.clone(), ready));
                 }
                 noted = Some(job);
             }
             ids.push((*id).clone());
-            charts.push(chart);
+            profiles.push(profile);
         }
-        (ids, charts)
+        (ids, profiles)
     }
 
-    fn run_ms(&self, live: &Live) -> u64 {
+    fn run_ms(&self, live: &CachedJob) -> u64 {
         if live.record.spec.kind == Kind::Service {
             return FOREVER;
         }
@@ -223,14 +225,14 @@
         machine_id: &MachineId,
         machine: &crate::inventory::Machine,
         (job, ix): (&JobId, TaskIx),
-        live: &Live,
-        local: Option<&Local>,
+        live: &CachedJob,
+        job_state: Option<&LocalJobState>,
     ) -> Ms {
         let run = self.run_ms(live);
         if run >= FOREVER {
             return Ms(FOREVER);
         }
-        if let Some(stop) = self.stops.get(machine_id, job, ix) {
+        if let Some(stop) = self.evictions.get(machine_id, job, ix) {
             return stop.until.max(self.now.plus(200));
         }
         if let Some(width) = live.width() {
@@ -239,7 +241,7 @@
             let beyond = ix >= live.beyond;
             return self.now.plus(if beyond { width.yield_ms(YIELD_MS) } else { run });
         }
-        let saved = local.and_then(|l| l.saved.get(&ix)).copied().unwrap_or(0);
+        let saved = job_state.and_then(|l| l.saved.get(&ix)).copied().unwrap_or(0);
         let run = run.saturating_sub(saved);
         match machine.started.get(&(job.clone(), ix)) {
             Some(start) => {
@@ -251,11 +253,11 @@
                     self.now.plus((ran / 5).max(2000))
                 }
             }
-            None => self.now.plus(run + self.cfg.report_ms),
+            None => self.now.plus(run + self.cfg.heartbeat_interval_ms),
         }
     }
 
-    pub(crate) fn may_use(&self, live: &Live, pool: &PoolId) -> bool {
+    pub(crate) fn may_use(&self, live: &CachedJob, pool: &PoolId) -> bool {
         let spec = &live.record.spec;
         spec.types.as_ref().is_none_or(|t| t.contains(&pool.machine_type))
             && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
@@ -271,20 +273,20 @@
         later: &BTreeSet<JobId>,
     ) {
         let pool = &plan.pool;
-        for Queued { job: id, lane, tasks: unclaimed, growth } in queue {
+        for Queued { job: id, urgency, tasks: unclaimed, growth } in queue {
             let Some(live) = self.cache.jobs.get(id) else {
                 continue;
             };
             if !self.may_use(live, pool) || later.contains(id) {
                 continue;
             }
-            let local = self.locals.get(id);
-            if local.is_some_and(|l| l.hold_until > self.now) {
+            let job_state = self.job_states.get(id);
+            if job_state.is_some_and(|l| l.hold_until > self.now) {
                 continue;
             }
             // Not sent anywhere yet (a new job, or no leader): any pool may plan for it.
-            let sent = local.map(|l| l.pools.as_slice()).unwrap_or_default();
-            if !self.lanes.considers(*lane, id, sent, pool, self.now) {
+            let sent = job_state.map(|l| l.pools.as_slice()).unwrap_or_default();
+            if !self.priority.considers(*urgency, id, sent, pool, self.now) {
                 continue;
             }
             let spec = &live.record.spec;
@@ -309,16 +311,16 @@
                 spot: spec.spot,
                 gang: spec.kind == Kind::Gang,
                 limit: limited.iter().position(|b| b.binds(spec)),
-                prompt_ms: prompt_ms(*lane, spec.estimate_s),
-                avoid: self.barred(id, *lane, plan),
+                prompt_ms: prompt_ms(*urgency, spec.estimate_s),
+                avoid: self.barred(id, *urgency, plan),
             });
         }
     }
 
     /// Machines on which the job has failed, or on which room is kept for others.
-    fn barred(&self, id: &JobId, lane: Urgency, plan: &PoolPlan) -> Vec<usize> {
+    fn barred(&self, id: &JobId, urgency: Urgency, plan: &PoolPlan) -> Vec<usize> {
         let mut barred = self.avoided(id, &plan.machines);
-        barred.extend(self.lanes.kept_from(&plan.pool, (id, lane), &plan.machines));
+        barred.extend(self.priority.kept_from(&plan.pool, (id, urgency), &plan.machines));
         barred
     }
 
@@ -371,10 +373,12 @@
             if remaining == 0 {
                 continue;
             }
-            let local = self.locals.get(job);
-            if local.is_some_and(|l| l.busy || l.stale_since.is_some() || l.not_before > self.now) {
+            let job_state = self.job_states.get(job);
+            if job_state
+                .is_some_and(|l| l.busy || l.stale_since.is_some() || l.not_before > self.now)
+            {
                 // One transaction per job at a time; the plan comes round again.
-                self.dirty = true;
+                self.replan_needed = true;
                 continue;
             }
             if elsewhere >= remaining {
@@ -384,8 +388,8 @@
                 continue;
             };
             // Something above its lane may be unread in a pool that has just come.
-            if live.record.spec.urgency > self.lanes.lowest(&plan.pool) {
-                self.dirty = true;
+            if live.record.spec.urgency > self.priority.lowest(&plan.pool) {
+                self.replan_needed = true;
                 continue;
             }
             let mut tasks = r.tasks.min(remaining);
@@ -407,7 +411,7 @@
                 continue;
             }
             left.insert(job, remaining - tasks);
-            let wish = Wish {
+            let placement = PlacementRequest {
                 machine: plan.machines[r.machine].clone(),
                 pool: plan.pool.clone(),
                 token: plan.token,
@@ -415,9 +419,9 @@
             };
             let job = job.clone();
             if plan.growth[r.request] {
-                tracing::debug!(job = %job, tasks = wish.tasks, pool = %wish.pool, "growing");
+                tracing::debug!(job = %job, tasks = placement.tasks, pool = %placement.pool, "growing");
             }
-            self.local(&job).wishes.push(wish);
+            self.job_state(&job).placement_requests.push(placement);
             self.note_unsent(&job);
         }
     }
@@ -437,11 +441,11 @@
             let current = self.cache.pools.get(pool).is_some_and(|h| h.token <= *token)
                 && !self.owned_since.contains_key(pool);
             if current {
-                let (told_ms, lives) = (self.now.since(*at), self.lanes.lives(pool));
+                let (age_ms, lives) = (self.now.since(*at), self.priority.lives(pool));
                 for (job, finishes) in jobs {
                     let live = self.cache.jobs.get(job);
-                    let lane = live.map_or(Urgency::BestEffort, |l| l.record.spec.urgency);
-                    if !believed(lane, told_ms, lives) {
+                    let urgency = live.map_or(Urgency::BestEffort, |l| l.record.spec.urgency);
+                    if !believed(urgency, age_ms, lives) {
                         continue;
                     }
                     let known = promises.entry(job).or_default();
@@ -462,10 +466,10 @@
     }
 
     fn tell_promises(&mut self, plans: &[PoolPlan]) {
-        if self.now.since(self.plans.told) < PROMISE_MS * self.stretch.min(4) {
+        if self.now.since(self.plans.sent_at) < PROMISE_MS * self.backpressure.min(4) {
             return;
         }
-        self.plans.told = self.now;
+        self.plans.sent_at = self.now;
         for plan in plans {
             let mut jobs: BTreeMap<&JobId, Vec<(u64, u32)>> = BTreeMap::new();
             for r in &plan.reservations {
--- a/crates/cleatfold-control/src/state/admission.rs
+++ b/crates/cleatfold-control/src/state/admission.rs
@@ -1,14 +1,14 @@
 //! What each group asks for and what there was to give, as one controller has measured it.
 
-use crate::cache::Live;
-use cleatfold_admission::room::{Asks, Room};
-use cleatfold_admission::{bands, Entry, Group, Judge, Meter};
+use crate::cache::CachedJob;
+use cleatfold_admission::long_work_limit::{Asks, LongWorkLimit};
+use cleatfold_admission::{size_classes, Entry, Group, Judge, Meter};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Between two measurements, in milliseconds.
-pub(crate) const LOOK_MS: u64 = 1000;
+pub(crate) const MEASUREMENT_INTERVAL_MS: u64 = 1000;
 /// The number of machines counts as settled when it has not grown for so long.
 pub(crate) const SETTLED_MS: u64 = 20_000;
 
@@ -19,7 +19,7 @@
     pub judge: Judge,
     /// Jobs that are in the meter.
     seen: BTreeSet<JobId>,
-    pub looked: Ms,
+    pub last_checked: Ms,
     pub written: Ms,
     pub inflight: bool,
     /// Processors there were, over the last moments.
@@ -32,7 +32,7 @@
 
 impl Admission {
     /// Measures the jobs that have come since, at `wall_s` by the time of day.
-    pub fn note_arrivals(&mut self, jobs: &BTreeMap<JobId, Live>, wall_s: f64) {
+    pub fn note_arrivals(&mut self, jobs: &BTreeMap<JobId, CachedJob>, wall_s: f64) {
         self.seen.retain(|id| jobs.contains_key(id));
         for (id, live) in jobs {
             if self.seen.contains(id) {
@@ -52,7 +52,8 @@
     pub fn note_capacity(&mut self, now: Ms, processors: f64) {
         let history = &mut self.capacity;
         history.push_back((now, processors));
-        while history.front().is_some_and(|h| now.since(h.0) > SETTLED_MS + LOOK_MS) {
+        while history.front().is_some_and(|h| now.since(h.0) > SETTLED_MS + MEASUREMENT_INTERVAL_MS)
+        {
             history.pop_front();
         }
     }
@@ -73,7 +74,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct LongWork {
     /// What each team's may hold.
-    pub rooms: BTreeMap<TeamId, Room>,
+    pub limits: BTreeMap<TeamId, LongWorkLimit>,
     /// Jobs that wait for earlier ones of their team.
     pub later: BTreeSet<JobId>,
 }
@@ -81,7 +82,7 @@
 impl LongWork {
     /// Whether a job is long beside what others of its team ask for.
     pub fn is_long(&self, spec: &JobSpec) -> bool {
-        self.rooms.get(&spec.team).is_some_and(|r| r.is_long(spec.estimate_s))
+        self.limits.get(&spec.team).is_some_and(|r| r.is_long(spec.estimate_s))
     }
 }
 
@@ -92,11 +93,16 @@
 }
 
 /// What of a job of an upper band decides how much of it goes before everybody else's.
-pub(crate) fn of_a_band(entry: &Entry, id: &JobId, live: &Live, begin_ms: u64) -> bands::Waiting {
+pub(crate) fn size_class_demand(
+    entry: &Entry,
+    id: &JobId,
+    live: &CachedJob,
+    begin_ms: u64,
+) -> size_classes::Waiting {
     let spec = &live.record.spec;
     let each = live.each.cpus;
     let within_s = entry.patience_ms.max(begin_ms) as f64 / 1000.0;
-    bands::Waiting {
+    size_classes::Waiting {
         accepted_ms: live.record.accepted_ms,
         turn: xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes()),
         begun: live.claimed + live.done > 0,
@@ -107,7 +113,7 @@
         // A gang is whole or nothing.
         width: match spec.kind {
             Kind::Gang => live.each.times(spec.tasks).cpus,
-            _ => bands::width(spec.tasks, each, spec.estimate_s, within_s),
+            _ => size_classes::width(spec.tasks, each, spec.estimate_s, within_s),
         },
     }
 }
--- a/crates/cleatfold-control/src/state/cancellations.rs
+++ b/crates/cleatfold-control/src/state/cancellations.rs
@@ -8,5 +8,5 @@
 pub(crate) struct Cancellations {
     pub broadcast: CancellationBroadcast,
     /// When it was last looked what has to be told again.
-    pub looked: Ms,
+    pub last_checked: Ms,
 }
--- a/crates/cleatfold-control/src/state/stops.rs
+++ b/crates/cleatfold-control/src/state/evictions.rs
@@ -13,7 +13,7 @@
 
 /// One task that was told to leave.
 #[derive(Clone, Debug)]
-pub(crate) struct Stop {
+pub(crate) struct Eviction {
     pub attempt: Attempt,
     /// When its place should be free.
     pub until: Ms,
@@ -22,8 +22,8 @@
 
 /// Tasks of our machines that are told to leave, and for whom.
 #[derive(Debug, Default)]
-pub(crate) struct Stops {
-    tasks: BTreeMap<MachineId, BTreeMap<(JobId, TaskIx), Stop>>,
+pub(crate) struct Evictions {
+    tasks: BTreeMap<MachineId, BTreeMap<(JobId, TaskIx), Eviction>>,
     coming: Vec<ComingPlaces>,
 }
 
@@ -37,14 +37,14 @@
     until: Ms,
 }
 
-impl Stops {
-    pub fn get(&self, machine: &MachineId, job: &JobId, ix: TaskIx) -> Option<&Stop> {
+impl Evictions {
+    pub fn get(&self, machine: &MachineId, job: &JobId, ix: TaskIx) -> Option<&Eviction> {
         // Nearly always there is none at all.
         self.tasks.get(machine)?.get(&(job.clone(), ix))
     }
 
-    pub fn insert(&mut self, machine: &MachineId, job: &JobId, ix: TaskIx, stop: Stop) {
-        self.tasks.entry(machine.clone()).or_default().insert((job.clone(), ix), stop);
+    pub fn insert(&mut self, machine: &MachineId, job: &JobId, ix: TaskIx, eviction: Eviction) {
+        self.tasks.entry(machine.clone()).or_default().insert((job.clone(), ix), eviction);
     }
 
     /// Whether any task of the machine is to leave.
--- a/crates/cleatfold-control/src/state/image_distribution.rs
+++ b/crates/cleatfold-control/src/state/image_distribution.rs
@@ -1,6 +1,6 @@
 //! The distribution of images that many machines want at once, as one controller keeps it.
 
-use crate::cache::Live;
+use crate::cache::CachedJob;
 use crate::inventory::Machine;
 use cleatfold_image_distribution::ImageDistributor;
 use cleatfold_wire::worker::TaskState;
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ImageDistribution {
     pub distributor: ImageDistributor,
-    pub looked: Ms,
+    pub last_checked: Ms,
     pub slots_at: Ms,
     pub slots_inflight: bool,
     /// Machines whose slot the change that is on its way gives back.
@@ -47,7 +47,7 @@
     pub fn note_ran(
         &mut self,
         machines: &BTreeMap<MachineId, Machine>,
-        jobs: &BTreeMap<JobId, Live>,
+        jobs: &BTreeMap<JobId, CachedJob>,
     ) {
         self.ran.retain(|id, _| machines.contains_key(id));
         for (id, machine) in machines {
--- a/crates/cleatfold-control/src/state/jobs.rs
+++ b/crates/cleatfold-control/src/state/jobs.rs
@@ -3,7 +3,7 @@
 use crate::event_number::EventNumber;
 use crate::records::{ArchiveRecord, JobRecord, PART};
 use crate::state::sent::Sent;
-use crate::state::steps::{Asked, Judged};
+use crate::state::steps::{JudgedReports, MemberReport};
 use cleatfold_wire::losses::LossCause;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
@@ -11,7 +11,7 @@
 
 /// A claim that is over, with proof.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct End {
+pub(crate) struct ClaimEnd {
     pub machine: MachineId,
     pub ix: TaskIx,
     pub attempt: Attempt,
@@ -26,7 +26,7 @@
     pub fence: Option<(PoolId, FencingToken)>,
 }
 
-impl End {
+impl ClaimEnd {
     /// Whether a start was lost, and how: what a team wants to hear of.
     pub fn loss(&self) -> Option<LossCause> {
         match self.why {
@@ -43,7 +43,7 @@
 
 /// Tasks to be claimed for one machine.
 #[derive(Clone, Debug)]
-pub(crate) struct Wish {
+pub(crate) struct PlacementRequest {
     pub machine: MachineId,
     pub pool: PoolId,
     pub token: FencingToken,
@@ -52,15 +52,15 @@
 
 /// What this node keeps about a job beside its record.
 #[derive(Debug, Default)]
-pub(crate) struct Local {
+pub(crate) struct LocalJobState {
     pub busy: bool,
     /// Someone else changed it; nothing is sent before the next reading.
     pub stale_since: Option<EventNumber>,
     pub not_before: Ms,
     /// Since when something of it has waited to be recorded.
     pub unsent_since: Option<Ms>,
-    pub ends: Vec<End>,
-    pub wishes: Vec<Wish>,
+    pub ends: Vec<ClaimEnd>,
+    pub placement_requests: Vec<PlacementRequest>,
     pub abort: bool,
     pub withdrawals: Vec<u64>,
     pub hold_until: Ms,
@@ -71,7 +71,7 @@
     /// Progress that is saved, per task, in milliseconds of run time.
     pub saved: BTreeMap<TaskIx, u64>,
     /// Members' reports that wait to be recorded.
-    pub asked: Vec<Asked>,
+    pub member_reports: Vec<MemberReport>,
     /// All steps are finished and all members gone.
     pub over: bool,
     /// When a member last gave way.
@@ -80,50 +80,52 @@
     pub stopped: BTreeMap<TaskIx, u32>,
 }
 
-impl Local {
+impl LocalJobState {
     pub(crate) fn is_ending(&self, ix: TaskIx, attempt: Attempt) -> bool {
         self.ends.iter().any(|e| e.ix == ix && e.attempt == attempt)
     }
 
     /// Something waits to be recorded.
-    pub(crate) fn has_news(&self) -> bool {
+    pub(crate) fn has_updates(&self) -> bool {
         self.abort
             || self.over
-            || !(self.ends.is_empty() && self.wishes.is_empty() && self.asked.is_empty())
+            || !(self.ends.is_empty()
+                && self.placement_requests.is_empty()
+                && self.member_reports.is_empty())
     }
 }
 
 /// A transaction on a job's records whose outcome is not known yet.
 #[derive(Debug)]
-pub(crate) struct JobTx {
+pub(crate) struct JobTransaction {
     pub job: JobId,
     pub txn: Txn,
     /// The outcome of an earlier sending is unknown.
     pub doubtful: bool,
     /// When it was sent first.
     pub sent: Sent,
-    pub ends: Vec<End>,
-    pub claims: Vec<(Wish, Vec<(TaskIx, Attempt)>)>,
+    pub ends: Vec<ClaimEnd>,
+    pub claims: Vec<(PlacementRequest, Vec<(TaskIx, Attempt)>)>,
     pub withdrawals: Vec<u64>,
     pub result: Outcome,
-    pub steps: Judged,
+    pub steps: JudgedReports,
 }
 
 /// What becomes of the job with the transaction.
 #[derive(Debug)]
 pub(crate) enum Outcome {
-    Live { aborted: bool },
+    Active { aborted: bool },
     Ended(ArchiveRecord),
 }
 
-impl JobTx {
+impl JobTransaction {
     /// The claims this transaction would make: pool and number of tasks.
     pub(crate) fn claimed(&self) -> impl Iterator<Item = (PoolId, u32)> + '_ {
-        self.claims.iter().map(|(wish, tasks)| (wish.pool.clone(), tasks.len() as u32))
+        self.claims.iter().map(|(placement, tasks)| (placement.pool.clone(), tasks.len() as u32))
     }
 
     pub(crate) fn names(&self, machine: &MachineId) -> bool {
-        self.claims.iter().any(|(wish, _)| wish.machine == *machine)
+        self.claims.iter().any(|(placement, _)| placement.machine == *machine)
     }
 }
 
--- a/crates/cleatfold-control/src/state/losses.rs
+++ b/crates/cleatfold-control/src/state/losses.rs
@@ -29,7 +29,7 @@
 /// The logs of the teams whose workspaces we keep.
 #[derive(Default)]
 pub(crate) struct Losses {
-    pub looked: Ms,
+    pub last_checked: Ms,
     pub reading: bool,
     /// How jobs ended is to be read once more from a while back on.
     pub back: bool,
@@ -95,7 +95,7 @@
 impl Log {
     /// Adds those of a job's losses that are not known yet to what has to be written.
     pub fn find(&mut self, now: Ms, job: &JobId, list: &LossList) {
-        for loss in list.told(job) {
+        for loss in list.entries(job) {
             let start = (job.clone(), loss.task.ix, loss.attempt);
             if self.known.len() < KNOWN && self.known.insert(start) {
                 self.waiting.push((now, loss));
--- a/crates/cleatfold-control/src/state/mod.rs
+++ b/crates/cleatfold-control/src/state/mod.rs
@@ -5,14 +5,14 @@
 
 pub(crate) mod admission;
 pub(crate) mod cancellations;
+pub(crate) mod evictions;
 pub(crate) mod format;
 pub(crate) mod image_distribution;
 pub(crate) mod jobs;
-pub(crate) mod lanes;
 pub(crate) mod losses;
-pub(crate) mod reach;
+pub(crate) mod priority;
+pub(crate) mod reachability;
 pub(crate) mod sent;
 pub(crate) mod steps;
-pub(crate) mod stops;
 pub(crate) mod teams;
 pub(crate) mod workspaces;
--- a/crates/cleatfold-control/src/state/steps.rs
+++ b/crates/cleatfold-control/src/state/steps.rs
@@ -4,7 +4,7 @@
 
 use crate::cache::ProgressMap;
 use crate::records::*;
-use cleatfold_elastic::{Ledger, Members, Part, Progress, Verdict};
+use cleatfold_elastic::{Members, Part, Progress, StepAccounts, Verdict};
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
@@ -14,7 +14,7 @@
 
 /// A member's report that waits to be recorded.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct MemberReport {
     pub rid: u64,
     pub report: Box<StepReport>,
     pub arrived: Ms,
@@ -24,39 +24,44 @@
 
 /// What a transaction makes of reports.
 #[derive(Debug, Default)]
-pub(crate) struct Judged {
-    pub told: Vec<(Asked, Verdict)>,
+pub(crate) struct JudgedReports {
+    pub verdicts: Vec<(MemberReport, Verdict)>,
     pub changes: Vec<(u32, Part)>,
     pub complete: bool,
     pub finished: u32,
 }
 
-/// Judges as many reports as fit into one transaction; the others stay in `asked`.
+/// Judges as many reports as fit into one transaction; the others stay in `member_reports`.
 pub(crate) fn judge(
     progress: Progress,
     record: &JobRecord,
-    asked: &mut Vec<Asked>,
+    member_reports: &mut Vec<MemberReport>,
     parts: usize,
-) -> Judged {
+) -> JudgedReports {
     let members: Members =
         record.table.claims.iter().flat_map(|g| g.tasks.iter().copied()).collect();
-    let mut ledger = Ledger::new(progress, &members, members.len() as u32);
-    let mut told = Vec::new();
-    let mut waiting = std::mem::take(asked).into_iter();
+    let mut accounts = StepAccounts::new(progress, &members, members.len() as u32);
+    let mut verdicts = Vec::new();
+    let mut waiting = std::mem::take(member_reports).into_iter();
     // A report changes its own parts and at most two that it is given steps of.
-    while ledger.touched() + 2 < parts.max(3) {
+    while accounts.touched() + 2 < parts.max(3) {
         let Some(next) = waiting.next() else { break };
-        let verdict = ledger.report(&next.report);
-        told.push((next, verdict));
+        let verdict = accounts.report(&next.report);
+        verdicts.push((next, verdict));
     }
-    asked.extend(waiting);
-    let (changes, progress) = ledger.into_changes();
+    member_reports.extend(waiting);
+    let (changes, progress) = accounts.into_changes();
     let (complete, finished) = (progress.is_complete(), progress.finished());
-    Judged { told, changes, complete, finished }
+    JudgedReports { verdicts, changes, complete, finished }
 }
 
 /// Adds the changes of a job's progress to its transaction.
-pub(crate) fn write(txn: &mut Txn, job: &JobId, known: Option<&ProgressMap>, judged: &Judged) {
+pub(crate) fn write(
+    txn: &mut Txn,
+    job: &JobId,
+    known: Option<&ProgressMap>,
+    judged: &JudgedReports,
+) {
     for (number, part) in &judged.changes {
         let version = known.and_then(|p| p.get(number)).map(|p| p.0).unwrap_or_default();
         txn.guard(progress_key(job, *number), version);
@@ -65,6 +70,6 @@
 }
 
 /// Nothing in the reports presses: members go on working meanwhile.
-pub(crate) fn can_gather(asked: &[Asked], now: Ms) -> bool {
-    asked.iter().all(|a| !a.idle && now.since(a.arrived) < GATHER_MS)
+pub(crate) fn can_gather(member_reports: &[MemberReport], now: Ms) -> bool {
+    member_reports.iter().all(|a| !a.idle && now.since(a.arrived) < GATHER_MS)
 }
--- a/crates/cleatfold-control/src/state/teams.rs
+++ b/crates/cleatfold-control/src/state/teams.rs
@@ -84,7 +84,7 @@
 
 /// A history that is being read.
 #[derive(Debug)]
-pub(crate) struct Turning {
+pub(crate) struct HistoryRead {
     pub rid: u64,
     pub team: TeamId,
     pub since: u64,
--- a/crates/cleatfold-control/src/state/workspaces.rs
+++ b/crates/cleatfold-control/src/state/workspaces.rs
@@ -4,7 +4,7 @@
 use cleatfold_roles::Vacancies;
 use cleatfold_wire::store::{Item, Txn};
 use cleatfold_wire::*;
-use cleatfold_workspace::{End, Ended};
+use cleatfold_workspace::{Ended, JobEnd};
 use std::collections::BTreeMap;
 
 /// Which teams' workspaces are ours, and how far their histories are written.
@@ -15,7 +15,7 @@
     pub ended: Ended,
     /// The whole archive is being gone through.
     pub listing: Option<Listing>,
-    pub looked: Ms,
+    pub last_checked: Ms,
     pub wrote: Ms,
     pub followed: Ms,
     /// Nothing is taken or given before a reading sent after this.
@@ -28,14 +28,14 @@
     pub writing: bool,
     /// Nothing is written before a reading sent after this.
     pub unsure: Option<Ms>,
-    pub looked_for_old: Ms,
-    pub looking: bool,
+    pub retention_checked_at: Ms,
+    pub retention_running: bool,
     /// Groups that go with the next change, and the first entry that stays.
     pub gone: (Vec<u64>, u64),
 }
 
 /// Ended jobs by the revision that ended them.
-type Found = BTreeMap<(u64, JobId), End>;
+type Found = BTreeMap<(u64, JobId), JobEnd>;
 
 /// A reading of the whole archive, page by page.
 #[derive(Default)]
--- a/crates/cleatfold-control/src/steps.rs
+++ b/crates/cleatfold-control/src/steps.rs
@@ -6,10 +6,10 @@
 //! record, which holds the members' claims, and of each part of the progress that it changes:
 //! a report of a member whose claim has ended meanwhile fails, and is judged anew.
 
-use crate::cache::Live;
-use crate::controller::{Controller, Wait};
+use crate::cache::CachedJob;
+use crate::controller::{Controller, WaitReason};
 use crate::effects::*;
-use crate::state::steps::Asked;
+use crate::state::steps::MemberReport;
 use cleatfold_elastic::Verdict;
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::*;
@@ -31,7 +31,7 @@
 
     pub(crate) fn on_steps(&mut self, rid: u64, report: Box<StepReport>) {
         let coordinator = self.coordinator(&report.member.job);
-        if coordinator != self.cfg.me && !report.insists {
+        if coordinator != self.cfg.me && !report.generate_load {
             return self.reply(rid, Response::Redirect(Some(coordinator)));
         }
         if self.store_away() {
@@ -52,10 +52,10 @@
             && live.is_some_and(|l| !l.record.aborted && l.steps_left.is_some());
         if !stands && !read {
             // Its claim may be one that we have not read yet.
-            return self.wait(rid, job, Wait::Steps(report));
+            return self.wait(rid, job, WaitReason::Steps(report));
         }
         let why = match live {
-            None if self.terminal.get(&job).is_some() => Some("the job has ended"),
+            None if self.terminal_jobs.get(&job).is_some() => Some("the job has ended"),
             None => Some("no such job among those that run"),
             Some(live) if live.record.aborted => Some("the job is cancelled"),
             Some(live) if live.steps_left.is_none() => Some("the job is not elastic"),
@@ -72,7 +72,7 @@
         }
         let idle = report.wants > 0 && self.runs_out(&report);
         let arrived = self.now;
-        self.local(&job).asked.push(Asked { rid, report, arrived, idle });
+        self.job_state(&job).member_reports.push(MemberReport { rid, report, arrived, idle });
         self.note_unsent(&job);
     }
 
@@ -85,17 +85,17 @@
         !mine.flat_map(|h| h.from..h.to).any(|s| !reported(s))
     }
 
-    pub(crate) fn answer_steps(&mut self, told: Vec<(Asked, Verdict)>) {
-        for (asked, verdict) in told {
+    pub(crate) fn answer_steps(&mut self, verdicts: Vec<(MemberReport, Verdict)>) {
+        for (member_reports, verdict) in verdicts {
             let response = match verdict {
-                Verdict::Told(reply) => Response::Steps(reply),
+                Verdict::Accepted(reply) => Response::Steps(reply),
                 Verdict::Lost(why) => {
-                    let member = &asked.report.member;
-                    tracing::info!(%member, attempt = asked.report.attempt.0, why, "steps refused");
+                    let member = &member_reports.report.member;
+                    tracing::info!(%member, attempt = member_reports.report.attempt.0, why, "steps refused");
                     Response::refuse(409, why)
                 }
             };
-            self.reply(asked.rid, response);
+            self.reply(member_reports.rid, response);
         }
     }
 
@@ -103,8 +103,8 @@
     pub(crate) fn late_steps(&mut self, away: bool) -> Vec<u64> {
         let now = self.now;
         let mut late = Vec::new();
-        for local in self.locals.values_mut().filter(|l| !l.asked.is_empty()) {
-            local.asked.retain(|a| {
+        for job_state in self.job_states.values_mut().filter(|l| !l.member_reports.is_empty()) {
+            job_state.member_reports.retain(|a| {
                 let give_up = away || now.since(a.arrived) > ASK_MS;
                 if give_up {
                     late.push(a.rid);
@@ -129,12 +129,12 @@
         let steps =
             steps.filter(|id| live(id).is_some_and(|l| l.is_complete() && !l.record.aborted));
         // Whether any part of it has a record or not: cancelled before its first claim, it has none.
-        let cancelled = |l: &Live| l.record.aborted && l.record.in_parts() && l.claimed == 0;
+        let cancelled = |l: &CachedJob| l.record.aborted && l.record.in_parts() && l.claimed == 0;
         let parts = self.cache.jobs.iter().filter(|(_, l)| cancelled(l)).map(|(id, _)| id);
         let over: Vec<JobId> =
             steps.chain(parts).filter(|id| self.coordinator(id) == self.cfg.me).cloned().collect();
         for job in over {
-            self.local(&job).over = true;
+            self.job_state(&job).over = true;
             self.note_unsent(&job);
         }
     }
--- a/crates/cleatfold-control/src/submissions.rs
+++ b/crates/cleatfold-control/src/submissions.rs
@@ -1,11 +1,11 @@
 //! Submissions: who may, in what order they are made durable, and what became of them.
 
-use crate::controller::{Controller, Pending, Submission, Wait};
+use crate::controller::{Controller, Pending, Submission, WaitReason};
 use crate::effects::*;
 use crate::records::*;
 use crate::state::sent::Sent;
 use cleatfold_backfill::Resources;
-use cleatfold_ingress::Intake;
+use cleatfold_ingress::SubmissionQueue;
 use cleatfold_wire::job::{JobSpec, JobState, Kind};
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
@@ -20,7 +20,7 @@
 const CLAIM_BYTES: usize = 120;
 
 pub(crate) struct Submitting {
-    pub intake: Intake<TeamId, Submission>,
+    pub submission_queue: SubmissionQueue<TeamId, Submission>,
     inflight: bool,
     /// Changes that submissions were ahead of the jobs' own.
     pub ahead: usize,
@@ -28,17 +28,21 @@
 
 impl Default for Submitting {
     fn default() -> Self {
-        Self { intake: Intake::new(SUBMIT_MS), inflight: false, ahead: 0 }
+        Self { submission_queue: SubmissionQueue::new(SUBMIT_MS), inflight: false, ahead: 0 }
     }
 }
 
 impl Submitting {
     pub fn push(&mut self, submission: Submission) {
-        self.intake.push(submission.spec.team.clone(), submission.arrived.0, submission);
+        self.submission_queue.push(submission.spec.team.clone(), submission.arrived.0, submission);
     }
 
     pub fn put_back(&mut self, submission: Submission) {
-        self.intake.put_back(submission.spec.team.clone(), submission.arrived.0, submission);
+        self.submission_queue.put_back(
+            submission.spec.team.clone(),
+            submission.arrived.0,
+            submission,
+        );
     }
 
     /// The last batch is decided; the next may go.
@@ -48,26 +52,26 @@
 
     /// More than a second's worth of half of our changes waits.
     fn are_many(&self, rate: f64) -> bool {
-        self.intake.len() as f64 > rate / 2.0
+        self.submission_queue.len() as f64 > rate / 2.0
     }
 }
 
 impl Controller {
     pub(crate) fn on_submit(&mut self, rid: u64, spec: Box<JobSpec>) {
         let job = spec.id.clone();
-        if let Some(status) = self.terminal.get(&job) {
+        if let Some(status) = self.terminal_jobs.get(&job) {
             return self.reply(rid, Response::Status { code: 200, status });
         }
         if self.cache.jobs.contains_key(&job) {
-            return self.wait(rid, job, Wait::Known(spec));
+            return self.wait(rid, job, WaitReason::Known(spec));
         }
         if let Some(why) = self.impossible(&spec) {
-            return self.wait(rid, job, Wait::Impossible(why));
+            return self.wait(rid, job, WaitReason::Impossible(why));
         }
         if self.store_away() {
             return self.reply(rid, Response::later("the state service does not answer"));
         }
-        let wait_s = self.submitting.intake.wait_s(&spec.team, self.submissions_per_s());
+        let wait_s = self.submitting.submission_queue.wait_s(&spec.team, self.submissions_per_s());
         if wait_s > SUBMIT_QUEUE_S {
             // Spread by the job, or all would be back together.
             let spread = xxhash_rust::xxh3::xxh3_64(job.as_str().as_bytes()) % 4;
@@ -88,13 +92,13 @@
     /// three of four while they wait long. A job that is not accepted in time is late already, and
     /// whoever has to come back costs another request.
     fn submissions_per_s(&self) -> f64 {
-        let part = if self.submitting.are_many(self.pace.rate()) { 0.75 } else { 0.5 };
-        (self.pace.rate() * part).max(1.0)
+        let part = if self.submitting.are_many(self.rate_limiter.rate()) { 0.75 } else { 0.5 };
+        (self.rate_limiter.rate() * part).max(1.0)
     }
 
     /// So many changes are owed to the jobs after submissions took some before them.
     pub(crate) fn owed(&self, sent: usize) -> usize {
-        if self.submitting.are_many(self.pace.rate()) {
+        if self.submitting.are_many(self.rate_limiter.rate()) {
             sent.div_ceil(3)
         } else {
             sent
@@ -135,7 +139,7 @@
     /// Group commit: what came in while the last batch was under way goes together.
     /// Returns the number of changes.
     pub(crate) fn flush_submissions(&mut self) -> usize {
-        if self.submitting.inflight || self.submitting.intake.is_empty() {
+        if self.submitting.inflight || self.submitting.submission_queue.is_empty() {
             return 0;
         }
         let mut batch: Vec<Submission> = Vec::new();
@@ -145,15 +149,15 @@
         // no more at a time than half a second's worth.
         let most = (self.submissions_per_s().ceil() as usize).clamp(2, self.cfg.txn_ops);
         while batch.len() < most {
-            let Some((_, next)) = self.submitting.intake.pop(self.now.0) else { break };
+            let Some((_, next)) = self.submitting.submission_queue.pop(self.now.0) else { break };
             let job = next.spec.id.clone();
-            if let Some(status) = self.terminal.get(&job) {
+            if let Some(status) = self.terminal_jobs.get(&job) {
                 self.reply(next.rid, Response::Status { code: 200, status });
                 continue;
             }
             // Accepted elsewhere since it came.
             if self.cache.jobs.contains_key(&job) {
-                self.wait(next.rid, job, Wait::Known(next.spec));
+                self.wait(next.rid, job, WaitReason::Known(next.spec));
                 continue;
             }
             let record = JobRecord::new((*next.spec).clone(), self.wall_ms);
@@ -168,7 +172,7 @@
                 continue;
             }
             if batch.iter().any(|b| b.spec.id == job) {
-                self.wait(next.rid, job, Wait::Known(next.spec));
+                self.wait(next.rid, job, WaitReason::Known(next.spec));
                 continue;
             }
             size += length;
@@ -184,7 +188,7 @@
         let changes = txn.changes.len();
         let request = StoreRequest::Txn(txn.clone());
         self.store(
-            Lane::Submission,
+            CallPriority::Submission,
             request,
             Pending::Submit { batch, txn, sent: Sent::now(self.now) },
         );
@@ -199,10 +203,11 @@
         let accepted = |status| Response::Status { code: 201, status };
         if self.cache.jobs.get(&job).is_some_and(|live| live.version == version) {
             self.reply(rid, accepted(status(&job, JobState::Queued, 0, 0)));
-        } else if let Some(status) = self.terminal.get(&job).or_else(|| self.live_status(&job)) {
+        } else if let Some(status) = self.terminal_jobs.get(&job).or_else(|| self.live_status(&job))
+        {
             self.reply(rid, accepted(status));
         } else {
-            self.wait(rid, job, Wait::Known(spec));
+            self.wait(rid, job, WaitReason::Known(spec));
         }
     }
 
@@ -216,7 +221,7 @@
                         continue;
                     };
                     self.cache.set(&key, value.get(), version);
-                    self.local(&job);
+                    self.job_state(&job);
                     let spec = &submission.spec;
                     tracing::info!(
                         %job, class = %spec.class, team = %spec.team, tasks = spec.tasks,
@@ -225,7 +230,7 @@
                     );
                     self.answer_accepted(submission, version);
                 }
-                self.dirty = true;
+                self.replan_needed = true;
                 self.tell(None, Message::Changed);
             }
             StoreReply::Conflict(failed) => {
@@ -234,7 +239,7 @@
                     let job = submission.spec.id.clone();
                     let known = [job_key(&job), archive_key(&job)];
                     if failed.iter().any(|f| known.contains(f)) {
-                        self.wait(submission.rid, job, Wait::Known(submission.spec));
+                        self.wait(submission.rid, job, WaitReason::Known(submission.spec));
                     } else {
                         self.submitting.put_back(submission);
                     }
--- a/crates/cleatfold-control/src/teams.rs
+++ b/crates/cleatfold-control/src/teams.rs
@@ -4,15 +4,15 @@
 //! as polls are; history from the groups in the state service and, beyond them, from what has ended by such
 //! a reading. A team is told of nobody else: no ids, no names, no numbers.
 
-use crate::cache::Live;
+use crate::cache::CachedJob;
 use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::*;
 use crate::records::*;
-use crate::state::teams::{Question, Ranks, Turning};
+use crate::state::teams::{HistoryRead, Question, Ranks};
 use crate::state::workspaces::read_group;
 use cleatfold_wire::team::*;
 use cleatfold_wire::*;
-use cleatfold_workspace::page::{by_place, Paper};
+use cleatfold_workspace::page::{by_place, AnswerPage};
 use cleatfold_workspace::GROUP_MOST;
 use std::collections::BTreeSet;
 
@@ -83,14 +83,18 @@
     }
 
     /// The team's live jobs from a place on.
-    fn live_jobs(&self, team: &TeamId, since: u64) -> impl Iterator<Item = (u64, &JobId, &Live)> {
+    fn live_jobs(
+        &self,
+        team: &TeamId,
+        since: u64,
+    ) -> impl Iterator<Item = (u64, &JobId, &CachedJob)> {
         let jobs = self.cache.by_team.get(team).into_iter();
         let jobs = jobs.flat_map(move |j| j.range((since, JobId::new(""))..));
         jobs.filter_map(|(place, id)| Some((*place, id, self.cache.jobs.get(id)?)))
     }
 
     fn team_jobs(&self, team: &TeamId, since: u64) -> TeamJobs {
-        let told = self.live_jobs(team, since).filter_map(|(place, id, live)| {
+        let jobs = self.live_jobs(team, since).filter_map(|(place, id, live)| {
             let status = self.live_status(id)?;
             let spec = &live.record.spec;
             let job = LiveJob {
@@ -108,7 +112,7 @@
             };
             Some((place, job))
         });
-        let (jobs, next, more) = by_place(since, told, |job| job.why = None);
+        let (jobs, next, more) = by_place(since, jobs, |job| job.why = None);
         TeamJobs { jobs, next, more }
     }
 
@@ -117,8 +121,8 @@
         let full = self.is_limit_full(team);
         let sizes = self.inventory.sizes();
         let up: BTreeSet<&PoolId> = sizes.iter().filter(|s| *s.1 > 0).map(|s| *s.0).collect();
-        let waits = |live: &Live| !live.record.aborted && live.unclaimed() > 0;
-        let told = self.live_jobs(team, since).filter(|j| waits(j.2)).map(|(place, id, live)| {
+        let waits = |live: &CachedJob| !live.record.aborted && live.unclaimed() > 0;
+        let jobs = self.live_jobs(team, since).filter(|j| waits(j.2)).map(|(place, id, live)| {
             let spec = &live.record.spec;
             let rank = self.teams.ranks.get(id);
             let (holdup, why) = self.holdup(id, live, rank, full, &up);
@@ -134,7 +138,7 @@
             };
             (place, job)
         });
-        let (waiting, next, more) = by_place(since, told, |job| job.why = None);
+        let (waiting, next, more) = by_place(since, jobs, |job| job.why = None);
         TeamQueue { waiting, next, more }
     }
 
@@ -142,7 +146,7 @@
     fn holdup(
         &self,
         id: &JobId,
-        live: &Live,
+        live: &CachedJob,
         rank: Option<u32>,
         limit_full: bool,
         up: &BTreeSet<&PoolId>,
@@ -204,27 +208,27 @@
         }
         let since = since.max(head.first);
         if since >= head.entries {
-            let history = self.beyond_groups(&team, since, Paper::default());
+            let history = self.beyond_groups(&team, since, AnswerPage::default());
             return self.reply(rid, Response::Team(TeamAnswer::History(history)));
         }
         // The group that has it begins at most so far before it.
         let from = since.checked_sub(GROUP_MOST as u64);
         let from = from.map(|number| history_group_key(&team, number));
-        self.turn_page(Turning { rid, team, since, entries: head.entries }, from);
+        self.read_history_page(HistoryRead { rid, team, since, entries: head.entries }, from);
     }
 
-    fn turn_page(&mut self, turning: Turning, from: Option<String>) {
-        let prefix = history_prefix(&turning.team);
+    fn read_history_page(&mut self, read: HistoryRead, from: Option<String>) {
+        let prefix = history_prefix(&read.team);
         let request = StoreRequest::List { prefix, from, most: Some(GROUPS) };
-        self.store(Lane::Poll, request, Pending::TeamHistory(Box::new(turning)));
+        self.store(CallPriority::Poll, request, Pending::TeamHistory(Box::new(read)));
     }
 
-    pub(crate) fn on_team_history(&mut self, turning: Turning, reply: StoreReply) {
+    pub(crate) fn on_team_history(&mut self, read: HistoryRead, reply: StoreReply) {
         let StoreReply::Page(page) = reply else {
-            return self.reply(turning.rid, Response::store_unavailable());
+            return self.reply(read.rid, Response::store_unavailable());
         };
-        let mut paper = Paper::default();
-        let mut next = turning.since;
+        let mut answer_page = AnswerPage::default();
+        let mut next = read.since;
         for item in &page.items {
             // What cannot be read is left out; the numbers show it.
             let Some((number, group)) = read_group(item) else { continue };
@@ -232,28 +236,33 @@
                 if number < next {
                     continue;
                 }
-                if paper.fit(vec![entry.told(number)]).is_err() {
-                    let history = TeamHistory { ended: paper.entries, next, more: true };
+                if answer_page.fit(vec![entry.to_ended_job(number)]).is_err() {
+                    let history = TeamHistory { ended: answer_page.entries, next, more: true };
                     let answer = Response::Team(TeamAnswer::History(history));
-                    return self.reply(turning.rid, answer);
+                    return self.reply(read.rid, answer);
                 }
                 next = number + 1;
             }
         }
         if page.more {
-            if paper.entries.is_empty() {
+            if answer_page.entries.is_empty() {
                 let from = page.items.last().map(|i| i.key.clone());
-                return self.turn_page(turning, from);
+                return self.read_history_page(read, from);
             }
-            let history = TeamHistory { ended: paper.entries, next, more: true };
-            return self.reply(turning.rid, Response::Team(TeamAnswer::History(history)));
+            let history = TeamHistory { ended: answer_page.entries, next, more: true };
+            return self.reply(read.rid, Response::Team(TeamAnswer::History(history)));
         }
-        let history = self.beyond_groups(&turning.team, next.max(turning.entries), paper);
-        self.reply(turning.rid, Response::Team(TeamAnswer::History(history)));
+        let history = self.beyond_groups(&read.team, next.max(read.entries), answer_page);
+        self.reply(read.rid, Response::Team(TeamAnswer::History(history)));
     }
 
     /// What has ended and is in no group yet, from `next` on. Every controller numbers it alike.
-    fn beyond_groups(&self, team: &TeamId, next: u64, mut paper: Paper<EndedJob>) -> TeamHistory {
+    fn beyond_groups(
+        &self,
+        team: &TeamId,
+        next: u64,
+        mut answer_page: AnswerPage<EndedJob>,
+    ) -> TeamHistory {
         let head = self.head(team).1;
         let mut next = next;
         // A group was written since the groups were read, or the reading was lost: asked again.
@@ -263,13 +272,13 @@
                 if number < next {
                     continue;
                 }
-                if paper.fit(vec![entry.told(number)]).is_err() {
+                if answer_page.fit(vec![entry.to_ended_job(number)]).is_err() {
                     more = true;
                     break;
                 }
                 next = number + 1;
             }
         }
-        TeamHistory { ended: paper.entries, next, more }
+        TeamHistory { ended: answer_page.entries, next, more }
     }
 }
--- a/crates/cleatfold-control/src/settle.rs
+++ b/crates/cleatfold-control/src/unknown_outcomes.rs
@@ -12,11 +12,11 @@
 //! A transaction is sent again only after a reading that was sent later than it has been answered, so a service that is
 //! slow for all is not asked twice; and only while changes are plenty, so what waits for its turn is not doubled.
 
-use crate::controller::{Controller, Pending, Submission, Wait};
+use crate::controller::{Controller, Pending, Submission, WaitReason};
 use crate::effects::*;
 use crate::records::*;
-use crate::state::jobs::JobTx;
-use crate::state::sent::{Sent, Step, LOOK_MS};
+use crate::state::jobs::JobTransaction;
+use crate::state::sent::{Sent, UnansweredAction, UNANSWERED_AFTER_MS};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
 
@@ -35,30 +35,30 @@
     }
 
     /// At each tick and after each reading: takes care of transactions that have no answer yet.
-    pub(crate) fn settle_unanswered(&mut self) {
+    pub(crate) fn resolve_unanswered(&mut self) {
         if !self.loaded {
             return;
         }
         let mut steps = Vec::new();
         for (op, pending) in &self.ops {
             let Some((txn, sent)) = txn_of(pending) else { continue };
-            if self.now.since(sent.at) < LOOK_MS {
+            if self.now.since(sent.at) < UNANSWERED_AFTER_MS {
                 continue;
             }
             let step = sent.step(self.now, self.fresh, self.is_decided(txn));
-            if step != Step::Wait {
+            if step != UnansweredAction::Wait {
                 steps.push((*op, step));
             }
         }
         for (op, step) in steps {
             match step {
-                Step::Look => {
+                UnansweredAction::Read => {
                     self.want_sync = true;
-                    self.mark(op, |sent| sent.looked = true);
+                    self.mark(op, |sent| sent.queried = true);
                 }
-                Step::Resend if self.pace.ample() => self.send_once_more(op),
-                Step::Settle => self.settle_by_reading(op),
-                Step::Resend | Step::Wait => {}
+                UnansweredAction::Resend if self.rate_limiter.ample() => self.send_once_more(op),
+                UnansweredAction::Resolve => self.resolve_by_reading(op),
+                UnansweredAction::Resend | UnansweredAction::Wait => {}
             }
         }
     }
@@ -74,60 +74,62 @@
     /// The same transaction under the same number: whichever answer comes first counts.
     fn send_once_more(&mut self, op: u64) {
         self.mark(op, |sent| sent.resent = true);
-        let (lane, txn) = match self.ops.get_mut(&op) {
-            Some(Pending::Submit { txn, .. }) => (Lane::Submission, txn.clone()),
+        let (priority, txn) = match self.ops.get_mut(&op) {
+            Some(Pending::Submit { txn, .. }) => (CallPriority::Submission, txn.clone()),
             Some(Pending::Job(tx)) => {
                 tx.doubtful = true;
-                (Lane::Claim, tx.txn.clone())
+                (CallPriority::Claim, tx.txn.clone())
             }
             _ => return,
         };
         if self.resend.iter().any(|r| r.1 == op) {
             return;
         }
-        self.pace.spend(txn.changes.len());
-        self.out.push(Effect::Store { op, lane, request: StoreRequest::Txn(txn) });
+        self.rate_limiter.spend(txn.changes.len());
+        self.out.push(Effect::Store { op, priority, request: StoreRequest::Txn(txn) });
     }
 
     /// What became of it was read. An answer that still comes finds nobody who waits for it.
-    fn settle_by_reading(&mut self, op: u64) {
+    fn resolve_by_reading(&mut self, op: u64) {
         self.resend.retain(|r| r.1 != op);
         match self.ops.remove(&op) {
-            Some(Pending::Submit { batch, .. }) => self.settle_submissions(batch),
-            Some(Pending::Job(tx)) => self.settle_job(*tx),
+            Some(Pending::Submit { batch, .. }) => self.resolve_submissions(batch),
+            Some(Pending::Job(tx)) => self.resolve_job(*tx),
             _ => {}
         }
         self.flush_due = true;
     }
 
-    fn settle_submissions(&mut self, batch: Vec<Submission>) {
+    fn resolve_submissions(&mut self, batch: Vec<Submission>) {
         self.submitting.settled();
         for submission in batch.into_iter().rev() {
             let job = submission.spec.id.clone();
-            let known = self.terminal.get(&job).or_else(|| self.live_status(&job));
+            let known = self.terminal_jobs.get(&job).or_else(|| self.live_status(&job));
             if let Some(status) = known {
                 self.reply(submission.rid, Response::Status { code: 200, status });
             } else if self.cache.has_moved(&job_key(&job), Version(0)) {
                 // It was accepted and has ended since; the archive tells how.
-                self.wait(submission.rid, job, Wait::Known(submission.spec));
+                self.wait(submission.rid, job, WaitReason::Known(submission.spec));
             } else {
                 self.submitting.put_back(submission);
             }
         }
     }
 
-    fn settle_job(&mut self, tx: JobTx) {
+    fn resolve_job(&mut self, tx: JobTransaction) {
         tracing::debug!(job = %tx.job, "settled by a reading");
-        let JobTx { job, mut withdrawals, steps, .. } = tx;
-        let local = self.local(&job);
-        local.busy = false;
-        local.withdrawals.append(&mut withdrawals);
+        let JobTransaction { job, mut withdrawals, steps, .. } = tx;
+        let job_state = self.job_state(&job);
+        job_state.busy = false;
+        job_state.withdrawals.append(&mut withdrawals);
         // Members are judged anew by what stands now.
-        local.asked.extend(steps.told.into_iter().map(|(asked, _)| asked));
+        job_state
+            .member_reports
+            .extend(steps.verdicts.into_iter().map(|(member_reports, _)| member_reports));
         self.note_unsent(&job);
         if !self.cache.jobs.contains_key(&job) {
-            self.drop_local(&job);
+            self.discard_job_state(&job);
         }
-        self.dirty = true;
+        self.replan_needed = true;
     }
 }
--- a/crates/cleatfold-control/src/entitled.rs
+++ b/crates/cleatfold-control/src/worker_authority.rs
@@ -8,35 +8,35 @@
 
 use crate::controller::Controller;
 use crate::effects::Response;
-use cleatfold_wire::worker::{Command, ReportReply};
+use cleatfold_wire::worker::{Command, HeartbeatResponse};
 use cleatfold_wire::*;
 
-/// Made by `Controller::entitled` alone, and good for one answer at that moment.
-pub(crate) struct Entitled {
+/// Preemption by `Controller::entitled` alone, and good for one answer at that moment.
+pub(crate) struct WorkerAuthority {
     token: FencingToken,
 }
 
-impl Entitled {
+impl WorkerAuthority {
     pub fn token(&self) -> FencingToken {
         self.token
     }
 
     pub fn answer(self, commands: Vec<Command>) -> Response {
-        Response::Worker(ReportReply { token: self.token, commands })
+        Response::Worker(HeartbeatResponse { token: self.token, commands })
     }
 }
 
 impl Controller {
     /// The pool is ours as far as we know, and we have read the state service so lately that the lease which an answer
     /// renews is over before a cancellation that we cannot know of has to be.
-    pub(crate) fn entitled(&self, pool: &PoolId) -> Result<Entitled, Response> {
+    pub(crate) fn worker_authority(&self, pool: &PoolId) -> Result<WorkerAuthority, Response> {
         let Some(token) = self.my_token(pool) else {
             return Err(Response::Redirect(None));
         };
         let unread_ms = self.fresh.map_or(u64::MAX, |sent| self.now.since(sent));
-        if unread_ms > self.cfg.deaf_limit_ms() {
+        if unread_ms > self.cfg.stale_read_limit_ms() {
             return Err(Response::later("cut off from the state service"));
         }
-        Ok(Entitled { token })
+        Ok(WorkerAuthority { token })
     }
 }
--- a/crates/cleatfold-control/src/workers.rs
+++ b/crates/cleatfold-control/src/workers.rs
@@ -8,20 +8,20 @@
 
 use crate::controller::Controller;
 use crate::effects::*;
-use crate::inventory::{LastReport, Machine};
-use crate::state::jobs::End;
+use crate::inventory::{LastHeartbeat, Machine};
+use crate::state::jobs::ClaimEnd;
 use cleatfold_wire::cloud::MachineState;
-use cleatfold_wire::worker::{Command, Exit, RawReport, Report, TaskState};
+use cleatfold_wire::worker::{Command, Exit, Heartbeat, RawHeartbeat, TaskState};
 use cleatfold_wire::*;
 use serde_json::value::RawValue;
 use std::collections::BTreeSet;
 
 /// Under more pressure than this our own answers may have come too late.
-const FAIR_STRETCH: u64 = 2;
+const MAX_FAIR_BACKPRESSURE: u64 = 2;
 
 /// A report whose answer waits a moment for a command.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct LongPoll {
     rid: u64,
     pool: PoolId,
     token: FencingToken,
@@ -29,7 +29,7 @@
 }
 
 impl Controller {
-    pub(crate) fn on_report(&mut self, rid: u64, report: RawReport) {
+    pub(crate) fn on_heartbeat(&mut self, rid: u64, report: RawHeartbeat) {
         if !self.serving() || self.inventory.is_deleted(&report.machine) {
             return self.reply(rid, Response::Redirect(None));
         }
@@ -40,11 +40,11 @@
         if report.token > token {
             // Someone was dealt the pool after us and we have not read it yet.
             self.want_sync = true;
-            self.reach.view.letting.is_served(&pool, self.now);
+            self.reachability.view.worker_release.is_served(&pool, self.now);
             return self.reply(rid, Response::Redirect(None));
         }
-        let entitled = match self.entitled(&pool) {
-            Ok(entitled) => entitled,
+        let worker_authority = match self.worker_authority(&pool) {
+            Ok(worker_authority) => worker_authority,
             Err(response) => return self.reply(rid, response),
         };
         let machine = self.inventory.machines.get(&report.machine);
@@ -56,9 +56,9 @@
         if machine.is_none() && report.token != token {
             // Perhaps a copy of what a machine said that has long been returned; another owner, or our own
             // former life, deleted it. A worker that is there comes again at once, with our token.
-            return self.reply(rid, entitled.answer(vec![]));
+            return self.reply(rid, worker_authority.answer(vec![]));
         }
-        if let Some(away) = self.let_go(&report, &pool) {
+        if let Some(away) = self.release_worker(&report, &pool) {
             return self.reply(rid, away);
         }
         let id = report.machine.clone();
@@ -78,14 +78,14 @@
             }
         };
         if let Some(machine) = self.inventory.machines.get_mut(&id) {
-            machine.ears.told(self.now, new_token, &commands);
+            machine.partition_detector.answered(self.now, new_token, &commands);
         }
-        let hold = if commands.is_empty() { self.hold_ms(&id) } else { 0 };
+        let hold = if commands.is_empty() { self.long_poll_ms(&id) } else { 0 };
         if hold > 0 {
             let until = self.now.plus(hold);
-            self.held.insert(id, Held { rid, pool, token, until });
+            self.long_polls.insert(id, LongPoll { rid, pool, token, until });
         } else {
-            self.reply(rid, entitled.answer(commands));
+            self.reply(rid, worker_authority.answer(commands));
         }
     }
 
@@ -99,7 +99,7 @@
     /// stays an answer to the newest report, so nothing in it can be executed late; and it is
     /// well within the time that a worker waits. Busy machines get little of it, for while an
     /// answer is out their exits go unreported.
-    fn hold_ms(&self, id: &MachineId) -> u64 {
+    fn long_poll_ms(&self, id: &MachineId) -> u64 {
         let Some(machine) = self.inventory.machines.get(id) else { return 0 };
         if machine.draining || machine.notice.is_some() {
             return 0;
@@ -120,32 +120,34 @@
             u if u < total * 3 => 40,
             _ => 0,
         };
-        (self.cfg.report_ms * share / 100).min(2000)
+        (self.cfg.heartbeat_interval_ms * share / 100).min(2000)
     }
 
     /// Answers held reports whose time is up, or whose machine got a claim.
-    pub(crate) fn answer_held(&mut self, claimed: &[MachineId]) {
+    pub(crate) fn answer_long_polls(&mut self, claimed: &[MachineId]) {
         let due: Vec<MachineId> = self
-            .held
+            .long_polls
             .iter()
             .filter(|(id, h)| h.until <= self.now || claimed.contains(id))
             .map(|(id, _)| id.clone())
             .collect();
         for id in due {
-            let Some(held) = self.held.remove(&id) else { continue };
-            let response = match self.entitled(&held.pool) {
+            let Some(poll) = self.long_polls.remove(&id) else { continue };
+            let response = match self.worker_authority(&poll.pool) {
                 Err(response) => response,
-                Ok(entitled) if entitled.token() != held.token => Response::Redirect(None),
-                Ok(entitled) => {
-                    let commands = self.starts(&id, held.token);
+                Ok(worker_authority) if worker_authority.token() != poll.token => {
+                    Response::Redirect(None)
+                }
+                Ok(worker_authority) => {
+                    let commands = self.starts(&id, poll.token);
                     self.note_fetches(&id, &commands);
                     if let Some(machine) = self.inventory.machines.get_mut(&id) {
-                        machine.ears.told_late(self.now, &commands);
+                        machine.partition_detector.answered_late(self.now, &commands);
                     }
-                    entitled.answer(commands)
+                    worker_authority.answer(commands)
                 }
             };
-            self.reply(held.rid, response);
+            self.reply(poll.rid, response);
         }
     }
 
@@ -161,8 +163,8 @@
         for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
             let task = TaskId { job: job.clone(), ix: *ix };
             let over = self.is_over(job);
-            let leaving =
-                self.is_ending(job, *ix, claim.attempt) || self.stops.get(id, job, *ix).is_some();
+            let leaving = self.is_ending(job, *ix, claim.attempt)
+                || self.evictions.get(id, job, *ix).is_some();
             if claim.token == token && !over && !leaving && !listed.contains(&task) {
                 // A claim whose machine has to wait for its image is nothing to the worker yet.
                 if let Some(sources) = self.fetch_turn(id, job) {
@@ -174,14 +176,14 @@
         starts
     }
 
-    fn redirect(&mut self, rid: u64, report: &RawReport, pool: &PoolId) {
+    fn redirect(&mut self, rid: u64, report: &RawHeartbeat, pool: &PoolId) {
         let owner = match (self.hinted.get(pool), self.cache.pools.get(pool)) {
             (Some((controller, _)), _) => Some(controller.clone()),
             (None, Some(h)) if h.owner != self.cfg.me => Some(h.owner.clone()),
             _ => None,
         };
         if let Some(owner) = &owner {
-            self.on_stray(report, pool, owner);
+            self.on_misdirected_worker(report, pool, owner);
         }
         self.reply(rid, Response::Redirect(owner));
     }
@@ -189,7 +191,7 @@
     /// The report repeats its machine's last one, and nothing here has changed since that would
     /// call for a command: most reports of a large fleet. (Reading each of them in full and
     /// going through its claims took most of the processor time that reports cost.)
-    fn says_the_same(&self, report: &RawReport, token: FencingToken) -> bool {
+    fn says_the_same(&self, report: &RawHeartbeat, token: FencingToken) -> bool {
         let Some(machine) = self.inventory.machines.get(&report.machine) else { return false };
         let Some(last) = &machine.report else { return false };
         last.settled.is_some_and(|stamp| stamp == self.cache.claims_stamp(&report.machine))
@@ -199,24 +201,29 @@
             && report.notice_s.is_none()
             && machine.takes_work()
             && !machine.expired
-            && !self.stops.any(&report.machine)
+            && !self.evictions.any(&report.machine)
             && last.text.get() == report.tasks.get()
             && last.images == report.images
     }
 
     /// Notes such a report: as new as any other.
-    fn take_again(&mut self, report: &RawReport, token: FencingToken) {
-        self.reach.view.strays.arrived(&report.machine);
-        self.drop_held(&report.machine);
-        self.reach.view.heard(&report.zone, self.now);
-        let (now, fair) = (self.now, self.stretch <= FAIR_STRETCH);
+    fn take_again(&mut self, report: &RawHeartbeat, token: FencingToken) {
+        self.reachability.view.misdirected_workers.arrived(&report.machine);
+        self.abandon_long_poll(&report.machine);
+        self.reachability.view.note_contact(&report.zone, self.now);
+        let (now, fair) = (self.now, self.backpressure <= MAX_FAIR_BACKPRESSURE);
         let Some(machine) = self.inventory.machines.get_mut(&report.machine) else { return };
-        machine.heard = Some(now);
+        machine.last_heartbeat = Some(now);
         if !fair {
-            machine.ears.excuse();
+            machine.partition_detector.excuse();
         }
         let tasks = machine.report.as_ref().map_or(&[][..], |r| &r.tasks);
-        self.dirty |= machine.ears.reports(now, self.cfg.report_ms, true, tasks);
+        self.replan_needed |= machine.partition_detector.next_heartbeat(
+            now,
+            self.cfg.heartbeat_interval_ms,
+            true,
+            tasks,
+        );
         machine.answered = Some((now, token));
         machine.spot = report.spot;
         if let Some(last) = &mut machine.report {
@@ -225,8 +232,8 @@
     }
 
     /// A newer report came: its worker gave up on the answer to the one before.
-    fn drop_held(&mut self, id: &MachineId) {
-        if let Some(old) = self.held.remove(id) {
+    fn abandon_long_poll(&mut self, id: &MachineId) {
+        if let Some(old) = self.long_polls.remove(id) {
             self.reply(old.rid, Response::later("a newer report came"));
         }
     }
@@ -235,15 +242,15 @@
         &mut self,
         pool: &PoolId,
         token: FencingToken,
-        report: Report,
+        report: Heartbeat,
         text: Box<RawValue>,
     ) -> Vec<Command> {
         let now = self.now;
         let id = report.machine.clone();
-        self.drop_held(&id);
+        self.abandon_long_poll(&id);
         let spot = report.spot;
         let seen_our_token = report.token == token;
-        let fair = self.stretch <= FAIR_STRETCH;
+        let fair = self.backpressure <= MAX_FAIR_BACKPRESSURE;
         let machine = self
             .inventory
             .machines
@@ -254,23 +261,28 @@
         machine.endpoint = report.endpoint;
         machine.answered = Some((now, token));
         if !fair {
-            machine.ears.excuse();
-        }
-        let turned = machine.ears.reports(now, self.cfg.report_ms, seen_our_token, &report.tasks);
+            machine.partition_detector.excuse();
+        }
+        let turned = machine.partition_detector.next_heartbeat(
+            now,
+            self.cfg.heartbeat_interval_ms,
+            seen_our_token,
+            &report.tasks,
+        );
         if turned {
-            tracing::info!(machine = %id, deaf = machine.ears.is_deaf(), "hearing");
+            tracing::info!(machine = %id, partitioned = machine.partition_detector.is_partitioned(), "hearing");
         }
-        let deaf = machine.ears.is_deaf();
+        let partitioned = machine.partition_detector.is_partitioned();
         // What shows only in a report that was sent since the pool is ours; a copy of an older one shows
         // nothing but exits, which are facts.
         if seen_our_token {
-            machine.heard = Some(now);
+            machine.last_heartbeat = Some(now);
             machine.expired = false;
             machine.notice = report.notice_s.map(|s| now.plus_s(s));
             machine.listed = Some(MachineState::Running);
-            self.reach.view.strays.arrived(&id);
-            if !deaf {
-                self.reach.view.heard(&pool.zone, now);
+            self.reachability.view.misdirected_workers.arrived(&id);
+            if !partitioned {
+                self.reachability.view.note_contact(&pool.zone, now);
             }
         }
         let first = machine.report.as_ref().is_none_or(|r| r.token != token);
@@ -281,7 +293,7 @@
         if let Some(last) = &mut machine.report {
             last.images.clone_from(&report.images);
         }
-        let draining = machine.draining || machine.deleting || deaf;
+        let draining = machine.draining || machine.deleting || partitioned;
         let notice = machine.notice;
 
         let mut commands = Vec::new();
@@ -326,8 +338,8 @@
                         self.note_running(&id, &t.task);
                     }
                     if let (Some(at), TaskState::Running | TaskState::Fetching) = (notice, state) {
-                        self.stop_for_notice(&mut commands, t, at);
-                    } else if let Some(stop) = self.stop_for_room(&id, t) {
+                        self.stop_before_reclaim(&mut commands, t, at);
+                    } else if let Some(stop) = self.repeated_eviction(&id, t) {
                         commands.push(stop);
                     }
                 }
@@ -358,7 +370,7 @@
             if claim.token == token {
                 // Ours under this token. Absent from a report newer than any answer of ours
                 // that ordered it: not there. Order it (again), or give it up.
-                let leaving = self.stops.get(&id, &job, ix).is_some();
+                let leaving = self.evictions.get(&id, &job, ix).is_some();
                 if over || draining || leaving || notice.is_some() {
                     lost.push((job, ix, claim.attempt, "not started"));
                 } else if let Some(sources) = self.fetch_turn(&id, &job) {
@@ -378,7 +390,8 @@
         let settled = (quiet && !elastic).then(|| self.cache.claims_stamp(&id));
         for (job, ix, attempt, why) in lost {
             let fence = Some((pool.clone(), token));
-            let end = End { machine: id.clone(), ix, attempt, done: false, why, ran_ms: 0, fence };
+            let end =
+                ClaimEnd { machine: id.clone(), ix, attempt, done: false, why, ran_ms: 0, fence };
             self.end(&job, end);
         }
         for (t, exit) in ends {
@@ -391,7 +404,7 @@
             let Some(machine) = self.inventory.machines.get_mut(&id) else {
                 return commands;
             };
-            let last = LastReport {
+            let last = LastHeartbeat {
                 agent_epoch: report.agent_epoch,
                 seq: report.seq,
                 token: report.token,
@@ -406,7 +419,7 @@
             changed
         };
         if changed || first || turned {
-            self.dirty = true;
+            self.replan_needed = true;
         }
         self.note_fetches(&id, &commands);
         commands
@@ -436,7 +449,7 @@
 
     /// The cloud takes the machine at `at`: a task that can save and has still to be told to
     /// is stopped in time; one that cannot runs on, for it may end before.
-    fn stop_for_notice(
+    fn stop_before_reclaim(
         &self,
         commands: &mut Vec<Command>,
         t: &cleatfold_wire::worker::TaskReport,
@@ -453,7 +466,7 @@
         if let Some(elastic) = &spec.elastic {
             // It ends its step if there is time, says so and begins no other one.
             let grace_s = at.since(self.now) as f64 / 2000.0;
-            if grace_s <= elastic.step_s + 2.0 * self.cfg.report_ms as f64 / 1000.0 {
+            if grace_s <= elastic.step_s + 2.0 * self.cfg.heartbeat_interval_ms as f64 / 1000.0 {
                 let (task, attempt) = (t.task.clone(), t.attempt);
                 commands.push(Command::Stop { task, attempt, grace_s });
             }
@@ -464,7 +477,7 @@
         }
         // The notice may be half of what it says, and the next report is a while off.
         let left = at.since(self.now) as f64 / 1000.0;
-        if left / 2.0 <= spec.save_s + 2.0 * self.cfg.report_ms as f64 / 1000.0 + 1.0 {
+        if left / 2.0 <= spec.save_s + 2.0 * self.cfg.heartbeat_interval_ms as f64 / 1000.0 + 1.0 {
             commands.push(Command::Stop {
                 task: t.task.clone(),
                 attempt: t.attempt,
@@ -495,18 +508,18 @@
             return;
         }
         let elastic = live.record.spec.elastic.is_some();
-        let local = self.local(&task.job);
+        let job_state = self.job_state(&task.job);
         if exit != Exit::Done && interval > 0 {
             let ran = started.map_or(0, |s| now.since(s));
             let kept = if saved { ran } else { ran / interval * interval };
-            *local.saved.entry(task.ix).or_default() += kept;
+            *job_state.saved.entry(task.ix).or_default() += kept;
         }
         match exit {
             Exit::Error => {
                 self.note_failed(id, task, attempt);
             }
             Exit::Unknown => {
-                self.local(&task.job).hold_until = now.plus(2000);
+                self.job_state(&task.job).hold_until = now.plus(2000);
             }
             Exit::Done => {
                 if let Some(machine) = self.inventory.machines.get_mut(id) {
@@ -519,7 +532,7 @@
         let mut end = Controller::exit_end(id, task.ix, attempt, exit, ran_ms);
         // A member that leaves frees its place; what is done of its job are steps.
         end.done &= !elastic;
-        self.stops.remove(id, &task.job, task.ix);
+        self.evictions.remove(id, &task.job, task.ix);
         self.end(&task.job, end);
     }
 }
--- a/crates/cleatfold-control/src/workspaces.rs
+++ b/crates/cleatfold-control/src/workspaces.rs
@@ -11,11 +11,11 @@
 use crate::state::workspaces::{read_group, Kept, Listing, Write};
 use cleatfold_wire::store::{Events, Item, Txn};
 use cleatfold_wire::*;
-use cleatfold_workspace::{owner, End, GROUP};
+use cleatfold_workspace::{owner, JobEnd, GROUP};
 use std::collections::BTreeMap;
 
 /// How often it is looked whether a workspace stands empty, and whether a history is to be written.
-const LOOK_MS: u64 = 200;
+const WORKSPACE_INTERVAL_MS: u64 = 200;
 const HISTORY_MS: u64 = 1000;
 /// What we ended ourselves is read from the archive so often, if nobody asks earlier.
 const FOLLOW_MS: u64 = 2000;
@@ -26,10 +26,10 @@
 /// A new life reads back so many revisions; the service keeps 10,000.
 const BACK: u64 = 9000;
 /// So many workspaces at most are taken ahead of claims.
-const FEW: usize = 4;
+const MAX_EARLY_WORKSPACES: usize = 4;
 
-fn end(job: &JobId, archive: &ArchiveRecord, version: Version) -> End {
-    End { version: version.0, team: archive.team.clone(), entry: archive.entry(job) }
+fn end(job: &JobId, archive: &ArchiveRecord, version: Version) -> JobEnd {
+    JobEnd { version: version.0, team: archive.team.clone(), entry: archive.entry(job) }
 }
 
 /// Unreadable ones are skipped by everybody alike, so numbers agree. Whoever polls them is told nothing.
@@ -41,10 +41,10 @@
 impl Controller {
     /// At each tick, once we serve.
     pub(crate) fn keep_workspaces(&mut self) {
-        if self.now.since(self.workspaces.looked) < LOOK_MS {
+        if self.now.since(self.workspaces.last_checked) < WORKSPACE_INTERVAL_MS {
             return;
         }
-        self.workspaces.looked = self.now;
+        self.workspaces.last_checked = self.now;
         self.keep_ownership();
         self.note_kept();
         if self.now.since(self.workspaces.wrote) >= HISTORY_MS {
@@ -85,7 +85,9 @@
         let known = cache.controllers.get(&me).map(|n| n.0);
         let unsure = self.workspaces.unsure.is_some_and(|t| self.fresh.is_none_or(|f| f < t));
         let incarnation = self.incarnation.filter(|i| known == Some(*i) && !unsure);
-        if let Some(incarnation) = incarnation.filter(|_| self.in_contact() && self.pace.open()) {
+        if let Some(incarnation) =
+            incarnation.filter(|_| self.in_contact() && self.rate_limiter.open())
+        {
             self.workspaces.unsure = None;
             let rank = |team: &TeamId, live: &_| owner::rank(team, &me, live);
             let former = |team: &TeamId| {
@@ -93,7 +95,7 @@
                 holder.is_some_and(|h| h.owner == me && h.incarnation != incarnation)
                     && self.readable(&workspace_key(team))
             };
-            let most = self.cfg.txn_ops.min(self.pace.affords());
+            let most = self.cfg.txn_ops.min(self.rate_limiter.affords());
             let taken = vacancies.take(now, most, teams.iter(), rank, former);
             if !taken.is_empty() {
                 let holder = HolderRecord { owner: me.clone(), incarnation };
@@ -128,8 +130,12 @@
             txn.guard(workspace_key(team), version);
             txn.put(workspace_key(team), &holder, None);
         }
-        let lane = if teams.len() <= FEW { Lane::Renewal } else { Lane::Claim };
-        self.store(lane, StoreRequest::Txn(txn), Pending::Workspaces(teams, holder));
+        let priority = if teams.len() <= MAX_EARLY_WORKSPACES {
+            CallPriority::Renewal
+        } else {
+            CallPriority::Claim
+        };
+        self.store(priority, StoreRequest::Txn(txn), Pending::Workspaces(teams, holder));
     }
 
     pub(crate) fn on_workspaces(
@@ -177,8 +183,8 @@
                 token: *token,
                 writing: false,
                 unsure: None,
-                looked_for_old: self.now,
-                looking: false,
+                retention_checked_at: self.now,
+                retention_running: false,
                 gone: Default::default(),
             };
             self.workspaces.kept.insert(team.clone(), kept);
@@ -216,7 +222,7 @@
         let records = events.events.iter().filter_map(|e| {
             let job = JobId::new(e.put.as_deref()?.strip_prefix(ARCHIVE)?);
             // Most are among those that have just been noted.
-            let archive = match self.terminal.record(&job) {
+            let archive = match self.terminal_jobs.record(&job) {
                 Some(known) => return Some(end(&job, known, e.version)),
                 None => serde_json::from_str::<ArchiveRecord>(e.value.as_ref()?.get()).ok()?,
             };
@@ -253,7 +259,7 @@
             listing.asked = true;
             let (prefix, from) = (ARCHIVE.to_string(), listing.from.clone());
             let request = StoreRequest::List { prefix, from, most: None };
-            self.store(Lane::Poll, request, Pending::ArchivePage);
+            self.store(CallPriority::Poll, request, Pending::ArchivePage);
         }
     }
 
@@ -314,7 +320,7 @@
                 uncovered.push(team);
                 continue;
             }
-            self.look_for_old(&team, &head);
+            self.apply_retention(&team, &head);
             self.write_history(team, version, head);
         }
         self.list_archive(uncovered);
@@ -323,7 +329,7 @@
     fn write_history(&mut self, team: TeamId, version: Version, head: HistoryHead) {
         let piece = self.workspaces.ended.piece(&team, &head, self.cfg.value_bytes);
         let pressing = piece.as_ref().is_some_and(|p| p.pressing);
-        if !self.pace.open() || !(pressing || self.pace.ample()) {
+        if !self.rate_limiter.open() || !(pressing || self.rate_limiter.ample()) {
             return;
         }
         let Some(kept) = self.workspaces.kept.get_mut(&team) else { return };
@@ -344,7 +350,7 @@
         gone.iter().for_each(|number| txn.delete(history_group_key(&team, *number)));
         kept.writing = true;
         let write = Write { token: kept.token, team, head: next, txn: txn.clone() };
-        self.store(Lane::Poll, StoreRequest::Txn(txn), Pending::History(Box::new(write)));
+        self.store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::History(Box::new(write)));
     }
 
     pub(crate) fn on_history(&mut self, op: u64, write: Write, reply: StoreReply) {
@@ -364,7 +370,7 @@
             StoreReply::Unknown if self.workspace(&write.team) == Some(write.token) => {
                 let txn = write.txn.clone();
                 let pending = Pending::History(Box::new(write));
-                return self.again(op, Lane::Poll, txn, pending, 500);
+                return self.again(op, CallPriority::Poll, txn, pending, 500);
             }
             _ => {
                 if let Some(kept) = self.workspaces.kept.get_mut(&write.team) {
@@ -378,19 +384,19 @@
         }
     }
 
-    fn look_for_old(&mut self, team: &TeamId, head: &HistoryHead) {
+    fn apply_retention(&mut self, team: &TeamId, head: &HistoryHead) {
         let most = self.cfg.history.jobs.saturating_add(GROUP as u64);
         let Some(kept) = self.workspaces.kept.get_mut(team) else { return };
-        let since = self.now.since(kept.looked_for_old);
+        let since = self.now.since(kept.retention_checked_at);
         let many = head.entries - head.first.min(head.entries) > most && since >= 10 * HISTORY_MS;
-        if kept.looking || !kept.gone.0.is_empty() || !(many || since >= OLD_MS) {
+        if kept.retention_running || !kept.gone.0.is_empty() || !(many || since >= OLD_MS) {
             return;
         }
-        (kept.looking, kept.looked_for_old) = (true, self.now);
+        (kept.retention_running, kept.retention_checked_at) = (true, self.now);
         let pending = Pending::Oldest { team: team.clone(), token: kept.token };
         let prefix = history_prefix(team);
         self.store(
-            Lane::Poll,
+            CallPriority::Poll,
             StoreRequest::List { prefix, from: None, most: Some(OLDEST) },
             pending,
         );
@@ -402,7 +408,7 @@
         if kept.token != token {
             return;
         }
-        kept.looking = false;
+        kept.retention_running = false;
         let StoreReply::Page(page) = reply else { return };
         let mut oldest = Vec::new();
         for item in &page.items {
--- a/crates/cleatfold-control/src/news.rs
+++ b/crates/cleatfold-control/src/write_batching.rs
@@ -1,12 +1,12 @@
 //! Which job's news is recorded next.
 
-use crate::cache::Live;
+use crate::cache::CachedJob;
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::state::jobs::{part_of, Local};
+use crate::state::jobs::{part_of, LocalJobState};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
-use cleatfold_write_batching::{News, PartNews, Selection};
+use cleatfold_write_batching::{PendingPartUpdates, PendingUpdates, Selection};
 use std::collections::BTreeMap;
 
 /// Completed tasks of a job that goes on are kept back for as long as one of them takes, within
@@ -20,8 +20,8 @@
     pub(crate) fn flush(&mut self) {
         let controllers = if self.in_contact() { self.cache.controllers.len() } else { 0 };
         let controllers = if controllers == 0 { self.cfg.peers.len() + 1 } else { controllers };
-        self.pace.fill(self.now, self.cfg.changes_per_s, controllers);
-        while self.pace.open() {
+        self.rate_limiter.fill(self.now, self.cfg.changes_per_s, controllers);
+        while self.rate_limiter.open() {
             let due = if self.loaded { self.weightiest() } else { None };
             // Submissions first, but a flood of them leaves the jobs every other change.
             if self.submitting.ahead == 0 || due.is_none() {
@@ -44,29 +44,29 @@
     /// starves.
     fn weightiest(&mut self) -> Option<JobId> {
         let now = self.now;
-        let ample = self.pace.ample();
+        let ample = self.rate_limiter.ample();
         let mut best: Option<((bool, u64), JobId)> = None;
         let mut unsent = std::mem::take(&mut self.unsent);
-        unsent.retain(|id| self.locals.get(id).is_some_and(|l| l.busy || l.has_news()));
+        unsent.retain(|id| self.job_states.get(id).is_some_and(|l| l.busy || l.has_updates()));
         for id in &unsent {
-            let Some(local) = self.locals.get_mut(id) else { continue };
-            if local.busy || local.stale_since.is_some() || local.not_before > now {
+            let Some(job_state) = self.job_states.get_mut(id) else { continue };
+            if job_state.busy || job_state.stale_since.is_some() || job_state.not_before > now {
                 continue;
             }
-            let waited = now.since(*local.unsent_since.get_or_insert(now));
-            let local = &self.locals[id];
+            let waited = now.since(*job_state.unsent_since.get_or_insert(now));
+            let job_state = &self.job_states[id];
             // Gone meanwhile, or to be cancelled: at once.
-            let news = match self.cache.jobs.get(id) {
-                Some(live) => self.news(id, local, live),
-                None => News { abort: true, ..News::default() },
+            let pending_updates = match self.cache.jobs.get(id) {
+                Some(live) => self.pending_updates(id, job_state, live),
+                None => PendingUpdates { abort: true, ..PendingUpdates::default() },
             };
-            let pressing = news.presses(waited);
+            let pressing = pending_updates.presses(waited);
             // Steps gather even while changes are plenty: nobody waits for these.
-            let only_steps = news.asked > 0 && local.ends.is_empty();
+            let only_steps = pending_updates.member_reports > 0 && job_state.ends.is_empty();
             if !pressing && (!ample || only_steps) {
                 continue;
             }
-            let weight = (pressing, news.weight(waited));
+            let weight = (pressing, pending_updates.weight(waited));
             if best.as_ref().is_none_or(|b| weight > b.0) {
                 best = Some((weight, id.clone()));
             }
@@ -75,10 +75,15 @@
         best.map(|b| b.1)
     }
 
-    fn news(&self, id: &JobId, local: &Local, live: &Live) -> News {
+    fn pending_updates(
+        &self,
+        id: &JobId,
+        job_state: &LocalJobState,
+        live: &CachedJob,
+    ) -> PendingUpdates {
         let spec = &live.record.spec;
-        let done = local.ends.iter().filter(|e| e.done).count() as u32;
-        let starts = local.wishes.iter().map(|w| w.tasks).sum();
+        let done = job_state.ends.iter().filter(|e| e.done).count() as u32;
+        let starts = job_state.placement_requests.iter().map(|w| w.tasks).sum();
         let mine: u32 = live
             .by_pool
             .iter()
@@ -87,26 +92,26 @@
             .sum();
         let finishes = live.done + done >= spec.tasks;
         let changes = match live.record.in_parts() {
-            true => self.touched(local, live) + u32::from(starts > 0),
+            true => self.touched(job_state, live) + u32::from(starts > 0),
             // The archive's record and the end of its own.
             false => 1 + u32::from(finishes),
         };
         // Nothing of it may start before its pause is over: its failures can gather too.
-        let lost = local.ends.len() as u32 - done;
+        let lost = job_state.ends.len() as u32 - done;
         let (done, lost) =
             if lost > 0 && self.is_suspect(id, live) { (done + lost, 0) } else { (done, lost) };
         let limited = self.cfg.team(&spec.team).is_some_and(|t| t.is_limited());
         let most = if limited { LEAST_WAIT_MS } else { MOST_WAIT_MS };
-        News {
+        PendingUpdates {
             done,
             lost,
             starts,
-            asked: local.asked.len() as u32,
-            idle: local.asked.iter().filter(|a| a.idle).count() as u32,
-            abort: local.abort,
-            over: local.over,
+            member_reports: job_state.member_reports.len() as u32,
+            idle: job_state.member_reports.iter().filter(|a| a.idle).count() as u32,
+            abort: job_state.abort,
+            over: job_state.over,
             finishes,
-            mine_left: mine.saturating_sub(local.ends.len() as u32),
+            mine_left: mine.saturating_sub(job_state.ends.len() as u32),
             unclaimed: live.unclaimed(),
             changes,
             urgency: match spec.urgency {
@@ -116,28 +121,28 @@
                 Urgency::BestEffort => 1,
             },
             patience_ms: ((spec.estimate_s * 1000.0) as u64).clamp(LEAST_WAIT_MS, most),
-            gathers: crate::state::steps::can_gather(&local.asked, self.now),
+            gathers: crate::state::steps::can_gather(&job_state.member_reports, self.now),
         }
     }
 
-    fn touched(&self, local: &Local, live: &Live) -> u32 {
+    fn touched(&self, job_state: &LocalJobState, live: &CachedJob) -> u32 {
         let mut parts: Vec<u32> =
-            local.ends.iter().filter_map(|e| part_of(&live.record, e.ix)).collect();
+            job_state.ends.iter().filter_map(|e| part_of(&live.record, e.ix)).collect();
         parts.sort_unstable();
         parts.dedup();
         parts.len() as u32
     }
 
     /// Of a job in parts, whose ends are worth their changes now.
-    fn select(&self, job: &JobId, local: &Local) -> Option<Selection> {
+    fn select(&self, job: &JobId, job_state: &LocalJobState) -> Option<Selection> {
         let live = self.cache.jobs.get(job).filter(|l| l.record.in_parts())?;
-        let mut parts: BTreeMap<u32, PartNews> = BTreeMap::new();
-        for end in &local.ends {
+        let mut parts: BTreeMap<u32, PendingPartUpdates> = BTreeMap::new();
+        for end in &job_state.ends {
             let part = parts.entry(end.ix.0 / crate::records::PART).or_default();
             *if end.done { &mut part.done } else { &mut part.lost } += 1;
         }
         let tables = self.cache.parts.get(job);
-        for (number, news) in &mut parts {
+        for (number, pending_updates) in &mut parts {
             let Some((_, table)) = tables.and_then(|t| t.get(number)) else { continue };
             let claims = |mine: bool| -> u32 {
                 let groups = table.claims.iter();
@@ -145,13 +150,17 @@
                 groups.map(|g| g.tasks.len() as u32).sum()
             };
             let (from, to) = live.record.part_range(*number);
-            news.unclaimed = (to - from).saturating_sub(table.done_count() + claims(false));
-            news.mine_left = claims(true).saturating_sub(news.done + news.lost);
+            pending_updates.unclaimed =
+                (to - from).saturating_sub(table.done_count() + claims(false));
+            pending_updates.mine_left =
+                claims(true).saturating_sub(pending_updates.done + pending_updates.lost);
         }
-        let waited = local.unsent_since.map_or(0, |s| self.now.since(s));
-        let news = self.news(job, local, live);
-        let everything = news.is_all() || waited >= news.patience_ms || self.pace.ample();
-        Some(Selection::new(&parts, everything, self.pace.affords()))
+        let waited = job_state.unsent_since.map_or(0, |s| self.now.since(s));
+        let pending_updates = self.pending_updates(job, job_state, live);
+        let everything = pending_updates.is_all()
+            || waited >= pending_updates.patience_ms
+            || self.rate_limiter.ample();
+        Some(Selection::new(&parts, everything, self.rate_limiter.affords()))
     }
 
     /// Our place among the live controllers, and how many there are.
@@ -170,21 +179,21 @@
     }
 
     fn send_job_tx(&mut self, job: JobId) {
-        let selection = self.locals.get(&job).and_then(|l| self.select(&job, l));
+        let selection = self.job_states.get(&job).and_then(|l| self.select(&job, l));
         let Some(tx) = self.build(&job, selection) else {
             // Nothing of it can be said now; looked at again at once it would keep us here.
             let again = self.now.plus(100);
-            if let Some(local) = self.locals.get_mut(&job).filter(|l| l.has_news()) {
-                local.not_before = local.not_before.max(again);
+            if let Some(job_state) = self.job_states.get_mut(&job).filter(|l| l.has_updates()) {
+                job_state.not_before = job_state.not_before.max(again);
             }
             return;
         };
-        let Some(local) = self.locals.get_mut(&job) else {
+        let Some(job_state) = self.job_states.get_mut(&job) else {
             return;
         };
-        local.busy = true;
-        local.unsent_since = None;
+        job_state.busy = true;
+        job_state.unsent_since = None;
         let txn = tx.txn.clone();
-        self.store(Lane::Claim, StoreRequest::Txn(txn), Pending::Job(Box::new(tx)));
+        self.store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::Job(Box::new(tx)));
     }
 }
--- a/crates/cleatfold-control/tests/admission.rs
+++ b/crates/cleatfold-control/tests/admission.rs
@@ -1,10 +1,10 @@
 //! More is asked for than the machines can do, for minutes: nobody starves, also while whoever
 //! decides is killed, cut off and replaced.
 
-use cleatfold_admission::Allotment;
-use cleatfold_control::records::{HolderRecord, ALLOTMENT};
-use cleatfold_roles::Duty;
-use cleatfold_testbed::world::{controller_id, Happens, Size, World, CONTROLLERS};
+use cleatfold_admission::OverloadQuota;
+use cleatfold_control::records::{HolderRecord, OVERLOAD_QUOTA_KEY};
+use cleatfold_roles::Role;
+use cleatfold_testbed::world::{controller_id, SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 
@@ -37,12 +37,12 @@
 }
 
 fn holder(world: &World) -> Option<usize> {
-    let item = world.store.get(Duty::Allot.key())?;
+    let item = world.store.get(Role::OverloadQuota.key())?;
     let holder: HolderRecord = serde_json::from_str(item.value.get()).ok()?;
     (0..CONTROLLERS).find(|i| controller_id(*i) == holder.owner)
 }
 
-fn play(seed: u64, admission: bool, mut trouble: impl FnMut(&mut World, u64)) -> (World, f64) {
+fn play(seed: u64, admission: bool, mut fault: impl FnMut(&mut World, u64)) -> (World, f64) {
     let mut world = region(seed, admission);
     world.run(Ms(5000));
     let mut jobs = Vec::new();
@@ -50,7 +50,7 @@
         if second < 200 {
             jobs.extend(traffic(&mut world, second));
         }
-        trouble(&mut world, second);
+        fault(&mut world, second);
         world.run(Ms((second + 1) * 1000));
     }
     assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
@@ -81,27 +81,28 @@
 fn a_replaced_holder_changes_nothing_any_more() {
     let mut epochs = 0;
     for seed in 2..6 {
-        let mut last = Allotment::default();
+        let mut last = OverloadQuota::default();
         let (_, served) = play(seed, true, |world, second| {
             if second % 13 == 0 && second > 40 {
                 if let Some(controller) = holder(world) {
                     let until = Ms((second + 7) * 1000);
                     match (second / 13) % 4 {
-                        0 => world.at(0, Happens::Crash(controller)),
-                        1 => world.at(0, Happens::StoreCut { controller, until }),
-                        _ => world.at(0, Happens::Cut { controller, until }),
+                        0 => world.at(0, SimulationEvent::Crash(controller)),
+                        1 => world.at(0, SimulationEvent::StoreCut { controller, until }),
+                        _ => world.at(0, SimulationEvent::Cut { controller, until }),
                     }
                 }
             }
             // Whatever is written was decided by who held the duty at that moment.
             for ms in 0..100 {
-                let leading = world.store.get(Duty::Allot.key()).map(|i| i.version);
+                let leading = world.store.get(Role::OverloadQuota.key()).map(|i| i.version);
                 world.run(Ms(second * 1000 + (ms + 1) * 10));
-                let Some(item) = world.store.get(ALLOTMENT) else { continue };
-                let now: Allotment = serde_json::from_str(item.value.get()).expect("an allotment");
+                let Some(item) = world.store.get(OVERLOAD_QUOTA_KEY) else { continue };
+                let now: OverloadQuota =
+                    serde_json::from_str(item.value.get()).expect("an allotment");
                 if now != last {
                     assert!(now.generation > last.generation && now.epoch >= last.epoch);
-                    let after = world.store.get(Duty::Allot.key()).map(|i| i.version);
+                    let after = world.store.get(Role::OverloadQuota.key()).map(|i| i.version);
                     assert!([leading, after].contains(&Some(now.epoch)), "by a former holder");
                     epochs += u32::from(now.epoch != last.epoch);
                     last = now;
@@ -113,10 +114,10 @@
     assert!(epochs >= 12, "only {epochs} holders decided anything");
 }
 
-fn allotted(world: &World) -> Option<(i64, Allotment)> {
-    let allotment: Allotment =
-        serde_json::from_str(world.store.get(ALLOTMENT)?.value.get()).ok()?;
-    Some((allotment.entries.iter().map(|e| e.floor).sum(), allotment))
+fn allotted(world: &World) -> Option<(i64, OverloadQuota)> {
+    let overload_quota: OverloadQuota =
+        serde_json::from_str(world.store.get(OVERLOAD_QUOTA_KEY)?.value.get()).ok()?;
+    Some((overload_quota.entries.iter().map(|e| e.floor).sum(), overload_quota))
 }
 
 /// All pools are the holder's alone until its workers no longer reach it; it keeps the duty while the others own them. Their
@@ -133,13 +134,13 @@
             traffic(&mut world, second);
             if second == cut_s {
                 assert_eq!(holder(&world), Some(0), "seed {seed}");
-                world.troubles.cuts.insert(0, (Ms(400_000), None));
+                world.faults.cuts.insert(0, (Ms(400_000), None));
             }
             world.run(Ms((second + 1) * 1000));
             // Three leases after the cut it has heard of no machine for long.
             if second > cut_s + 30 && holder(&world) == Some(0) {
-                let (floors, allotment) = allotted(&world).expect("it was written before");
-                assert!(floors > 0, "seed {seed}, second {second}: {allotment:?}");
+                let (floors, overload_quota) = allotted(&world).expect("it was written before");
+                assert!(floors > 0, "seed {seed}, second {second}: {overload_quota:?}");
                 decided += 1;
             }
         }
--- a/crates/cleatfold-control/tests/answers.rs
+++ b/crates/cleatfold-control/tests/answer_order.rs
@@ -1,14 +1,14 @@
 //! Users' questions, repeated submissions and cancellations at all controllers, at the moments at which the state of a
 //! job changes: nobody is told anything older than what somebody was told before.
 
-mod meeting;
+mod scenario;
 
 use cleatfold_control::{records, Event, Request, StoreReply, StoreRequest};
-use cleatfold_testbed::world::{Asked, Happens, Look, Purpose, Size, World, CONTROLLERS};
+use cleatfold_testbed::world::{Asked, Purpose, Query, SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{JobSpec, JobState};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
-use meeting::*;
+use scenario::*;
 use std::collections::BTreeSet;
 
 /// A call to the state service that is on its way.
@@ -20,7 +20,9 @@
 
 fn call(world: &World, which: impl Fn(usize, &StoreRequest) -> bool) -> Option<Call> {
     world.events.iter().find_map(|(number, event)| match event {
-        Happens::StoreRequest { controller, op, request, .. } if which(*controller, request) => {
+        SimulationEvent::StoreRequest { controller, op, request, .. }
+            if which(*controller, request) =>
+        {
             Some(Call { number: *number, controller: *controller, op: *op })
         }
         _ => None,
@@ -56,7 +58,7 @@
     world: &mut World,
     what: &str,
     which: impl Fn(usize, &StoreRequest) -> bool,
-) -> (Call, Happens) {
+) -> (Call, SimulationEvent) {
     for _ in 0..60_000 {
         if let Some(call) = call(world, &which) {
             let event = world.events.remove(&call.number).expect("just seen");
@@ -68,16 +70,16 @@
 }
 
 /// Carries a held call out; its answer is there within the same millisecond.
-fn carry_out_at_once(world: &mut World, (call, event): (Call, Happens)) {
-    world.happen(event);
+fn carry_out_at_once(world: &mut World, (call, event): (Call, SimulationEvent)) {
+    world.handle_event(event);
     if let Some(answer) = take_answer(world, &call) {
-        world.happen(answer);
+        world.handle_event(answer);
     }
 }
 
-fn take_answer(world: &mut World, of: &Call) -> Option<Happens> {
-    let is_answer = |event: &Happens| match event {
-        Happens::Controller(controller, _, event) => {
+fn take_answer(world: &mut World, of: &Call) -> Option<SimulationEvent> {
+    let is_answer = |event: &SimulationEvent| match event {
+        SimulationEvent::Controller(controller, _, event) => {
             *controller == of.controller
                 && matches!(**event, Event::Store { op, .. } if op == of.op)
         }
@@ -88,22 +90,22 @@
 }
 
 /// Carries a held call out and loses the answer.
-fn lose_answer(world: &mut World, (call, event): (Call, Happens)) {
-    world.happen(event);
+fn lose_answer(world: &mut World, (call, event): (Call, SimulationEvent)) {
+    world.handle_event(event);
     take_answer(world, &call).expect("answered");
     let (controller, op) = (call.controller, call.op);
     let unknown = Box::new(Event::Store { op, reply: StoreReply::Unknown });
-    world.at(1_500, Happens::Controller(controller, world.lives[controller], unknown));
+    world.at(1_500, SimulationEvent::Controller(controller, world.lives[controller], unknown));
 }
 
 fn poll(world: &mut World, controller: usize, job: &JobId) {
     let watch = &world.jobs[job];
-    let asked = Asked::Poll(job.clone(), watch.told, watch.accepted);
+    let asked = Asked::Poll(job.clone(), watch.answered_state, watch.accepted);
     world.ask(controller, asked, Request::Poll(job.clone()));
 }
 
 /// Everything that users may do about a job, at every controller, for a while.
-fn look_everywhere(world: &mut World, job: &JobId, for_ms: u64) {
+fn query_everywhere(world: &mut World, job: &JobId, for_ms: u64) {
     let until = world.now.plus(for_ms);
     while world.now < until {
         for controller in 0..CONTROLLERS {
@@ -162,15 +164,15 @@
         let (writer, reader) = (change.0.controller, (change.0.controller + 1) % CONTROLLERS);
         let reading = hold(&mut world, &what, |n, r| n == reader && is_reading(r));
         // It is read, changed and told, and asked about, all within this millisecond.
-        world.happen(reading.1);
+        world.handle_event(reading.1);
         let answer = take_answer(&mut world, &reading.0).expect("answered");
         carry_out_at_once(&mut world, change);
         poll(&mut world, writer, &job);
         let watch = &world.jobs[&job];
-        assert!(watch.accepted && (told == JobState::Queued || watch.told == Some(told)));
+        assert!(watch.accepted && (told == JobState::Queued || watch.answered_state == Some(told)));
         poll(&mut world, reader, &job);
         world.submit_again(reader, &job);
-        world.happen(answer);
+        world.handle_event(answer);
         run_for(&mut world, 1_000);
         assert_well(&world, &what);
         assert!(world.jobs[&job].answered.is_some(), "{what}: not told");
@@ -185,11 +187,11 @@
     let spec = plain(&mut world, 1, 60.0);
     let job = world.submit(1, spec);
     let (call, request) = hold(&mut world, "submission", |_, r| writes(r, Purpose::Submit));
-    world.happen(request);
+    world.handle_event(request);
     let answer = take_answer(&mut world, &call).expect("answered");
     let durable = world.now;
     withdraw(&mut world, 2, &job);
-    while world.jobs[&job].told != Some(JobState::Aborted) {
+    while world.jobs[&job].answered_state != Some(JobState::Aborted) {
         run_for(&mut world, 1);
     }
     // The one that still waits for its answer reads what the others did.
@@ -197,7 +199,7 @@
     run_for(&mut world, 100);
     assert!(world.now.since(durable) < 300, "settled by a reading before: {:?}", world.now);
     world.answers.last.clear();
-    world.happen(answer);
+    world.handle_event(answer);
     assert_eq!(world.answers.last.get(&job).and_then(|l| l.1), Some(JobState::Aborted));
     run_for(&mut world, 1_000);
     assert_well(&world, "late acceptance");
@@ -209,14 +211,14 @@
     for seed in 1..3 {
         let mut world = World::sized(seed, false, Size { machines: 24, ..Size::SMALL });
         world.poll_everything();
-        world.look_closely_until(Ms(90_000));
+        world.query_repeatedly_until(Ms(90_000));
         world.keep_busy(Ms(60_000));
         world.run(Ms(60_000));
         let most = world.most().expect("somebody holds machines");
         world.crash(most, 4_000);
         world.run(Ms(100_000));
         assert_well(&world, &format!("seed {seed}"));
-        let cancelled = world.jobs.values().filter(|w| w.cancel_told.is_some()).count();
+        let cancelled = world.jobs.values().filter(|w| w.cancel_confirmed.is_some()).count();
         assert!(world.answers.looks > 500 && cancelled > 5, "{} {cancelled}", world.answers.looks);
     }
 }
@@ -260,13 +262,13 @@
                 }
             };
             lose_answer(&mut world, held);
-            look_everywhere(&mut world, &job, 400);
+            query_everywhere(&mut world, &job, 400);
             if cancelled {
                 (0..CONTROLLERS).for_each(|controller| withdraw(&mut world, controller, &job));
             }
-            look_everywhere(&mut world, &job, 3_000);
+            query_everywhere(&mut world, &job, 3_000);
             ends_well_asked(&mut world, 60_000, &what);
-            let end = world.jobs[&job].told;
+            let end = world.jobs[&job].answered_state;
             let by_user = lost == Lost::Cancellation || cancelled && lost != Lost::End;
             let expected = if by_user { JobState::Aborted } else { JobState::Done };
             assert_eq!(end, Some(expected), "{what}");
@@ -280,7 +282,7 @@
     for seed in 1..3 {
         let mut world = World::sized(seed, false, Size { machines: 24, ..Size::SMALL });
         world.poll_everything();
-        world.look_closely_until(Ms(70_000));
+        world.query_repeatedly_until(Ms(70_000));
         world.lose_answers(0.25, Ms(70_000));
         world.keep_busy(Ms(70_000));
         world.run(Ms(130_000));
@@ -303,14 +305,14 @@
         withdraw(&mut world, other, &job);
         let cancelled = hold(&mut world, &what, |n, r| n == other && cancels(r, &job));
         let (first, second) = if end_first { (end, cancelled) } else { (cancelled, end) };
-        world.happen(first.1);
-        look_everywhere(&mut world, &job, 200);
-        world.happen(second.1);
+        world.handle_event(first.1);
+        query_everywhere(&mut world, &job, 200);
+        world.handle_event(second.1);
         (0..CONTROLLERS).for_each(|controller| withdraw(&mut world, controller, &job));
-        look_everywhere(&mut world, &job, 3_000);
+        query_everywhere(&mut world, &job, 3_000);
         ends_well_asked(&mut world, 30_000, &what);
         let expected = if end_first { JobState::Done } else { JobState::Aborted };
-        assert_eq!(world.jobs[&job].told, Some(expected), "{what}");
+        assert_eq!(world.jobs[&job].answered_state, Some(expected), "{what}");
     }
 }
 
@@ -328,11 +330,14 @@
         run_for(&mut world, after_ms);
         for controller in 0..CONTROLLERS {
             withdraw(&mut world, controller, &job);
-            world.at(1, Happens::Looks { controller, job: job.clone(), what: Look::Repeats });
+            world.at(
+                1,
+                SimulationEvent::Looks { controller, job: job.clone(), what: Query::Repeats },
+            );
         }
-        look_everywhere(&mut world, &job, 2_000);
+        query_everywhere(&mut world, &job, 2_000);
         ends_well_asked(&mut world, 30_000, &format!("{after_ms} ms after"));
-        ends[usize::from(world.jobs[&job].told == Some(JobState::Done))] += 1;
+        ends[usize::from(world.jobs[&job].answered_state == Some(JobState::Done))] += 1;
     }
     assert!(ends[0] > 0 && ends[1] > 0, "aborted and done: {ends:?}");
 }
@@ -360,13 +365,14 @@
             let owner = world.most().expect("somebody holds machines");
             loss.befall(&mut world, owner);
             // The dealing itself is on its way when the first are cancelled.
-            let deal = hold(&mut world, &what, |n, r| n != owner && writes(r, Purpose::Deal));
+            let deal =
+                hold(&mut world, &what, |n, r| n != owner && writes(r, Purpose::PoolAssignment));
             let others: Vec<usize> = (0..CONTROLLERS).filter(|n| *n != owner).collect();
             for (n, job) in jobs[..3].iter().enumerate() {
                 withdraw(&mut world, others[n % 2], job);
             }
             run_for(&mut world, 300);
-            world.happen(deal.1);
+            world.handle_event(deal.1);
             run_for(&mut world, after_ms);
             for (n, job) in jobs[3..].iter().enumerate() {
                 withdraw(&mut world, others[n % 2], job);
@@ -374,7 +380,7 @@
             asking(&mut world, 60_000);
             assert_well(&world, &what);
             assert!(world.running.is_empty(), "{what}: {} run", world.running.len());
-            let told = |j: &&JobId| world.jobs[*j].told == Some(JobState::Aborted);
+            let told = |j: &&JobId| world.jobs[*j].answered_state == Some(JobState::Aborted);
             assert_eq!(jobs.iter().filter(told).count(), jobs.len(), "{what}");
         }
     }
@@ -475,7 +481,7 @@
         }
         world.run(Ms(25_000));
         world.slow(250, Ms(45_000));
-        world.look_closely_until(Ms(120_000));
+        world.query_repeatedly_until(Ms(120_000));
         world.cancel_at_end(0.5, Ms(120_000));
         world.run(Ms(40_000));
         let most = world.most().expect("somebody holds machines");
@@ -494,7 +500,7 @@
             withdraw(&mut world, (most + 1 + n % 2) % CONTROLLERS, job);
         }
         run_for(&mut world, 1_800);
-        let told = jobs.iter().filter(|j| world.jobs[*j].cancel_told.is_some()).count();
+        let told = jobs.iter().filter(|j| world.jobs[*j].cancel_confirmed.is_some()).count();
         assert!(told > 3, "seed {seed}: {told} of {} told", jobs.len());
         world.run(Ms(180_000));
         assert_well(&world, &format!("seed {seed}"));
@@ -517,7 +523,7 @@
     let spec = plain(&mut world, 4, 5.0);
     let job = world.submit(0, spec);
     asking(&mut world, 40_000);
-    assert_eq!(world.jobs[&job].told, Some(JobState::Done));
+    assert_eq!(world.jobs[&job].answered_state, Some(JobState::Done));
     let others: Vec<JobId> = world.jobs.keys().filter(|id| **id != job).cloned().collect();
     assert!(others.iter().all(|id| world.jobs[id].accepted));
     others.iter().for_each(|id| withdraw(&mut world, 0, id));
@@ -540,14 +546,17 @@
 const FATES: [Fate; 3] = [Fate::Done, Fate::Late, Fate::Never];
 
 /// Loses the answer to a held call, whatever else becomes of it.
-fn befall(world: &mut World, fate: Fate, held: (Call, Happens)) -> Option<Happens> {
+fn befall(world: &mut World, fate: Fate, held: (Call, SimulationEvent)) -> Option<SimulationEvent> {
     if fate == Fate::Done {
         lose_answer(world, held);
         return None;
     }
     let (call, event) = held;
     let unknown = Box::new(Event::Store { op: call.op, reply: StoreReply::Unknown });
-    world.at(1_500, Happens::Controller(call.controller, world.lives[call.controller], unknown));
+    world.at(
+        1_500,
+        SimulationEvent::Controller(call.controller, world.lives[call.controller], unknown),
+    );
     Some(event).filter(|_| fate == Fate::Late)
 }
 
@@ -567,7 +576,7 @@
         let job = world.submit(1, spec);
         let submitted = world.now;
         let held = hold(&mut world, &what, |_, r| writes(r, Purpose::Submit));
-        let mut late: Vec<Happens> = befall(&mut world, fate, held).into_iter().collect();
+        let mut late: Vec<SimulationEvent> = befall(&mut world, fate, held).into_iter().collect();
         world.run(submitted.plus(PROMPT_MS));
         assert!(world.jobs[&job].accepted, "{what}: accepted");
         if !world.running.keys().any(|t| t.job == job) {
@@ -583,9 +592,9 @@
         let held = hold(&mut world, &what, |_, r| cancels(r, &job));
         late.extend(befall(&mut world, fate, held));
         world.run(asked.plus(PROMPT_MS));
-        assert_eq!(world.jobs[&job].told, Some(JobState::Aborted), "{what}: cancelled");
-        late.into_iter().for_each(|event| world.happen(event));
-        look_everywhere(&mut world, &job, 2_000);
+        assert_eq!(world.jobs[&job].answered_state, Some(JobState::Aborted), "{what}: cancelled");
+        late.into_iter().for_each(|event| world.handle_event(event));
+        query_everywhere(&mut world, &job, 2_000);
         ends_well_asked(&mut world, 90_000, &what);
     }
 }
--- a/crates/cleatfold-control/tests/boots.rs
+++ b/crates/cleatfold-control/tests/boots.rs
@@ -1,13 +1,13 @@
 //! Machines that are up within two seconds and get work at once: the cloud's list does not name them yet, writes lag,
 //! the rental's answer or intent is late, and the leader ends.
 
-mod meeting;
+mod scenario;
 
 use cleatfold_control::records::HolderRecord;
-use cleatfold_roles::Duty;
-use cleatfold_testbed::world::{controller_id, Happens, Purpose, Size, World, CONTROLLERS};
+use cleatfold_roles::Role;
+use cleatfold_testbed::world::{controller_id, Purpose, SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::*;
-use meeting::{ends_well, plain, run_for};
+use scenario::{ends_well, plain, run_for};
 use std::collections::BTreeMap;
 
 /// The list is ten seconds old, machines boot in 1.5 s.
@@ -20,8 +20,8 @@
     world
 }
 
-fn holder(world: &World, duty: Duty) -> Option<usize> {
-    let item = world.store.get(duty.key())?;
+fn holder(world: &World, role: Role) -> Option<usize> {
+    let item = world.store.get(role.key())?;
     let holder: HolderRecord = serde_json::from_str(item.value.get()).ok()?;
     (0..world.controllers.len()).find(|i| controller_id(*i) == holder.owner)
 }
@@ -50,10 +50,10 @@
 }
 
 fn fall(world: &mut World, falls: Falls, machine: &MachineId, back_ms: u64) {
-    let owner = meeting::owner(world, machine);
+    let owner = scenario::owner(world, machine);
     let who = match falls {
-        Falls::Renter => holder(world, Duty::Rent).into_iter().collect(),
-        Falls::Dealer => holder(world, Duty::Deal).into_iter().collect(),
+        Falls::Renter => holder(world, Role::ScaleOut).into_iter().collect(),
+        Falls::Dealer => holder(world, Role::PoolAssignment).into_iter().collect(),
         Falls::Owner => owner.into_iter().collect(),
         Falls::All => (0..CONTROLLERS).collect::<Vec<_>>(),
     };
@@ -67,7 +67,8 @@
         let mut world = region(seed);
         let falls = [Falls::Renter, Falls::Dealer, Falls::Owner, Falls::All][seed as usize % 4];
         let back_ms = [300, 7_000][seed as usize / 4 % 2];
-        let late = [Purpose::Record, Purpose::Rents, Purpose::Deal, Purpose::Submit];
+        let late =
+            [Purpose::Record, Purpose::ScaleOutIntents, Purpose::PoolAssignment, Purpose::Submit];
         world.writes_late(late, 0.3, Ms(45_000));
         run_for(&mut world, 6_000);
         for n in 0..3 {
@@ -82,14 +83,14 @@
                 fall(&mut world, falls, &new[0], back_ms);
                 // One of them is lost before anybody else has heard of it.
                 if seed % 3 == 0 {
-                    world.happen(Happens::Die(new[0].clone()));
+                    world.handle_event(SimulationEvent::Die(new[0].clone()));
                 }
                 submit(&mut world, fell as usize);
                 submit(&mut world, fell as usize + 1);
             }
             // The renter ends with the answer to a rental on its way.
             if seed % 5 == 4 && world.cloud.asked.len() > asked && asked < 4 {
-                if let Some(renter) = holder(&world, Duty::Rent) {
+                if let Some(renter) = holder(&world, Role::ScaleOut) {
                     world.crash(renter, back_ms);
                 }
             }
@@ -121,12 +122,12 @@
         }
         let machine = world.cloud.machines.keys().next().expect("one is rented").clone();
         run_for(&mut world, 10_000);
-        let owner = meeting::owner(&world, &machine);
+        let owner = scenario::owner(&world, &machine);
         while world.cloud.machines.contains_key(&machine) {
             assert!(world.now < Ms(120_000), "seed {seed}: it is not returned");
             run_for(&mut world, 50);
         }
-        others += usize::from(owner != holder(&world, Duty::Rent));
+        others += usize::from(owner != holder(&world, Role::ScaleOut));
         let asked = world.cloud.asked.len();
         let mut spec = plain(&mut world, 1, 3.0);
         spec.zone = Some(zone);
--- a/crates/cleatfold-control/tests/cancellations.rs
+++ b/crates/cleatfold-control/tests/cancellations.rs
@@ -1,7 +1,7 @@
 //! Cancelled jobs stop in time, whoever told the user so and whoever holds the workers.
 
 use cleatfold_control::Request;
-use cleatfold_testbed::world::{Asked, Happens, Size, World};
+use cleatfold_testbed::world::{Asked, SimulationEvent, Size, World};
 use cleatfold_wire::job::{JobSpec, JobState, Kind, Urgency};
 use cleatfold_wire::*;
 
@@ -45,7 +45,7 @@
     assert!(running(&world, &job) > 250, "{}", running(&world, &job));
     cancel(&mut world, 1, &job);
     run_for(&mut world, 10_000);
-    assert_eq!(world.jobs[&job].told, Some(JobState::Aborted));
+    assert_eq!(world.jobs[&job].answered_state, Some(JobState::Aborted));
     assert_eq!(running(&world, &job), 0);
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
 }
@@ -69,7 +69,7 @@
     ConfirmerKilled,
     OwnerKilled,
     OwnerFrozen,
-    OwnerBlinks,
+    OwnerQuickRestart,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -92,7 +92,7 @@
         most_jobs: 0,
         machines: 24,
         controllers: gap.controllers,
-        report_ms: lease_ms / 8,
+        heartbeat_interval_ms: lease_ms / 8,
         lease_ms,
         cancel_ms,
         ..Size::SMALL
@@ -115,7 +115,7 @@
     // Not so early that the owner could still have read it.
     run_for(&mut world, (gap.before_ms * gap.seed % 7 / 7).max(50));
     cancel(&mut world, other, &job);
-    while world.jobs[&job].cancel_told.is_none() {
+    while world.jobs[&job].cancel_confirmed.is_none() {
         run_for(&mut world, 10);
         assert!(world.now.since(begun) < 1_000, "{gap:?}: not told");
     }
@@ -125,11 +125,11 @@
         Fate::ConfirmerKilled => world.crash(other, 5_000),
         Fate::OwnerKilled => world.crash(owner, 5_000),
         Fate::OwnerFrozen => world.freeze(owner, lease_ms),
-        Fate::OwnerBlinks => world.crash(owner, 300),
+        Fate::OwnerQuickRestart => world.crash(owner, 300),
     }
     let outage = begun.plus(gap.before_ms);
     let until = outage.plus(cancel_ms * 5 / 4);
-    world.at(outage.since(world.now), Happens::Outage { until });
+    world.at(outage.since(world.now), SimulationEvent::Outage { until });
     let mut gone = None;
     while gone.is_none() && world.now.since(told) <= cancel_ms {
         run_for(&mut world, 50);
@@ -140,7 +140,7 @@
     run_for(&mut world, 2 * cancel_ms + 60_000);
     assert!(world.broken.is_empty(), "{gap:?}: {:#?}", world.broken);
     assert_eq!(world.unfinished(), Vec::<JobId>::new(), "{gap:?}");
-    assert_eq!(world.jobs[&job].told, Some(JobState::Aborted), "{gap:?}");
+    assert_eq!(world.jobs[&job].answered_state, Some(JobState::Aborted), "{gap:?}");
     gone.unwrap_or_else(|| panic!("{gap:?}: tasks are left"))
 }
 
@@ -149,7 +149,7 @@
 fn tasks_are_gone_in_time_whatever_meets_a_cancellation() {
     let meshes = [Mesh::Whole, Mesh::Half, Mesh::Cut];
     use Fate::*;
-    let fates = [Nothing, ConfirmerKilled, OwnerKilled, OwnerFrozen, OwnerBlinks];
+    let fates = [Nothing, ConfirmerKilled, OwnerKilled, OwnerFrozen, OwnerQuickRestart];
     let mut seed = 0;
     for (mesh, fate) in meshes.iter().flat_map(|m| fates.iter().map(move |f| (*m, *f))) {
         for _ in 0..2 {
--- a/crates/cleatfold-control/tests/claims.rs
+++ b/crates/cleatfold-control/tests/claims.rs
@@ -147,8 +147,8 @@
         (Guard::ArchiveAbsence, ACCEPT, WENT_BACK),
         (Guard::FreshPolls, ACCEPT, WENT_BACK),
         (Guard::NotCancelled, CANCEL, RAN_CANCELLED),
-        (Guard::Stops, CANCEL, RAN_CANCELLED),
-        (Guard::DeafLimit, CANCEL, RAN_CANCELLED),
+        (Guard::Evictions, CANCEL, RAN_CANCELLED),
+        (Guard::StaleReadLimit, CANCEL, RAN_CANCELLED),
         (Guard::DurableReap, TAKE_OVER, REAPED),
     ]);
 }
@@ -163,6 +163,6 @@
         (Guard::Incarnation, RESTART_DRAINS, RAN_TWICE),
         (Guard::NotEnding, DRAINS, RAN_TWICE),
         (Guard::OwnToken, DRAINS, RAN_TWICE),
-        (Guard::DirectStopsOnly, HELD_DRAINS, RAN_TWICE),
+        (Guard::DirectEvictionsOnly, HELD_DRAINS, RAN_TWICE),
     ]);
 }
--- a/crates/cleatfold-control/tests/claims/commands.rs
+++ b/crates/cleatfold-control/tests/claims/commands.rs
@@ -25,7 +25,7 @@
         if usize::from(machine) != m {
             return;
         }
-        let command = if self.has(Guard::DirectStopsOnly) {
+        let command = if self.has(Guard::DirectEvictionsOnly) {
             Command::Kill(ix, attempt)
         } else {
             let ending = controller.ends[ix as usize].is_some_and(|e| e.attempt == attempt);
@@ -35,13 +35,15 @@
             Command::Launch(ix, attempt)
         };
         // The session of the last report that it answered.
-        let Some(agent_epoch) = controller.heard[m].map(|heard| heard.agent_epoch) else { return };
+        let Some(agent_epoch) = controller.received[m].map(|received| received.agent_epoch) else {
+            return;
+        };
         t.sent += 1;
         t.held = Some(HeldCommand { sender: n as u8, machine, token, agent_epoch, command });
     }
 
     /// A direct command arrives. Its sender takes nothing but exits from the answer, as `on_ordered` does.
-    pub(super) fn arrives(&self, t: &mut State, heard: bool) {
+    pub(super) fn arrives(&self, t: &mut State, received: bool) {
         let Some(held) = t.held.take() else { return };
         let m = usize::from(held.machine);
         if !held.matches(&t.machines[m]) {
@@ -50,7 +52,7 @@
         t.machines[m].token = held.token;
         obey(t, m, held.command);
         let n = usize::from(held.sender);
-        if heard && self.token(t, n) == Some(held.token) {
+        if received && self.token(t, n) == Some(held.token) {
             self.take_exits(t, n, m);
         }
     }
--- a/crates/cleatfold-control/tests/claims/model.rs
+++ b/crates/cleatfold-control/tests/claims/model.rs
@@ -36,13 +36,13 @@
     /// Nothing of a cancelled job is launched.
     NotCancelled,
     /// What runs of a cancelled job is stopped.
-    Stops,
+    Evictions,
     /// A controller that does not read stops answering workers in time.
-    DeafLimit,
+    StaleReadLimit,
     /// A poll is answered by a reading sent after it came.
     FreshPolls,
     /// Direct commands stop tasks and never start one.
-    DirectStopsOnly,
+    DirectEvictionsOnly,
 }
 
 /// How far the search goes.
@@ -144,7 +144,7 @@
 
 /// What a controller remembers of a machine that it has answered under its present token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Heard {
+pub struct Received {
     pub token: u8,
     /// The newest report carried it.
     pub seen: bool,
@@ -160,8 +160,8 @@
     pub ends: [Option<End>; TASKS],
     pub abort: bool,
     /// It has not read for so long that it answers no worker.
-    pub deaf: bool,
-    pub heard: [Option<Heard>; MACHINES],
+    pub partitioned: bool,
+    pub received: [Option<Received>; MACHINES],
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -175,7 +175,7 @@
 pub type Tasks = Vec<(u8, u8, Run)>;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Report {
+pub struct Heartbeat {
     pub token: u8,
     pub tasks: Tasks,
 }
@@ -220,7 +220,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Copied {
     pub machine: u8,
-    pub report: Report,
+    pub report: Heartbeat,
     /// Controllers that have read this one or a newer one of the machine.
     pub old_for: [bool; CONTROLLERS],
 }
@@ -230,15 +230,15 @@
 pub enum Phase {
     #[default]
     Before,
-    Told,
-    /// `deaf_limit_ms` after it was told.
+    Confirmation,
+    /// `stale_read_limit_ms` after it was told.
     Limit,
     /// `cancel_s` after it was told.
     Bound,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Told {
+pub enum Confirmation {
     #[default]
     Nothing,
     Accepted,
@@ -260,7 +260,7 @@
     /// Direct commands that were sent.
     pub sent: u8,
     pub submitted: u8,
-    pub told: Told,
+    pub confirmation: Confirmation,
     pub phase: Phase,
     /// Tasks that have truly completed.
     pub completed: [bool; TASKS],
--- a/crates/cleatfold-control/tests/claims/steps.rs
+++ b/crates/cleatfold-control/tests/claims/steps.rs
@@ -19,9 +19,9 @@
     Unanswered(usize),
     Late(usize),
     Restart(usize),
-    Deal(usize),
+    PoolAssignment(usize),
     /// A worker reports; an owner that gives it up rather than order what is missing.
-    Report(usize, usize, bool),
+    Heartbeat(usize, usize, bool),
     Hear(usize),
     Miss(usize),
     Copy(usize),
@@ -56,7 +56,7 @@
             let tasks = [Task::Free { last: 0 }; TASKS];
             s.store.job = Some(Job { version: 1, aborted: false, tasks });
             s.store.versions = 1;
-            s.told = Told::Accepted;
+            s.confirmation = Confirmation::Accepted;
         }
         let cache = StateCache { job: s.store.job, pool: s.store.pool };
         s.controllers.iter_mut().for_each(|n| n.cache = Some(cache));
@@ -98,7 +98,7 @@
             }
             let holder = (usize::from(s.store.pool.owner), s.store.pool.life);
             if s.store.pool.token < b.tokens && holder != (n, controller.life) {
-                go(Step::Deal(n), &|t| {
+                go(Step::PoolAssignment(n), &|t| {
                     let (token, life) = (t.store.pool.token + 1, t.controllers[n].life);
                     t.store.pool = Pool { owner: n as u8, life, token };
                 });
@@ -157,7 +157,7 @@
             for m in 0..b.machines {
                 if s.machines[m].answer.is_none() {
                     for &give_up in drains {
-                        go(Step::Report(m, n, give_up), &|t| self.report(t, m, n, give_up));
+                        go(Step::Heartbeat(m, n, give_up), &|t| self.report(t, m, n, give_up));
                     }
                 }
                 go(Step::RanOut(n, m), &|t| self.ran_out(t, n, m));
@@ -169,8 +169,8 @@
                 go(Step::ReadCopy(n, give_up), &|t| self.read_copy(t, n, give_up));
             }
         }
-        for heard in [false, true] {
-            go(Step::Arrives(heard), &|t| self.arrives(t, heard));
+        for received in [false, true] {
+            go(Step::Arrives(received), &|t| self.arrives(t, received));
         }
         for i in 0..s.late.len() {
             go(Step::Late(i), &|t| {
@@ -186,7 +186,7 @@
             } else if s.copies < b.copies {
                 go(Step::Copy(m), &|t| {
                     t.copies += 1;
-                    let report = Report { token: machine.token, tasks: machine.tasks.clone() };
+                    let report = Heartbeat { token: machine.token, tasks: machine.tasks.clone() };
                     let machine = m as u8;
                     t.copy = Some(Copied { machine, report, old_for: [false; CONTROLLERS] });
                 });
@@ -213,12 +213,12 @@
                 });
             }
         }
-        if s.phase == Phase::Told {
+        if s.phase == Phase::Confirmation {
             go(Step::Limit, &|t| {
                 t.phase = Phase::Limit;
                 for controller in &mut t.controllers {
                     let unread = controller.cache.and_then(|m| m.job).is_some_and(|j| !j.aborted);
-                    controller.deaf |= unread && self.has(Guard::DeafLimit);
+                    controller.partitioned |= unread && self.has(Guard::StaleReadLimit);
                 }
             });
         }
@@ -317,8 +317,8 @@
             let own = self.token(t, n);
             let controller = &mut t.controllers[n];
             controller.tx = controller.tx.filter(may_hold);
-            for heard in &mut controller.heard {
-                *heard = heard.filter(|h| Some(h.token) == own);
+            for received in &mut controller.received {
+                *received = received.filter(|h| Some(h.token) == own);
             }
         }
         let back = (0..CONTROLLERS).any(|n| t.controllers[n].life < self.bounds.restarts[n]);
@@ -358,7 +358,7 @@
 
     fn report(&self, t: &mut State, m: usize, n: usize, give_up: bool) {
         let machine = &t.machines[m];
-        let report = Report { token: machine.token, tasks: machine.tasks.clone() };
+        let report = Heartbeat { token: machine.token, tasks: machine.tasks.clone() };
         let Some((token, commands)) = self.take_report(t, m, n, &report, give_up) else { return };
         if let Some(copy) = t.copy.as_mut().filter(|c| usize::from(c.machine) == m) {
             copy.old_for[n] = true;
@@ -390,17 +390,17 @@
         t: &mut State,
         m: usize,
         n: usize,
-        report: &Report,
+        report: &Heartbeat,
         give_up: bool,
     ) -> Option<(u8, Vec<Command>)> {
         let token = self.token(t, n)?;
-        if report.token > token || t.controllers[n].deaf {
+        if report.token > token || t.controllers[n].partitioned {
             return None;
         }
         let agent_epoch = t.machines[m].agent_epoch;
         let controller = &mut t.controllers[n];
         let job = controller.cache?.job;
-        controller.heard[m] = Some(Heard { token, seen: report.token == token, agent_epoch });
+        controller.received[m] = Some(Received { token, seen: report.token == token, agent_epoch });
         let seen = report.token == token || !self.has(Guard::SeenToken);
         let over = job.is_none_or(|j| j.aborted);
         let claim_of = |ix: u8| match job.map(|j| j.tasks[ix as usize]) {
@@ -421,7 +421,7 @@
             listed[ix as usize] |= ours;
             match (run, ours) {
                 (Run::Alive, true) if !over => {}
-                (Run::Alive, true) if !self.has(Guard::Stops) => {}
+                (Run::Alive, true) if !self.has(Guard::Evictions) => {}
                 (Run::Alive, _) => commands.push(Command::Kill(ix, attempt)),
                 (_, false) => commands.push(Command::Reap(ix, attempt)),
                 (_, true) if alive(ix) && self.has(Guard::ExitAlone) => {}
@@ -471,8 +471,8 @@
         let Some(token) = self.token(t, n) else { return };
         let machine = &t.machines[m];
         let controller = &mut t.controllers[n];
-        let Some(heard) = controller.heard[m].filter(|h| h.seen) else { return };
-        if machine.agent_epoch == heard.agent_epoch && machine.token == token {
+        let Some(received) = controller.received[m].filter(|h| h.seen) else { return };
+        if machine.agent_epoch == received.agent_epoch && machine.token == token {
             return;
         }
         let Some(job) = controller.cache.and_then(|m| m.job) else { return };
@@ -514,7 +514,7 @@
 fn read(t: &mut State, n: usize) {
     let controller = &mut t.controllers[n];
     controller.cache = Some(StateCache { job: t.store.job, pool: t.store.pool });
-    controller.deaf = false;
+    controller.partitioned = false;
     if t.store.job.is_none() {
         (controller.ends, controller.abort) = ([None; TASKS], false);
     }
@@ -523,19 +523,21 @@
 /// A user is told how the job is; jobs that are not live are looked up in the archive.
 fn tell(t: &mut State, job: Option<Job>) {
     let now = match (job, t.store.archive) {
-        (Some(j), _) if j.aborted => Told::Aborted,
-        (Some(_), _) => Told::Accepted,
-        (None, Some(Ended::Done)) => Told::Done,
-        (None, Some(Ended::Aborted)) => Told::Aborted,
-        (None, None) => Told::Nothing,
+        (Some(j), _) if j.aborted => Confirmation::Aborted,
+        (Some(_), _) => Confirmation::Accepted,
+        (None, Some(Ended::Done)) => Confirmation::Done,
+        (None, Some(Ended::Aborted)) => Confirmation::Aborted,
+        (None, None) => Confirmation::Nothing,
     };
-    match (t.told, now) {
-        (Told::Done | Told::Aborted, now) if now != t.told => t.broken = Some(WENT_BACK),
-        (Told::Accepted, Told::Nothing) => t.broken = Some(FORGOTTEN),
-        _ => t.told = now,
+    match (t.confirmation, now) {
+        (Confirmation::Done | Confirmation::Aborted, now) if now != t.confirmation => {
+            t.broken = Some(WENT_BACK)
+        }
+        (Confirmation::Accepted, Confirmation::Nothing) => t.broken = Some(FORGOTTEN),
+        _ => t.confirmation = now,
     }
-    if t.told == Told::Aborted && t.phase == Phase::Before {
-        t.phase = Phase::Told;
+    if t.confirmation == Confirmation::Aborted && t.phase == Phase::Before {
+        t.phase = Phase::Confirmation;
     }
 }
 
