--- a/crates/cleatfold-control/tests/commands.rs
+++ b/crates/cleatfold-control/tests/commands.rs
@@ -1,13 +1,13 @@
 //! Commands to machines and reports from them that arrive late, at another leader, or not at all.
 
-mod meeting;
+mod scenario;
 
 use cleatfold_control::Response;
-use cleatfold_testbed::world::{Happens, World, CONTROLLERS};
+use cleatfold_testbed::world::{SimulationEvent, World, CONTROLLERS};
 use cleatfold_wire::job::Elastic;
-use cleatfold_wire::worker::{Command, Exit, Orders, Report, TaskState};
+use cleatfold_wire::worker::{Command, Exit, Heartbeat, Orders, TaskState};
 use cleatfold_wire::*;
-use meeting::*;
+use scenario::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tasks that run for minutes on two thirds of the machines' processors; on the others short ones have just ended, so
@@ -37,13 +37,13 @@
     (task, attempt, machine)
 }
 
-fn report(world: &mut World, machine: &MachineId) -> Report {
+fn report(world: &mut World, machine: &MachineId) -> Heartbeat {
     world.workers.get_mut(machine).expect("it is there").report()
 }
 
-fn deliver_now(world: &mut World, report: &Report) {
+fn deliver_now(world: &mut World, report: &Heartbeat) {
     for controller in 0..CONTROLLERS {
-        world.happen(Happens::Copy(controller, Box::new(report.clone())));
+        world.handle_event(SimulationEvent::Copy(controller, Box::new(report.clone())));
     }
 }
 
@@ -64,8 +64,8 @@
 
 /// Runs until the answer that launches the task is on its way, and says to which machine.
 fn launch_on_its_way(world: &mut World, task: &TaskId) -> Option<MachineId> {
-    let launches = |event: &Happens| match event {
-        Happens::WorkerAnswer { machine, response: Response::Worker(reply), .. } => {
+    let launches = |event: &SimulationEvent| match event {
+        SimulationEvent::WorkerAnswer { machine, response: Response::Worker(reply), .. } => {
             let of_task = |c: &Command| matches!(c, Command::Start { task: t, .. } if t == task);
             reply.commands.iter().any(of_task).then(|| machine.clone())
         }
@@ -88,7 +88,7 @@
         let first = plain(&mut world, 8, 20.0);
         world.submit(0, first);
         run_for(&mut world, 18_000);
-        let before: BTreeMap<MachineId, Report> =
+        let before: BTreeMap<MachineId, Heartbeat> =
             world.workers.iter_mut().map(|(id, w)| (id.clone(), w.report())).collect();
         let spec = plain(&mut world, 1, 100.0);
         let task = TaskId { job: spec.id.clone(), ix: TaskIx(0) };
@@ -146,7 +146,7 @@
         let commands = vec![Command::Stop { task: task.clone(), attempt, grace_s: 0.0 }];
         let orders = Orders { token, agent_epoch, commands };
         let life = world.lives[owning];
-        world.happen(Happens::Orders {
+        world.handle_event(SimulationEvent::Orders {
             controller: owning,
             life,
             machine: machine.clone(),
@@ -195,7 +195,7 @@
 
 /// An attempt that has been stopped once by a held command, forgotten with the machine's session and started again
 /// there by its owner: the report of its first exit is still on its way. `None` where the day brings no such attempt.
-fn started_again(seed: u64) -> Option<(World, TaskId, MachineId, Report)> {
+fn started_again(seed: u64) -> Option<(World, TaskId, MachineId, Heartbeat)> {
     let mut world = long_tasks(seed);
     let (task, attempt, machine) = one_running(&world);
     let owning = owner(&world, &machine).expect("held");
@@ -205,7 +205,7 @@
     let commands = vec![Command::Stop { task: task.clone(), attempt, grace_s: 0.0 }];
     let orders = Orders { token, agent_epoch, commands };
     let life = world.lives[owning];
-    world.happen(Happens::Orders {
+    world.handle_event(SimulationEvent::Orders {
         controller: owning,
         life,
         machine: machine.clone(),
@@ -287,7 +287,7 @@
             .filter(|m| world.pool_of(m) == Some(pool.clone()))
             .cloned()
             .collect();
-        let reports: Vec<Report> = of_pool.iter().map(|m| report(&mut world, m)).collect();
+        let reports: Vec<Heartbeat> = of_pool.iter().map(|m| report(&mut world, m)).collect();
         let on_it: BTreeMap<TaskId, MachineId> = world
             .running
             .iter()
@@ -298,7 +298,7 @@
         world.set_apart(former, until, false);
         world.mesh_off = true;
         for other in (0..CONTROLLERS).filter(|n| *n != former) {
-            world.troubles.cuts.insert(other, (until, Some(zone.clone())));
+            world.faults.cuts.insert(other, (until, Some(zone.clone())));
         }
         // The cloud does not delete for the new owner what it can't prove to be gone.
         world.cloud_off = true;
@@ -403,12 +403,12 @@
         let cancel_ms = world.size.times().cancel_ms;
         run_for(&mut world, cancel_ms + 20_000);
         no_rule_broken(&world, &what);
-        let told = world.jobs.values().filter(|w| w.cancel_told.is_some()).count();
+        let told = world.jobs.values().filter(|w| w.cancel_confirmed.is_some()).count();
         assert_eq!(told, cancelled as usize, "{what}");
         let watch = &world.cancel_watch;
         went_on += watch.went_on_count;
         if loss.is_none() {
-            let most = 2 * world.size.times().report_ms + 1_500;
+            let most = 2 * world.size.times().heartbeat_interval_ms + 1_500;
             assert!(watch.longest_after_hang_ms <= most, "{what}: {}", watch.longest_after_hang_ms);
         }
         let latest = watch.starts_after.iter().map(|s| s.1).max().unwrap_or_default();
--- a/crates/cleatfold-control/tests/elastic.rs
+++ b/crates/cleatfold-control/tests/elastic.rs
@@ -3,7 +3,7 @@
 //! answer a member gets.
 
 use cleatfold_control::{records, Request};
-use cleatfold_testbed::world::{controller_id, Asked, Happens, Size, World, CONTROLLERS};
+use cleatfold_testbed::world::{controller_id, Asked, SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{Elastic, JobSpec, Urgency};
 use cleatfold_wire::*;
 
@@ -49,7 +49,7 @@
     world
 }
 
-fn keeper_of(world: &World, job: &JobId) -> usize {
+fn coordinator_of(world: &World, job: &JobId) -> usize {
     let ranked = |i: &usize| {
         let key = format!("{job}@{}", controller_id(*i));
         xxhash_rust::xxh3::xxh3_64(key.as_bytes())
@@ -95,7 +95,7 @@
             waited += 1;
             assert!(waited < 60_000, "it does not get on: {}", world.steps.finished(&job));
         }
-        let keeper = keeper_of(&world, &job);
+        let keeper = coordinator_of(&world, &job);
         world.crash(keeper, 2500);
         world.run(world.now.plus(9000));
     }
@@ -122,7 +122,7 @@
     let (mut world, job) = begun(23, 80, 3, 3, 2.0);
     let (_, machine) = members(&world, &job).first().cloned().expect("members run");
     let there = members(&world, &job).iter().filter(|m| m.1 == machine).count();
-    world.happen(Happens::Die(machine));
+    world.handle_event(SimulationEvent::Die(machine));
     let world = finish(world, &job, 80);
     // A step at work, and one complete but not yet told, for each member there.
     assert!(world.steps.redone() <= 2 * there, "{} done again", world.steps.redone());
@@ -133,7 +133,7 @@
 fn the_state_service_away_for_longer_than_a_step() {
     let (mut world, job) = begun(24, 90, 2, 6, 1.0);
     let until = world.now.plus(15_000);
-    world.happen(Happens::Outage { until });
+    world.handle_event(SimulationEvent::Outage { until });
     let before = world.steps.worked.len();
     world.run(until);
     assert!(world.steps.worked.len() > before, "members stood still");
@@ -216,7 +216,7 @@
         world.jobs.get_mut(&job).expect("known").cancel_asked = true;
         world.ask(2, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
         world.run(world.now.plus(5000));
-        let told = world.jobs[&job].cancel_told.is_some();
+        let told = world.jobs[&job].cancel_confirmed.is_some();
         assert!(told, "after {after}: not told");
         let finished = world.steps.finished(&job);
         world.run(world.now.plus(60_000));
--- a/crates/cleatfold-control/tests/format.rs
+++ b/crates/cleatfold-control/tests/format.rs
@@ -2,7 +2,7 @@
 
 use cleatfold_control::records::FORMAT_KEY;
 use cleatfold_control::FORMAT;
-use cleatfold_testbed::world::{Happens, Size, World, CONTROLLERS};
+use cleatfold_testbed::world::{SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::Ms;
 
@@ -79,7 +79,7 @@
             mark(&mut world, &serde_json::json!({ "version": FORMAT }));
         }
         let before = world.store.revision();
-        world.happen(Happens::Outage { until: Ms(30_000) });
+        world.handle_event(SimulationEvent::Outage { until: Ms(30_000) });
         world.run(Ms(29_900));
         assert_eq!(world.store.revision(), before);
         assert!(world.controllers.iter().flatten().all(|n| !n.is_ready()));
--- a/crates/cleatfold-control/tests/formats.rs
+++ b/crates/cleatfold-control/tests/formats.rs
@@ -4,13 +4,13 @@
 //! renamed since, each must be read, and written again exactly as it was.
 
 use cleatfold_control::records::*;
-use cleatfold_roles::RentBook;
+use cleatfold_roles::ScaleOutIntents;
 use cleatfold_wire::job::JobStatus;
 use cleatfold_wire::losses::Loss;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::steps::{StepReply, StepReport};
 use cleatfold_wire::store::{Grant, Txn};
-use cleatfold_wire::worker::{Orders, Redirect, Report, ReportReply};
+use cleatfold_wire::worker::{Heartbeat, HeartbeatResponse, Orders, Redirect};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -51,15 +51,15 @@
         Key::Job(_) => rewritten::<JobRecord>(fixture),
         Key::Part(..) => rewritten::<Table>(fixture),
         Key::Progress(..) => rewritten::<cleatfold_elastic::PartRecord>(fixture),
-        Key::Pool(_) | Key::Duty(_) | Key::Workspace(_) => rewritten::<HolderRecord>(fixture),
+        Key::Pool(_) | Key::Role(_) | Key::Workspace(_) => rewritten::<HolderRecord>(fixture),
         Key::Controller(_) => rewritten::<ControllerRecord>(fixture),
         Key::Slice(_) => rewritten::<SliceRecord>(fixture),
         Key::LossHead(_) => rewritten::<LossHead>(fixture),
         Key::History(_) => rewritten::<HistoryHead>(fixture),
-        Key::Made(_) => rewritten::<MadeRecord>(fixture),
-        Key::Weights(_) => rewritten::<SpreadRecord>(fixture),
-        Key::Rents => rewritten::<RentBook>(fixture),
-        Key::Allotment => rewritten::<cleatfold_admission::Allotment>(fixture),
+        Key::Preemption(_) => rewritten::<PreemptionRecord>(fixture),
+        Key::ImageHolders(_) => rewritten::<SpreadRecord>(fixture),
+        Key::ScaleOutIntents => rewritten::<ScaleOutIntents>(fixture),
+        Key::OverloadQuota => rewritten::<cleatfold_admission::OverloadQuota>(fixture),
         Key::Origin => rewritten::<OriginRecord>(fixture),
     }
 }
@@ -107,7 +107,7 @@
             "Cancelled" => matches!(message, Message::Cancelled { .. }),
             "CancelledAck" => matches!(message, Message::CancelledAck { .. }),
             "Changed" => matches!(message, Message::Changed),
-            "Hears" => matches!(message, Message::Hears { .. }),
+            "Hears" => matches!(message, Message::ZoneContact { .. }),
             "Images" => matches!(message, Message::Images { .. }),
             "Promises" => matches!(message, Message::Promises { .. }),
             "Rented" => matches!(message, Message::Rented { .. }),
@@ -122,11 +122,11 @@
     all_rewritten::<Txn>("transaction");
     all_rewritten::<Grant>("grant");
     all_rewritten::<Orders>("orders");
-    all_rewritten::<Report>("report");
-    all_rewritten::<ReportReply>("report_reply");
+    all_rewritten::<Heartbeat>("report");
+    all_rewritten::<HeartbeatResponse>("report_reply");
     all_rewritten::<Redirect>("redirect");
     all_rewritten::<JobStatus>("status");
     all_rewritten::<StepReply>("steps");
     all_rewritten::<StepReport>("steps_report");
-    all_rewritten::<cleatfold_wire::cloud::RentRequest>("rent");
+    all_rewritten::<cleatfold_wire::cloud::ScaleOutRequest>("rent");
 }
--- a/crates/cleatfold-control/tests/handovers.rs
+++ b/crates/cleatfold-control/tests/handovers.rs
@@ -1,11 +1,11 @@
 //! Two troubles at once: machines, commands and users while their controllers change.
 
-mod meeting;
+mod scenario;
 
 use cleatfold_testbed::world::{World, CONTROLLERS};
 use cleatfold_wire::job::Elastic;
 use cleatfold_wire::*;
-use meeting::*;
+use scenario::*;
 use std::collections::BTreeSet;
 
 /// A region whose machines run tasks for minutes.
@@ -45,7 +45,7 @@
                         let task = TaskId { job: spec.id.clone(), ix: TaskIx(ix) };
                         let run = [4_000, 25_000, 90_000][(3 - tasks + ix) as usize % 3];
                         let run = if ix == 0 { 4_000 } else { run };
-                        world.moments.runs.insert(task, run + 150 * u64::from(j));
+                        world.fault_schedule.runs.insert(task, run + 150 * u64::from(j));
                     }
                     ends.push(TaskId { job: spec.id.clone(), ix: TaskIx(0) });
                     world.submit(j as usize % CONTROLLERS, spec);
@@ -69,7 +69,9 @@
                         loss.befall(&mut world, owner);
                     }
                     if again == 0 && n % 3 == 1 {
-                        world.happen(cleatfold_testbed::world::Happens::Die(machine.clone()));
+                        world.handle_event(cleatfold_testbed::world::SimulationEvent::Die(
+                            machine.clone(),
+                        ));
                     }
                     asking(&mut world, 4_000 + 3_000 * (again as u64 + n as u64 % 4));
                 }
@@ -85,7 +87,7 @@
 enum Unreached {
     Hangs(u64),
     Cut(u64),
-    Deaf(u64),
+    OneWayPartition(u64),
 }
 
 /// Machines with long tasks hang, are cut off or hear nothing while their pool's owner ends: nothing runs
@@ -93,7 +95,14 @@
 #[test]
 fn unreachable_machines_hold_no_job_when_their_owner_ends() {
     use Unreached::*;
-    let kinds = [Hangs(4_000), Hangs(9_000), Hangs(25_000), Cut(9_500), Cut(30_000), Deaf(30_000)];
+    let kinds = [
+        Hangs(4_000),
+        Hangs(9_000),
+        Hangs(25_000),
+        Cut(9_500),
+        Cut(30_000),
+        OneWayPartition(30_000),
+    ];
     let mut seed = 100;
     for kind in kinds {
         for loss in Loss::ALL {
@@ -119,9 +128,9 @@
                             world.hung.insert(m.clone(), now.plus(ms));
                         }
                         Cut(ms) => {
-                            world.moments.cut_machines.insert(m.clone(), now.plus(ms));
+                            world.fault_schedule.cut_machines.insert(m.clone(), now.plus(ms));
                         }
-                        Deaf(ms) => world.deafen(m, now.plus(ms)),
+                        OneWayPartition(ms) => world.deafen(m, now.plus(ms)),
                     }
                 }
                 if before {
@@ -151,7 +160,7 @@
         let mut world = region(seed, 9);
         world.run(Ms(4000));
         let until = Ms(90_000);
-        world.moments.late_orders = Some((9_000, until, seed % 2 == 0));
+        world.fault_schedule.late_orders = Some((9_000, until, seed % 2 == 0));
         let mut sweep = plain(&mut world, 40, 0.0);
         (sweep.cpus, sweep.elastic) = (1.0, Some(Elastic { steps: 900, least: 1, step_s: 1.5 }));
         world.submit(0, sweep);
@@ -174,7 +183,7 @@
             run_for(&mut world, 3_000);
         }
         ends_well(&mut world, 400_000, &format!("seed {seed}"));
-        late += world.moments.ordered_late;
+        late += world.fault_schedule.ordered_late;
     }
     assert!(late > 30, "only {late} orders came late");
 }
@@ -192,7 +201,7 @@
             seed += 1;
             let mut world = region(seed, 12);
             for i in 0..CONTROLLERS {
-                world.moments.late_commits.insert(i, (1_200, Ms(60_000)));
+                world.fault_schedule.late_commits.insert(i, (1_200, Ms(60_000)));
             }
             world.run(Ms(4000));
             for n in 0..6u64 {
@@ -258,12 +267,12 @@
             world.ask_all_at(other);
             let again = jobs[(world.now.0 / 500) as usize % jobs.len()].clone();
             world.submit_again(apart, &again);
-            if world.jobs[&cancelled].cancel_told.is_none() {
+            if world.jobs[&cancelled].cancel_confirmed.is_none() {
                 withdraw(&mut world, other, &cancelled);
             }
         }
         world.cloud_off = false;
-        assert!(world.jobs[&cancelled].cancel_told.is_some(), "seed {seed}: not told");
+        assert!(world.jobs[&cancelled].cancel_confirmed.is_some(), "seed {seed}: not told");
         ends_well_asked(&mut world, 500_000, &format!("seed {seed}"));
     }
 }
--- a/crates/cleatfold-control/tests/weights.rs
+++ b/crates/cleatfold-control/tests/image_distribution.rs
@@ -1,15 +1,17 @@
 //! Images that many machines want at once, while those who plan their spread fall. The world watches, at every
 //! step, that the seats in the record stay within the bound and that whoever fetches from the origin has one.
 
-use cleatfold_testbed::world::{controller_id, Happens, Size, Weights, World, CONTROLLERS};
+use cleatfold_testbed::world::{
+    controller_id, ImageSettings, SimulationEvent, Size, World, CONTROLLERS,
+};
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::*;
 use std::collections::BTreeSet;
 
 const GB: f64 = 10.0;
 
-fn region(seed: u64, machines: usize, weights: Weights) -> World {
-    let size = Size { machines, most_jobs: 0, weights: Some(weights), ..Size::SMALL };
+fn region(seed: u64, machines: usize, images: ImageSettings) -> World {
+    let size = Size { machines, most_jobs: 0, images: Some(images), ..Size::SMALL };
     let mut world = World::sized(seed, false, size);
     world.run(Ms(6000));
     world
@@ -60,7 +62,7 @@
 /// Thirty machines and two seats. Each for itself would take 150 s, in stages alone as long.
 #[test]
 fn a_wave_is_fetched_in_stages_and_handed_on() {
-    let mut world = region(1, 30, Weights::SMALL);
+    let mut world = region(1, 30, ImageSettings::SMALL);
     submit(&mut world, 30, "m1", 300.0);
     let s = run_until(&mut world, 40, |w| having(w, "m1") == 30);
     assert!(s < 30.0 && origin_gb(&world) <= 3.0 * GB, "{s} s, {} GB", origin_gb(&world));
@@ -69,7 +71,7 @@
 /// Workers that know the protocol alone fetch from the origin, by turns.
 #[test]
 fn workers_of_the_protocol_are_staged() {
-    let mut world = region(2, 30, Weights { hear: 0, ..Weights::SMALL });
+    let mut world = region(2, 30, ImageSettings { hear: 0, ..ImageSettings::SMALL });
     submit(&mut world, 30, "m1", 300.0);
     let s = run_until(&mut world, 220, |w| having(w, "m1") == 30);
     // Fifteen rounds of ten seconds, and a report or two to each.
@@ -83,17 +85,17 @@
 #[test]
 fn whoever_falls_no_seat_is_given_twice_and_all_get_it() {
     for seed in 10..18 {
-        let mut world = region(seed, 24, Weights { hear: 70, ..Weights::SMALL });
+        let mut world = region(seed, 24, ImageSettings { hear: 70, ..ImageSettings::SMALL });
         submit(&mut world, 24, "m1", 20.0);
         let at = |i: u64| 8_000 + 7_000 * i + 500 * seed;
         for i in 0..5u64 {
             let controller = ((i + seed) % CONTROLLERS as u64) as usize;
             match (seed + i) % 4 {
-                0 => world.at(at(i), Happens::Crash(controller)),
-                1 => (0..CONTROLLERS).for_each(|n| world.at(at(i), Happens::Crash(n))),
+                0 => world.at(at(i), SimulationEvent::Crash(controller)),
+                1 => (0..CONTROLLERS).for_each(|n| world.at(at(i), SimulationEvent::Crash(n))),
                 2 => {
                     let until = Ms(6000 + at(i) + 9_000);
-                    world.at(at(i), Happens::Cut { controller, until });
+                    world.at(at(i), SimulationEvent::Cut { controller, until });
                 }
                 _ => {
                     let now = world.now;
@@ -116,7 +118,7 @@
 #[test]
 fn a_source_that_dies_hears_nothing_is_slow_or_lies_costs_little() {
     for (case, seed) in [(0, 20), (1, 21), (2, 22), (3, 23), (4, 24)] {
-        let mut world = region(seed, 30, Weights::SMALL);
+        let mut world = region(seed, 30, ImageSettings::SMALL);
         submit(&mut world, 30, "m1", 400.0);
         run_until(&mut world, 40, |w| a_source(w).is_some());
         let now = world.now;
@@ -125,14 +127,14 @@
         let net = world.net.as_mut().expect("weights");
         let holder = net.holders.get_mut(&source).expect("holds");
         match case {
-            0 => world.at(0, Happens::Die(source.clone())),
+            0 => world.at(0, SimulationEvent::Die(source.clone())),
             1 => holder.black_hole = true,
             2 => holder.speed = 0.05,
             3 => holder.lies = true,
             _ => net.leave(now, &source),
         }
         let owner = (0..CONTROLLERS).find(|n| world.controllers[*n].is_some()).expect("up");
-        world.at(1000, Happens::Crash(owner));
+        world.at(1000, SimulationEvent::Crash(owner));
         run_until(&mut world, 150, |w| having(w, "m1") >= 29);
         if case == 3 {
             assert!(world.net.as_ref().unwrap().wrong > 0, "a wrong piece was sent");
@@ -145,7 +147,7 @@
 /// nobody waits for, and the seats come back.
 #[test]
 fn what_is_cancelled_leaves_the_plan() {
-    let mut world = region(30, 40, Weights { hear: 0, ..Weights::SMALL });
+    let mut world = region(30, 40, ImageSettings { hear: 0, ..ImageSettings::SMALL });
     let keep = submit(&mut world, 8, "m1", 400.0);
     let cancel = submit(&mut world, 32, "m1", 400.0);
     world.run(Ms(20_000));
@@ -153,7 +155,7 @@
     let asked = cleatfold_testbed::world::Asked::Withdraw(cancel.clone());
     world.ask(1, asked, cleatfold_control::Request::Withdraw(cancel.clone()));
     world.run(Ms(21_000));
-    (0..CONTROLLERS).for_each(|n| world.at(0, Happens::Crash(n)));
+    (0..CONTROLLERS).for_each(|n| world.at(0, SimulationEvent::Crash(n)));
     let done = |w: &World| w.running.keys().filter(|t| t.job == keep).count() == 8;
     run_until(&mut world, 120, done);
     run_until(&mut world, 120, |w| w.origin_record().slots.is_empty() && having(w, "m1") >= 8);
@@ -165,7 +167,7 @@
 #[test]
 fn a_machine_that_is_back_at_once_is_asked_what_it_has() {
     for full in [false, true] {
-        let mut world = region(40, 12, Weights::SMALL);
+        let mut world = region(40, 12, ImageSettings::SMALL);
         submit(&mut world, 12, "m1", 400.0);
         run_until(&mut world, 60, |w| having(w, "m1") >= 6);
         let id = world.workers.keys().next().expect("one").clone();
@@ -196,7 +198,7 @@
 /// The record names who holds it, and a successor reads it; it goes when nobody wants the image any more.
 #[test]
 fn holders_are_in_shared_state_while_the_image_is_wanted() {
-    let mut world = region(50, 20, Weights::SMALL);
+    let mut world = region(50, 20, ImageSettings::SMALL);
     submit(&mut world, 20, "m1", 30.0);
     let key = "cf/w/m1";
     let named = |w: &World| {
--- a/crates/cleatfold-control/tests/added.rs
+++ b/crates/cleatfold-control/tests/late_reports.rs
@@ -1,7 +1,7 @@
 //! The troubles that the operators added: copies of reports that come late, machines that nothing
 //! told reaches, a controller without the state service and its peers but with its workers.
 
-use cleatfold_testbed::world::{Happens, Size, World, CONTROLLERS};
+use cleatfold_testbed::world::{SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -65,7 +65,7 @@
         world.copies(0.6, (2_000, 25_000), now.plus(60_000));
         run_for(&mut world, 12_000);
         let (from, until) = (world.now, world.now.plus(45_000));
-        world.troubles.cuts.insert(cut, (until, None));
+        world.faults.cuts.insert(cut, (until, None));
         let mut served = None;
         while world.now < until && served.is_none() {
             run_for(&mut world, 250);
@@ -93,7 +93,7 @@
         let now = world.now;
         world.copies(0.6, (2_000, 30_000), now.plus(60_000));
         moves.push(moves_within(&mut world, 60_000));
-        assert!(world.troubles.copied > 500);
+        assert!(world.faults.copied > 500);
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
     }
     assert!(moves.iter().all(|m| *m == 0), "{moves:?}");
@@ -106,7 +106,7 @@
     let served = |seed: u64, copies: bool| -> u64 {
         let mut world = busy(seed, 4.0);
         // The idle ones are returned; then those that returned them are gone.
-        let mut last: BTreeMap<MachineId, cleatfold_wire::worker::Report> = BTreeMap::new();
+        let mut last: BTreeMap<MachineId, cleatfold_wire::worker::Heartbeat> = BTreeMap::new();
         let mut most = world.workers.len();
         while world.workers.len() * 2 > most && world.now < Ms(120_000) {
             for (id, w) in &mut world.workers {
@@ -119,7 +119,8 @@
         (0..CONTROLLERS).for_each(|i| world.crash(i, 300 + 400 * i as u64));
         for (n, report) in last.into_values().enumerate().filter(|_| copies) {
             for round in 0..8 {
-                let copy = Happens::Copy((n + round) % CONTROLLERS, Box::new(report.clone()));
+                let copy =
+                    SimulationEvent::Copy((n + round) % CONTROLLERS, Box::new(report.clone()));
                 world.at(3_000 + 4_000 * round as u64, copy);
             }
         }
@@ -156,11 +157,11 @@
         let owner = world.holder(&pool).expect("held");
         let worker = world.workers.get_mut(&machine).expect("there");
         let reports: Vec<_> = (0..15).map(|_| worker.report()).collect();
-        world.at(0, Happens::Die(machine.clone()));
+        world.at(0, SimulationEvent::Die(machine.clone()));
         world.crash(owner, 10_000);
         for (i, report) in reports.into_iter().enumerate().filter(|_| copies) {
             for controller in 0..CONTROLLERS {
-                let copy = Happens::Copy(controller, Box::new(report.clone()));
+                let copy = SimulationEvent::Copy(controller, Box::new(report.clone()));
                 world.at(2_000 * (i as u64 + 1), copy);
             }
         }
--- a/crates/cleatfold-control/tests/late.rs
+++ b/crates/cleatfold-control/tests/late_transactions.rs
@@ -6,9 +6,9 @@
 use cleatfold_control::records::*;
 use cleatfold_control::{Request, StoreRequest};
 use cleatfold_fakes::store::Refusal;
-use cleatfold_roles::Duty;
+use cleatfold_roles::Role;
 use cleatfold_testbed::world::{
-    controller_id, Asked, Happens, Purpose, Size, Weights, World, CONTROLLERS,
+    controller_id, Asked, ImageSettings, Purpose, SimulationEvent, Size, World, CONTROLLERS,
 };
 use cleatfold_wire::job::{Elastic, JobSpec, JobState, Kind, Urgency};
 use cleatfold_wire::store::Txn;
@@ -57,9 +57,9 @@
         world.submit((controller + 1) % CONTROLLERS, elastic);
         let until = world.now.plus(12_000);
         audited(&mut world, until);
-        world.at(0, Happens::Crash(controller));
+        world.at(0, SimulationEvent::Crash(controller));
         if let Some(machine) = world.running.values().next().cloned() {
-            world.at(3_000, Happens::Die(machine));
+            world.at(3_000, SimulationEvent::Die(machine));
         }
         let until = world.now.plus(12_000);
         audited(&mut world, until);
@@ -95,8 +95,13 @@
 #[test]
 fn each_kind_in_turn_may_be_late() {
     // Rooms, seats and holders need other regions; clean-up hardly ever has anything to do.
-    let seldom =
-        [Purpose::Rooms, Purpose::Seats, Purpose::Holders, Purpose::CleanUp, Purpose::GiveDuty];
+    let seldom = [
+        Purpose::Preemptions,
+        Purpose::Slots,
+        Purpose::Holders,
+        Purpose::CleanUp,
+        Purpose::ReleaseRole,
+    ];
     let some = Size { most_jobs: 110, pause_ms: 500, tasks: (1, 5), ..Size::SMALL };
     // Enough ends that groups of a history fill.
     let many = Size { machines: 30, most_jobs: 700, pause_ms: 130, tasks: (1, 3), ..Size::SMALL };
@@ -128,10 +133,10 @@
 fn seats_and_holders_may_be_late() {
     let (mut seats, mut holders) = (0, 0);
     for (seed, hear) in [(40, 0), (41, 0), (42, 100), (43, 50)] {
-        let weights = Some(Weights { hear, ..Weights::SMALL });
-        let size = Size { machines: 14, most_jobs: 0, weights, ..Size::SMALL };
+        let images = Some(ImageSettings { hear, ..ImageSettings::SMALL });
+        let size = Size { machines: 14, most_jobs: 0, images, ..Size::SMALL };
         let mut world = World::sized(seed, false, size);
-        world.writes_late([Purpose::Seats, Purpose::Holders], 0.5, Ms(150_000));
+        world.writes_late([Purpose::Slots, Purpose::Holders], 0.5, Ms(150_000));
         audited(&mut world, Ms(6_000));
         for i in 0..6 {
             let mut spec = plain(&mut world, 12, 8.0, 4.0);
@@ -146,7 +151,7 @@
         audited(&mut world, Ms(260_000));
         println!("seed {seed}: {:?}", world.late.late);
         (seats, holders) =
-            (seats + late(&world, Purpose::Seats).0, holders + late(&world, Purpose::Holders).0);
+            (seats + late(&world, Purpose::Slots).0, holders + late(&world, Purpose::Holders).0);
         assert_eq!(world.unfinished(), Vec::<JobId>::new(), "seed {seed}");
     }
     assert!(seats > 20 && holders > 3, "{seats} {holders}");
@@ -204,13 +209,13 @@
 #[test]
 fn a_late_one_is_refused_once_its_key_was_written() {
     for kind in [
-        Purpose::Deal,
+        Purpose::PoolAssignment,
         Purpose::Slice,
         Purpose::Workspace,
         Purpose::History,
         Purpose::LossLog,
-        Purpose::Rents,
-        Purpose::Allotment,
+        Purpose::ScaleOutIntents,
+        Purpose::OverloadQuota,
     ] {
         let size = Size { machines: 30, most_jobs: 700, pause_ms: 130, ..Size::SMALL };
         let mut world = World::sized(7, false, size);
@@ -222,7 +227,7 @@
             assert!(world.now < Ms(120_000), "no {kind:?}");
             if let Some(machine) = world.running.values().next().cloned() {
                 if kind == Purpose::LossLog && world.now.0 % 10_000 < 500 {
-                    world.at(0, Happens::Die(machine));
+                    world.at(0, SimulationEvent::Die(machine));
                 }
             }
             run_for(&mut world, 500);
@@ -278,7 +283,7 @@
         submit_again(&mut world, 0, &spec);
         run_for(&mut world, 3_000);
         let state = if cancelled { JobState::Aborted } else { JobState::Done };
-        assert_eq!(world.jobs[&job].told, Some(state));
+        assert_eq!(world.jobs[&job].answered_state, Some(state));
         let until = world.now.plus(20_000);
         audited(&mut world, until);
     }
@@ -358,7 +363,7 @@
     cancel(&mut world, 1, &job);
     let cancelled = |w: &World| {
         w.events.values().any(|e| {
-            let Happens::StoreRequest { request, .. } = e else { return false };
+            let SimulationEvent::StoreRequest { request, .. } = e else { return false };
             let StoreRequest::Txn(txn) = request else { return false };
             txn.changes
                 .iter()
@@ -386,7 +391,7 @@
 fn a_late_taking_of_a_duty_is_under_a_lease_that_stands_or_refused() {
     for gone in [false, true] {
         let mut world = World::sized(4, false, Size { most_jobs: 0, ..Size::SMALL });
-        keep(&mut world, Purpose::TakeDuty);
+        keep(&mut world, Purpose::AcquireRole);
         let txn = kept(&mut world);
         let key = txn.changes[0].put.clone().expect("a duty");
         wait_for(&mut world, 20, |w| w.store.get(&key).is_some());
@@ -418,7 +423,7 @@
         let spec = plain(&mut world, 20, 2.0, 4.0);
         let job = world.submit((sender + 1) % CONTROLLERS, spec);
         wait_for(&mut world, 120, |w| has_ended(w, &job));
-        assert!(Duty::ALL.iter().all(|d| world.store.get(d.key()).is_some()), "all are held");
+        assert!(Role::ALL.iter().all(|d| world.store.get(d.key()).is_some()), "all are held");
     }
 }
 
--- a/crates/cleatfold-control/tests/leaders.rs
+++ b/crates/cleatfold-control/tests/leaders.rs
@@ -4,11 +4,11 @@
 //! Not seen to fail without the incarnation of owners, the pool's version in dealing, a worker's having seen the token, or
 //! a poll's wait for a later reading: `claims.rs`, `late.rs`, `seen_token.rs` and `world.rs` are about these.
 
-mod meeting;
+mod scenario;
 
-use cleatfold_testbed::world::{Blink, Happens, Moment, Step, Who, World, CONTROLLERS};
+use cleatfold_testbed::world::{Blink, Moment, SimulationEvent, Step, Who, World, CONTROLLERS};
 use cleatfold_wire::*;
-use meeting::*;
+use scenario::*;
 
 /// A region that users keep busy, at the time when a leader has dealt its pools.
 fn busy(seed: u64, until: Ms) -> World {
@@ -31,7 +31,7 @@
         world.run(Ms(160_000));
         let (ended, epochs) = (world.leaders.ended.len(), world.leaders.epochs.len());
         assert_eq!((ended, epochs), (10, 10), "seed {seed}: ends, and holdings that they ended");
-        let cancelled = world.jobs.values().filter(|j| j.cancel_told.is_some()).count();
+        let cancelled = world.jobs.values().filter(|j| j.cancel_confirmed.is_some()).count();
         assert!(cancelled > 10, "seed {seed}: {cancelled} cancelled");
         ends_well_asked(&mut world, 300_000, &format!("seed {seed}"));
     }
@@ -47,7 +47,7 @@
         world.ten_leaders(Ms(145_000));
         let (from, until) = (Ms(45_000), Ms(85_000));
         world.run(from);
-        world.happen(Happens::Outage { until });
+        world.handle_event(SimulationEvent::Outage { until });
         world.run(Ms(160_000));
         assert_eq!(world.leaders.ended.len(), 10, "seed {seed}");
         inside += world.leaders.ended.iter().filter(|at| **at > from && **at < until).count();
@@ -66,7 +66,10 @@
         let spec = plain(&mut world, tasks, 30.0);
         for ix in 0..tasks {
             let runs_ms = [5_000, 75_000, 40_000][ix as usize] + 400 * u64::from(n);
-            world.moments.runs.insert(TaskId { job: spec.id.clone(), ix: TaskIx(ix) }, runs_ms);
+            world
+                .fault_schedule
+                .runs
+                .insert(TaskId { job: spec.id.clone(), ix: TaskIx(ix) }, runs_ms);
         }
         world.submit(n as usize % CONTROLLERS, spec);
     }
@@ -126,7 +129,7 @@
 /// a step of it; one is back at once.
 fn day_with(seed: u64, blink: Blink) -> World {
     let mut world = region(seed, 12);
-    world.blinks.plan = Some(blink);
+    world.quick_restarts.plan = Some(blink);
     for (at, tasks, team) in [(4_000, 14, "free"), (9_000, 8, "tight"), (13_000, 10, "free")] {
         world.run(Ms(at));
         let controller =
@@ -152,7 +155,7 @@
     let Some(pool) = world.workers.keys().next().and_then(|m| world.pool_of(m)) else { return };
     let Some(owner) = world.holder(&pool) else { return };
     world.mesh_off = true;
-    world.troubles.cuts.insert(owner, (until, Some(pool.zone)));
+    world.faults.cuts.insert(owner, (until, Some(pool.zone)));
 }
 
 /// How often the day shows the step where nothing befalls it.
@@ -160,7 +163,7 @@
     let undisturbed = Blink { step, nth: u32::MAX, who: Who::All, moment: Moment::Before };
     let mut world = day_with(seed, undisturbed);
     ends_well(&mut world, 200_000, "undisturbed");
-    let count = world.blinks.seen.get(&step).copied().unwrap_or_default();
+    let count = world.quick_restarts.seen.get(&step).copied().unwrap_or_default();
     assert!(count > 0, "the day shows no {step:?}");
     count
 }
@@ -168,30 +171,31 @@
 /// All controllers end at these occurrences of the step, each of them in turn is back at once. Returns how often that
 /// came about.
 fn one_returns_at(seed: u64, step: Step, occurrences: impl IntoIterator<Item = u32>) -> usize {
-    let mut befell = 0;
+    let mut applied_faults = 0;
     for nth in occurrences {
         for returns in 0..CONTROLLERS {
             for moment in [Moment::Before, Moment::Late, Moment::After] {
                 let blink = Blink { step, nth, who: Who::OneReturns(returns), moment };
                 let mut world = day_with(seed, blink);
                 ends_well_asked(&mut world, 200_000, &format!("seed {seed} {blink:?}"));
-                befell += usize::from(world.blinks.befell.is_some());
+                applied_faults += usize::from(world.quick_restarts.applied_faults.is_some());
             }
         }
     }
-    befell
+    applied_faults
 }
 
 /// Whichever of them returns, and in the middle of whatever: taking a duty, dealing pools, taking one over.
 #[test]
 fn all_end_in_the_middle_of_an_election_and_one_returns() {
     let seed = 31;
-    let mut befell = 0;
-    for step in [Step::Elect, Step::Deal, Step::TakeOver] {
+    let mut applied_faults = 0;
+    for step in [Step::Elect, Step::PoolAssignment, Step::TakeOver] {
         let count = occurrences(seed, step);
-        befell += one_returns_at(seed, step, [1, count / 2, count].into_iter().filter(|n| *n > 0));
+        applied_faults +=
+            one_returns_at(seed, step, [1, count / 2, count].into_iter().filter(|n| *n > 0));
     }
-    assert!(befell > 60, "only {befell}");
+    assert!(applied_faults > 60, "only {applied_faults}");
 }
 
 /// Every occurrence of every step, on two days: 648 and 963 times all end.
@@ -201,18 +205,18 @@
     let steps = [
         Step::Enlist,
         Step::Elect,
-        Step::Deal,
+        Step::PoolAssignment,
         Step::TakeOver,
         Step::Claim,
         Step::End,
         Step::Slice,
-        Step::Rent,
+        Step::ScaleOut,
         Step::RentCall,
     ];
     for seed in 33..35 {
         for step in steps {
-            let befell = one_returns_at(seed, step, 1..=occurrences(seed, step));
-            println!("seed {seed} {step:?}: {befell}");
+            let applied_faults = one_returns_at(seed, step, 1..=occurrences(seed, step));
+            println!("seed {seed} {step:?}: {applied_faults}");
         }
     }
 }
@@ -222,16 +226,16 @@
 #[test]
 fn the_acting_controller_is_back_at_once_at_every_step_of_an_election() {
     let seed = 32;
-    for step in [Step::Elect, Step::Deal, Step::TakeOver] {
+    for step in [Step::Elect, Step::PoolAssignment, Step::TakeOver] {
         // A few more come after the troubles, when nothing ends any more.
         let undisturbed = Blink { step, nth: u32::MAX, who: Who::All, moment: Moment::Before };
         let world = day_with(seed, undisturbed);
-        for nth in 1..=world.blinks.seen.get(&step).copied().unwrap_or_default() {
+        for nth in 1..=world.quick_restarts.seen.get(&step).copied().unwrap_or_default() {
             for moment in [Moment::Before, Moment::Late, Moment::After] {
                 let who = Who::Controller(nth as usize % 2);
                 let blink = Blink { step, nth, who, moment };
                 let mut world = day_with(seed, blink);
-                assert!(world.blinks.befell.is_some(), "{blink:?} did not come");
+                assert!(world.quick_restarts.applied_faults.is_some(), "{blink:?} did not come");
                 ends_well_asked(&mut world, 200_000, &format!("{blink:?}"));
             }
         }
@@ -303,13 +307,13 @@
             world.ask_all_at(next);
             for job in &cancelled {
                 world.submit_again(apart, job);
-                if world.jobs[job].cancel_told.is_none() {
+                if world.jobs[job].cancel_confirmed.is_none() {
                     withdraw(&mut world, next, job);
                 }
             }
         }
         world.cloud_off = false;
-        let told = cancelled.iter().all(|job| world.jobs[job].cancel_told.is_some());
+        let told = cancelled.iter().all(|job| world.jobs[job].cancel_confirmed.is_some());
         assert!(told, "seed {seed}: not told");
         ends_well_asked(&mut world, 500_000, &format!("seed {seed}"));
     }
@@ -360,12 +364,12 @@
                 }
             }
             run_for(&mut world, 1_000);
-            told += jobs.iter().filter(|job| world.jobs[*job].cancel_told.is_some()).count();
+            told += jobs.iter().filter(|job| world.jobs[*job].cancel_confirmed.is_some()).count();
             asking(&mut world, 60_000);
             world.mesh_off = false;
             // Whoever was not told asks again.
             for job in &jobs {
-                if world.jobs[job].cancel_told.is_none() {
+                if world.jobs[job].cancel_confirmed.is_none() {
                     withdraw(&mut world, (leader + 1) % CONTROLLERS, job);
                 }
             }
--- a/crates/cleatfold-control/tests/losses.rs
+++ b/crates/cleatfold-control/tests/losses.rs
@@ -2,7 +2,7 @@
 
 use cleatfold_control::records::{loss_log_prefix, ArchiveRecord};
 use cleatfold_control::Request;
-use cleatfold_testbed::world::{Asked, Happens, Size, World, CONTROLLERS};
+use cleatfold_testbed::world::{Asked, SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::losses::Loss;
 use cleatfold_wire::{Attempt, JobId, Ms, TaskId, TeamId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -57,11 +57,11 @@
             let on = world.workers[id].tasks.iter();
             let running = on.filter(|(_, t)| t.exit.is_none());
             lost.extend(running.map(|(start, _)| start.clone()));
-            world.at(0, Happens::Die(id.clone()));
+            world.at(0, SimulationEvent::Die(id.clone()));
         }
         assert!(lost.len() > 20, "{} runs to be lost", lost.len());
         for controller in 0..CONTROLLERS {
-            world.at(300, Happens::Crash(controller));
+            world.at(300, SimulationEvent::Crash(controller));
         }
         world.run(Ms(300_000));
         let mut told: BTreeSet<Start> = BTreeSet::new();
@@ -78,7 +78,7 @@
             let item = world.store.get(&format!("ar/{job}")).expect("ended");
             let record: ArchiveRecord = serde_json::from_str(item.value.get()).expect("a record");
             let named: BTreeSet<Start> =
-                record.losses.told(job).map(|l| (l.task, l.attempt)).collect();
+                record.losses.entries(job).map(|l| (l.task, l.attempt)).collect();
             let own = lost.iter().filter(|l| l.0.job == *job);
             assert!(own.into_iter().all(|l| named.contains(l)), "{job}");
         }
--- a/crates/cleatfold-control/tests/overload.rs
+++ b/crates/cleatfold-control/tests/overload.rs
@@ -81,13 +81,14 @@
     for round in 0..30u64 {
         for job in &jobs {
             let controller = (round % 3) as usize;
-            let told = world.jobs[job].told;
+            let told = world.jobs[job].answered_state;
             world.ask(controller, Asked::Poll(job.clone(), told, true), Request::Poll(job.clone()));
         }
         world.run(Ms(60_000 + 500 * (round + 1)));
     }
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
-    let done = jobs.iter().filter(|j| world.jobs[*j].told.is_some_and(|s| s.is_final())).count();
+    let done =
+        jobs.iter().filter(|j| world.jobs[*j].answered_state.is_some_and(|s| s.is_final())).count();
     assert_eq!(done, jobs.len());
     assert!(world.archive_reads - reads < 20, "{} reads", world.archive_reads - reads);
 }
--- a/crates/cleatfold-control/tests/blinks.rs
+++ b/crates/cleatfold-control/tests/quick_restarts.rs
@@ -7,7 +7,7 @@
 //! `docs/safety.md` stand as well.
 
 use cleatfold_control::records::{pool_key, HolderRecord};
-use cleatfold_roles::Duty;
+use cleatfold_roles::Role;
 use cleatfold_testbed::world::{Back, Blink, Moment, Size, Step, Who, World, CONTROLLERS};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::*;
@@ -27,7 +27,7 @@
 fn day(seed: u64, blink: Blink) -> (World, Vec<String>) {
     let size = Size { most_jobs: 0, machines: 9, ..Size::SMALL };
     let mut world = World::sized(seed, false, size);
-    world.blinks.plan = Some(blink);
+    world.quick_restarts.plan = Some(blink);
     world.poll_everything();
     let submit = |world: &mut World, team: &str, tasks: u32, estimate_s: f64| {
         let spec = plain(world, team, tasks, estimate_s);
@@ -46,7 +46,7 @@
         let holder: HolderRecord = serde_json::from_str(holder.value.get()).ok()?;
         (0..CONTROLLERS).find(|i| cleatfold_testbed::world::controller_id(*i) == holder.owner)
     };
-    if let Some(leader) = holds(&world, Duty::Deal.key()) {
+    if let Some(leader) = holds(&world, Role::PoolAssignment.key()) {
         world.crash(leader, 6_000);
     }
     submit(&mut world, "free", 10, 4.0);
@@ -56,7 +56,7 @@
     world.mesh_off = true;
     let busy = world.running.values().next().and_then(|m| world.pool_of(m));
     if let Some((pool, owner)) = busy.and_then(|p| holds(&world, &pool_key(&p)).map(|o| (p, o))) {
-        world.troubles.cuts.insert(owner, (Ms(40_000), Some(pool.zone)));
+        world.faults.cuts.insert(owner, (Ms(40_000), Some(pool.zone)));
     }
     world.run(Ms(40_000));
     world.mesh_off = false;
@@ -85,28 +85,31 @@
     let none = Blink { step, nth: u32::MAX, who: Who::All, moment: Moment::Before };
     let (undisturbed, broken) = day(seed, none);
     assert!(broken.is_empty(), "undisturbed: {broken:#?}");
-    let count = undisturbed.blinks.seen.get(&step).copied().unwrap_or_default();
+    let count = undisturbed.quick_restarts.seen.get(&step).copied().unwrap_or_default();
     assert!(count > 0, "the day shows no {step:?}");
     let most = most.min(count as usize);
     let spread = |i: usize| 1 + (i * (count as usize - 1) / (most - 1).max(1)) as u32;
     let mut failed: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    let mut befell = 0;
+    let mut applied_faults = 0;
     for nth in (0..most).map(spread) {
         for who in WHO {
             for moment in [Moment::Before, Moment::Late, Moment::After] {
                 let blink = Blink { step, nth, who, moment };
                 let (world, broken) = day(seed, blink);
-                befell += usize::from(world.blinks.befell.is_some());
+                applied_faults += usize::from(world.quick_restarts.applied_faults.is_some());
                 if !broken.is_empty() {
-                    failed.insert(format!("{blink:?} {:?}", world.blinks.befell), broken);
+                    failed.insert(
+                        format!("{blink:?} {:?}", world.quick_restarts.applied_faults),
+                        broken,
+                    );
                 }
             }
         }
     }
     // Before the first machine is there none can blink.
     let machines = 3 * 3 * most;
-    assert!(befell + machines >= WHO.len() * 3 * most, "{step:?}: only {befell}");
-    assert!(failed.is_empty(), "{} of {befell}: {failed:#?}", failed.len());
+    assert!(applied_faults + machines >= WHO.len() * 3 * most, "{step:?}: only {applied_faults}");
+    assert!(failed.is_empty(), "{} of {applied_faults}: {failed:#?}", failed.len());
 }
 
 const SEED: u64 = 3;
@@ -118,7 +121,7 @@
 
 #[test]
 fn while_a_pool_is_dealt() {
-    play(SEED, Step::Deal, 4);
+    play(SEED, Step::PoolAssignment, 4);
 }
 
 #[test]
@@ -133,7 +136,7 @@
 
 #[test]
 fn while_machines_are_rented() {
-    play(SEED, Step::Rent, 3);
+    play(SEED, Step::ScaleOut, 3);
     play(SEED, Step::RentCall, 3);
 }
 
@@ -144,12 +147,12 @@
     let steps = [
         Step::Enlist,
         Step::Elect,
-        Step::Deal,
+        Step::PoolAssignment,
         Step::TakeOver,
         Step::Claim,
         Step::End,
         Step::Slice,
-        Step::Rent,
+        Step::ScaleOut,
         Step::RentCall,
     ];
     std::thread::scope(|scope| {
--- a/crates/cleatfold-control/tests/limits.rs
+++ b/crates/cleatfold-control/tests/quota.rs
@@ -1,16 +1,16 @@
 //! Teams at their limits while machines can't be asked, jobs are cancelled and the leader changes; and that what a
 //! limit, a claim or a reservation holds is given back once the troubles are over.
 
-mod meeting;
+mod scenario;
 
 use cleatfold_control::records::HolderRecord;
-use cleatfold_roles::Duty;
+use cleatfold_roles::Role;
 use cleatfold_testbed::world::{
-    controller_id, team_id, Happens, Purpose, Size, World, CONTROLLERS,
+    controller_id, team_id, Purpose, SimulationEvent, Size, World, CONTROLLERS,
 };
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::*;
-use meeting::{ends_well, plain, run_for, withdraw, Loss};
+use scenario::{ends_well, plain, run_for, withdraw, Loss};
 use std::collections::BTreeSet;
 
 /// Every team has a limit of a tenth of what it asks for.
@@ -21,7 +21,7 @@
 }
 
 fn leader(world: &World) -> Option<usize> {
-    let item = world.store.get(Duty::Deal.key())?;
+    let item = world.store.get(Role::PoolAssignment.key())?;
     let holder: HolderRecord = serde_json::from_str(item.value.get()).ok()?;
     (0..world.controllers.len()).find(|i| controller_id(*i) == holder.owner)
 }
@@ -56,7 +56,7 @@
 enum Unreached {
     Hangs(u64),
     Cut(u64),
-    Deaf(u64),
+    OneWayPartition(u64),
 }
 
 impl Unreached {
@@ -67,9 +67,9 @@
                 world.hung.insert(machine.clone(), now.plus(ms));
             }
             Unreached::Cut(ms) => {
-                world.moments.cut_machines.insert(machine.clone(), now.plus(ms));
+                world.fault_schedule.cut_machines.insert(machine.clone(), now.plus(ms));
             }
-            Unreached::Deaf(ms) => world.deafen(machine, now.plus(ms)),
+            Unreached::OneWayPartition(ms) => world.deafen(machine, now.plus(ms)),
         }
     }
 }
@@ -91,7 +91,7 @@
     // Orders between controllers and the state service cross.
     for controller in 0..CONTROLLERS {
         let until = world.now.plus(40_000);
-        world.moments.late_commits.insert(controller, (900, until));
+        world.fault_schedule.late_commits.insert(controller, (900, until));
     }
     let runs = |w: &World, job: &JobId| w.running.keys().any(|task| task.job == *job);
     let victims: Vec<JobId> = (0..Size::SCARCE.teams)
@@ -136,7 +136,7 @@
     let mut held = 0;
     for _ in 0..40 {
         run_for(&mut world, 500);
-        let told = |job: &JobId| world.jobs[job].cancel_told.is_some();
+        let told = |job: &JobId| world.jobs[job].cancel_confirmed.is_some();
         held = held
             .max(world.running.keys().filter(|t| victims.contains(&t.job) && told(&t.job)).count());
         for job in victims.iter().filter(|job| !told(job)).cloned().collect::<Vec<_>>() {
@@ -153,7 +153,7 @@
 #[test]
 fn no_team_exceeds_its_limit_while_cancelled_jobs_run_on_unreached() {
     use Unreached::*;
-    let kinds = [Hangs(4_000), Hangs(25_000), Cut(9_000), Cut(30_000), Deaf(30_000)];
+    let kinds = [Hangs(4_000), Hangs(25_000), Cut(9_000), Cut(30_000), OneWayPartition(30_000)];
     let orders = [Order::LeaderLast, Order::LeaderFirst, Order::CancelLast];
     let mut held = 0;
     for (seed, loss) in Loss::ALL.into_iter().enumerate() {
@@ -170,7 +170,7 @@
 fn limits_hold_while_slices_are_written_late() {
     for seed in 60..66u64 {
         let mut world = scarce(seed);
-        let kinds = [Purpose::Slice, Purpose::Record, Purpose::Part, Purpose::Deal];
+        let kinds = [Purpose::Slice, Purpose::Record, Purpose::Part, Purpose::PoolAssignment];
         world.writes_late(kinds, [0.3, 0.6][seed as usize % 2], Ms(60_000));
         run_for(&mut world, 4_000);
         for n in 0..16usize {
@@ -183,7 +183,7 @@
             }
             if n % 6 == 5 {
                 if let Some(leader) = leader(&world) {
-                    world.at(0, Happens::Crash(leader));
+                    world.at(0, SimulationEvent::Crash(leader));
                 }
             }
         }
--- a/crates/cleatfold-control/tests/repeats.rs
+++ b/crates/cleatfold-control/tests/repeats.rs
@@ -2,7 +2,7 @@
 //! reports of an earlier session, about an attempt that has been started once more.
 
 use cleatfold_control::Request;
-use cleatfold_testbed::world::{Asked, Happens, Size, World, CONTROLLERS};
+use cleatfold_testbed::world::{Asked, SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::worker::{Exit, TaskState};
 use cleatfold_wire::*;
@@ -40,7 +40,7 @@
         assert_eq!(runs(&world), tasks as usize, "all of it runs");
         withdraw(&mut world, 1 % CONTROLLERS, &job);
         world.run(Ms(70_000));
-        assert!(world.jobs[&job].cancel_told.is_some());
+        assert!(world.jobs[&job].cancel_confirmed.is_some());
         assert_eq!(runs(&world), 0, "{tasks} tasks: still there after the next reports");
         assert!(world.broken.is_empty(), "{:#?}", world.broken);
     }
@@ -51,7 +51,8 @@
 /// fail when reports are taken in whatever order they come.)
 #[test]
 fn an_exit_of_an_earlier_session_ends_no_attempt_that_was_started_again() {
-    for exit in [Exit::Stopped, Exit::NoRoom, Exit::Busy, Exit::Unknown, Exit::Error] {
+    for exit in [Exit::Stopped, Exit::InsufficientResources, Exit::Busy, Exit::Unknown, Exit::Error]
+    {
         let mut world = region(3);
         world.run(Ms(4000));
         let spec = long(&mut world, 1, 1.0);
@@ -73,7 +74,7 @@
         assert_eq!(world.running.get(&task), Some(&machine), "started once more");
         assert_eq!(world.claims(), claims, "under the same attempt");
         for controller in [owner, (owner + 1) % CONTROLLERS] {
-            world.at(0, Happens::Copy(controller, Box::new(late.clone())));
+            world.at(0, SimulationEvent::Copy(controller, Box::new(late.clone())));
         }
         world.run(Ms(50_000));
         assert_eq!(world.claims(), claims, "{exit:?}");
--- a/crates/cleatfold-control/tests/duties.rs
+++ b/crates/cleatfold-control/tests/roles.rs
@@ -1,8 +1,8 @@
 //! What only one controller may do, while whoever does it is killed, cut off and replaced.
 
-use cleatfold_control::records::{HolderRecord, RENTS_KEY};
-use cleatfold_roles::{Duty, RentBook};
-use cleatfold_testbed::world::{controller_id, Happens, Size, World, CONTROLLERS};
+use cleatfold_control::records::{HolderRecord, SCALE_OUT_KEY};
+use cleatfold_roles::{Role, ScaleOutIntents};
+use cleatfold_testbed::world::{controller_id, SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,14 +23,14 @@
     world.submit(controller, spec);
 }
 
-fn holder(world: &World, duty: Duty) -> Option<usize> {
-    let item = world.store.get(duty.key())?;
+fn holder(world: &World, role: Role) -> Option<usize> {
+    let item = world.store.get(role.key())?;
     let holder: HolderRecord = serde_json::from_str(item.value.get()).ok()?;
     (0..CONTROLLERS).find(|i| controller_id(*i) == holder.owner)
 }
 
-fn book(world: &World) -> RentBook {
-    let item = world.store.get(RENTS_KEY);
+fn book(world: &World) -> ScaleOutIntents {
+    let item = world.store.get(SCALE_OUT_KEY);
     item.map(|i| serde_json::from_str(i.value.get()).expect("a record")).unwrap_or_default()
 }
 
@@ -45,7 +45,7 @@
         world.run(now.plus(5));
         if !fell && !world.cloud.asked.is_empty() {
             fell = true;
-            let controller = holder(&world, Duty::Rent).expect("somebody rents");
+            let controller = holder(&world, Role::ScaleOut).expect("somebody rents");
             fall(&mut world, controller);
         }
     }
@@ -60,14 +60,14 @@
     for seed in 1..4 {
         let (undisturbed, _) = rented_after(seed, |_, _| {});
         let (killed, world) =
-            rented_after(seed, |w, controller| w.at(0, Happens::Crash(controller)));
+            rented_after(seed, |w, controller| w.at(0, SimulationEvent::Crash(controller)));
         assert!(killed <= undisturbed + undisturbed / 5, "seed {seed}: {killed} of {undisturbed}");
         assert!(killed >= undisturbed / 2, "seed {seed}: {killed} of {undisturbed}");
         // Whoever came next has asked by the same names, and the record is empty again.
         assert!(book(&world).open.is_empty(), "{:?}", book(&world));
         let until = Ms(20_000);
         let (cut, _) =
-            rented_after(seed, |w, controller| w.at(0, Happens::Cut { controller, until }));
+            rented_after(seed, |w, controller| w.at(0, SimulationEvent::Cut { controller, until }));
         assert!(cut <= undisturbed + undisturbed / 5, "seed {seed}: {cut} of {undisturbed}");
     }
 }
@@ -86,26 +86,26 @@
             if second % 21 == 1 && second > 5 {
                 // All there is falls, or there would be nothing to rent.
                 for id in world.workers.keys().cloned().collect::<Vec<_>>() {
-                    world.at(0, Happens::Die(id));
+                    world.at(0, SimulationEvent::Die(id));
                 }
                 submit(&mut world, (second % 3) as usize, 60 + (second % 50) as u32);
             }
             if second % 9 == 0 && second > 10 {
-                if let Some(controller) = holder(&world, Duty::Rent) {
+                if let Some(controller) = holder(&world, Role::ScaleOut) {
                     let until = Ms((second + 6) * 1000);
                     match (second / 9) % 3 {
-                        0 => world.at(0, Happens::Crash(controller)),
-                        1 => world.at(0, Happens::StoreCut { controller, until }),
-                        _ => world.at(0, Happens::Cut { controller, until }),
+                        0 => world.at(0, SimulationEvent::Crash(controller)),
+                        1 => world.at(0, SimulationEvent::StoreCut { controller, until }),
+                        _ => world.at(0, SimulationEvent::Cut { controller, until }),
                     }
                 }
             }
             for ms in 0..200 {
-                let before = world.store.get(Duty::Rent.key()).map(|i| i.version);
+                let before = world.store.get(Role::ScaleOut.key()).map(|i| i.version);
                 world.run(Ms(second * 1000 + (ms + 1) * 5));
                 let book = book(&world);
                 if book.epoch != epochs {
-                    let after = world.store.get(Duty::Rent.key()).map(|i| i.version);
+                    let after = world.store.get(Role::ScaleOut.key()).map(|i| i.version);
                     assert!([before, after].contains(&Some(book.epoch)), "by a former holder");
                     assert!(book.epoch > epochs);
                     epochs = book.epoch;
@@ -134,28 +134,28 @@
 fn a_duty_is_taken_soon_after_its_holder_fell() {
     let mut world = region(20);
     world.run(Ms(180_000));
-    let held: BTreeSet<Option<usize>> = Duty::ALL.iter().map(|d| holder(&world, *d)).collect();
+    let held: BTreeSet<Option<usize>> = Role::ALL.iter().map(|d| holder(&world, *d)).collect();
     assert_eq!(held.len(), CONTROLLERS, "spread over all once all is quiet");
     for round in 0..8 {
-        let duty = Duty::ALL[round % Duty::ALL.len()];
-        let controller = holder(&world, duty).expect("held");
+        let role = Role::ALL[round % Role::ALL.len()];
+        let controller = holder(&world, role).expect("held");
         let fell = world.now;
         match round % 2 {
-            0 => world.at(0, Happens::Crash(controller)),
-            _ => world.at(0, Happens::StoreCut { controller, until: fell.plus(15_000) }),
+            0 => world.at(0, SimulationEvent::Crash(controller)),
+            _ => world.at(0, SimulationEvent::StoreCut { controller, until: fell.plus(15_000) }),
         }
         let mut since = None;
         loop {
             let now = world.now;
             world.run(now.plus(50));
-            if holder(&world, duty).is_some_and(|h| h != controller || since.is_some()) {
+            if holder(&world, role).is_some_and(|h| h != controller || since.is_some()) {
                 break;
             }
-            if holder(&world, duty).is_none() {
+            if holder(&world, role).is_none() {
                 since.get_or_insert(world.now);
             }
             // The lease (3 s) and what of it was left, then the next in order, and a reading each.
-            assert!(world.now.since(fell) < 3000 + 100 + 2 * 400 + 1500, "{duty:?} stood empty");
+            assert!(world.now.since(fell) < 3000 + 100 + 2 * 400 + 1500, "{role:?} stood empty");
         }
         world.run(fell.plus(20_000));
     }
--- a/crates/cleatfold-control/tests/meeting/mod.rs
+++ b/crates/cleatfold-control/tests/scenario/mod.rs
@@ -111,7 +111,7 @@
     assert_eq!(world.unfinished(), Vec::<JobId>::new(), "{what}");
     for (job, watch) in &world.jobs {
         use cleatfold_wire::job::JobState;
-        let told = watch.told.is_some_and(JobState::is_final);
+        let told = watch.answered_state.is_some_and(JobState::is_final);
         assert!(told || !watch.accepted, "{what}: {job} has ended and nobody was told");
     }
 }
--- a/crates/cleatfold-control/tests/seen_token.rs
+++ b/crates/cleatfold-control/tests/seen_token.rs
@@ -2,9 +2,9 @@
 //! neither that a task is gone nor that an attempt is over. Late copies bring such reports. Both are guards of
 //! `claims.rs`, played here with the controllers themselves.
 
-use cleatfold_testbed::world::{Happens, Size, World};
+use cleatfold_testbed::world::{SimulationEvent, Size, World};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
-use cleatfold_wire::worker::{Command, Orders, Report};
+use cleatfold_wire::worker::{Command, Heartbeat, Orders};
 use cleatfold_wire::*;
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
 }
 
 /// A region in which twelve jobs run; and what each machine last reported when it had nothing.
-fn busy(seed: u64) -> (World, BTreeMap<MachineId, Report>) {
+fn busy(seed: u64) -> (World, BTreeMap<MachineId, Heartbeat>) {
     let mut world = World::sized(seed, false, Size { most_jobs: 0, machines: 24, ..Size::SMALL });
     world.run(Ms(4000));
     for _ in 0..12 {
@@ -41,7 +41,7 @@
 }
 
 /// Ends the pool's owner; the next one reads the report before any other of the machine.
-fn next_owner_reads(world: &mut World, pool: &PoolId, report: Report) {
+fn next_owner_reads(world: &mut World, pool: &PoolId, report: Heartbeat) {
     let owner = world.holder(pool).expect("it is held");
     world.crash(owner, 20_000);
     while world.holder(pool) == Some(owner) && world.now < Ms(60_000) {
@@ -50,7 +50,7 @@
     let next = world.holder(pool).expect("it is held");
     assert_ne!(next, owner, "not the day that was meant");
     run_for(world, 150);
-    world.happen(Happens::Copy(next, Box::new(report)));
+    world.handle_event(SimulationEvent::Copy(next, Box::new(report)));
     run_for(world, 20_000);
 }
 
@@ -86,7 +86,7 @@
             (worker.token, AgentEpoch(worker.agent_epoch), worker.renewed);
         let commands = vec![Command::Stop { task: task.clone(), attempt, grace_s: 0.0 }];
         let orders = Orders { token, agent_epoch, commands };
-        world.happen(Happens::Orders {
+        world.handle_event(SimulationEvent::Orders {
             controller: owner,
             life: u32::MAX,
             machine: machine.clone(),
--- a/crates/cleatfold-control/tests/slices.rs
+++ b/crates/cleatfold-control/tests/slices.rs
@@ -1,10 +1,10 @@
 //! Many teams with limits, several controllers and few changes a second: moving slices of the limits must leave the
 //! changes to starts and ends.
 
-mod meeting;
+mod scenario;
 
 use cleatfold_testbed::world::{team_id, ChangeKind, Size, World};
-use meeting::{ends_well, plain, run_for};
+use scenario::{ends_well, plain, run_for};
 
 /// Ninety limited teams share four pools and 24 changes a second, of which more are refused.
 const CROWDED: Size = Size {
--- a/crates/cleatfold-control/tests/small_jobs.rs
+++ b/crates/cleatfold-control/tests/small_jobs.rs
@@ -3,12 +3,12 @@
 //! Seen to fail without the job's version in its changes, without the pool's version in ends, and when cancelled jobs are
 //! launched (some 40 starts a day after their users had been told).
 
-mod meeting;
+mod scenario;
 
 use cleatfold_testbed::world::{Size, World};
 use cleatfold_wire::job::JobState;
 use cleatfold_wire::*;
-use meeting::*;
+use scenario::*;
 
 /// A start that was on its way when the user was told: the network takes less.
 const ON_ITS_WAY_MS: u64 = 20;
@@ -16,14 +16,14 @@
 const MINUTES: Ms = Ms(185_000);
 
 /// The region after three minutes of them and some more until all have ended.
-fn day(seed: u64, changes_per_s: f64, befalls: impl FnOnce(&mut World)) -> World {
+fn day(seed: u64, changes_per_s: f64, apply_fault: impl FnOnce(&mut World)) -> World {
     let size = Size { most_jobs: 0, machines: 24, changes_per_s, ..Size::SMALL };
     let mut world = World::sized(seed, false, size);
     world.poll_everything();
     world.run(Ms(5_000));
     world.small_jobs(MINUTES);
     world.run(Ms(30_000));
-    befalls(&mut world);
+    apply_fault(&mut world);
     world.run(MINUTES);
     ends_well_asked(&mut world, 200_000, &format!("seed {seed}"));
     world
@@ -34,13 +34,13 @@
     let accepted = world.jobs.values().filter(|j| j.accepted);
     let (mut done, mut aborted) = (0, 0);
     for job in accepted {
-        match job.told {
+        match job.answered_state {
             Some(JobState::Done) => {
                 assert_eq!(job.done.len(), 1);
                 done += 1;
             }
             Some(JobState::Aborted) => {
-                assert!(job.cancel_asked && job.cancel_told.is_some());
+                assert!(job.cancel_asked && job.cancel_confirmed.is_some());
                 aborted += 1;
             }
             told => panic!("{:?} was told {told:?}", job.spec.as_ref().map(|s| &s.id)),
--- a/crates/cleatfold-control/tests/meetings.rs
+++ b/crates/cleatfold-control/tests/two_faults.rs
@@ -1,9 +1,9 @@
 //! Two troubles at once.
 
-mod meeting;
+mod scenario;
 
 use cleatfold_wire::*;
-use meeting::*;
+use scenario::*;
 
 /// A cancelled job in parts: its claims stand in other records than the cancellation, so machines'
 /// claims did not change, their reports repeated the last ones, and nobody told them to stop.
@@ -33,7 +33,7 @@
         world.run(Ms(4000));
         let until = Ms(300_000);
         for i in 0..3 {
-            world.moments.late_commits.insert(i, (1400, until));
+            world.fault_schedule.late_commits.insert(i, (1400, until));
         }
         for n in 0..4 {
             let mut spec = plain(&mut world, 270 + 10 * n, 2.0 + f64::from(n) * 2.0);
--- a/crates/cleatfold-control/tests/unlisted.rs
+++ b/crates/cleatfold-control/tests/unannounced_faults.rs
@@ -1,4 +1,4 @@
-//! Troubles that were on no list: controllers that stand still or that workers do not reach, and
+//! FaultState that were on no list: controllers that stand still or that workers do not reach, and
 //! jobs that fail wherever they run.
 
 use cleatfold_control::records::{HolderRecord, JobRecord};
@@ -60,7 +60,7 @@
     for seed in 1..5 {
         let (mut world, cut) = busy(seed);
         let until = world.now.plus(60_000);
-        world.troubles.cuts.insert(cut, (until, None));
+        world.faults.cuts.insert(cut, (until, None));
         let from = world.now;
         let (mut moves, mut known) = (0, holders(&world));
         let mut served = None;
@@ -90,7 +90,7 @@
     let held = holders(&world);
     let zone = held.iter().find(|(_, h)| h.0 == cut).expect("it holds some").0.zone.clone();
     let until = world.now.plus(40_000);
-    world.troubles.cuts.insert(cut, (until, Some(zone.clone())));
+    world.faults.cuts.insert(cut, (until, Some(zone.clone())));
     let now = world.now;
     world.run(now.plus(15_000));
     let after = holders(&world);
@@ -131,7 +131,7 @@
     for i in 0..16 {
         let spec = plain(&mut world, 12, 5.0);
         if i % 2 == 0 {
-            world.troubles.broken.insert(spec.id.clone());
+            world.faults.broken.insert(spec.id.clone());
             broken.push(spec.id.clone());
         }
         world.submit(i % CONTROLLERS, spec);
--- a/crates/cleatfold-control/tests/lanes.rs
+++ b/crates/cleatfold-control/tests/urgency_order.rs
@@ -1,8 +1,8 @@
-//! Lanes on days on which planners fail: a wave of background fills the region, then urgent work comes, and
+//! PriorityState on days on which planners fail: a wave of background fills the region, then urgent work comes, and
 //! whoever plans most is killed, frozen or cut off.
 
 use cleatfold_control::records::HolderRecord;
-use cleatfold_testbed::world::{controller_id, Happens, Size, World, CONTROLLERS};
+use cleatfold_testbed::world::{controller_id, SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 use rand::rngs::SmallRng;
@@ -41,15 +41,15 @@
     tasks: u32,
     cpus: f64,
     estimate_s: f64,
-    lane: Urgency,
+    urgency: Urgency,
 }
 
 fn submit(world: &mut World, controller: usize, shape: Shape) -> JobId {
     let mut spec = world.some_job();
     spec.team = TeamId::new("free");
     // As users have it: a class is of one lane.
-    spec.class = ClassId::new(format!("{:?}", shape.lane).to_lowercase());
-    (spec.urgency, spec.tasks) = (shape.lane, shape.tasks);
+    spec.class = ClassId::new(format!("{:?}", shape.urgency).to_lowercase());
+    (spec.urgency, spec.tasks) = (shape.urgency, shape.tasks);
     (spec.cpus, spec.estimate_s) = (shape.cpus, shape.estimate_s);
     (spec.one_zone, spec.spread, spec.types, spec.spot) = (false, false, None, true);
     world.submit(controller, spec)
@@ -66,7 +66,7 @@
     // What lasting overload changes of the order is not the subject here.
     let size = Size { machines: 24, most_jobs: 0, admission: false, ..Size::SMALL };
     let mut world = World::sized(seed, false, size);
-    world.lanes.on = true;
+    world.priority_watch.on = true;
     let mut luck = SmallRng::seed_from_u64(seed ^ 0x1a2e5);
     let mut background = Vec::new();
     let mut urgent = Vec::new();
@@ -87,8 +87,8 @@
                 Fall::Calm => {}
                 Fall::Killed => world.crash(who[0], 8000),
                 Fall::Frozen => world.freeze(who[0], 14_000),
-                Fall::Cut => world.at(0, Happens::Cut { controller: who[0], until }),
-                Fall::Apart => world.at(0, Happens::StoreCut { controller: who[0], until }),
+                Fall::Cut => world.at(0, SimulationEvent::Cut { controller: who[0], until }),
+                Fall::Apart => world.at(0, SimulationEvent::StoreCut { controller: who[0], until }),
                 Fall::Two => {
                     world.crash(who[0], 8000);
                     world.freeze(who[1], 14_000);
@@ -103,23 +103,23 @@
                 let cpus = [1.0, 2.0, 4.0][luck.random_range(0..3)];
                 let tasks = (200.0 / cpus) as u32;
                 let estimate_s = luck.random_range(4.0..12.0);
-                let lane = Urgency::BestEffort;
+                let urgency = Urgency::BestEffort;
                 background.push(submit(
                     &mut world,
                     controller,
-                    Shape { tasks, cpus, estimate_s, lane },
+                    Shape { tasks, cpus, estimate_s, urgency },
                 ));
             }
         }
         if (200..560).contains(&tick) && tick % 12 == 0 {
             let controllers = alive(&world);
             let controller = controllers[luck.random_range(0..controllers.len())];
-            let lane = [Urgency::Critical, Urgency::High, Urgency::Normal];
+            let urgency = [Urgency::Critical, Urgency::High, Urgency::Normal];
             let shape = Shape {
                 tasks: luck.random_range(1..6),
                 cpus: [1.0, 2.0, 4.0][luck.random_range(0..3)],
                 estimate_s: luck.random_range(2.0..6.0),
-                lane: lane[luck.random_range(0..3)],
+                urgency: urgency[luck.random_range(0..3)],
             };
             let job = submit(&mut world, controller, shape);
             if fallen && now.0 < fell + 30_000 {
@@ -129,7 +129,7 @@
     }
     world.run(Ms(200_000));
     assert!(world.broken.is_empty(), "seed {seed} {fall:?}: {:#?}", world.broken);
-    let lanes = &world.lanes;
+    let lanes = &world.priority_watch;
     let waits =
         urgent.iter().filter_map(|j| Some(lanes.begun.get(j)?.since(*lanes.accepted.get(j)?)));
     let waits: Vec<u64> = waits.collect();
@@ -140,10 +140,10 @@
 /// Share of inverted starts, and the longest wait for a first start, on such a day.
 fn measured(seed: u64, fall: Fall) -> (f64, u64) {
     let day = day(seed, fall);
-    let counted = &day.world.lanes.counted;
+    let counted = &day.world.priority_watch.counted;
     assert!(counted.starts > 1500, "seed {seed} {fall:?}: {} starts", counted.starts);
     // What comes is four times what there is room for; background gets what urgent work leaves.
-    let begun = |j: &&JobId| day.world.lanes.begun.contains_key(*j);
+    let begun = |j: &&JobId| day.world.priority_watch.begun.contains_key(*j);
     let begun = day.background.iter().filter(begun).count();
     assert!(begun >= day.background.len() / 3, "seed {seed} {fall:?}: {begun} begun");
     let share = f64::from(counted.inverted) / f64::from(counted.starts);
@@ -196,11 +196,11 @@
     for seed in 1..10 {
         let size = Size { machines: 9, most_jobs: 0, admission: false, ..Size::SMALL };
         let mut world = World::sized(seed, false, size);
-        world.lanes.on = true;
+        world.priority_watch.on = true;
         world.run(Ms(5000));
         for _ in 0..3 {
             let (tasks, cpus, estimate_s) = (60, 4.0, 30.0);
-            submit(&mut world, 0, Shape { tasks, cpus, estimate_s, lane: Urgency::BestEffort });
+            submit(&mut world, 0, Shape { tasks, cpus, estimate_s, urgency: Urgency::BestEffort });
         }
         world.run(Ms(20_000));
         // Within its team's guarantee, which counts for more than what runs.
@@ -211,7 +211,7 @@
         (spec.one_zone, spec.spread, spec.types, spec.spot) = (false, false, None, true);
         let job = world.submit(1, spec);
         let made = |world: &World| world.store.list("cf/made/", None, 9).items.pop();
-        while made(&world).is_none() && !world.lanes.begun.contains_key(&job) {
+        while made(&world).is_none() && !world.priority_watch.begun.contains_key(&job) {
             let now = world.now;
             world.run(now.plus(5));
             assert!(now < Ms(60_000), "seed {seed}: neither room nor a start");
@@ -229,10 +229,14 @@
         world.crash(owner, 8000);
         world.run(fell.plus(25_000));
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
-        let begun = world.lanes.begun.get(&job).expect("begun").since(fell);
+        let begun = world.priority_watch.begun.get(&job).expect("begun").since(fell);
         assert!(begun <= LEASE_MS + 6 * REPORT_MS, "seed {seed}: begun after {begun} ms");
         assert!(world.stopped > 0, "seed {seed}: nobody left");
-        assert_eq!(world.lanes.counted.inverted, 0, "seed {seed}: {:?}", world.lanes.counted.shown);
+        assert_eq!(
+            world.priority_watch.counted.inverted, 0,
+            "seed {seed}: {:?}",
+            world.priority_watch.counted.shown
+        );
     }
     assert!(rooms >= 2, "room was made {rooms} times");
 }
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -2,7 +2,9 @@
 
 use cleatfold_control::records::*;
 use cleatfold_control::{Event, Request, Response, StoreReply, StoreRequest, TeamAnswer, TeamAsk};
-use cleatfold_testbed::world::{controller_id, Asked, Happens, JobWatch, Size, World, CONTROLLERS};
+use cleatfold_testbed::world::{
+    controller_id, Asked, JobWatch, SimulationEvent, Size, World, CONTROLLERS,
+};
 use cleatfold_wire::job::{JobSpec, JobState, Urgency};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::team::{EndedJob, Holdup};
@@ -114,7 +116,7 @@
     assert_eq!(ids, should, "{team} at node {controller}");
 }
 
-fn keeper(world: &World, team: &str) -> Option<usize> {
+fn owner(world: &World, team: &str) -> Option<usize> {
     let item = world.store.get(&workspace_key(&TeamId::new(team)))?;
     let holder: HolderRecord = serde_json::from_str(item.value.get()).expect("a holder");
     (0..CONTROLLERS).find(|i| controller_id(*i) == holder.owner)
@@ -131,13 +133,13 @@
             world.run(Ms(second * 1000));
             if second % 7 == 0 && (10..110).contains(&second) {
                 let team = TEAMS[(second / 7 % 2) as usize];
-                if let Some(controller) = keeper(&world, team) {
+                if let Some(controller) = owner(&world, team) {
                     let until = Ms((second + 5) * 1000);
                     match (second / 7 + seed) % 4 {
-                        0 => world.at(0, Happens::Crash(controller)),
+                        0 => world.at(0, SimulationEvent::Crash(controller)),
                         1 => world.freeze(controller, 5000),
-                        2 => world.at(0, Happens::StoreCut { controller, until }),
-                        _ => world.at(0, Happens::Cut { controller, until }),
+                        2 => world.at(0, SimulationEvent::StoreCut { controller, until }),
+                        _ => world.at(0, SimulationEvent::Cut { controller, until }),
                     }
                 }
             }
@@ -172,8 +174,8 @@
         let mut keys = t.changes.iter().filter_map(|c| c.put.as_deref());
         keys.any(|k| k.starts_with("cf/hist/"))
     };
-    let of = |event: &Happens| match event {
-        Happens::StoreRequest { request: StoreRequest::Txn(txn), answered, .. } => {
+    let of = |event: &SimulationEvent| match event {
+        SimulationEvent::StoreRequest { request: StoreRequest::Txn(txn), answered, .. } => {
             *answered && heads(txn)
         }
         _ => false,
@@ -198,17 +200,24 @@
                     continue;
                 }
                 held += 1;
-                let nobody = Happens::Wake(MachineId::new("nobody"));
+                let nobody = SimulationEvent::Wake(MachineId::new("nobody"));
                 let event = world.events.insert(number, nobody).expect("on its way");
-                let Happens::StoreRequest { controller, life, op, request, .. } = event else {
+                let SimulationEvent::StoreRequest { controller, life, op, request, .. } = event
+                else {
                     unreachable!("looked for above")
                 };
                 let unknown = Event::Store { op, reply: StoreReply::Unknown };
-                world.at(1500, Happens::Controller(controller, life, Box::new(unknown)));
-                let late = Happens::StoreRequest { controller, life, op, request, answered: false };
+                world.at(1500, SimulationEvent::Controller(controller, life, Box::new(unknown)));
+                let late = SimulationEvent::StoreRequest {
+                    controller,
+                    life,
+                    op,
+                    request,
+                    answered: false,
+                };
                 world.at(45_000, late);
                 if seed % 2 == 0 {
-                    world.at(0, Happens::Crash(controller));
+                    world.at(0, SimulationEvent::Crash(controller));
                 }
             }
             if world.now.0 % 3000 < 2 {
@@ -311,7 +320,7 @@
     let spoilt = put(&mut world, &key, r#"{"f":"what"}"#);
     let others = head(&world, "tight").upto;
     for controller in 0..CONTROLLERS {
-        world.at(2000 * (1 + controller as u64), Happens::Crash(controller));
+        world.at(2000 * (1 + controller as u64), SimulationEvent::Crash(controller));
     }
     world.run(Ms(100_000));
     assert_eq!(world.store.get(&key).map(|i| i.version), Some(spoilt), "written over");
@@ -359,7 +368,7 @@
         world.jobs.insert(spec.id.clone(), watch);
         world.keeps = 200;
         for (at, controller) in [(4000, 0), (9000, 1), (14_000, 2), (19_000, 0), (24_000, 1)] {
-            world.at(at, Happens::Crash(controller));
+            world.at(at, SimulationEvent::Crash(controller));
         }
         world.run(Ms(26_000));
         world.keeps = 10_000;
@@ -417,7 +426,7 @@
     };
     for round in 0..6 {
         let team = TEAMS[round % 2];
-        let controller = keeper(&world, team).expect("kept");
+        let controller = owner(&world, team).expect("kept");
         assert_eq!(
             Some(controller_id(controller)),
             first(team, &world),
@@ -427,7 +436,7 @@
         let fell = world.now;
         match round % 3 {
             0 => world.crash(controller, 20_000),
-            1 => world.at(0, Happens::StoreCut { controller, until: fell.plus(20_000) }),
+            1 => world.at(0, SimulationEvent::StoreCut { controller, until: fell.plus(20_000) }),
             _ => world.freeze(controller, 20_000),
         }
         while world.store.get(&workspace_key(&TeamId::new(team))).map(|i| i.version) == version {
--- a/crates/cleatfold-control/tests/world.rs
+++ b/crates/cleatfold-control/tests/world.rs
@@ -2,17 +2,19 @@
 //! laboratory's, which measures in it as well.
 
 use cleatfold_control::{records, Event, Request};
-use cleatfold_testbed::world::{controller_id, Asked, Happens, JobWatch, Size, World, CONTROLLERS};
+use cleatfold_testbed::world::{
+    controller_id, Asked, JobWatch, SimulationEvent, Size, World, CONTROLLERS,
+};
 use cleatfold_wire::job::{JobState, Urgency};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn play(seed: u64, trouble: bool) -> World {
-    play_sized(seed, trouble, Size::SMALL)
+fn play(seed: u64, fault: bool) -> World {
+    play_sized(seed, fault, Size::SMALL)
 }
 
-fn play_sized(seed: u64, trouble: bool, size: Size) -> World {
-    let mut world = World::sized(seed, trouble, size);
+fn play_sized(seed: u64, fault: bool, size: Size) -> World {
+    let mut world = World::sized(seed, fault, size);
     world.run(Ms(600_000));
     if !world.unfinished().is_empty() {
         world.describe();
@@ -28,7 +30,7 @@
         assert!(world.started > 50, "seed {seed}: only {} starts", world.started);
         assert_eq!(world.unfinished(), Vec::<JobId>::new(), "seed {seed}");
         let told: BTreeSet<_> =
-            world.jobs.values().filter_map(|j| j.told).map(|s| s as u8).collect();
+            world.jobs.values().filter_map(|j| j.answered_state).map(|s| s as u8).collect();
         assert!(told.contains(&(JobState::Done as u8)));
     }
 }
@@ -74,7 +76,7 @@
     let request = Request::Withdraw(id.clone());
     world.give(other, Event::Request { rid: 1_000_001, request });
     world.run(cut.plus(60_000));
-    assert!(world.jobs[&id].cancel_told.is_some());
+    assert!(world.jobs[&id].cancel_confirmed.is_some());
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
     assert!(!world.running.keys().any(|t| t.job == id));
 }
@@ -104,14 +106,14 @@
             assert!(waited < 5_000, "job {n} never ended");
         }
         for (controller, rid) in [(0, rid + 1), (2, rid + 2)] {
-            let told = world.jobs[&id].told;
+            let told = world.jobs[&id].answered_state;
             world.asked.insert((controller, rid), Asked::Poll(id.clone(), told, true));
             world.give(controller, Event::Request { rid, request: Request::Poll(id.clone()) });
             world.run(world.now.plus(400));
         }
         world.run(world.now.plus(3000));
         // The world's other users may have cancelled it.
-        assert!(world.jobs[&id].told.is_some_and(JobState::is_final));
+        assert!(world.jobs[&id].answered_state.is_some_and(JobState::is_final));
     }
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
 }
@@ -168,7 +170,7 @@
     let stop = |world: &mut World, controller: usize, back_ms: u64| {
         world.controllers[controller] = None;
         world.lives[controller] += 1;
-        world.at(back_ms, Happens::Restart(controller));
+        world.at(back_ms, SimulationEvent::Restart(controller));
     };
     let mut tried = 0..;
     let (mut world, before, controller) = loop {
--- a/crates/cleatfold-control/tests/zones.rs
+++ b/crates/cleatfold-control/tests/zones.rs
@@ -2,11 +2,11 @@
 //! cut off. The region's watchers look for all rules, also for tasks in a wrong place and for jobs that are left
 //! waiting beside room.
 
-mod meeting;
+mod scenario;
 
-use cleatfold_testbed::world::{Happens, World, CONTROLLERS};
+use cleatfold_testbed::world::{SimulationEvent, World, CONTROLLERS};
 use cleatfold_wire::*;
-use meeting::{ends_well, owner, plain, region, run_for, withdraw};
+use scenario::{ends_well, owner, plain, region, run_for, withdraw};
 use std::collections::BTreeSet;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -81,7 +81,7 @@
         withdraw(&mut world, 0, kept);
         let lost = world.workers.values().filter(|worker| worker.zone == zone);
         for machine in lost.map(|worker| worker.id.clone()).collect::<Vec<_>>() {
-            world.happen(Happens::Die(machine));
+            world.handle_event(SimulationEvent::Die(machine));
         }
         ends_well(&mut world, 260_000, &format!("seed {seed}, {tasks} tasks"));
     }
@@ -98,10 +98,10 @@
         let its = machines_of(&world, &job);
         let unreached = its.iter().next().expect("it runs").clone();
         let until = world.now.plus(25_000);
-        world.moments.cut_machines.insert(unreached.clone(), until);
+        world.fault_schedule.cut_machines.insert(unreached.clone(), until);
         let lost = world.workers.values().filter(|w| w.zone == zone && w.id != unreached);
         for machine in lost.map(|worker| worker.id.clone()).collect::<Vec<_>>() {
-            world.happen(Happens::Die(machine));
+            world.handle_event(SimulationEvent::Die(machine));
         }
         if let Some(owner) = owner(&world, &unreached) {
             world.crash(owner, 6_000);
@@ -135,9 +135,9 @@
         for (i, machine) in busy.into_iter().enumerate() {
             let now = world.now;
             match (i as u64 + seed) % 4 {
-                0 => world.happen(Happens::Die(machine)),
+                0 => world.handle_event(SimulationEvent::Die(machine)),
                 1 => {
-                    world.moments.cut_machines.insert(machine, now.plus(18_000));
+                    world.fault_schedule.cut_machines.insert(machine, now.plus(18_000));
                 }
                 2 => {
                     world.hung.insert(machine, now.plus(7_000));
@@ -183,7 +183,7 @@
         let until = world.now.plus([14_000, 35_000, 70_000][seed as usize % 3]);
         world.set_apart(inside, until, seed % 2 == 0);
         for outside in (0..CONTROLLERS).filter(|controller| *controller != inside) {
-            world.troubles.cuts.insert(outside, (until, Some(zone.clone())));
+            world.faults.cuts.insert(outside, (until, Some(zone.clone())));
         }
         run_for(&mut world, 1_500 * (seed % 4) + 50);
         let outside = (inside + 1) % CONTROLLERS;
@@ -194,7 +194,7 @@
             run_for(&mut world, 500);
             for job in cancelled
                 .iter()
-                .filter(|job| world.jobs[*job].cancel_told.is_none())
+                .filter(|job| world.jobs[*job].cancel_confirmed.is_none())
                 .cloned()
                 .collect::<Vec<_>>()
             {
--- a/crates/cleatfold-elastic/src/ledger.rs
+++ b/crates/cleatfold-elastic/src/accounting.rs
@@ -7,7 +7,7 @@
 
 use crate::progress::{as_ranges, Hold, Part, Progress, STEPS_PART};
 use cleatfold_wire::job::StepCount;
-use cleatfold_wire::steps::{Onward, StepRange, StepReply, StepReport};
+use cleatfold_wire::steps::{NextAction, StepRange, StepReply, StepReport};
 use cleatfold_wire::{Attempt, TaskIx};
 use roaring::RoaringBitmap;
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,13 +23,13 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    Told(StepReply),
+    Accepted(StepReply),
     /// The member's claim does not stand: nothing of the report counts, and it must leave.
     Lost(&'static str),
 }
 
 /// One job's steps while reports are judged.
-pub struct Ledger<'a> {
+pub struct StepAccounts<'a> {
     progress: Progress,
     members: &'a Members,
     /// How many members the job has or is about to have; sizes what is handed out.
@@ -39,7 +39,7 @@
     free: BTreeMap<u32, RoaringBitmap>,
 }
 
-impl<'a> Ledger<'a> {
+impl<'a> StepAccounts<'a> {
     pub fn new(progress: Progress, members: &'a Members, width: u32) -> Self {
         Self { progress, members, width, touched: BTreeSet::new(), free: BTreeMap::new() }
     }
@@ -94,15 +94,15 @@
         let holds = self.held_by(member, attempt);
         let total = self.progress.steps;
         let finished = self.progress.finished();
-        let onward = if finished >= total {
-            Onward::Over
+        let next_action = if finished >= total {
+            NextAction::Over
         } else if holds.is_empty() {
-            Onward::Rest
+            NextAction::Rest
         } else {
-            Onward::Continue
+            NextAction::Continue
         };
         let progress = StepCount { finished, total };
-        Verdict::Told(StepReply { holds, refused: as_ranges(refused), progress, onward })
+        Verdict::Accepted(StepReply { holds, refused: as_ranges(refused), progress, next_action })
     }
 
     fn holds(&self, member: TaskIx, attempt: Attempt, step: u32) -> bool {
@@ -240,16 +240,16 @@
                 }
                 let done = |s: &u32| part.finished.contains(s % STEPS_PART);
                 let next = (h.from..h.to).find(|s| !done(s)).unwrap_or(h.to);
-                let tail = h.to - next;
-                if tail > KEPT && best.is_none_or(|b| tail > b.0) {
-                    best = Some((tail, *number, i, next));
+                let unwritten = h.to - next;
+                if unwritten > KEPT && best.is_none_or(|b| unwritten > b.0) {
+                    best = Some((unwritten, *number, i, next));
                 }
             }
         }
-        let (tail, number, i, next) = best?;
+        let (unwritten, number, i, next) = best?;
         let part = self.progress.parts.get_mut(&number)?;
         let hold = part.held.get_mut(i)?;
-        let cut = next + tail.div_ceil(2).max(KEPT);
+        let cut = next + unwritten.div_ceil(2).max(KEPT);
         let taken = (cut, hold.to);
         hold.to = cut;
         self.touched.insert(number);
--- a/crates/cleatfold-elastic/tests/model.rs
+++ b/crates/cleatfold-elastic/tests/model.rs
@@ -1,7 +1,7 @@
 //! The ledger against a plain model: a table with one line a step.
 
-use cleatfold_elastic::{Ledger, Members, Part, PartRecord, Progress, Verdict, STEPS_PART};
-use cleatfold_wire::steps::{Onward, StepReport};
+use cleatfold_elastic::{Members, Part, PartRecord, Progress, StepAccounts, Verdict, STEPS_PART};
+use cleatfold_wire::steps::{NextAction, StepReport};
 use cleatfold_wire::{Attempt, JobId, TaskId, TaskIx};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -11,7 +11,7 @@
 
 fn report(by: By, finished: Vec<(u32, u32)>, wants: u32) -> StepReport {
     let member = TaskId { job: JobId::new("run-1"), ix: by.0 };
-    StepReport { member, attempt: by.1, finished, wants, insists: false }
+    StepReport { member, attempt: by.1, finished, wants, generate_load: false }
 }
 
 /// Writes and reads again, as the state service keeps it.
@@ -60,16 +60,16 @@
                 let s = rng.random_range(0..steps);
                 says.push((s, s + 1));
             }
-            let mut ledger = Ledger::new(progress.clone(), &members, members.len() as u32);
-            let told = ledger.report(&report(by, says.clone(), rng.random_range(0..4)));
-            let (changes, _) = ledger.into_changes();
+            let mut accounts = StepAccounts::new(progress.clone(), &members, members.len() as u32);
+            let told = accounts.report(&report(by, says.clone(), rng.random_range(0..4)));
+            let (changes, _) = accounts.into_changes();
             match told {
                 Verdict::Lost(_) => {
                     assert!(stale, "seed {seed}: a member whose claim stands was sent away");
                     assert!(changes.is_empty());
                     continue;
                 }
-                Verdict::Told(reply) => {
+                Verdict::Accepted(reply) => {
                     assert!(!stale, "seed {seed}: a member of an earlier attempt was heard");
                     // Now and then the transaction does not come to pass.
                     if rng.random_bool(0.2) {
@@ -89,7 +89,7 @@
                             theirs.retain(|s| !now.contains(s));
                         }
                     }
-                    assert_eq!(reply.onward == Onward::Over, progress.is_complete());
+                    assert_eq!(reply.next_action == NextAction::Over, progress.is_complete());
                     holds.insert(by, now);
                 }
             }
@@ -109,12 +109,12 @@
     let by = (TaskIx(0), Attempt(1));
     let mut progress = Progress::new(10);
     for (says, wants) in [(vec![], 2), (vec![(0, 5)], 2), (vec![(0, 5)], 2), (vec![(0, 5)], 0)] {
-        let mut ledger = Ledger::new(progress.clone(), &members, 1);
-        let Verdict::Told(reply) = ledger.report(&report(by, says, wants)) else {
+        let mut accounts = StepAccounts::new(progress.clone(), &members, 1);
+        let Verdict::Accepted(reply) = accounts.report(&report(by, says, wants)) else {
             panic!("its claim stands")
         };
         assert_eq!(reply.refused, vec![]);
-        through_records(ledger.into_changes().0, &mut progress);
+        through_records(accounts.into_changes().0, &mut progress);
     }
     assert_eq!(progress.finished(), 5);
 }
--- a/crates/cleatfold-fakes/src/cloud.rs
+++ b/crates/cleatfold-fakes/src/cloud.rs
@@ -21,14 +21,14 @@
     /// How old the list is.
     pub lag_ms: u64,
     /// Requests as they came, and how many machines each rented anew.
-    pub asked: Vec<(Ms, RentRequest, usize)>,
+    pub asked: Vec<(Ms, ScaleOutRequest, usize)>,
     requests: BTreeMap<String, Vec<MachineId>>,
     next: u64,
 }
 
 impl Cloud {
     /// The machines rented; `None` where there is no capacity.
-    pub fn rent(&mut self, now: Ms, request: &RentRequest) -> Option<Vec<MachineId>> {
+    pub fn rent(&mut self, now: Ms, request: &ScaleOutRequest) -> Option<Vec<MachineId>> {
         if let Some(before) = self.requests.get(&request.request) {
             self.asked.push((now, request.clone(), 0));
             return Some(before.clone());
--- a/crates/cleatfold-fakes/src/weights.rs
+++ b/crates/cleatfold-fakes/src/images.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// As good as never.
-pub const FAR: Ms = Ms(u64::MAX / 4);
+pub const NEVER: Ms = Ms(u64::MAX / 4);
 
 type Key = (TaskId, Attempt);
 
@@ -18,7 +18,7 @@
     /// Smaller images take the usual time. 0: all do.
     pub min_gb: f64,
     /// It knows of sources and lists what it holds.
-    pub hears: bool,
+    pub supports_peer_fetch: bool,
     pub held: Vec<HeldImage>,
     /// By task: the image, and how long it runs once that is there.
     pub waiting: BTreeMap<Key, (ImageId, u64)>,
@@ -28,7 +28,7 @@
 
 impl Images {
     pub fn reported(&self) -> Option<Vec<HeldImage>> {
-        self.hears.then(|| self.held.clone())
+        self.supports_peer_fetch.then(|| self.held.clone())
     }
 
     fn is_large(&self, gb: f64) -> bool {
@@ -38,7 +38,7 @@
     pub fn told(&mut self, image: Option<(ImageId, f64)>, sources: &[String]) {
         let Some((image, gb)) = image.filter(|i| self.is_large(i.1)) else { return };
         // The protocol's workers do not read the field.
-        let sources = if self.hears { sources.to_vec() } else { vec![] };
+        let sources = if self.supports_peer_fetch { sources.to_vec() } else { vec![] };
         let stuck = self.held.iter().any(|h| h.image == image && h.stuck);
         let begun = self.waiting.values().any(|w| w.0 == image);
         // A further task of the same image waits for the fetch that is under way; other sources than
--- a/crates/cleatfold-fakes/src/lib.rs
+++ b/crates/cleatfold-fakes/src/lib.rs
@@ -2,7 +2,7 @@
 //! Pure: they are given the time. For tests and first runs only.
 
 pub mod cloud;
+pub mod images;
 pub mod member;
 pub mod store;
-pub mod weights;
 pub mod worker;
--- a/crates/cleatfold-fakes/src/member.rs
+++ b/crates/cleatfold-fakes/src/member.rs
@@ -1,6 +1,6 @@
 //! A member of an elastic job: works through the steps it holds and reports them.
 
-use cleatfold_wire::steps::{Onward, StepReply, StepReport};
+use cleatfold_wire::steps::{NextAction, StepReply, StepReport};
 use cleatfold_wire::{Attempt, Ms, TaskId};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -112,7 +112,7 @@
             attempt: self.attempt,
             finished: self.unsaid.iter().map(|s| (*s, s + 1)).collect(),
             wants: if leaves { 0 } else { 2 },
-            insists: self.astray,
+            generate_load: self.astray,
         })
     }
 
@@ -141,7 +141,7 @@
             self.not_before = now.plus(AGAIN_MS);
         }
         let stopped = self.stop_at.is_some() && idle;
-        if reply.onward == Onward::Over || stopped || self.resting > 3 {
+        if reply.next_action == NextAction::Over || stopped || self.resting > 3 {
             self.left = Some(Left::Ended);
         }
         self.pass(now);
--- a/crates/cleatfold-fakes/src/worker.rs
+++ b/crates/cleatfold-fakes/src/worker.rs
@@ -1,9 +1,11 @@
 //! A worker: runs what it is told under the token and lease rules of the protocol.
 
+use crate::images::{Images, NEVER};
 use crate::member::Member;
-use crate::weights::{Images, FAR};
 use cleatfold_wire::job::JobSpec;
-use cleatfold_wire::worker::{Command, Exit, Orders, Report, ReportReply, TaskReport, TaskState};
+use cleatfold_wire::worker::{
+    Command, Exit, Heartbeat, HeartbeatResponse, Orders, TaskReport, TaskState,
+};
 use cleatfold_wire::*;
 use std::collections::BTreeMap;
 
@@ -71,9 +73,9 @@
         }
     }
 
-    pub fn report(&mut self) -> Report {
+    pub fn report(&mut self) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.id.clone(),
             endpoint: self.endpoint.clone(),
             machine_type: self.machine_type.clone(),
@@ -109,7 +111,7 @@
         now: Ms,
         sent: Ms,
         agent_epoch: u64,
-        reply: &ReportReply,
+        reply: &HeartbeatResponse,
         job: impl Fn(&TaskId) -> Option<(JobSpec, u64, bool)>,
     ) -> Vec<Happening> {
         if agent_epoch != self.agent_epoch || reply.token < self.token {
@@ -202,14 +204,14 @@
                 if used.0 + spec.cpus > self.cpus + 1e-6
                     || used.1 + spec.memory_gb > self.memory_gb + 1e-6 =>
             {
-                new.exit = Some(Exit::NoRoom)
+                new.exit = Some(Exit::InsufficientResources)
             }
             Some((spec, run_ms, fails)) => {
                 new.each = (spec.cpus, spec.memory_gb);
                 new.ready = now.plus(self.fetch_ms);
                 new.ends = new.ready.plus(run_ms);
                 if self.images.waits(&key, &spec, run_ms) {
-                    (new.ready, new.ends) = (FAR, FAR);
+                    (new.ready, new.ends) = (NEVER, NEVER);
                 }
                 if let Some(elastic) = &spec.elastic {
                     new.ends = Ms(u64::MAX / 4);
--- a/crates/cleatfold-fault-attribution/src/job.rs
+++ b/crates/cleatfold-fault-attribution/src/job.rs
@@ -28,32 +28,32 @@
 
 /// Whether a job is held to be at fault.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Standing {
+pub enum Verdict {
     /// As good as any. Some of its tasks may have failed and pause, each by itself.
     Sound { pausing: BTreeSet<TaskIx> },
     /// It failed wherever it ran: one task at a time, not before `until_ms`.
     Suspect { until_ms: u64 },
 }
 
-impl Standing {
+impl Verdict {
     /// How many of `unclaimed` tasks may be started now, `claimed` of the job being under way.
     pub fn may_start(&self, unclaimed: u32, claimed: u32, now_ms: u64) -> u32 {
         match self {
-            Standing::Sound { pausing } => unclaimed.saturating_sub(pausing.len() as u32),
-            Standing::Suspect { until_ms } if now_ms < *until_ms || claimed > 0 => 0,
-            Standing::Suspect { .. } => unclaimed.min(1),
+            Verdict::Sound { pausing } => unclaimed.saturating_sub(pausing.len() as u32),
+            Verdict::Suspect { until_ms } if now_ms < *until_ms || claimed > 0 => 0,
+            Verdict::Suspect { .. } => unclaimed.min(1),
         }
     }
 }
 
 /// What is to be thought of a job with these failures, `done` of its tasks being done and
 /// `is_faulty` machines being known as such.
-pub fn standing(
+pub fn verdict(
     failures: &[Failure],
     done: u32,
     is_faulty: impl Fn(&MachineId) -> bool,
     now_ms: u64,
-) -> Standing {
+) -> Verdict {
     let mut tasks: BTreeMap<TaskIx, (Attempt, u64)> = BTreeMap::new();
     let mut machines: BTreeSet<&MachineId> = BTreeSet::new();
     // What failed through its machine is no fault of its own, and starts elsewhere at once.
@@ -69,8 +69,8 @@
         // a broken array goes on failing while its first task already pauses.
         let most = tasks.values().map(|t| t.0).max().unwrap_or_default();
         let last = tasks.values().map(|t| t.1).max().unwrap_or_default();
-        return Standing::Suspect { until_ms: until((most, last)) };
+        return Verdict::Suspect { until_ms: until((most, last)) };
     }
     let pausing = tasks.into_iter().filter(|(_, t)| until(*t) > now_ms).map(|(ix, _)| ix);
-    Standing::Sound { pausing: pausing.collect() }
+    Verdict::Sound { pausing: pausing.collect() }
 }
--- a/crates/cleatfold-fault-attribution/src/lib.rs
+++ b/crates/cleatfold-fault-attribution/src/lib.rs
@@ -10,5 +10,5 @@
 mod job;
 mod machine;
 
-pub use job::{pause_ms, standing, Failure, Standing};
+pub use job::{pause_ms, verdict, Failure, Verdict};
 pub use machine::{Evidence, Suspicion};
--- a/crates/cleatfold-fault-attribution/tests/blame.rs
+++ b/crates/cleatfold-fault-attribution/tests/fault_attribution.rs
@@ -1,6 +1,6 @@
 //! Blame as properties, against worlds in which it is known who is at fault.
 
-use cleatfold_fault_attribution::{pause_ms, standing, Evidence, Failure, Standing, Suspicion};
+use cleatfold_fault_attribution::{pause_ms, verdict, Evidence, Failure, Suspicion, Verdict};
 use cleatfold_wire::{Attempt, JobId, MachineId, TaskIx};
 use proptest::prelude::*;
 
@@ -19,7 +19,7 @@
     }
     let mut attempt = 1;
     for now_ms in (4000..3_600_000).step_by(250) {
-        if standing(&failures, 0, |_| false, now_ms).may_start(40, 0, now_ms) > 0 {
+        if verdict(&failures, 0, |_| false, now_ms).may_start(40, 0, now_ms) > 0 {
             starts += 1;
             attempt += 1;
             failures.push(failure(100 + starts, 0, attempt, now_ms));
@@ -31,16 +31,16 @@
 #[test]
 fn one_bad_task_is_one_tasks_matter() {
     let failures = [failure(1, 7, 3, 10_000), failure(2, 7, 2, 5_000)];
-    let standing = standing(&failures, 5, |_| false, 10_000);
-    assert_eq!(standing.may_start(30, 4, 10_000), 29);
-    assert_eq!(standing, Standing::Sound { pausing: [TaskIx(7)].into() });
+    let verdict = verdict(&failures, 5, |_| false, 10_000);
+    assert_eq!(verdict.may_start(30, 4, 10_000), 29);
+    assert_eq!(verdict, Verdict::Sound { pausing: [TaskIx(7)].into() });
 }
 
 #[test]
 fn what_failed_through_faulty_machines_starts_elsewhere_at_once() {
     let failures: Vec<Failure> = (0..6).map(|i| failure(i, i, 1, 10_000)).collect();
-    assert_eq!(standing(&failures, 0, |_| false, 10_001).may_start(6, 0, 10_001), 0);
-    assert_eq!(standing(&failures, 0, |_| true, 10_001).may_start(6, 0, 10_001), 6);
+    assert_eq!(verdict(&failures, 0, |_| false, 10_001).may_start(6, 0, 10_001), 0);
+    assert_eq!(verdict(&failures, 0, |_| true, 10_001).may_start(6, 0, 10_001), 6);
 }
 
 proptest! {
@@ -55,7 +55,7 @@
         let failures: Vec<Failure> =
             failed.iter().map(|&(m, t, a, at)| failure(m, t, a, at)).collect();
         let now = 100_000 + pause_ms(Attempt(u64::MAX)) + 1;
-        let open = standing(&failures, done, |_| false, now).may_start(unclaimed, 0, now);
+        let open = verdict(&failures, done, |_| false, now).may_start(unclaimed, 0, now);
         prop_assert!(open >= 1 && open <= unclaimed);
         // A plain reading of the rule: nothing done, and two machines that it failed on.
         let machines: std::collections::BTreeSet<u32> = failed.iter().map(|f| f.0).collect();
--- a/crates/cleatfold-image-distribution/src/distributor.rs
+++ b/crates/cleatfold-image-distribution/src/distributor.rs
@@ -2,7 +2,7 @@
 //! change in the origin's record. All that is kept here is hints; a new owner begins without them and goes on
 //! by the records and the workers' first reports.
 
-use crate::{deal, order, OriginRecord, Settings, SpreadRecord, Want, COPIES, LINE};
+use crate::{assign_slots, order, OriginRecord, Settings, SpreadRecord, Want, COPIES, LINE};
 use cleatfold_wire::{ImageId, MachineId, Ms, PoolId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -94,7 +94,7 @@
     /// Since when the record's slots are what they are.
     settled: Option<(Ms, OriginRecord)>,
     /// By machine, for the images that its claims wait for.
-    turns: BTreeMap<(MachineId, ImageId), Turn>,
+    fetch_sources: BTreeMap<(MachineId, ImageId), Turn>,
     /// Serving while others wait.
     serving: BTreeSet<MachineId>,
 }
@@ -110,7 +110,7 @@
 
 impl ImageDistributor {
     pub fn turn(&self, machine: &MachineId, image: &ImageId) -> Option<&Turn> {
-        self.turns.get(&(machine.clone(), image.clone()))
+        self.fetch_sources.get(&(machine.clone(), image.clone()))
     }
 
     /// Told to fetch: from now on its report shows it, or it was not told.
@@ -147,12 +147,14 @@
         let next = next_images(view, &wants, begun);
         self.link(view, &next);
         self.even_out(view);
-        let turns = self.take_turns(view, &wants, &over);
-        let new =
-            |(key, turn): &(&(MachineId, ImageId), &Turn)| self.turns.get(*key) != Some(*turn);
-        let mut come: Vec<MachineId> = turns.iter().filter(new).map(|(k, _)| k.0.clone()).collect();
+        let fetch_sources = self.assign_sources(view, &wants, &over);
+        let new = |(key, turn): &(&(MachineId, ImageId), &Turn)| {
+            self.fetch_sources.get(*key) != Some(*turn)
+        };
+        let mut come: Vec<MachineId> =
+            fetch_sources.iter().filter(new).map(|(k, _)| k.0.clone()).collect();
         come.dedup();
-        self.turns = turns;
+        self.fetch_sources = fetch_sources;
         self.serving = self.links.values().filter_map(|l| l.from.first().cloned()).collect();
         (self.origin_as_it_should_be(view, &next, &over), come)
     }
@@ -279,7 +281,7 @@
             return;
         }
         let mut peers: BTreeMap<(&ImageId, &ZoneId), Vec<Peer>> = BTreeMap::new();
-        for want in wants.iter().filter(|w| w.hears && view.pools.contains(&w.pool)) {
+        for want in wants.iter().filter(|w| w.supports_peer_fetch && view.pools.contains(&w.pool)) {
             let sink = &want.machine;
             let Some(seen) = view.seen.get(sink) else { continue };
             let busy = self.links.contains_key(sink)
@@ -369,13 +371,13 @@
         peers
     }
 
-    fn take_turns(
+    fn assign_sources(
         &self,
         view: &View,
         wants: &[&Want],
         over: &BTreeSet<MachineId>,
     ) -> BTreeMap<(MachineId, ImageId), Turn> {
-        let mut turns = BTreeMap::new();
+        let mut fetch_sources = BTreeMap::new();
         for want in wants.iter().filter(|w| view.pools.contains(&w.pool)) {
             let Some(seen) = view.seen.get(&want.machine) else { continue };
             let key = (want.machine.clone(), want.image.clone());
@@ -402,9 +404,9 @@
                 // went to the origin without a slot.)
                 continue;
             };
-            turns.insert(key, turn);
+            fetch_sources.insert(key, turn);
         }
-        turns
+        fetch_sources
     }
 
     /// The record without what is over and with what is given now; none where it is right.
@@ -437,7 +439,7 @@
             (self.copies(view, image, zone), self.in_line(view, image, zone))
         };
         let wall = view.wall_ms;
-        let dealt = deal(view.settings, &new, &wants, copies, view.value_bytes, wall);
+        let dealt = assign_slots(view.settings, &new, &wants, copies, view.value_bytes, wall);
         new.slots.extend(dealt.into_iter().filter(|(_, s)| view.pools.contains(&s.pool)));
         (new != *view.origin).then_some(new)
     }
@@ -456,7 +458,7 @@
         let copies = self.copies(view, image, zone) + slots;
         copies < COPIES
             && self.in_line(view, image, zone) >= LINE * copies
-            && view.origin.has_room(view.settings, want.mb_per_s, view.value_bytes)
+            && view.origin.has_capacity(view.settings, want.mb_per_s, view.value_bytes)
     }
 
     /// Whole copies of a zone that can be handed on.
--- a/crates/cleatfold-image-distribution/src/lib.rs
+++ b/crates/cleatfold-image-distribution/src/lib.rs
@@ -3,16 +3,16 @@
 //!
 //! Pure: no I/O and no clock. `docs/weights.md` argues.
 
-mod deal;
 mod distributor;
 mod origin;
 mod pieces;
 mod record;
 mod settings;
+mod slot_assignment;
 
-pub use deal::{deal, order, Want, COPIES, LINE};
 pub use distributor::{ImageDistributor, Seen, Turn, View};
 pub use origin::{OriginRecord, Slot};
 pub use pieces::{digest, Fetch, Next, Pieces};
 pub use record::{Names, SpreadRecord};
 pub use settings::Settings;
+pub use slot_assignment::{assign_slots, order, Want, COPIES, LINE};
--- a/crates/cleatfold-image-distribution/src/origin.rs
+++ b/crates/cleatfold-image-distribution/src/origin.rs
@@ -41,7 +41,7 @@
     }
 
     /// Whether another slot of this size is within the bound, and the record within its limit.
-    pub fn has_room(&self, settings: &Settings, mb_per_s: u32, value_bytes: usize) -> bool {
+    pub fn has_capacity(&self, settings: &Settings, mb_per_s: u32, value_bytes: usize) -> bool {
         self.used() + mb_per_s <= settings.bound()
             && (self.slots.len() + 1) * Self::SLOT_BYTES <= value_bytes
     }
--- a/crates/cleatfold-image-distribution/src/record.rs
+++ b/crates/cleatfold-image-distribution/src/record.rs
@@ -83,7 +83,7 @@
 
 impl SpreadRecord {
     /// Names that a record holds of a pool whose names can't be packed.
-    const FEW: usize = 16;
+    const MAX_UNPACKED_NAMES: usize = 16;
 
     /// Sets a pool's part, cut down where the record would grow beyond `most` bytes: a few holders
     /// are enough for the others to find the image.
@@ -99,7 +99,7 @@
             self.holders.insert(pool.clone(), in_ranges);
         }
         if self.bytes() > most {
-            let few = Names::of(holders.iter().take(Self::FEW));
+            let few = Names::of(holders.iter().take(Self::MAX_UNPACKED_NAMES));
             self.holders.insert(pool.clone(), few);
         }
         if self.bytes() > most {
--- a/crates/cleatfold-image-distribution/src/deal.rs
+++ b/crates/cleatfold-image-distribution/src/slot_assignment.rs
@@ -16,7 +16,7 @@
     pub pool: PoolId,
     pub image: ImageId,
     /// By urgency; the first lane is 0.
-    pub lane: u8,
+    pub urgency: u8,
     /// The others of a gang wait for it, by the clock.
     pub gang: bool,
     /// Its job's place in the queue.
@@ -24,7 +24,7 @@
     /// What its fetch takes of the origin, in MB per second.
     pub mb_per_s: u32,
     /// It can be told to fetch from other machines.
-    pub hears: bool,
+    pub supports_peer_fetch: bool,
     /// It began, and its sources are gone: others wait behind it.
     pub stuck: bool,
     /// An image in use that it can't keep beside this one.
@@ -34,12 +34,12 @@
 /// The order in which a machine is served, and machines are: one image at a time on a machine, the
 /// urgent one first, for side by side they would share its rate.
 pub fn order(want: &Want) -> (u8, bool, bool, u64, &MachineId) {
-    (want.lane, !want.stuck, !want.gang, want.place, &want.machine)
+    (want.urgency, !want.stuck, !want.gang, want.place, &want.machine)
 }
 
 /// Gives out what room there is. `copies` says how many copies a zone has besides the slots
 /// in `origin`, and how many machines stand in line behind them.
-pub fn deal(
+pub fn assign_slots(
     settings: &Settings,
     origin: &OriginRecord,
     wants: &[Want],
@@ -56,7 +56,7 @@
     let mut seen = BTreeSet::new();
     left.retain(|w| seen.insert(&w.machine));
     let mut zones: BTreeMap<(&ImageId, &ZoneId), (usize, usize)> = BTreeMap::new();
-    for want in left.iter().filter(|w| w.hears) {
+    for want in left.iter().filter(|w| w.supports_peer_fetch) {
         let zone = (&want.image, &want.pool.zone);
         zones.entry(zone).or_insert_with(|| {
             let slots = origin.in_zone(zone.0, zone.1).count();
@@ -67,21 +67,21 @@
     }
     loop {
         let now = |want: &Want| -> Option<(u8, usize)> {
-            if !origin.has_room(settings, want.mb_per_s, value_bytes) {
+            if !origin.has_capacity(settings, want.mb_per_s, value_bytes) {
                 return None;
             }
-            if !settings.hand_on || !want.hears {
-                return Some((want.lane, 0));
+            if !settings.hand_on || !want.supports_peer_fetch {
+                return Some((want.urgency, 0));
             }
             let zone = (&want.image, &want.pool.zone);
             let (there, waiting) = zones.get(&zone).copied().unwrap_or_default();
             if want.stuck {
                 // One of a zone: the others go on behind it.
                 let first = origin.in_zone(zone.0, zone.1).next().is_none();
-                return first.then_some((want.lane, 0));
+                return first.then_some((want.urgency, 0));
             }
             let worth = waiting.div_ceil(LINE).clamp(1, COPIES);
-            (there < worth).then_some((want.lane, there))
+            (there < worth).then_some((want.urgency, there))
         };
         // Urgent first; then the zone with the fewest copies; then by place.
         let best = left.iter().enumerate().filter_map(|(i, w)| Some((now(w)?, i))).min();
--- a/crates/cleatfold-image-distribution/tests/deal.rs
+++ b/crates/cleatfold-image-distribution/tests/slot_assignment.rs
@@ -13,16 +13,16 @@
     PoolId { machine_type: TypeId::new("g8"), zone: ZoneId::new(zone) }
 }
 
-fn want(n: usize, zone: &str, lane: u8) -> Want {
+fn want(n: usize, zone: &str, urgency: u8) -> Want {
     Want {
         machine: MachineId::new(format!("vm-{n:06}")),
         pool: pool(zone),
         image: ImageId::new("m"),
-        lane,
+        urgency,
         gang: false,
         place: n as u64,
         mb_per_s: 1250,
-        hears: true,
+        supports_peer_fetch: true,
         stuck: false,
         pushes_out: None,
     }
@@ -44,7 +44,7 @@
         let mut record = OriginRecord::default();
         for n in 0..taken {
             let w = want(100 + n, "a", 0);
-            if record.has_room(&settings, w.mb_per_s, 16_384) {
+            if record.has_capacity(&settings, w.mb_per_s, 16_384) {
                 let slot = Slot { pool: w.pool, image: w.image, since_ms: 0, mb_per_s: w.mb_per_s };
                 record.slots.insert(w.machine, slot);
             }
@@ -54,14 +54,14 @@
         let wants: Vec<Want> = wants
             .into_iter()
             .filter(|w| known.insert(w.0))
-            .map(|(n, zone, lane, rate, hears, gang)| Want {
+            .map(|(n, zone, urgency, rate, supports_peer_fetch, gang)| Want {
                 mb_per_s: settings.slot(f64::from(rate) / 1000.0),
-                hears,
+                supports_peer_fetch,
                 gang,
-                ..want(n, ["a", "b", "c"][zone], lane)
+                ..want(n, ["a", "b", "c"][zone], urgency)
             })
             .collect();
-        let given = deal(&settings, &record, &wants, |_, _| (0, 0), 16_384, 7);
+        let given = assign_slots(&settings, &record, &wants, |_, _| (0, 0), 16_384, 7);
         let mut after = record.clone();
         after.slots.extend(given.clone());
         prop_assert!(after.used() <= settings.bound());
@@ -71,15 +71,15 @@
         let mut sorted: Vec<&Want> = wants.iter().collect();
         sorted.sort_by_key(|w| order(w));
         for w in sorted.into_iter().filter(|w| first.insert(w.machine.clone())) {
-            if !given.contains_key(&w.machine) && (!w.hears || !hand_on) {
-                prop_assert!(!after.has_room(&settings, w.mb_per_s, 16_384), "{w:?} waits in vain");
+            if !given.contains_key(&w.machine) && (!w.supports_peer_fetch || !hand_on) {
+                prop_assert!(!after.has_capacity(&settings, w.mb_per_s, 16_384), "{w:?} waits in vain");
             }
         }
         if hand_on {
             for zone in ["a", "b", "c"] {
-                let hears: BTreeSet<&MachineId> =
-                    wants.iter().filter(|w| w.hears).map(|w| &w.machine).collect();
-                let new = given.iter().filter(|(m, s)| s.pool.zone.as_str() == zone && hears.contains(m));
+                let supports_peer_fetch: BTreeSet<&MachineId> =
+                    wants.iter().filter(|w| w.supports_peer_fetch).map(|w| &w.machine).collect();
+                let new = given.iter().filter(|(m, s)| s.pool.zone.as_str() == zone && supports_peer_fetch.contains(m));
                 prop_assert!(new.count() <= COPIES + wants.len() / 60, "copies of {zone}");
             }
         }
@@ -100,22 +100,24 @@
     let mut wants: Vec<Want> = (0..40).map(|n| want(n, "a", 2)).collect();
     wants.push(want(90, "b", 2));
     wants.push(want(91, "c", 0));
-    let given = deal(&settings, &OriginRecord::default(), &wants, |_, _| (0, 0), 16_384, 0);
+    let given = assign_slots(&settings, &OriginRecord::default(), &wants, |_, _| (0, 0), 16_384, 0);
     let zones: Vec<&str> = given.values().map(|s| s.pool.zone.as_str()).collect();
     assert_eq!(zones, ["a", "b", "c"]);
     let one = self::settings(1.25, true);
-    let given = deal(&one, &OriginRecord::default(), &wants, |_, _| (0, 0), 16_384, 0);
+    let given = assign_slots(&one, &OriginRecord::default(), &wants, |_, _| (0, 0), 16_384, 0);
     assert!(given.contains_key(&MachineId::new("vm-000091")), "{given:?}");
     // Where a copy is there already nobody goes to the origin for a few.
     let few = [want(1, "a", 2), want(2, "a", 2)];
-    assert!(deal(&settings, &OriginRecord::default(), &few, |_, _| (1, 0), 16_384, 0).is_empty());
+    assert!(assign_slots(&settings, &OriginRecord::default(), &few, |_, _| (1, 0), 16_384, 0)
+        .is_empty());
 }
 
 #[test]
 fn records_at_their_limit_are_cut_and_seats_too() {
     let settings = settings(100_000.0, false);
     let wants: Vec<Want> = (0..2000).map(|n| Want { mb_per_s: 1, ..want(n, "a", 2) }).collect();
-    let given = deal(&settings, &OriginRecord::default(), &wants, |_, _| (0, 0), 16_384, u64::MAX);
+    let given =
+        assign_slots(&settings, &OriginRecord::default(), &wants, |_, _| (0, 0), 16_384, u64::MAX);
     let record = OriginRecord { slots: given };
     assert!(record.slots.len() > 50);
     assert!(serde_json::to_vec(&record).unwrap().len() <= 16_384);
@@ -283,7 +285,7 @@
         (0..4_500).map(|n| Want { mb_per_s: 1, ..want(n, "a", 2) }).collect();
     let mut rounds = 0;
     while !wants.is_empty() {
-        let given = deal(
+        let given = assign_slots(
             &settings,
             &OriginRecord::default(),
             &wants,
--- a/crates/cleatfold-ingress/src/seats.rs
+++ b/crates/cleatfold-ingress/src/connections.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SeatId(pub u64);
+pub struct ConnectionId(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seat {
+pub struct Connection {
     /// When a request last began or ended on it.
     pub active: u64,
     /// A request is being worked on.
@@ -19,18 +19,18 @@
 /// idle longest, users' before workers': a worker's connection is used again within a report's
 /// interval, and a new one costs more than the report.
 #[derive(Debug)]
-pub struct Seats {
+pub struct ConnectionTable {
     most: usize,
     idle_ms: u64,
     next: u64,
-    taken: BTreeMap<SeatId, Seat>,
+    taken: BTreeMap<ConnectionId, Connection>,
 }
 
 /// An abandoned request (its asker is behind a cut and will never say so) holds its connection
 /// no longer than this.
 const ABANDONED_MS: u64 = 20_000;
 
-impl Seats {
+impl ConnectionTable {
     /// `sockets`: all that the process may have. `idle_ms`: a connection without a request for
     /// so long is closed.
     pub fn new(sockets: usize, idle_ms: u64) -> Self {
@@ -41,10 +41,10 @@
     }
 
     /// A new connection; the one that has to be closed for it, which may be the new one itself.
-    pub fn open(&mut self, now: u64) -> (SeatId, Option<SeatId>) {
+    pub fn open(&mut self, now: u64) -> (ConnectionId, Option<ConnectionId>) {
         self.next += 1;
-        let id = SeatId(self.next);
-        self.taken.insert(id, Seat { active: now, busy: false, worker: false });
+        let id = ConnectionId(self.next);
+        self.taken.insert(id, Connection { active: now, busy: false, worker: false });
         if self.taken.len() <= self.most {
             return (id, None);
         }
@@ -53,20 +53,20 @@
         (id, Some(leaves.unwrap_or(id)))
     }
 
-    pub fn close(&mut self, id: SeatId) {
+    pub fn close(&mut self, id: ConnectionId) {
         self.taken.remove(&id);
     }
 
-    pub fn note(&mut self, id: SeatId, now: u64, busy: bool, worker: bool) {
-        if let Some(seat) = self.taken.get_mut(&id) {
-            (seat.active, seat.busy) = (now, busy);
-            seat.worker |= worker;
+    pub fn note(&mut self, id: ConnectionId, now: u64, busy: bool, worker: bool) {
+        if let Some(connection) = self.taken.get_mut(&id) {
+            (connection.active, connection.busy) = (now, busy);
+            connection.worker |= worker;
         }
     }
 
     /// Connections that nobody uses any more.
-    pub fn unused(&self, now: u64) -> Vec<SeatId> {
-        let over = |s: &Seat| if s.busy { ABANDONED_MS } else { self.idle_ms };
+    pub fn unused(&self, now: u64) -> Vec<ConnectionId> {
+        let over = |s: &Connection| if s.busy { ABANDONED_MS } else { self.idle_ms };
         let unused = self.taken.iter().filter(|(_, s)| now.saturating_sub(s.active) > over(s));
         unused.map(|(id, _)| *id).collect()
     }
--- a/crates/cleatfold-ingress/src/lib.rs
+++ b/crates/cleatfold-ingress/src/lib.rs
@@ -4,21 +4,21 @@
 //! steady clock. `docs/overload.md` says why they are what they are.
 
 mod class;
-mod desk;
-mod intake;
-mod outlet;
+mod connections;
+mod outgoing_queue;
+mod poll_schedule;
 mod pressure;
+mod request_queue;
 mod retry;
-mod seats;
-mod turns;
+mod submission_queue;
 mod write_pacer;
 
 pub use class::Class;
-pub use desk::Desk;
-pub use intake::Intake;
-pub use outlet::Outlet;
+pub use connections::{Connection, ConnectionId, ConnectionTable};
+pub use outgoing_queue::OutgoingQueue;
+pub use poll_schedule::{PollSchedule, ROUND, TURN_MS};
 pub use pressure::{Level, Pressure};
+pub use request_queue::RequestQueue;
 pub use retry::{Backoff, Breaker, RetryBudget};
-pub use seats::{Seat, SeatId, Seats};
-pub use turns::{Turns, ROUND, TURN_MS};
+pub use submission_queue::SubmissionQueue;
 pub use write_pacer::{Need, PacerLimits, WritePacer};
--- a/crates/cleatfold-ingress/src/outlet.rs
+++ b/crates/cleatfold-ingress/src/outgoing_queue.rs
@@ -19,39 +19,39 @@
 /// free holds up nobody who needs none. (Questions for ended jobs once waited behind claims until their
 /// askers had left, for as long as changes were short.)
 #[derive(Debug)]
-pub struct Outlet<T> {
-    lanes: Vec<VecDeque<Waiting<T>>>,
+pub struct OutgoingQueue<T> {
+    queues: Vec<VecDeque<Waiting<T>>>,
     sent: u32,
 }
 
-impl<T> Outlet<T> {
-    pub fn new(lanes: usize) -> Self {
-        Self { lanes: (0..lanes).map(|_| VecDeque::new()).collect(), sent: 0 }
+impl<T> OutgoingQueue<T> {
+    pub fn new(queues: usize) -> Self {
+        Self { queues: (0..queues).map(|_| VecDeque::new()).collect(), sent: 0 }
     }
 
-    pub fn push(&mut self, lane: usize, at: u64, changes: f64, item: T) {
-        if let Some(lane) = self.lanes.get_mut(lane) {
-            lane.push_back(Waiting { at, changes, item });
+    pub fn push(&mut self, queue: usize, at: u64, changes: f64, item: T) {
+        if let Some(queue) = self.queues.get_mut(queue) {
+            queue.push_back(Waiting { at, changes, item });
         }
     }
 
     pub fn is_empty(&self) -> bool {
-        self.lanes.iter().all(VecDeque::is_empty)
+        self.queues.iter().all(VecDeque::is_empty)
     }
 
     /// The next request that may go, with the changes it makes. `writes`: changes may go now.
     pub fn pop(&mut self, now: u64, writes: bool) -> Option<(f64, T)> {
         let may = |w: &Waiting<T>| writes || w.changes <= 0.0;
-        let first = |lane: &VecDeque<Waiting<T>>| lane.iter().position(may);
-        let last = self.lanes.len().saturating_sub(1);
+        let first = |queue: &VecDeque<Waiting<T>>| queue.iter().position(may);
+        let last = self.queues.len().saturating_sub(1);
         let floor = self.sent % FLOOR == FLOOR - 1;
-        let long = |at: usize| self.lanes[last].get(at).is_some_and(|w| now >= w.at + LONG_MS);
-        let kept = self.lanes.last().and_then(first).filter(|&at| floor && long(at));
-        let (lane, at) = match kept {
+        let long = |at: usize| self.queues[last].get(at).is_some_and(|w| now >= w.at + LONG_MS);
+        let kept = self.queues.last().and_then(first).filter(|&at| floor && long(at));
+        let (queue, at) = match kept {
             Some(at) => (last, at),
-            None => self.lanes.iter().enumerate().find_map(|(i, l)| Some((i, first(l)?)))?,
+            None => self.queues.iter().enumerate().find_map(|(i, l)| Some((i, first(l)?)))?,
         };
         self.sent = self.sent.wrapping_add(1);
-        self.lanes[lane].remove(at).map(|w| (w.changes, w.item))
+        self.queues[queue].remove(at).map(|w| (w.changes, w.item))
     }
 }
--- a/crates/cleatfold-ingress/src/turns.rs
+++ b/crates/cleatfold-ingress/src/poll_schedule.rs
@@ -11,11 +11,11 @@
 /// So many turns make a round: the longest that a job waits for its turn.
 pub const ROUND: u64 = 5;
 
-/// Turns follow from the job's id and the time of day, so that all controllers agree on them without a
+/// PollSchedule follow from the job's id and the time of day, so that all controllers agree on them without a
 /// word, and so does whoever is asked next. (Turned away at random, nine of ten, a fifth of all jobs had
 /// every question of 75 s refused.)
 #[derive(Debug, Default)]
-pub struct Turns {
+pub struct PollSchedule {
     number: u64,
     /// Jobs that were told about in this turn.
     told: HashSet<u64>,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Turns until one of the job's is there; 0: now.
+/// PollSchedule until one of the job's is there; 0: now.
 fn ahead(hash: u64, level: Level, number: u64) -> u64 {
     let place = (number + hash) % ROUND;
     if place < open(level) {
@@ -40,7 +40,7 @@
     }
 }
 
-impl Turns {
+impl PollSchedule {
     /// Milliseconds until the job's turn; none: it is now. The first moments of a turn belong to those who
     /// happen to ask; who is sent away is spread over its first half.
     pub fn wait_ms(job: &str, level: Level, wall_ms: u64) -> Option<u64> {
--- a/crates/cleatfold-ingress/src/pressure.rs
+++ b/crates/cleatfold-ingress/src/pressure.rs
@@ -58,7 +58,7 @@
     }
 
     /// How many times as long the pauses between costly things should be.
-    pub fn stretch(&self) -> u64 {
+    pub fn backpressure(&self) -> u64 {
         match self.level {
             Level::Calm => 1,
             Level::Busy => 2,
@@ -70,7 +70,7 @@
     /// When whoever is turned away should come back: later under more pressure, and spread, or
     /// all would come back together.
     pub fn retry_after_s(&self, rng: &mut impl Rng) -> u32 {
-        let most = 1 + self.stretch() as u32;
+        let most = 1 + self.backpressure() as u32;
         rng.random_range(1..=most)
     }
 }
--- a/crates/cleatfold-ingress/src/desk.rs
+++ b/crates/cleatfold-ingress/src/request_queue.rs
@@ -20,18 +20,18 @@
 /// is late as soon as the queue is longer than the patience, and stays so as long as everybody
 /// asks again: no work is done for anyone.)
 #[derive(Debug)]
-pub struct Desk<T> {
+pub struct RequestQueue<T> {
     queues: [VecDeque<Waiting<T>>; Class::ALL.len()],
     served: u32,
 }
 
-impl<T> Default for Desk<T> {
+impl<T> Default for RequestQueue<T> {
     fn default() -> Self {
         Self { queues: Default::default(), served: 0 }
     }
 }
 
-impl<T> Desk<T> {
+impl<T> RequestQueue<T> {
     /// Takes a request that arrived at `arrived`. Returns one that has to be turned away.
     pub fn push(&mut self, class: Class, arrived: u64, item: T) -> Option<T> {
         let queue = &mut self.queues[class as usize];
--- a/crates/cleatfold-ingress/src/intake.rs
+++ b/crates/cleatfold-ingress/src/submission_queue.rs
@@ -15,14 +15,14 @@
 /// While a team's are served in time, its oldest goes first. When its oldest is past half of its
 /// asker's patience, its newest does: the oldest would be too late in any case.
 #[derive(Debug)]
-pub struct Intake<K, T> {
+pub struct SubmissionQueue<K, T> {
     teams: BTreeMap<K, VecDeque<Waiting<T>>>,
     /// Whose turn was last.
     last: Option<K>,
     patience_ms: u64,
 }
 
-impl<K: Ord + Clone, T> Intake<K, T> {
+impl<K: Ord + Clone, T> SubmissionQueue<K, T> {
     pub fn new(patience_ms: u64) -> Self {
         Self { teams: BTreeMap::new(), last: None, patience_ms }
     }
--- a/crates/cleatfold-ingress/tests/parts.rs
+++ b/crates/cleatfold-ingress/tests/parts.rs
@@ -1,6 +1,6 @@
 //! Pressure, connections and retries, each on its own.
 
-use cleatfold_ingress::{Backoff, Breaker, Level, Pressure, RetryBudget, Seats};
+use cleatfold_ingress::{Backoff, Breaker, ConnectionTable, Level, Pressure, RetryBudget};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
@@ -23,7 +23,7 @@
     assert!(pressure.level() < Level::Strained);
     assert_eq!(go(&mut pressure, 900, 20), Level::Strained);
     assert_eq!(go(&mut pressure, 3000, 20), Level::Drowning);
-    assert!(pressure.stretch() > 1);
+    assert!(pressure.backpressure() > 1);
     let mut rng = SmallRng::seed_from_u64(1);
     let spread: std::collections::BTreeSet<u32> =
         (0..100).map(|_| pressure.retry_after_s(&mut rng)).collect();
@@ -34,31 +34,31 @@
 /// A node full of connections made room for none of its own: its lease ran out.
 #[test]
 fn room_is_made_for_new_connections_and_some_is_always_left() {
-    let mut seats = Seats::new(100, 30_000);
-    let ids: Vec<_> = (0..84).map(|i| seats.open(i).0).collect();
-    assert_eq!(seats.len(), 84);
-    seats.note(ids[0], 90, false, true);
-    seats.note(ids[1], 91, true, false);
+    let mut connections = ConnectionTable::new(100, 30_000);
+    let ids: Vec<_> = (0..84).map(|i| connections.open(i).0).collect();
+    assert_eq!(connections.len(), 84);
+    connections.note(ids[0], 90, false, true);
+    connections.note(ids[1], 91, true, false);
     // Neither the worker's nor the one at work, but the user's that is idle longest.
-    let (new, leaves) = seats.open(100);
+    let (new, leaves) = connections.open(100);
     assert_eq!(leaves, Some(ids[2]));
-    seats.close(ids[2]);
-    assert_eq!(seats.len(), 84);
+    connections.close(ids[2]);
+    assert_eq!(connections.len(), 84);
     for id in &ids[3..] {
-        seats.note(*id, 200, true, false);
+        connections.note(*id, 200, true, false);
     }
-    seats.note(new, 200, true, false);
-    let (last, leaves) = seats.open(201);
+    connections.note(new, 200, true, false);
+    let (last, leaves) = connections.open(201);
     assert_eq!(leaves, Some(ids[0]), "then the worker's");
-    seats.close(ids[0]);
-    seats.note(last, 201, true, false);
+    connections.close(ids[0]);
+    connections.note(last, 201, true, false);
     // All are at work: the new one goes.
-    let (refused, leaves) = seats.open(203);
+    let (refused, leaves) = connections.open(203);
     assert_eq!(leaves, Some(refused));
-    seats.close(refused);
+    connections.close(refused);
     // Abandoned requests are let go sooner than idle connections.
-    assert_eq!(seats.unused(20_100).len(), 1, "the one that began first");
-    assert_eq!(seats.unused(20_300).len(), 84);
+    assert_eq!(connections.unused(20_100).len(), 1, "the one that began first");
+    assert_eq!(connections.unused(20_300).len(), 84);
 }
 
 #[test]
--- a/crates/cleatfold-ingress/tests/turns.rs
+++ b/crates/cleatfold-ingress/tests/poll_schedule.rs
@@ -1,6 +1,6 @@
 //! Polls under pressure, and what goes out to the state service when it takes little.
 
-use cleatfold_ingress::{Level, Outlet, Turns, ROUND, TURN_MS};
+use cleatfold_ingress::{Level, OutgoingQueue, PollSchedule, ROUND, TURN_MS};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -19,7 +19,7 @@
         while at < 300_000 {
             asked += 1;
             let clock = at + rng.random_range(0..50);
-            if Turns::wait_ms(&id, Level::Drowning, clock).is_none() {
+            if PollSchedule::wait_ms(&id, Level::Drowning, clock).is_none() {
                 answered += 1;
                 assert!(
                     at - last <= ROUND * TURN_MS + TURN_MS,
@@ -41,35 +41,35 @@
     fn who_comes_back_in_time_is_answered(job in 0u64..1_000_000, at in 0u64..10_000_000, drowning: bool) {
         let level = if drowning { Level::Drowning } else { Level::Strained };
         let id = format!("run-{job}");
-        if let Some(ms) = Turns::wait_ms(&id, level, at) {
+        if let Some(ms) = PollSchedule::wait_ms(&id, level, at) {
             prop_assert!(ms <= ROUND * TURN_MS);
-            prop_assert!(Turns::wait_ms(&id, level, at + ms).is_none());
+            prop_assert!(PollSchedule::wait_ms(&id, level, at + ms).is_none());
         }
-        prop_assert!(Turns::wait_ms(&id, Level::Busy, at).is_none());
+        prop_assert!(PollSchedule::wait_ms(&id, Level::Busy, at).is_none());
     }
 
     /// Against a plain reading: the first lane's first that may go, but one in four from the last lane once it
     /// has waited long.
     #[test]
     fn the_outlet_goes_by_its_rule(steps in prop::collection::vec((0usize..4, 0u32..3, 0u64..200, any::<bool>(), any::<bool>()), 1..200)) {
-        let mut outlet = Outlet::new(4);
+        let mut outgoing_queue = OutgoingQueue::new(4);
         let mut plain: Vec<(usize, u64, f64, usize)> = Vec::new();
         let (mut now, mut sent) = (0, 0);
         for (number, (lane, changes, pause, push, writes)) in steps.into_iter().enumerate() {
             now += pause;
             if push {
-                outlet.push(lane, now, f64::from(changes), number);
+                outgoing_queue.push(lane, now, f64::from(changes), number);
                 plain.push((lane, now, f64::from(changes), number));
                 continue;
             }
             let may: Vec<_> = plain.iter().filter(|w| writes || w.2 == 0.0).collect();
             let kept = may.iter().find(|w| w.0 == 3).filter(|w| sent % 4 == 3 && now >= w.1 + 300);
             let want = kept.or_else(|| may.iter().min_by_key(|w| (w.0, w.3))).map(|w| w.3);
-            let got = outlet.pop(now, writes).map(|w| w.1);
+            let got = outgoing_queue.pop(now, writes).map(|w| w.1);
             prop_assert_eq!(got, want);
             sent += usize::from(got.is_some());
             plain.retain(|w| Some(w.3) != got);
-            prop_assert_eq!(outlet.is_empty(), plain.is_empty());
+            prop_assert_eq!(outgoing_queue.is_empty(), plain.is_empty());
         }
     }
 }
@@ -77,12 +77,13 @@
 /// Asked about twenty times in a turn, a job takes one answer; a turn that came to nothing is had again.
 #[test]
 fn a_flood_for_one_job_takes_one_turn() {
-    let mut turns = Turns::default();
+    let mut poll_schedule = PollSchedule::default();
     let (begins, next) = (10 * TURN_MS, 11 * TURN_MS);
-    let told = (0..20).filter(|i| turns.take("run-1", Level::Drowning, begins + i * 100)).count();
+    let told =
+        (0..20).filter(|i| poll_schedule.take("run-1", Level::Drowning, begins + i * 100)).count();
     assert_eq!(told, 1);
-    turns.give_back("run-1");
-    assert!(turns.take("run-1", Level::Drowning, begins + 3_000));
-    assert!(turns.take("run-1", Level::Drowning, next), "the next turn");
-    assert!((0..20).all(|_| turns.take("run-1", Level::Busy, next)));
+    poll_schedule.give_back("run-1");
+    assert!(poll_schedule.take("run-1", Level::Drowning, begins + 3_000));
+    assert!(poll_schedule.take("run-1", Level::Drowning, next), "the next turn");
+    assert!((0..20).all(|_| poll_schedule.take("run-1", Level::Busy, next)));
 }
--- a/crates/cleatfold-ingress/tests/desk.rs
+++ b/crates/cleatfold-ingress/tests/request_queue.rs
@@ -1,6 +1,6 @@
 //! The desk against a slow plain model, and against loads that nobody could serve.
 
-use cleatfold_ingress::{Class, Desk};
+use cleatfold_ingress::{Class, RequestQueue};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -52,7 +52,7 @@
 fn the_desk_does_as_the_plain_model() {
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let (mut desk, mut model) = (Desk::default(), Model::default());
+        let (mut request_queue, mut model) = (RequestQueue::default(), Model::default());
         let (mut now, mut number) = (0, 0);
         for _ in 0..1500 {
             now += rng.random_range(0..60);
@@ -60,18 +60,19 @@
             for _ in 0..rng.random_range(0..if number % 900 < 500 { 4 } else { 2 }) {
                 number += 1;
                 let class = Class::ALL[rng.random_range(0..4)];
-                assert!(desk.push(class, now, number).is_none());
+                assert!(request_queue.push(class, now, number).is_none());
                 model.waiting.push((class, now, number));
             }
             if rng.random_bool(0.1) {
-                let mut gone: Vec<u32> = desk.expired(now).into_iter().map(|g| g.1).collect();
+                let mut gone: Vec<u32> =
+                    request_queue.expired(now).into_iter().map(|g| g.1).collect();
                 gone.sort_unstable();
                 assert_eq!(gone, model.expire(now));
             }
-            assert_eq!(desk.pop(now), model.pop(now), "seed {seed} at {now}");
-            assert_eq!(desk.len(), model.waiting.len());
+            assert_eq!(request_queue.pop(now), model.pop(now), "seed {seed} at {now}");
+            assert_eq!(request_queue.len(), model.waiting.len());
             let oldest = model.waiting.iter().map(|w| now - w.1).max();
-            assert_eq!(desk.oldest_ms(now), oldest.unwrap_or(0));
+            assert_eq!(request_queue.oldest_ms(now), oldest.unwrap_or(0));
         }
     }
 }
@@ -80,11 +81,11 @@
 /// their answer in time while the load lasted, and in the ten seconds after it.
 fn goodput(
     load: f64,
-    desk: impl Fn(&mut Desk<(u64, bool)>, u64) -> Option<(u64, bool)>,
+    request_queue: impl Fn(&mut RequestQueue<(u64, bool)>, u64) -> Option<(u64, bool)>,
 ) -> [f64; 2] {
     const SERVED_MS: u64 = 10;
     let class = Class::Ask;
-    let mut waiting = Desk::default();
+    let mut waiting = RequestQueue::default();
     let mut again: Vec<u64> = Vec::new();
     let mut owed = 0.0;
     let mut good = [0.0; 2];
@@ -106,7 +107,7 @@
             _ => vec![],
         };
         again.extend(late.iter().map(|(_, (at, _))| at + class.patience_ms() + 1000));
-        let Some((at, _)) = desk(&mut waiting, now) else { continue };
+        let Some((at, _)) = request_queue(&mut waiting, now) else { continue };
         match now - at <= class.patience_ms() {
             true => good[usize::from(!overloaded)] += 1.0,
             false => again.push(at + class.patience_ms() + 1000),
@@ -120,7 +121,7 @@
 #[test]
 fn no_load_lowers_what_is_done_in_time() {
     for load in [1.0, 2.0, 3.0, 5.0] {
-        let [during, after] = goodput(load, |desk, now| desk.pop(now));
+        let [during, after] = goodput(load, |request_queue, now| request_queue.pop(now));
         assert!(during >= 80.0, "{during} answers a second of 100 at {load} times the load");
         assert!(after >= 30.0, "{after} answers a second of 40 asked for after {load}");
     }
@@ -128,16 +129,16 @@
 
 #[test]
 fn nobody_starves_and_a_full_queue_turns_the_oldest_away() {
-    let mut desk = Desk::default();
+    let mut request_queue = RequestQueue::default();
     for at in 0..Class::Poll.bound() as u64 {
-        assert!(desk.push(Class::Poll, at, (Class::Poll, at)).is_none());
+        assert!(request_queue.push(Class::Poll, at, (Class::Poll, at)).is_none());
     }
-    assert_eq!(desk.push(Class::Poll, 5000, (Class::Poll, 5000)), Some((Class::Poll, 0)));
+    assert_eq!(request_queue.push(Class::Poll, 5000, (Class::Poll, 5000)), Some((Class::Poll, 0)));
     // Workers are pressed all the time: one answer in four still goes to who waits longest.
     let mut polls = 0;
     for i in 0..400 {
-        desk.push(Class::Busy, 3000, (Class::Busy, i));
-        polls += u32::from(desk.pop(5200).is_some_and(|p| p.0 == Class::Poll));
+        request_queue.push(Class::Busy, 3000, (Class::Busy, i));
+        polls += u32::from(request_queue.pop(5200).is_some_and(|p| p.0 == Class::Poll));
     }
     assert!((90..=110).contains(&polls), "{polls}");
 }
--- a/crates/cleatfold-ingress/tests/intake.rs
+++ b/crates/cleatfold-ingress/tests/submission_queue.rs
@@ -1,6 +1,6 @@
 //! Submissions by team, against a plain reading of turns.
 
-use cleatfold_ingress::Intake;
+use cleatfold_ingress::SubmissionQueue;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 /// one queue, three of four of all were refused.
 #[test]
 fn a_swarm_of_one_team_delays_itself() {
-    let mut intake: Intake<&str, u64> = Intake::new(4500);
+    let mut submission_queue: SubmissionQueue<&str, u64> = SubmissionQueue::new(4500);
     let (mut worst, mut refused) = (BTreeMap::new(), BTreeMap::new());
     for ms in (0..60_000u64).step_by(10) {
         let mut come = |team: &'static str| {
-            if intake.wait_s(&team, 11.0) > 3.0 {
+            if submission_queue.wait_s(&team, 11.0) > 3.0 {
                 *refused.entry(team).or_insert(0) += 1;
             } else {
-                intake.push(team, ms, ms);
+                submission_queue.push(team, ms, ms);
             }
         };
         if ms % 60 == 0 {
@@ -26,7 +26,7 @@
             come("resident-2");
         }
         if ms % 90 == 0 {
-            if let Some((arrived, _)) = intake.pop(ms) {
+            if let Some((arrived, _)) = submission_queue.pop(ms) {
                 let team = if arrived % 1_000 == 0 { "maybe a resident" } else { "guest" };
                 let waited = worst.entry(team).or_insert(0);
                 *waited = (*waited).max(ms - arrived);
@@ -42,21 +42,21 @@
     /// the order of arrival.
     #[test]
     fn turns_go_round(ops in prop::collection::vec((0u8..4, any::<bool>()), 1..200)) {
-        let mut intake: Intake<u8, usize> = Intake::new(1_000_000);
+        let mut submission_queue: SubmissionQueue<u8, usize> = SubmissionQueue::new(1_000_000);
         let mut plain: BTreeMap<u8, Vec<usize>> = BTreeMap::new();
         let mut last = None;
         for (i, (team, push)) in ops.into_iter().enumerate() {
             if push {
-                intake.push(team, i as u64, i);
+                submission_queue.push(team, i as u64, i);
                 plain.entry(team).or_default().push(i);
             } else {
                 let open: Vec<u8> = plain.iter().filter(|(_, q)| !q.is_empty()).map(|(t, _)| *t).collect();
                 let turn = open.iter().find(|t| last.is_some_and(|l| **t > l)).or(open.first()).copied();
                 let expected = turn.map(|t| plain.get_mut(&t).unwrap().remove(0));
-                prop_assert_eq!(intake.pop(i as u64).map(|p| p.1), expected);
+                prop_assert_eq!(submission_queue.pop(i as u64).map(|p| p.1), expected);
                 last = turn.or(last);
             }
-            prop_assert_eq!(intake.len(), plain.values().map(Vec::len).sum::<usize>());
+            prop_assert_eq!(submission_queue.len(), plain.values().map(Vec::len).sum::<usize>());
         }
     }
 }
--- a/crates/cleatfold-ingress/tests/write_pacer.rs
+++ b/crates/cleatfold-ingress/tests/write_pacer.rs
@@ -21,7 +21,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Look {
+struct Observation {
     passed_ms: u64,
     changes_per_s: f64,
     spare: usize,
@@ -29,12 +29,12 @@
     records: Vec<(Option<bool>, Outcome)>,
 }
 
-fn looks(records: usize) -> impl Strategy<Value = Vec<Look>> {
+fn looks(records: usize) -> impl Strategy<Value = Vec<Observation>> {
     let outcome = prop_oneof![Just(Outcome::Success), Just(Outcome::Failure), Just(Outcome::Open)];
     let record = (proptest::option::weighted(0.8, any::<bool>()), outcome);
     let records = proptest::collection::vec(record, records);
     let look = (0..2_000u64, 0.0..60.0f64, 0..3usize, records).prop_map(
-        |(passed_ms, changes_per_s, spare, records)| Look {
+        |(passed_ms, changes_per_s, spare, records)| Observation {
             passed_ms,
             changes_per_s,
             spare,
--- a/crates/cleatfold-priority/src/decision.rs
+++ b/crates/cleatfold-priority/src/decision.rs
@@ -16,7 +16,7 @@
 
 /// Room that is being made on a machine, and for whom.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MadeRoom {
+pub struct PreemptionPlan {
     #[serde(rename = "j")]
     pub job: JobId,
     #[serde(rename = "m")]
@@ -39,9 +39,9 @@
 
 /// The rooms being made in one pool, written under the pool's token.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct MadeRecord {
+pub struct PreemptionRecord {
     #[serde(rename = "r", default)]
-    pub rooms: Vec<MadeRoom>,
+    pub plans: Vec<PreemptionPlan>,
 }
 
 /// What of a room's job is known.
@@ -54,7 +54,7 @@
     pub wall_ms: u64,
 }
 
-impl MadeRoom {
+impl PreemptionPlan {
     /// Still being made, or there and not taken.
     pub fn stands(&self, seen: Seen) -> bool {
         seen.waits > 0 && seen.here < self.had + self.tasks && seen.wall_ms < self.until_ms
@@ -62,17 +62,22 @@
 
     /// Whether the room is not for another job: only what is of a higher lane than whom it was made for
     /// goes before that one.
-    pub fn bars(&self, lane: Urgency, other: &JobId, others_lane: Urgency) -> bool {
-        *other != self.job && others_lane >= lane
+    pub fn bars(&self, urgency: Urgency, other: &JobId, others_urgency: Urgency) -> bool {
+        *other != self.job && others_urgency >= urgency
     }
 }
 
-impl MadeRecord {
+impl PreemptionRecord {
     /// The record with more rooms, less those that are over.
-    pub fn with(&self, new: Vec<MadeRoom>, stands: impl Fn(&MadeRoom) -> bool) -> MadeRecord {
-        let mut rooms: Vec<MadeRoom> = self.rooms.iter().filter(|r| stands(r)).cloned().collect();
-        rooms.extend(new);
-        rooms.drain(..rooms.len().saturating_sub(MOST));
-        MadeRecord { rooms }
+    pub fn with(
+        &self,
+        new: Vec<PreemptionPlan>,
+        stands: impl Fn(&PreemptionPlan) -> bool,
+    ) -> PreemptionRecord {
+        let mut plans: Vec<PreemptionPlan> =
+            self.plans.iter().filter(|r| stands(r)).cloned().collect();
+        plans.extend(new);
+        plans.drain(..plans.len().saturating_sub(MOST));
+        PreemptionRecord { plans }
     }
 }
--- a/crates/cleatfold-priority/src/inversions.rs
+++ b/crates/cleatfold-priority/src/inversions.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub struct Start {
     pub job: JobId,
-    pub lane: Urgency,
+    pub urgency: Urgency,
     pub machine_type: TypeId,
     pub zone: ZoneId,
     /// The machine may be taken away.
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct Waiting {
     pub job: JobId,
-    pub lane: Urgency,
+    pub urgency: Urgency,
     /// Since when: accepted, or a place of it ended.
     pub since: Ms,
     pub each: Resources,
@@ -40,12 +40,12 @@
 
 /// Whether the start went before the waiting one out of turn. A report interval passes before anything known
 /// reaches a worker.
-pub fn inverts(start: &Start, waiting: &Waiting, now: Ms, report_ms: u64) -> bool {
+pub fn inverts(start: &Start, waiting: &Waiting, now: Ms, heartbeat_interval_ms: u64) -> bool {
     waiting.job != start.job
-        && waiting.lane < start.lane
+        && waiting.urgency < start.urgency
         && !waiting.gang
         && waiting.within_limit
-        && now.since(waiting.since) > report_ms
+        && now.since(waiting.since) > heartbeat_interval_ms
         && (waiting.spot || !start.spot)
         && waiting.zone.as_ref().is_none_or(|z| *z == start.zone)
         && !waiting.barred.contains(&start.zone)
@@ -68,10 +68,12 @@
         start: &Start,
         waiting: impl IntoIterator<Item = &'a Waiting>,
         now: Ms,
-        report_ms: u64,
+        heartbeat_interval_ms: u64,
     ) {
         self.starts += 1;
-        let Some(first) = waiting.into_iter().find(|w| inverts(start, w, now, report_ms)) else {
+        let Some(first) =
+            waiting.into_iter().find(|w| inverts(start, w, now, heartbeat_interval_ms))
+        else {
             return;
         };
         self.inverted += 1;
--- a/crates/cleatfold-priority/src/place.rs
+++ b/crates/cleatfold-priority/src/place.rs
@@ -9,7 +9,7 @@
     kept.unwrap_or(version.0)
 }
 
-/// Moments for jobs that are given in order of their places, with the time of day at which whoever accepted
+/// FaultSchedule for jobs that are given in order of their places, with the time of day at which whoever accepted
 /// them wrote them down: never decreasing, and otherwise as near to those times as can be (the mean of
 /// what stands in the wrong order). What compares a moment with anything, as the order under overload does, then never
 /// contradicts the places. Every controller derives the same from the same reading.
@@ -17,7 +17,7 @@
 /// Where no clock is wrong by more than d, no moment is. (The highest time so far would do for the order as well, but
 /// one clock that is an hour ahead would give everything accepted in the next hour one moment, and nothing
 /// would be overtaken by its age any more.)
-pub fn moments(accepted_ms: impl IntoIterator<Item = u64>) -> Vec<u64> {
+pub fn acceptance_times(accepted_ms: impl IntoIterator<Item = u64>) -> Vec<u64> {
     // Runs of jobs that share a moment: their sum and number.
     let mut runs: Vec<(u128, u128)> = Vec::new();
     for at in accepted_ms {
@@ -32,9 +32,9 @@
         }
         runs.push(run);
     }
-    let mut moments = Vec::new();
+    let mut acceptance_times = Vec::new();
     for (sum, n) in runs {
-        moments.extend(std::iter::repeat_n((sum / n) as u64, n as usize));
+        acceptance_times.extend(std::iter::repeat_n((sum / n) as u64, n as usize));
     }
-    moments
+    acceptance_times
 }
--- a/crates/cleatfold-priority/src/gate.rs
+++ b/crates/cleatfold-priority/src/start_barrier.rs
@@ -8,7 +8,7 @@
 
 /// What the new owner has heard since.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Gate {
+pub struct StartBarrier {
     pub taken: Ms,
     /// When the newest complete reading of the state service was asked for.
     pub read: Option<Ms>,
@@ -16,7 +16,7 @@
     pub assigned: Option<Ms>,
 }
 
-impl Gate {
+impl StartBarrier {
     /// The lowest lane that may start: until a reading that was asked for after the pool came, something
     /// urgent may be unread that the former owner knew of. Nothing is above the highest.
     pub fn lowest(&self) -> Urgency {
--- a/crates/cleatfold-priority/tests/explored.rs
+++ b/crates/cleatfold-priority/tests/explored.rs
@@ -1,11 +1,11 @@
-//! Making room, explored in every order of what can happen: two controllers that both believe they own the
+//! UncommittedPreemption room, explored in every order of what can happen: two controllers that both believe they own the
 //! pool plan, write, order stops and claim, and any write or stop may arrive after its sender was
 //! replaced, restarted or frozen. The record, what stands in it and whom it bars are the service's own.
 //!
 //! One machine with one place, on which background runs; one urgent task wants it, and other background
 //! waits. (The search is a plain one through all states; no library for it could be had here.)
 
-use cleatfold_priority::{MadeRecord, MadeRoom, Seen, Victim};
+use cleatfold_priority::{PreemptionPlan, PreemptionRecord, Seen, Victim};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 use std::collections::{BTreeSet, VecDeque};
@@ -75,7 +75,7 @@
     /// The victim has left; its exit is known to whoever owns the pool.
     left: bool,
     /// Rooms ever written.
-    rooms: u32,
+    plans: u32,
     broken: BTreeSet<&'static str>,
 }
 
@@ -83,8 +83,8 @@
     JobId::new("urgent")
 }
 
-fn record() -> MadeRecord {
-    let room = MadeRoom {
+fn record() -> PreemptionRecord {
+    let room = PreemptionPlan {
         job: urgent(),
         machine: MachineId::new("m"),
         tasks: 1,
@@ -93,21 +93,21 @@
         stop: vec![Victim(JobId::new("old"), TaskIx(0), Attempt(1))],
         grace_ms: 0,
     };
-    MadeRecord::default().with(vec![room], |_| true)
+    PreemptionRecord::default().with(vec![room], |_| true)
 }
 
 /// Whether the room that a node has read stands, by the service's own rule.
 fn stands(controller: &Controller) -> bool {
     let urgent_has = controller.place == Place::Urgent;
     let seen = Seen { waits: u32::from(!urgent_has), here: u32::from(urgent_has), wall_ms: 0 };
-    controller.made > 0 && record().rooms[0].stands(seen)
+    controller.made > 0 && record().plans[0].stands(seen)
 }
 
 fn barred(controller: &Controller, g: Guards) -> bool {
     let other = JobId::new("other");
     g.keep
         && stands(controller)
-        && record().rooms[0].bars(Urgency::Critical, &other, Urgency::BestEffort)
+        && record().plans[0].bars(Urgency::Critical, &other, Urgency::BestEffort)
 }
 
 fn step(s: &State, g: Guards) -> Vec<State> {
@@ -196,8 +196,8 @@
                         t.broken.insert("a former owner wrote");
                     }
                     t.made += 1;
-                    t.rooms += 1;
-                    if t.rooms > 1 {
+                    t.plans += 1;
+                    if t.plans > 1 {
                         t.broken.insert("room was made twice for one need");
                     }
                     if s.controllers[n].token == Some(token) {
--- a/crates/cleatfold-priority/tests/model.rs
+++ b/crates/cleatfold-priority/tests/model.rs
@@ -5,7 +5,7 @@
 use cleatfold_wire::{Ms, Version};
 use proptest::prelude::*;
 
-const LANES: [Urgency; 4] =
+const URGENCIES: [Urgency; 4] =
     [Urgency::Critical, Urgency::High, Urgency::Normal, Urgency::BestEffort];
 
 /// The fit by its formula: the highest, over beginnings, of the lowest, over ends, mean.
@@ -29,9 +29,9 @@
             rights.push(right);
             told.push(right + off - 10_000);
         }
-        let known = moments(told.iter().copied());
+        let known = acceptance_times(told.iter().copied());
         prop_assert!(known.is_sorted());
-        prop_assert_eq!(moments(rights.iter().copied()), rights.clone());
+        prop_assert_eq!(acceptance_times(rights.iter().copied()), rights.clone());
         for (i, m) in known.iter().enumerate() {
             prop_assert!(m.abs_diff(rights[i]) <= 10_001, "{} for {}", m, rights[i]);
             prop_assert!((*m as f64 - plain(&told, i)).abs() <= 1.0);
@@ -43,7 +43,7 @@
 #[test]
 fn a_clock_far_ahead_does_not_stop_time() {
     let told = (0..400u64).map(|s| 1_000_000 + s * 1000 + if s == 5 { 3_600_000 } else { 0 });
-    let known = moments(told);
+    let known = acceptance_times(told);
     assert!(known[399] < 1_000_000 + 400_000);
     let same = known.windows(2).filter(|w| w[0] == w[1]).count();
     assert!(same < 100, "{same} share a moment");
@@ -57,55 +57,71 @@
 
 #[test]
 fn an_owner_counts_as_gone_for_what_it_shows_not_for_our_own_deafness() {
-    let ears = Ears { listening_ms: 60_000, hear_anyone: true, stretch: 1 };
-    let well = Owner { stands: true, heard_ms: Some(900), read_ms: Some(400), lost_workers: false };
-    assert!(lives(well, ears));
-    assert!(!lives(Owner { stands: false, ..well }, ears), "its lease is over");
-    assert!(!lives(Owner { heard_ms: Some(1600), ..well }, ears), "frozen, dead or cut off");
-    assert!(!lives(Owner { heard_ms: None, ..well }, ears));
-    assert!(!lives(Owner { read_ms: Some(3500), ..well }, ears), "can't claim");
-    assert!(!lives(Owner { lost_workers: true, ..well }, ears));
+    let listener_health =
+        ListenerHealth { listening_ms: 60_000, hears_any_peer: true, backpressure: 1 };
+    let well =
+        Owner { stands: true, silence_ms: Some(900), read_ms: Some(400), lost_workers: false };
+    assert!(lives(well, listener_health));
+    assert!(!lives(Owner { stands: false, ..well }, listener_health), "its lease is over");
+    assert!(
+        !lives(Owner { silence_ms: Some(1600), ..well }, listener_health),
+        "frozen, dead or cut off"
+    );
+    assert!(!lives(Owner { silence_ms: None, ..well }, listener_health));
+    assert!(!lives(Owner { read_ms: Some(3500), ..well }, listener_health), "can't claim");
+    assert!(!lives(Owner { lost_workers: true, ..well }, listener_health));
     // Who hears nobody (the mesh is refused), or has only begun to listen, goes by the leases.
-    let silent = Owner { heard_ms: None, read_ms: None, ..well };
-    assert!(lives(silent, Ears { hear_anyone: false, ..ears }));
-    assert!(lives(silent, Ears { listening_ms: 700, ..ears }));
-    assert!(!lives(Owner { stands: false, ..silent }, Ears { hear_anyone: false, ..ears }));
+    let silent = Owner { silence_ms: None, read_ms: None, ..well };
+    assert!(lives(silent, ListenerHealth { hears_any_peer: false, ..listener_health }));
+    assert!(lives(silent, ListenerHealth { listening_ms: 700, ..listener_health }));
+    assert!(!lives(
+        Owner { stands: false, ..silent },
+        ListenerHealth { hears_any_peer: false, ..listener_health }
+    ));
     // Under pressure things are said less often.
-    assert!(lives(Owner { heard_ms: Some(4000), ..well }, Ears { stretch: 3, ..ears }));
+    assert!(lives(
+        Owner { silence_ms: Some(4000), ..well },
+        ListenerHealth { backpressure: 3, ..listener_health }
+    ));
 }
 
 /// A dead owner's promise holds nothing urgent back, and background believes it for as long as ever.
 #[test]
 fn promises_are_believed_by_lane() {
-    for lane in LANES {
-        assert!(believed(lane, 2900, true));
-        assert!(!believed(lane, 3000, true));
-        assert_eq!(believed(lane, 1000, false), lane == Urgency::BestEffort);
+    for urgency in URGENCIES {
+        assert!(believed(urgency, 2900, true));
+        assert!(!believed(urgency, 3000, true));
+        assert_eq!(believed(urgency, 1000, false), urgency == Urgency::BestEffort);
     }
 }
 
 #[test]
 fn urgent_work_that_was_sent_to_a_fallen_pool_is_planned_by_all_that_live() {
-    let sent = Sent { anywhere: true, here: false, all_live: false, late: false, made_here: false };
-    for lane in LANES {
-        assert_eq!(considers(lane, sent), lane != Urgency::BestEffort);
-        assert!(!considers(lane, Sent { all_live: true, ..sent }));
-        assert!(considers(lane, Sent { here: true, ..sent }));
+    let sent =
+        Sent { anywhere: true, here: false, all_live: false, late: false, preempted_here: false };
+    for urgency in URGENCIES {
+        assert_eq!(considers(urgency, sent), urgency != Urgency::BestEffort);
+        assert!(!considers(urgency, Sent { all_live: true, ..sent }));
+        assert!(considers(urgency, Sent { here: true, ..sent }));
         let late = Sent { late: true, all_live: true, ..sent };
-        assert_eq!(considers(lane, late), lane != Urgency::BestEffort);
-        assert!(considers(lane, Sent { made_here: true, all_live: true, ..sent }));
-        assert!(considers(lane, Sent { anywhere: false, ..sent }));
+        assert_eq!(considers(urgency, late), urgency != Urgency::BestEffort);
+        assert!(considers(urgency, Sent { preempted_here: true, all_live: true, ..sent }));
+        assert!(considers(urgency, Sent { anywhere: false, ..sent }));
     }
 }
 
 #[test]
 fn a_pool_that_has_just_come_starts_nothing_that_something_unread_could_go_before() {
-    let gate = Gate { taken: Ms(5000), read: Some(Ms(4990)), assigned: Some(Ms(4000)) };
-    assert_eq!(gate.lowest(), Urgency::Critical);
-    assert_eq!(Gate { read: Some(Ms(5000)), ..gate }.lowest(), Urgency::BestEffort);
-    assert_eq!(Gate { read: None, ..gate }.lowest(), Urgency::Critical);
+    let start_barrier =
+        StartBarrier { taken: Ms(5000), read: Some(Ms(4990)), assigned: Some(Ms(4000)) };
+    assert_eq!(start_barrier.lowest(), Urgency::Critical);
+    assert_eq!(
+        StartBarrier { read: Some(Ms(5000)), ..start_barrier }.lowest(),
+        Urgency::BestEffort
+    );
+    assert_eq!(StartBarrier { read: None, ..start_barrier }.lowest(), Urgency::Critical);
     // And plans for all that is urgent until the dealer has spoken, or a while has passed.
-    assert!(gate.wide(Ms(5100)));
-    assert!(!Gate { assigned: Some(Ms(5050)), ..gate }.wide(Ms(5100)));
-    assert!(!gate.wide(Ms(8000)));
+    assert!(start_barrier.wide(Ms(5100)));
+    assert!(!StartBarrier { assigned: Some(Ms(5050)), ..start_barrier }.wide(Ms(5100)));
+    assert!(!start_barrier.wide(Ms(8000)));
 }
--- a/crates/cleatfold-reachability/src/contact.rs
+++ b/crates/cleatfold-reachability/src/contact.rs
@@ -6,12 +6,12 @@
 /// From the workers' report interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    pub report_ms: u64,
+    pub heartbeat_interval_ms: u64,
 }
 
 impl Default for Timing {
     fn default() -> Self {
-        Self { report_ms: 1000 }
+        Self { heartbeat_interval_ms: 1000 }
     }
 }
 
@@ -29,7 +29,8 @@
     fn quiet_ms(&self, reporting: usize) -> u64 {
         match reporting {
             0 => SELDOM_MS,
-            n => (3 * self.report_ms / n as u64).clamp(1_500, 2 * self.report_ms + 1_500),
+            n => (3 * self.heartbeat_interval_ms / n as u64)
+                .clamp(1_500, 2 * self.heartbeat_interval_ms + 1_500),
         }
     }
 }
@@ -43,7 +44,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Contact {
-    heard: Ms,
+    last_contact: Ms,
     asked: Ms,
     /// Turns the questions over the machines.
     turn: usize,
@@ -55,8 +56,8 @@
 }
 
 impl Contact {
-    pub fn heard(&mut self, now: Ms) {
-        self.heard = now;
+    pub fn note_contact(&mut self, now: Ms) {
+        self.last_contact = now;
         self.in_vain = 0;
         self.unanswered.clear();
     }
@@ -66,8 +67,8 @@
         self.unanswered.insert(machine.clone());
     }
 
-    pub fn heard_at(&self) -> Ms {
-        self.heard
+    pub fn last_contact(&self) -> Ms {
+        self.last_contact
     }
 
     pub fn is_lost(&self) -> bool {
@@ -75,7 +76,7 @@
     }
 
     pub fn begin_anew(&mut self, now: Ms) {
-        (self.heard, self.asked) = (now, now);
+        (self.last_contact, self.asked) = (now, now);
         self.in_vain = 0;
         self.unanswered.clear();
     }
@@ -91,7 +92,7 @@
     ) -> Option<Probe> {
         self.machines = machines.len();
         // Whether it is the machines or whoever lost them is for the others to say, soon.
-        let quiet = doubted || now.since(self.heard) >= timing.quiet_ms(reporting);
+        let quiet = doubted || now.since(self.last_contact) >= timing.quiet_ms(reporting);
         // Once something seems wrong, three answers, or none, are wanted soon.
         let pause = match (reporting, self.in_vain) {
             (0, 0) if !doubted => SELDOM_MS,
--- a/crates/cleatfold-reachability/src/lib.rs
+++ b/crates/cleatfold-reachability/src/lib.rs
@@ -5,18 +5,18 @@
 //! here is only whom it is worth asking. `docs/reachability.md` weighs and argues.
 
 mod contact;
-mod ears;
-mod letting;
+mod misdirected_workers;
+mod one_way_partition;
 mod peers;
-mod standing;
-mod strays;
+mod shunned;
+mod worker_release;
 
 pub use contact::{Contact, Probe, Timing};
-pub use ears::Ears;
-pub use letting::{Answer, Letting};
-pub use peers::{Hears, Peers};
-pub use standing::Standing;
-pub use strays::{Came, Strays};
+pub use misdirected_workers::{Came, MisdirectedWorkers};
+pub use one_way_partition::OneWayPartitionDetector;
+pub use peers::{Peers, ZoneContact};
+pub use shunned::ShunnedControllers;
+pub use worker_release::{Answer, WorkerRelease};
 
 use cleatfold_wire::{ControllerId, MachineId, Ms, ZoneId};
 use std::collections::BTreeMap;
@@ -27,16 +27,16 @@
 
 /// One controller's view of who reaches whom.
 #[derive(Clone, Debug, Default)]
-pub struct Reach {
+pub struct Reachability {
     timing: Timing,
     zones: BTreeMap<ZoneId, Contact>,
     pub peers: Peers,
-    pub strays: Strays,
-    pub letting: Letting,
-    standing: Standing,
+    pub misdirected_workers: MisdirectedWorkers,
+    pub worker_release: WorkerRelease,
+    shunned: ShunnedControllers,
 }
 
-impl Reach {
+impl Reachability {
     pub fn new(timing: Timing) -> Self {
         Self { timing, ..Self::default() }
     }
@@ -44,15 +44,15 @@
     /// A worker of the zone has just spoken to us, by evidence: a report newer than all before under our
     /// token from a worker that hears us, or its answer to a question. (Copies of old reports once made
     /// a lost zone look reached.)
-    pub fn heard(&mut self, zone: &ZoneId, now: Ms) {
-        self.zones.entry(zone.clone()).or_default().heard(now);
+    pub fn note_contact(&mut self, zone: &ZoneId, now: Ms) {
+        self.zones.entry(zone.clone()).or_default().note_contact(now);
     }
 
     /// A question to a machine of the zone was answered, or was not.
     pub fn probed(&mut self, zone: &ZoneId, machine: &MachineId, answered: bool, now: Ms) {
         let contact = self.zones.entry(zone.clone()).or_default();
         if answered {
-            contact.heard(now);
+            contact.note_contact(now);
         } else {
             contact.unanswered(machine);
         }
@@ -75,8 +75,8 @@
     }
 
     /// What we hear of each zone's workers.
-    pub fn hears(&self) -> impl Iterator<Item = (&ZoneId, Hears)> {
-        self.zones.iter().map(|(z, c)| (z, Hears { at: c.heard_at(), lost: c.is_lost() }))
+    pub fn zone_contacts(&self) -> impl Iterator<Item = (&ZoneId, ZoneContact)> {
+        self.zones.iter().map(|(z, c)| (z, ZoneContact { at: c.last_contact(), lost: c.is_lost() }))
     }
 
     /// We stood still for so long: our silence says nothing about anybody else.
@@ -87,7 +87,7 @@
 
     /// A zone's workers left a controller that was alive, and another took them over.
     pub fn left(&mut self, controller: &ControllerId, zone: &ZoneId, now: Ms) {
-        self.standing.left(controller, zone, now);
+        self.shunned.left(controller, zone, now);
     }
 
     fn of_zone(
@@ -96,10 +96,10 @@
         controller: &ControllerId,
         zone: &ZoneId,
         now: Ms,
-    ) -> Option<Hears> {
+    ) -> Option<ZoneContact> {
         if controller == me {
             let contact = self.zones.get(zone);
-            return contact.map(|c| Hears { at: c.heard_at(), lost: c.is_lost() });
+            return contact.map(|c| ZoneContact { at: c.last_contact(), lost: c.is_lost() });
         }
         self.peers.of_zone(controller, zone, now)
     }
@@ -113,7 +113,7 @@
         now: Ms,
     ) -> bool {
         let lost = self.of_zone(me, controller, zone, now).is_some_and(|h| h.lost);
-        !lost && !self.standing.is_shunned(controller, zone, now)
+        !lost && !self.shunned.is_shunned(controller, zone, now)
     }
 
     /// Whether `other` reaches the zone's workers where `owner`, a live controller, does not: it has heard of
@@ -131,8 +131,8 @@
         let Some(lost) = self.of_zone(me, owner, zone, now).filter(|h| h.lost) else {
             return false;
         };
-        let heard = self.of_zone(me, other, zone, now);
-        let since = heard.is_some_and(|h| !h.lost && h.at > lost.at.plus(SINCE_MS));
+        let contact = self.of_zone(me, other, zone, now);
+        let since = contact.is_some_and(|h| !h.lost && h.at > lost.at.plus(SINCE_MS));
         since && other != owner && self.may_hold(me, other, zone, now)
     }
 }
--- a/crates/cleatfold-reachability/src/strays.rs
+++ b/crates/cleatfold-reachability/src/misdirected_workers.rs
@@ -9,7 +9,7 @@
 const UNDERWAY_MS: u64 = 5_000;
 /// While the owner is heard of, a worker that comes again after this is not just passing by.
 const PATIENCE_MS: u64 = 1_200;
-const HEARD_MS: u64 = 2_500;
+const OWNER_SILENCE_MS: u64 = 2_500;
 /// A question to a worker that came astray is asked again after so long.
 const ASK_MS: u64 = 1_000;
 /// What a worker says of itself when it is asked: so many messages after the report that was to be confirmed,
@@ -35,7 +35,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Strays {
+pub struct MisdirectedWorkers {
     came: BTreeMap<MachineId, (PoolId, VecDeque<Ms>)>,
     /// Under which token each pool was last seen, and since when.
     tokens: BTreeMap<PoolId, (FencingToken, Ms)>,
@@ -44,7 +44,7 @@
     astray: BTreeMap<MachineId, (AgentEpoch, Seq, Ms)>,
 }
 
-impl Strays {
+impl MisdirectedWorkers {
     /// A pool was read to be under this token.
     pub fn see_token(&mut self, pool: &PoolId, token: FencingToken, now: Ms) {
         match self.tokens.get_mut(pool) {
@@ -66,7 +66,7 @@
     /// `machines` machines, should come after it. Once may be a hand-over; again means that it cannot get through to its
     /// owner. Some of a large pool can't for a moment whenever its owner is busy, and a move costs
     /// all of them a change of node: the pool moves when a fair part of it has come. While nothing
-    /// is heard of the owner (`heard`) it may be gone, and back in a moment: its lease in the state
+    /// is heard of the owner (`owner_last_message`) it may be gone, and back in a moment: its lease in the state
     /// service decides that, and only workers that stay astray beyond it (the owner lives, behind
     /// a cut) count. And a report that comes here may be a late copy, or come from a machine that hears
     /// nobody: before the pool moves the worker is asked itself. (Pools of such machines went round, from one
@@ -76,7 +76,7 @@
         (machine, number): (&MachineId, (AgentEpoch, Seq)),
         pool: &PoolId,
         machines: usize,
-        (owner, heard): (&ControllerId, Option<Ms>),
+        (owner, owner_last_message): (&ControllerId, Option<Ms>),
         lease_ms: u64,
         now: Ms,
     ) -> Came {
@@ -84,8 +84,8 @@
         if self.tokens.get(pool).is_some_and(|s| now.since(s.1) < UNDERWAY_MS) {
             return Came::No;
         }
-        let patience = match heard {
-            Some(at) if now.since(at) < HEARD_MS => PATIENCE_MS,
+        let patience = match owner_last_message {
+            Some(at) if now.since(at) < OWNER_SILENCE_MS => PATIENCE_MS,
             _ => lease_ms + 1500,
         };
         let again = |times: &VecDeque<Ms>| {
@@ -105,7 +105,7 @@
         }
         let came = self.came.values().filter(|s| s.0 == *pool && again(&s.1));
         let asked = self.asked.get(pool).is_some_and(|q| now.since(q.at) < ASK_MS);
-        if asked || came.count() < strays_that_move(machines) {
+        if asked || came.count() < misdirected_quorum(machines) {
             return Came::No;
         }
         let (machine, owner) = (machine.clone(), owner.clone());
@@ -114,19 +114,19 @@
     }
 
     /// A machine answered, or did not, with the number of its newest message. The pool that should now
-    /// come after it, and whose it was. Where the owner says that it hears the zone (`hears`), a worker has to be
+    /// come after it, and whose it was. Where the owner says that it hears the zone (`owner_has_contact`), a worker has to be
     /// found astray twice, the second time by a report that it sent after it was first asked: a copy that is
     /// younger than the pause between two reports can't be told from a worker that has just come.
     pub fn answered(
         &mut self,
         machine: &MachineId,
-        said: Option<(AgentEpoch, Seq)>,
-        hears: impl Fn(&PoolId, &ControllerId) -> bool,
+        answer: Option<(AgentEpoch, Seq)>,
+        owner_has_contact: impl Fn(&PoolId, &ControllerId) -> bool,
         now: Ms,
     ) -> Option<(PoolId, ControllerId)> {
         let pool = self.asked.iter().find(|(_, q)| q.machine == *machine)?.0.clone();
         let question = self.asked.get(&pool)?.clone();
-        let (agent_epoch, seq) = said?;
+        let (agent_epoch, seq) = answer?;
         let after = seq.0.checked_sub(question.number.1 .0);
         let same = agent_epoch == question.number.0 && after.is_some_and(|n| n <= MESSAGES);
         if !same || now.since(question.at) > 2 * ASK_MS {
@@ -138,7 +138,7 @@
         let again = before.is_some_and(|(agent_epoch, seq, at)| {
             number > (agent_epoch, seq) && now.since(at) <= WINDOW_MS
         });
-        if !again && hears(&pool, &question.owner) {
+        if !again && owner_has_contact(&pool, &question.owner) {
             return None;
         }
         self.asked.remove(&pool);
@@ -147,6 +147,6 @@
 }
 
 /// How many of a pool's workers must come astray before the pool moves after them.
-fn strays_that_move(machines: usize) -> usize {
+fn misdirected_quorum(machines: usize) -> usize {
     machines.div_ceil(4).max(1)
 }
--- a/crates/cleatfold-reachability/src/ears.rs
+++ b/crates/cleatfold-reachability/src/one_way_partition.rs
@@ -1,4 +1,4 @@
-//! Whether a machine hears what it is told.
+//! Whether a machine hears what it is answer.
 //!
 //! A machine may be heard and hear nothing: its reports come, to each controller in turn, and neither
 //! answers nor commands arrive. It looks alive, is given tasks again after each lapse of its lease, and what is
@@ -26,7 +26,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Told {
+struct SentAnswer {
     at: Ms,
     /// Our token was news to it.
     token: bool,
@@ -35,51 +35,51 @@
 
 /// One machine's hearing, as its pool's owner sees it.
 #[derive(Clone, Debug, Default)]
-pub struct Ears {
-    told: Option<Told>,
+pub struct OneWayPartitionDetector {
+    last_answer: Option<SentAnswer>,
     in_vain: u32,
-    deaf_since: Option<Ms>,
+    partitioned_since: Option<Ms>,
     /// When it was last taken back, and how often it has been deaf before.
     back: Option<Ms>,
     times: u32,
     /// While deaf: since when it has heard again.
-    hears_since: Option<Ms>,
+    delivering_since: Option<Ms>,
 }
 
-impl Ears {
+impl OneWayPartitionDetector {
     /// A report was answered: with a token it had not seen, if so, and with these orders.
-    pub fn told(&mut self, now: Ms, new_token: bool, commands: &[Command]) {
+    pub fn answered(&mut self, now: Ms, new_token: bool, commands: &[Command]) {
         let sign = |c: &Command| match c {
             Command::Start { task, attempt, .. } => Sign::Listed(task.clone(), *attempt),
             Command::Stop { task, attempt, .. } => Sign::NotRunning(task.clone(), *attempt),
             Command::Forget { task, attempt } => Sign::NotListed(task.clone(), *attempt),
         };
         let signs = commands.iter().take(8).map(sign).collect();
-        self.told = Some(Told { at: now, token: new_token, signs });
+        self.last_answer = Some(SentAnswer { at: now, token: new_token, signs });
     }
 
     /// The answer waited for orders and goes only now.
-    pub fn told_late(&mut self, now: Ms, commands: &[Command]) {
-        let token = self.told.as_ref().is_some_and(|t| t.token);
-        self.told(now, token, commands);
+    pub fn answered_late(&mut self, now: Ms, commands: &[Command]) {
+        let token = self.last_answer.as_ref().is_some_and(|t| t.token);
+        self.answered(now, token, commands);
     }
 
     /// We were late ourselves: what shows or does not says nothing.
     pub fn excuse(&mut self) {
-        self.told = None;
+        self.last_answer = None;
     }
 
     /// A newer report came. `has_token`: it carries our token. True if whether it is deaf has changed.
-    pub fn reports(
+    pub fn next_heartbeat(
         &mut self,
         now: Ms,
-        report_ms: u64,
+        heartbeat_interval_ms: u64,
         has_token: bool,
         tasks: &[TaskReport],
     ) -> bool {
-        let Some(told) = self.told.take() else { return false };
-        let passed = now.since(told.at);
-        let expected = told.token || !told.signs.is_empty();
+        let Some(answer) = self.last_answer.take() else { return false };
+        let passed = now.since(answer.at);
+        let expected = answer.token || !answer.signs.is_empty();
         let find = |task: &TaskId, attempt: Attempt| {
             tasks.iter().find(|t| t.task == *task && t.attempt == attempt)
         };
@@ -89,49 +89,49 @@
                 .is_none_or(|t| matches!(t.state, TaskState::Exited | TaskState::Saving)),
             Sign::NotListed(task, attempt) => find(task, *attempt).is_none(),
         };
-        let shown = (told.token && has_token) || told.signs.iter().any(shows);
+        let shown = (answer.token && has_token) || answer.signs.iter().any(shows);
         // It reports within its interval of an answer, and sooner when something changes.
-        let interval_kept = passed <= report_ms * 5 / 4 + 1500;
+        let interval_kept = passed <= heartbeat_interval_ms * 5 / 4 + 1500;
         if shown || (!expected && (passed < GIVES_UP_MS || interval_kept)) {
-            self.hears(now)
+            self.confirm_delivery(now)
         } else if passed < GIVES_UP_MS {
             // An answer that was lost on the way: the next one will tell.
             false
         } else {
-            self.hears_since = None;
+            self.delivering_since = None;
             self.in_vain += 1;
-            let newly = self.in_vain >= IN_VAIN && self.deaf_since.is_none();
+            let newly = self.in_vain >= IN_VAIN && self.partitioned_since.is_none();
             if newly {
                 let again = self.back.is_some_and(|at| now.since(at) < AGAIN_MS);
                 self.times = if again { self.times + 1 } else { 0 };
-                self.deaf_since = Some(now);
+                self.partitioned_since = Some(now);
             }
             newly
         }
     }
 
-    fn hears(&mut self, now: Ms) -> bool {
+    fn confirm_delivery(&mut self, now: Ms) -> bool {
         self.in_vain = 0;
-        let since = *self.hears_since.get_or_insert(now);
+        let since = *self.delivering_since.get_or_insert(now);
         let pause = match self.times {
             0 => 0,
             n => (FIRST_PAUSE_MS << (n - 1).min(8)).min(AGAIN_MS),
         };
-        if self.deaf_since.is_none() || now.since(since) < pause {
+        if self.partitioned_since.is_none() || now.since(since) < pause {
             return false;
         }
-        self.deaf_since = None;
-        self.hears_since = None;
+        self.partitioned_since = None;
+        self.delivering_since = None;
         self.back = Some(now);
         true
     }
 
-    pub fn is_deaf(&self) -> bool {
-        self.deaf_since.is_some()
+    pub fn is_partitioned(&self) -> bool {
+        self.partitioned_since.is_some()
     }
 
     /// For how long it has been.
-    pub fn deaf_ms(&self, now: Ms) -> u64 {
-        self.deaf_since.map_or(0, |since| now.since(since))
+    pub fn partitioned_ms(&self, now: Ms) -> u64 {
+        self.partitioned_since.map_or(0, |since| now.since(since))
     }
 }
--- a/crates/cleatfold-reachability/src/peers.rs
+++ b/crates/cleatfold-reachability/src/peers.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// What a peer says of itself is forgotten after so long.
-const SAID_MS: u64 = 6_000;
+const PEER_STATE_TTL_MS: u64 = 6_000;
 /// A peer that read the state service so lately can serve users that we can't.
 const READS_MS: u64 = 4_000;
 
@@ -13,14 +13,14 @@
     /// When it last said that it had read the state service.
     contact: Option<Ms>,
     /// When anything last came from it.
-    heard: Option<Ms>,
+    last_message: Option<Ms>,
     /// What it says of the zones, and when it said so.
-    zones: Option<(Ms, BTreeMap<ZoneId, Hears>)>,
+    zones: Option<(Ms, BTreeMap<ZoneId, ZoneContact>)>,
 }
 
 /// What a controller hears of one zone's workers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Hears {
+pub struct ZoneContact {
     /// When it last heard of any, on the steady clock of whoever keeps this.
     pub at: Ms,
     /// It has asked them in vain since.
@@ -37,8 +37,8 @@
         self.peers.entry(controller.clone()).or_default()
     }
 
-    pub fn heard_of(&mut self, controller: &ControllerId, now: Ms) {
-        self.peer(controller).heard = Some(now);
+    pub fn note_message(&mut self, controller: &ControllerId, now: Ms) {
+        self.peer(controller).last_message = Some(now);
     }
 
     /// It read the state service at that moment.
@@ -46,12 +46,17 @@
         self.peer(controller).contact = Some(at);
     }
 
-    pub fn hears(&mut self, controller: &ControllerId, zones: BTreeMap<ZoneId, Hears>, now: Ms) {
+    pub fn note_zone_contacts(
+        &mut self,
+        controller: &ControllerId,
+        zones: BTreeMap<ZoneId, ZoneContact>,
+        now: Ms,
+    ) {
         self.peer(controller).zones = Some((now, zones));
     }
 
-    pub fn heard(&self, controller: &ControllerId) -> Option<Ms> {
-        self.peers.get(controller).and_then(|p| p.heard)
+    pub fn last_message(&self, controller: &ControllerId) -> Option<Ms> {
+        self.peers.get(controller).and_then(|p| p.last_message)
     }
 
     /// When it last read the state service, by its own word.
@@ -60,8 +65,8 @@
     }
 
     /// Some peer was heard of within the last `ms`.
-    pub fn hear_anyone(&self, now: Ms, ms: u64) -> bool {
-        self.peers.values().any(|p| p.heard.is_some_and(|at| now.since(at) <= ms))
+    pub fn hears_any_peer(&self, now: Ms, ms: u64) -> bool {
+        self.peers.values().any(|p| p.last_message.is_some_and(|at| now.since(at) <= ms))
     }
 
     /// Some peer reads the state service.
@@ -70,9 +75,14 @@
     }
 
     /// What it has said lately of the zone's workers.
-    pub fn of_zone(&self, controller: &ControllerId, zone: &ZoneId, now: Ms) -> Option<Hears> {
+    pub fn of_zone(
+        &self,
+        controller: &ControllerId,
+        zone: &ZoneId,
+        now: Ms,
+    ) -> Option<ZoneContact> {
         let (at, zones) = self.peers.get(controller)?.zones.as_ref()?;
-        zones.get(zone).filter(|_| now.since(*at) <= SAID_MS).copied()
+        zones.get(zone).filter(|_| now.since(*at) <= PEER_STATE_TTL_MS).copied()
     }
 
     /// Some peer has lost the zone's workers.
--- a/crates/cleatfold-reachability/src/standing.rs
+++ b/crates/cleatfold-reachability/src/shunned.rs
@@ -17,11 +17,11 @@
 /// pool back to the controller that its workers had just left, since that had fewest, and they left
 /// it again, every ten seconds for as long as the cut lasted.)
 #[derive(Clone, Debug, Default)]
-pub struct Standing {
+pub struct ShunnedControllers {
     left: BTreeMap<(ControllerId, ZoneId), Left>,
 }
 
-impl Standing {
+impl ShunnedControllers {
     pub fn left(&mut self, controller: &ControllerId, zone: &ZoneId, now: Ms) {
         let key = (controller.clone(), zone.clone());
         let known = self.left.get(&key).copied();
--- a/crates/cleatfold-reachability/src/letting.rs
+++ b/crates/cleatfold-reachability/src/worker_release.rs
@@ -1,4 +1,4 @@
-//! Letting workers go when nothing is heard of the state service nor of the other controllers.
+//! WorkerRelease workers go when nothing is heard of the state service nor of the other controllers.
 //!
 //! A controller that has lost both, but not its workers, can't tell whether all have lost the state service
 //! (then letting its workers go would cost their leases) or it alone (then others own its pools by now, and as
@@ -35,7 +35,7 @@
 
 /// The pools of a controller whose own lease is over.
 #[derive(Clone, Debug, Default)]
-pub struct Letting {
+pub struct WorkerRelease {
     pools: BTreeMap<PoolId, Search>,
     /// Whom the next scout is sent to.
     turn: usize,
@@ -46,10 +46,10 @@
 pub enum Answer {
     Keep,
     /// To this controller, or to whichever it finds.
-    LetGo(Option<ControllerId>),
+    Release(Option<ControllerId>),
 }
 
-impl Letting {
+impl WorkerRelease {
     /// We are in contact again, or know better who owns what.
     pub fn reset(&mut self) {
         self.pools.clear();
@@ -82,7 +82,7 @@
         let search =
             self.pools.entry(pool.clone()).or_insert(Search { since: now, ..Search::default() });
         if search.served {
-            return Answer::LetGo(None);
+            return Answer::Release(None);
         }
         match &search.scout {
             Some(scout) if scout.machine == *machine => {
@@ -94,7 +94,7 @@
             }
             Some(scout) if now.since(scout.left) >= ROUND_MS => {
                 search.served = true;
-                Answer::LetGo(None)
+                Answer::Release(None)
             }
             Some(_) => Answer::Keep,
             None => {
@@ -104,7 +104,7 @@
                 }
                 search.scout = Some(Scout { machine: machine.clone(), left: now });
                 self.turn += 1;
-                Answer::LetGo(Some(peers[self.turn % peers.len()].clone()))
+                Answer::Release(Some(peers[self.turn % peers.len()].clone()))
             }
         }
     }
--- a/crates/cleatfold-reachability/tests/reach.rs
+++ b/crates/cleatfold-reachability/tests/reachability.rs
@@ -1,6 +1,8 @@
 //! Who reaches whom, against a world in which it is known what is cut and what is dead.
 
-use cleatfold_reachability::{Came, Hears, Reach, Standing, Strays, Timing};
+use cleatfold_reachability::{
+    Came, MisdirectedWorkers, Reachability, ShunnedControllers, Timing, ZoneContact,
+};
 use cleatfold_wire::{AgentEpoch, ControllerId, FencingToken, MachineId, Ms, PoolId, Seq, ZoneId};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -17,14 +19,14 @@
 
 /// Three controllers and one zone whose machines report to the first, each second.
 struct World {
-    views: Vec<Reach>,
+    views: Vec<Reachability>,
     now: Ms,
 }
 
 impl World {
     fn new() -> Self {
-        let timing = Timing { report_ms: 1000 };
-        Self { views: (0..CONTROLLERS).map(|_| Reach::new(timing)).collect(), now: Ms(1000) }
+        let timing = Timing { heartbeat_interval_ms: 1000 };
+        Self { views: (0..CONTROLLERS).map(|_| Reachability::new(timing)).collect(), now: Ms(1000) }
     }
 
     /// `reached` says which machines a controller reaches.
@@ -37,7 +39,7 @@
             for i in 0..CONTROLLERS {
                 let reports = i == 0 && (0..MACHINES).any(|m| reached(0, m));
                 if reports && now.0.is_multiple_of(1000) {
-                    self.views[i].heard(&zone, now);
+                    self.views[i].note_contact(&zone, now);
                 }
                 let own = if i == 0 { MACHINES } else { 0 };
                 let zones = [(&zone, machines.as_slice(), own)];
@@ -46,10 +48,10 @@
                     self.views[i].probed(&zone, &probe.machine, reached(i, at), now);
                 }
                 if now.0.is_multiple_of(1000) {
-                    let told: BTreeMap<ZoneId, Hears> =
-                        self.views[i].hears().map(|(z, h)| (z.clone(), h)).collect();
+                    let told: BTreeMap<ZoneId, ZoneContact> =
+                        self.views[i].zone_contacts().map(|(z, h)| (z.clone(), h)).collect();
                     for j in (0..CONTROLLERS).filter(|j| *j != i) {
-                        self.views[j].peers.hears(&controller(i), told.clone(), now);
+                        self.views[j].peers.note_zone_contacts(&controller(i), told.clone(), now);
                     }
                 }
             }
@@ -113,7 +115,7 @@
     world.run(20_000, |_, _| true);
     let now = world.now.plus(60_000);
     world.views[0].stood_still(now);
-    assert!(world.views[0].hears().all(|(_, h)| !h.lost && h.at == now));
+    assert!(world.views[0].zone_contacts().all(|(_, h)| !h.lost && h.at == now));
     let zone = ZoneId::new("a");
     assert!(!world.views[0].reaches_instead(
         &controller(0),
@@ -149,14 +151,14 @@
     /// However often workers leave a controller, it is asked again in the end, and less and less often.
     #[test]
     fn pauses_grow_and_end(gaps in prop::collection::vec(1_000u64..400_000, 1..20)) {
-        let (mut standing, mut now) = (Standing::default(), Ms(1_000));
+        let (mut shunned, mut now) = (ShunnedControllers::default(), Ms(1_000));
         let zone = ZoneId::new("a");
         for gap in gaps {
             now = now.plus(gap);
-            standing.left(&controller(0), &zone, now);
-            prop_assert!(standing.is_shunned(&controller(0), &zone, now));
-            prop_assert!(!standing.is_shunned(&controller(1), &zone, now));
-            prop_assert!(!standing.is_shunned(&controller(0), &zone, now.plus(240_000)));
+            shunned.left(&controller(0), &zone, now);
+            prop_assert!(shunned.is_shunned(&controller(0), &zone, now));
+            prop_assert!(!shunned.is_shunned(&controller(1), &zone, now));
+            prop_assert!(!shunned.is_shunned(&controller(0), &zone, now.plus(240_000)));
         }
     }
 }
@@ -164,37 +166,45 @@
 #[test]
 fn a_pool_comes_after_a_quarter_of_its_workers_that_came_twice_and_say_so_themselves() {
     let pool = PoolId::parse("small/a").expect("a pool");
-    let mut strays = Strays::default();
+    let mut misdirected_workers = MisdirectedWorkers::default();
     let silent = |_: &PoolId, _: &ControllerId| false;
-    strays.see_token(&pool, FencingToken(7), Ms(1_000));
+    misdirected_workers.see_token(&pool, FencingToken(7), Ms(1_000));
     let owner = (&controller(0), Some(Ms(19_000)));
     let number = |n| (AgentEpoch(1), Seq(n));
-    let came = |strays: &mut Strays, i, n, at| {
-        strays.came((&machine(i), number(n)), &pool, 8, owner, 3_000, Ms(at))
+    let came = |misdirected_workers: &mut MisdirectedWorkers, i, n, at| {
+        misdirected_workers.came((&machine(i), number(n)), &pool, 8, owner, 3_000, Ms(at))
     };
     // On their way to an owner that has just got the pool.
-    assert_eq!(came(&mut strays, 0, 5, 3_000), Came::No);
-    assert_eq!(came(&mut strays, 0, 6, 18_000), Came::No);
-    assert_eq!(came(&mut strays, 1, 40, 18_100), Came::No);
-    assert_eq!(came(&mut strays, 0, 7, 19_500), Came::No, "one of eight");
-    assert_eq!(came(&mut strays, 1, 41, 19_600), Came::Ask, "two of eight");
-    assert_eq!(came(&mut strays, 1, 42, 19_700), Came::No, "asked already");
+    assert_eq!(came(&mut misdirected_workers, 0, 5, 3_000), Came::No);
+    assert_eq!(came(&mut misdirected_workers, 0, 6, 18_000), Came::No);
+    assert_eq!(came(&mut misdirected_workers, 1, 40, 18_100), Came::No);
+    assert_eq!(came(&mut misdirected_workers, 0, 7, 19_500), Came::No, "one of eight");
+    assert_eq!(came(&mut misdirected_workers, 1, 41, 19_600), Came::Ask, "two of eight");
+    assert_eq!(came(&mut misdirected_workers, 1, 42, 19_700), Came::No, "asked already");
     // Gone, or deaf: no answer. A copy: it has long said more. In another session: what it said is over.
-    assert_eq!(strays.answered(&machine(1), None, silent, Ms(19_700)), None);
-    assert_eq!(strays.answered(&machine(1), Some(number(400)), silent, Ms(19_700)), None);
+    assert_eq!(misdirected_workers.answered(&machine(1), None, silent, Ms(19_700)), None);
     assert_eq!(
-        strays.answered(&machine(1), Some((AgentEpoch(2), Seq(42))), silent, Ms(19_700)),
+        misdirected_workers.answered(&machine(1), Some(number(400)), silent, Ms(19_700)),
         None
     );
     assert_eq!(
-        strays.answered(&machine(0), Some(number(8)), silent, Ms(19_700)),
+        misdirected_workers.answered(
+            &machine(1),
+            Some((AgentEpoch(2), Seq(42))),
+            silent,
+            Ms(19_700)
+        ),
+        None
+    );
+    assert_eq!(
+        misdirected_workers.answered(&machine(0), Some(number(8)), silent, Ms(19_700)),
         None,
         "not asked"
     );
-    let moved = strays.answered(&machine(1), Some(number(42)), silent, Ms(19_700));
+    let moved = misdirected_workers.answered(&machine(1), Some(number(42)), silent, Ms(19_700));
     assert_eq!(moved, Some((pool.clone(), controller(0))));
-    strays.arrived(&machine(0));
-    assert_eq!(came(&mut strays, 2, 1, 19_700), Came::No);
+    misdirected_workers.arrived(&machine(0));
+    assert_eq!(came(&mut misdirected_workers, 2, 1, 19_700), Came::No);
 }
 
 /// The owner says that it hears the zone: only a worker that is found astray again, by a report that it
@@ -206,25 +216,33 @@
     let number = |n| (AgentEpoch(1), Seq(n));
     let (yes, no) = (|_: &PoolId, _: &ControllerId| true, |_: &PoolId, _: &ControllerId| false);
     let asked = |last: u64, at: u64| {
-        let mut strays = Strays::default();
-        strays.see_token(&pool, FencingToken(7), Ms(1_000));
+        let mut misdirected_workers = MisdirectedWorkers::default();
+        misdirected_workers.see_token(&pool, FencingToken(7), Ms(1_000));
         let heard = (&owner, Some(Ms(at)));
         for (n, at) in [(last - 1, at - 1_500), (last, at)] {
-            strays.came((&machine(0), number(n)), &pool, 1, heard, 3_000, Ms(at));
+            misdirected_workers.came((&machine(0), number(n)), &pool, 1, heard, 3_000, Ms(at));
         }
-        strays
+        misdirected_workers
     };
     let moved = Some((pool.clone(), owner.clone()));
-    let mut strays = asked(6, 20_000);
-    assert_eq!(strays.answered(&machine(0), Some(number(9)), no, Ms(20_010)), None, "a copy");
-    assert_eq!(strays.answered(&machine(0), Some(number(7)), no, Ms(20_010)), moved);
-    let mut strays = asked(6, 20_000);
-    assert_eq!(strays.answered(&machine(0), Some(number(7)), yes, Ms(20_010)), None, "once");
+    let mut misdirected_workers = asked(6, 20_000);
+    assert_eq!(
+        misdirected_workers.answered(&machine(0), Some(number(9)), no, Ms(20_010)),
+        None,
+        "a copy"
+    );
+    assert_eq!(misdirected_workers.answered(&machine(0), Some(number(7)), no, Ms(20_010)), moved);
+    let mut misdirected_workers = asked(6, 20_000);
+    assert_eq!(
+        misdirected_workers.answered(&machine(0), Some(number(7)), yes, Ms(20_010)),
+        None,
+        "once"
+    );
     let heard = (&owner, Some(Ms(22_000)));
     // What it had sent before it was asked shows nothing new.
-    strays.came((&machine(0), number(7)), &pool, 1, heard, 3_000, Ms(22_000));
-    assert_eq!(strays.answered(&machine(0), Some(number(8)), yes, Ms(22_010)), None);
+    misdirected_workers.came((&machine(0), number(7)), &pool, 1, heard, 3_000, Ms(22_000));
+    assert_eq!(misdirected_workers.answered(&machine(0), Some(number(8)), yes, Ms(22_010)), None);
     let heard = (&owner, Some(Ms(25_000)));
-    strays.came((&machine(0), number(10)), &pool, 1, heard, 3_000, Ms(25_000));
-    assert_eq!(strays.answered(&machine(0), Some(number(11)), yes, Ms(25_010)), moved);
+    misdirected_workers.came((&machine(0), number(10)), &pool, 1, heard, 3_000, Ms(25_000));
+    assert_eq!(misdirected_workers.answered(&machine(0), Some(number(11)), yes, Ms(25_010)), moved);
 }
--- a/crates/cleatfold-roles/src/lib.rs
+++ b/crates/cleatfold-roles/src/lib.rs
@@ -5,12 +5,12 @@
 //! epoch, and every transaction of the duty is guarded by it. The cloud knows no epochs, so a
 //! rental is first a durable intent. Pure: no I/O and no clock. `docs/duties.md` argues.
 
-pub mod duty;
-pub mod rents;
-pub mod roster;
+pub mod role;
+pub mod role_assignment;
+pub mod scale_out;
 mod vacancies;
 
-pub use duty::Duty;
-pub use rents::{Answer, Desk, Intent, RentBook};
-pub use roster::Roster;
+pub use role::Role;
+pub use role_assignment::RoleAssignment;
+pub use scale_out::{Answer, ScaleOutIntent, ScaleOutIntents, ScaleOutTracker};
 pub use vacancies::Vacancies;
--- a/crates/cleatfold-roles/src/duty.rs
+++ b/crates/cleatfold-roles/src/role.rs
@@ -2,33 +2,34 @@
 
 /// What one controller does for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Duty {
+pub enum Role {
     /// Dealing pools to controllers and sending jobs to pools.
-    Deal,
-    /// Renting machines.
-    Rent,
+    PoolAssignment,
+    /// ScaleOutState machines.
+    ScaleOut,
     /// Removing what nothing refers to any more.
-    Tidy,
+    GarbageCollection,
     /// Deciding what is done about overload that lasts.
-    Allot,
+    OverloadQuota,
 }
 
-const KEYS: [(Duty, &str); 4] = [
+const KEYS: [(Role, &str); 4] = [
     // The name that the whole of them had when one controller had them all.
-    (Duty::Deal, "cf/leader"),
-    (Duty::Rent, "cf/duty/rent"),
-    (Duty::Tidy, "cf/duty/tidy"),
-    (Duty::Allot, "cf/duty/allot"),
+    (Role::PoolAssignment, "cf/leader"),
+    (Role::ScaleOut, "cf/duty/rent"),
+    (Role::GarbageCollection, "cf/duty/tidy"),
+    (Role::OverloadQuota, "cf/duty/allot"),
 ];
 
-impl Duty {
-    pub const ALL: [Duty; 4] = [Duty::Deal, Duty::Rent, Duty::Tidy, Duty::Allot];
+impl Role {
+    pub const ALL: [Role; 4] =
+        [Role::PoolAssignment, Role::ScaleOut, Role::GarbageCollection, Role::OverloadQuota];
 
     pub fn key(self) -> &'static str {
         KEYS[self as usize].1
     }
 
-    pub fn of_key(key: &str) -> Option<Duty> {
+    pub fn of_key(key: &str) -> Option<Role> {
         KEYS.iter().find(|k| k.1 == key).map(|k| k.0)
     }
 }
