--- a/crates/cleatfold-roles/src/roster.rs
+++ b/crates/cleatfold-roles/src/role_assignment.rs
@@ -4,33 +4,33 @@
 //! duty, so that one death takes few duties with it. When one is taken and given back is
 //! `Vacancies`' decision.
 
-use crate::duty::Duty;
+use crate::role::Role;
 use crate::vacancies::Vacancies;
 use cleatfold_wire::{ControllerId, Ms};
 use std::collections::BTreeSet;
 
 #[derive(Debug, Default)]
-pub struct Roster {
-    vacancies: Vacancies<Duty>,
+pub struct RoleAssignment {
+    vacancies: Vacancies<Role>,
 }
 
 /// The place of `me` among those who should hold the duty.
-pub fn rank(duty: Duty, me: &ControllerId, live: &BTreeSet<ControllerId>) -> usize {
+pub fn rank(role: Role, me: &ControllerId, live: &BTreeSet<ControllerId>) -> usize {
     let me = live.range(..me.clone()).count();
-    let first = duty as usize % live.len().max(1);
+    let first = role as usize % live.len().max(1);
     (me + live.len() - first) % live.len().max(1)
 }
 
-impl Roster {
+impl RoleAssignment {
     /// Sees who lives and what is held. Call it with what was read last.
     pub fn see<'a>(
         &mut self,
         now: Ms,
         me: &ControllerId,
         live: impl Iterator<Item = &'a ControllerId>,
-        held: impl Fn(Duty) -> bool,
+        held: impl Fn(Role) -> bool,
     ) {
-        self.vacancies.see(now, me, live, Duty::ALL.iter(), |duty| held(*duty));
+        self.vacancies.see(now, me, live, Role::ALL.iter(), |role| held(*role));
     }
 
     /// A duty that is ours to take now: one that stands empty, or that was ours before we were
@@ -39,11 +39,11 @@
         &mut self,
         now: Ms,
         me: &ControllerId,
-        was_mine: impl Fn(Duty) -> bool,
-    ) -> Option<Duty> {
-        let all = Duty::ALL.iter();
-        let rank = |duty: &Duty, live: &BTreeSet<ControllerId>| rank(*duty, me, live);
-        self.vacancies.take(now, 1, all, rank, |duty| was_mine(*duty)).pop()
+        was_mine: impl Fn(Role) -> bool,
+    ) -> Option<Role> {
+        let all = Role::ALL.iter();
+        let rank = |role: &Role, live: &BTreeSet<ControllerId>| rank(*role, me, live);
+        self.vacancies.take(now, 1, all, rank, |role| was_mine(*role)).pop()
     }
 
     /// A duty of ours that should go back to its first controller now.
@@ -51,15 +51,15 @@
         &mut self,
         now: Ms,
         me: &ControllerId,
-        mine: impl Fn(Duty) -> bool,
-    ) -> Option<Duty> {
+        mine: impl Fn(Role) -> bool,
+    ) -> Option<Role> {
         // Dealing stays: whoever deals knows what it has just dealt.
-        let mine = Duty::ALL.iter().filter(|d| **d != Duty::Deal && mine(**d));
-        self.vacancies.give(now, mine, |duty, live| rank(*duty, me, live))
+        let mine = Role::ALL.iter().filter(|d| **d != Role::PoolAssignment && mine(**d));
+        self.vacancies.give(now, mine, |role, live| rank(*role, me, live))
     }
 
     /// The state service has answered; what stands is read next.
-    pub fn settled(&mut self, duty: Duty) {
-        self.vacancies.settled(&duty);
+    pub fn settled(&mut self, role: Role) {
+        self.vacancies.settled(&role);
     }
 }
--- a/crates/cleatfold-roles/src/rents.rs
+++ b/crates/cleatfold-roles/src/scale_out.rs
@@ -5,7 +5,7 @@
 //! nothing twice, and counts it as had. What the cloud would not give is noted too, with growing
 //! pauses, so that a change of holder costs no relearning.
 
-use cleatfold_wire::cloud::RentRequest;
+use cleatfold_wire::cloud::ScaleOutRequest;
 use cleatfold_wire::{Ms, PoolId, TypeId, Version, ZoneId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
 const CLOSE_MS: u64 = 10_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Intent {
+pub struct ScaleOutIntent {
     #[serde(rename = "n")]
     pub name: String,
     #[serde(rename = "t")]
@@ -35,13 +35,13 @@
     pub inherited: bool,
 }
 
-impl Intent {
+impl ScaleOutIntent {
     pub fn pool(&self) -> PoolId {
         PoolId { machine_type: self.machine_type.clone(), zone: self.zone.clone() }
     }
 
-    pub fn request(&self) -> RentRequest {
-        RentRequest {
+    pub fn request(&self) -> ScaleOutRequest {
+        ScaleOutRequest {
             request: self.name.clone(),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
@@ -52,7 +52,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Refused {
+pub struct CapacityRefusal {
     #[serde(rename = "t")]
     pub machine_type: TypeId,
     #[serde(rename = "z")]
@@ -67,23 +67,23 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RentBook {
+pub struct ScaleOutIntents {
     /// Under which version of the duty's key it was written.
     #[serde(rename = "e", default)]
     pub epoch: Version,
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
-    pub open: Vec<Intent>,
+    pub open: Vec<ScaleOutIntent>,
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
-    pub refused: Vec<Refused>,
+    pub refused: Vec<CapacityRefusal>,
 }
 
-impl RentBook {
+impl ScaleOutIntents {
     pub fn is_refused(&self, pool: &PoolId, spot: bool, wall_ms: u64) -> bool {
         self.refusal(pool, spot).is_some_and(|r| r.until_ms > wall_ms)
     }
 
-    fn refusal(&self, pool: &PoolId, spot: bool) -> Option<&Refused> {
-        let same = |r: &&Refused| {
+    fn refusal(&self, pool: &PoolId, spot: bool) -> Option<&CapacityRefusal> {
+        let same = |r: &&CapacityRefusal| {
             r.machine_type == pool.machine_type && r.zone == pool.zone && r.spot == spot
         };
         self.refused.iter().find(same)
@@ -103,7 +103,7 @@
 
 /// The holder's memory beside the record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Desk {
+pub struct ScaleOutTracker {
     calling: BTreeSet<String>,
     answered: BTreeMap<String, (Answer, Ms)>,
     /// Since when an intent has stood that nobody here is asking for.
@@ -113,18 +113,18 @@
 /// What to write next, and what to ask the cloud for once that is durable.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Step {
-    pub book: RentBook,
-    pub calls: Vec<Intent>,
+    pub book: ScaleOutIntents,
+    pub calls: Vec<ScaleOutIntent>,
 }
 
-impl Desk {
+impl ScaleOutTracker {
     /// The record as it should be, if writing it is worth a change. `lag_ms`: after so long the
     /// list of machines shows whatever a request without an answer has rented.
     pub fn next(
         &mut self,
-        known: &RentBook,
+        known: &ScaleOutIntents,
         epoch: Version,
-        new: Vec<Intent>,
+        new: Vec<ScaleOutIntent>,
         (now, wall_ms): (Ms, u64),
         lag_ms: u64,
     ) -> Option<Step> {
@@ -133,7 +133,7 @@
         let names: BTreeSet<&String> = known.open.iter().map(|i| &i.name).collect();
         self.idle.retain(|n, _| names.contains(n));
         self.answered.retain(|n, _| names.contains(n));
-        let mut refused: Vec<Refused> = known.refused.clone();
+        let mut refused: Vec<CapacityRefusal> = known.refused.clone();
         for intent in &known.open {
             match self.answered.get(&intent.name) {
                 Some((Answer::Unknown, at)) if now.since(*at) < lag_ms => {}
@@ -145,7 +145,7 @@
                 None if self.calling.contains(&intent.name) => {}
                 None if !intent.inherited => {
                     // A former holder's, or one whose writing had an unknown outcome.
-                    let intent = Intent { inherited: true, ..intent.clone() };
+                    let intent = ScaleOutIntent { inherited: true, ..intent.clone() };
                     step.calls.push(intent.clone());
                     step.book.open.push(intent);
                     continue;
@@ -169,7 +169,7 @@
     }
 
     /// The record is durable: these are being asked for.
-    pub fn called(&mut self, calls: &[Intent]) {
+    pub fn called(&mut self, calls: &[ScaleOutIntent]) {
         self.calling.extend(calls.iter().map(|i| i.name.clone()));
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// An answer that says no is known before it is in the record.
-    pub fn was_short(&self, known: &RentBook, pool: &PoolId, spot: bool) -> bool {
+    pub fn was_short(&self, known: &ScaleOutIntents, pool: &PoolId, spot: bool) -> bool {
         known.open.iter().any(|i| {
             let short = matches!(self.answered.get(&i.name), Some((Answer::Short, _)));
             short && i.spot == spot && i.pool() == *pool
@@ -188,14 +188,17 @@
     }
 
     /// Machines that are on their way by what stands in the record, for each intent.
-    pub fn coming<'a>(&'a self, known: &'a RentBook) -> impl Iterator<Item = &'a Intent> + 'a {
-        let told = |i: &&Intent| !matches!(self.answered.get(&i.name), Some((a, _)) if *a != Answer::Unknown);
+    pub fn coming<'a>(
+        &'a self,
+        known: &'a ScaleOutIntents,
+    ) -> impl Iterator<Item = &'a ScaleOutIntent> + 'a {
+        let told = |i: &&ScaleOutIntent| !matches!(self.answered.get(&i.name), Some((a, _)) if *a != Answer::Unknown);
         known.open.iter().filter(told)
     }
 }
 
-fn note(refused: &mut Vec<Refused>, intent: &Intent, answer: Answer, wall_ms: u64) {
-    let same = |r: &Refused| {
+fn note(refused: &mut Vec<CapacityRefusal>, intent: &ScaleOutIntent, answer: Answer, wall_ms: u64) {
+    let same = |r: &CapacityRefusal| {
         r.machine_type == intent.machine_type && r.zone == intent.zone && r.spot == intent.spot
     };
     let before = refused.iter().position(same).map(|i| refused.swap_remove(i));
@@ -203,7 +206,7 @@
         return;
     }
     let pause_ms = before.map_or(PAUSE_MS, |r| (2 * r.pause_ms).min(PAUSE_MOST_MS));
-    refused.push(Refused {
+    refused.push(CapacityRefusal {
         machine_type: intent.machine_type.clone(),
         zone: intent.zone.clone(),
         spot: intent.spot,
--- a/crates/cleatfold-roles/tests/explored.rs
+++ b/crates/cleatfold-roles/tests/explored.rs
@@ -1,10 +1,10 @@
-//! Renting under a duty, explored in every order of what can happen: two controllers take it, lose
+//! ScaleOutState under a duty, explored in every order of what can happen: two controllers take it, lose
 //! it, read, write and call, and any write or call may arrive after its sender was replaced or
 //! restarted. The record and the holder's memory are the service's own.
 //!
 //! (The search is a plain one through all states; no library for it could be had here.)
 
-use cleatfold_roles::{Answer, Desk, Intent, RentBook};
+use cleatfold_roles::{Answer, ScaleOutIntent, ScaleOutIntents, ScaleOutTracker};
 use cleatfold_wire::{Ms, TypeId, Version, ZoneId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -35,16 +35,16 @@
     life: u64,
     epoch: Version,
     record: Version,
-    book: RentBook,
-    calls: Vec<Intent>,
+    book: ScaleOutIntents,
+    calls: Vec<ScaleOutIntent>,
 }
 
 #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Controller {
     life: u64,
-    duty: Option<(usize, Version)>,
-    book: (Version, RentBook),
-    desk: Desk,
+    role: Option<(usize, Version)>,
+    book: (Version, ScaleOutIntents),
+    tracker: ScaleOutTracker,
     named: u32,
     writing: bool,
     /// Machines that it has been told of.
@@ -54,8 +54,8 @@
 #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct State {
     controllers: [Controller; CONTROLLERS],
-    duty: Option<(usize, Version)>,
-    book: (Version, RentBook),
+    role: Option<(usize, Version)>,
+    book: (Version, ScaleOutIntents),
     revision: u64,
     hands: u64,
     writes: BTreeSet<Write>,
@@ -70,22 +70,22 @@
 /// One machine is needed; none is in the list yet, for it lags.
 fn step(s: &State, g: Guards) -> Vec<State> {
     let mut next = Vec::new();
-    if s.duty.is_some() && s.hands < HANDS {
+    if s.role.is_some() && s.hands < HANDS {
         // Its holder's lease ends.
-        next.push(State { duty: None, ..s.clone() });
+        next.push(State { role: None, ..s.clone() });
     }
     for n in 0..CONTROLLERS {
-        if s.duty.is_none() && s.hands < HANDS {
+        if s.role.is_none() && s.hands < HANDS {
             let mut t = s.clone();
             t.revision += 1;
             t.hands += 1;
-            t.duty = Some((n, Version(t.revision)));
+            t.role = Some((n, Version(t.revision)));
             next.push(t);
         }
         let controller = &s.controllers[n];
-        if controller.duty != s.duty || controller.book != s.book {
+        if controller.role != s.role || controller.book != s.book {
             let mut t = s.clone();
-            (t.controllers[n].duty, t.controllers[n].book) = (s.duty, s.book.clone());
+            (t.controllers[n].role, t.controllers[n].book) = (s.role, s.book.clone());
             next.push(t);
         }
         if n == 0 && controller.life < 1 {
@@ -94,15 +94,15 @@
             t.controllers[n] = Controller { life: controller.life + 1, ..Controller::default() };
             next.push(t);
         }
-        let Some((_, epoch)) = controller.duty.filter(|d| d.0 == n && !controller.writing) else {
+        let Some((_, epoch)) = controller.role.filter(|d| d.0 == n && !controller.writing) else {
             continue;
         };
         let mut t = s.clone();
         let me = &mut t.controllers[n];
-        let coming = me.desk.coming(&me.book.1).count();
+        let coming = me.tracker.coming(&me.book.1).count();
         let has = me.machines > 0 || (g.count_intents && coming > 0);
-        let new: Vec<Intent> = (!has && me.named < NAMES)
-            .then(|| Intent {
+        let new: Vec<ScaleOutIntent> = (!has && me.named < NAMES)
+            .then(|| ScaleOutIntent {
                 name: format!("{n}-{}-{}", me.life, me.named),
                 machine_type: TypeId::new("t"),
                 zone: ZoneId::new("z"),
@@ -114,7 +114,7 @@
             .collect();
         me.named += new.len() as u32;
         let known = me.book.clone();
-        if let Some(step) = me.desk.next(&known.1, epoch, new, (Ms(0), 0), u64::MAX) {
+        if let Some(step) = me.tracker.next(&known.1, epoch, new, (Ms(0), 0), u64::MAX) {
             me.writing = true;
             let life = me.life;
             if !g.commit_first {
@@ -128,13 +128,13 @@
     for write in &s.writes {
         let mut t = s.clone();
         t.writes.remove(write);
-        let duty = !g.epoch || s.duty.is_some_and(|d| d.1 == write.epoch);
-        let done = duty && (!g.record || s.book.0 == write.record);
+        let role = !g.epoch || s.role.is_some_and(|d| d.1 == write.epoch);
+        let done = role && (!g.record || s.book.0 == write.record);
         if done {
             t.revision += 1;
             t.book = (Version(t.revision), write.book.clone());
             t.intents.extend(write.book.open.iter().map(|i| i.name.clone()));
-            if s.duty.is_none_or(|d| d.1 != write.epoch) {
+            if s.role.is_none_or(|d| d.1 != write.epoch) {
                 t.broken.insert("a former holder wrote");
             }
         }
@@ -145,7 +145,7 @@
             me.writing = false;
             if done {
                 me.book = t.book.clone();
-                me.desk.called(&write.calls);
+                me.tracker.called(&write.calls);
                 let names = write.calls.iter().map(|i| i.name.clone());
                 t.calls.extend(names.map(|name| (write.controller, write.life, name)));
             }
@@ -168,7 +168,7 @@
         }
         if s.controllers[*n].life == *life {
             let me = &mut t.controllers[*n];
-            me.desk.answered(name, Answer::Given, Ms(0));
+            me.tracker.answered(name, Answer::Given, Ms(0));
             me.machines = 1;
         }
         next.push(t);
--- a/crates/cleatfold-testbed/src/capacity/hollow.rs
+++ b/crates/cleatfold-testbed/src/capacity/hollow.rs
@@ -6,7 +6,7 @@
 use crate::region::{json, problem, read, Answer};
 use bytes::Bytes;
 use cleatfold_fakes::worker::{Happening, Worker};
-use cleatfold_wire::worker::{Exit, Orders, Redirect, ReportReply};
+use cleatfold_wire::worker::{Exit, HeartbeatResponse, Orders, Redirect};
 use cleatfold_wire::*;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::SendRequest;
@@ -182,7 +182,7 @@
 /// The connection, if it can be used again, and the answer, if one came in time.
 type Exchanged = (Option<Connection>, Option<Answer>);
 
-struct Report {
+struct Heartbeat {
     sent: Ms,
     agent_epoch: u64,
     exchange: Pin<Box<dyn Future<Output = Exchanged>>>,
@@ -195,7 +195,7 @@
     start: Instant,
     target: usize,
     connection: Option<Connection>,
-    report: Option<Report>,
+    report: Option<Heartbeat>,
     last_sent: Instant,
     due: Instant,
     orders: mpsc::UnboundedReceiver<OrdersFor>,
@@ -306,7 +306,7 @@
         }
         let exchange = Box::pin(exchange(self.connection.take(), address, body));
         self.report =
-            Some(Report { sent: self.now(), agent_epoch: self.worker.agent_epoch, exchange });
+            Some(Heartbeat { sent: self.now(), agent_epoch: self.worker.agent_epoch, exchange });
         self.last_sent = Instant::now();
         let pause = self.setup.report_s * rand::rng().random_range(0.75..1.25);
         self.due = self.last_sent + Duration::from_secs_f64(pause);
@@ -316,7 +316,7 @@
         let counters = self.setup.counters.clone();
         match answer {
             Some((200, body)) => {
-                let Ok(reply) = serde_json::from_slice::<ReportReply>(&body) else { return };
+                let Ok(reply) = serde_json::from_slice::<HeartbeatResponse>(&body) else { return };
                 counters.reply_bytes.fetch_add(body.len() as u64, Relaxed);
                 counters.commands.fetch_add(reply.commands.len() as u64, Relaxed);
                 let (token, now) = (self.worker.token, self.now());
@@ -365,7 +365,7 @@
 }
 
 /// Waits for the answer to the report that is on its way; without one, forever.
-async fn answered(report: &mut Option<Report>) -> (Ms, u64, Exchanged) {
+async fn answered(report: &mut Option<Heartbeat>) -> (Ms, u64, Exchanged) {
     match report {
         Some(report) => (report.sent, report.agent_epoch, report.exchange.as_mut().await),
         None => std::future::pending().await,
--- a/crates/cleatfold-testbed/src/capacity/measure.rs
+++ b/crates/cleatfold-testbed/src/capacity/measure.rs
@@ -231,7 +231,7 @@
                 _ = sleep_until(until) => return Ok(()),
                 _ = second.tick() => {
                     seconds += 1;
-                    self.look_after(seconds)?;
+                    self.watch_over(seconds)?;
                     if over(&self.watch) {
                         return Ok(());
                     }
@@ -241,7 +241,7 @@
     }
 
     /// Once a second: progress, and the bounds.
-    fn look_after(&self, seconds: u32) -> Result<()> {
+    fn watch_over(&self, seconds: u32) -> Result<()> {
         let pids: Vec<u32> = self.controllers.pids().into_iter().flatten().collect();
         if let Some(why) = usage::excess(&pids) {
             return Err(Error::other(why));
@@ -303,7 +303,7 @@
         let counters = &self.counters;
         let pids = self.controllers.pids();
         Snapshot {
-            state: self.state.look().await,
+            state: self.state.inspect().await,
             at: Instant::now(),
             controllers: pids
                 .into_iter()
--- a/crates/cleatfold-testbed/src/capacity/state_service.rs
+++ b/crates/cleatfold-testbed/src/capacity/state_service.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use cleatfold_fakes::cloud::Cloud;
 use cleatfold_fakes::store::{Refusal, Store};
-use cleatfold_wire::cloud::{MachineList, MachineType, MachineTypes, Machines, RentRequest};
+use cleatfold_wire::cloud::{MachineList, MachineType, MachineTypes, Machines, ScaleOutRequest};
 use cleatfold_wire::store::{Grant, Granted, Revision, Txn};
 use cleatfold_wire::*;
 use hyper::Method;
@@ -52,7 +52,7 @@
         body: Bytes,
         answer: oneshot::Sender<Answer>,
     },
-    Look(oneshot::Sender<StateSeen>),
+    Inspection(oneshot::Sender<StateSeen>),
 }
 
 /// A running state service with its cloud. Its thread ends when this is dropped.
@@ -98,9 +98,9 @@
         Ok(Self { address, to, stop: Some(stop), thread: Some(thread) })
     }
 
-    pub async fn look(&self) -> StateSeen {
+    pub async fn inspect(&self) -> StateSeen {
         let (answer, seen) = oneshot::channel();
-        let _ = self.to.send(ToState::Look(answer));
+        let _ = self.to.send(ToState::Inspection(answer));
         seen.await.unwrap_or_default()
     }
 }
@@ -160,10 +160,10 @@
         Ms(1000 + self.start.elapsed().as_millis() as u64)
     }
 
-    /// Rents the machines that are there from the beginning.
+    /// ScaleOutIntents the machines that are there from the beginning.
     fn populate(&mut self, workers: usize) {
         for i in 0..ZONES {
-            let request = RentRequest {
+            let request = ScaleOutRequest {
                 request: format!("first-{i}"),
                 machine_type: TypeId::new(MACHINE_TYPE),
                 zone: ZoneId::new(zone(i)),
@@ -209,8 +209,8 @@
                         self.seen.bytes_out += text.len() as u64;
                         let _ = answer.send((code, text));
                     }
-                    Some(ToState::Look(answer)) => {
-                        let _ = answer.send(self.look());
+                    Some(ToState::Inspection(answer)) => {
+                        let _ = answer.send(self.inspect());
                     }
                     None => return,
                 },
@@ -223,7 +223,7 @@
         }
     }
 
-    fn look(&self) -> StateSeen {
+    fn inspect(&self) -> StateSeen {
         let mut seen = self.seen.clone();
         for item in self.store.list("", None, usize::MAX - 1).items {
             let held = seen.held.entry(family(&item.key)).or_default();
@@ -268,7 +268,7 @@
             }
             ("GET", ["machines"]) => self.machines(field("from"), number("page") as usize),
             ("POST", ["machines"]) => {
-                read(body, |request: RentRequest| self.rent(&request, BOOT_S))
+                read(body, |request: ScaleOutRequest| self.rent(&request, BOOT_S))
             }
             ("POST", ["machines", "delete"]) => read(body, |names: Machines| {
                 self.cloud.delete(&names.machines);
@@ -315,7 +315,7 @@
         json(200, &MachineList { machines, more })
     }
 
-    fn rent(&mut self, request: &RentRequest, boot_s: f64) -> Answer {
+    fn rent(&mut self, request: &ScaleOutRequest, boot_s: f64) -> Answer {
         let known = self.cloud.machines.len();
         let Some(names) = self.cloud.rent(self.now(), request) else {
             return problem(503, "no capacity");
--- a/crates/cleatfold-testbed/src/days.rs
+++ b/crates/cleatfold-testbed/src/days.rs
@@ -2,7 +2,7 @@
 //! drawn, watched for all rules.
 
 use crate::pairs::{self, Pair};
-use crate::world::{BehaviorDigest, Size, SizeRow, Trouble, World};
+use crate::world::{BehaviorDigest, Fault, Size, SizeRow, World};
 use clap::builder::RangedU64ValueParser;
 use cleatfold_wire::Ms;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -29,12 +29,12 @@
     /// The first of them.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Troubles drawn a day, within its first two minutes.
-    #[arg(long, default_value_t = 16)]
-    pub troubles: usize,
-    /// Draw these alone (as `deaf,copies`); all without.
+    /// FaultState drawn a day, within its first two minutes.
+    #[arg(long = "troubles", default_value_t = 16)]
+    pub faults: usize,
+    /// Draw these alone (as `partitioned,copies`); all without.
     #[arg(long, value_delimiter = ',')]
-    pub only: Vec<Trouble>,
+    pub only: Vec<Fault>,
     /// Days that are played at the same time.
     #[arg(long, default_value_t = 4, value_parser = count())]
     pub threads: usize,
@@ -76,7 +76,7 @@
             fast_boots: false,
             seeds: 50,
             seed: 1,
-            troubles: 16,
+            faults: 16,
             only: Vec::new(),
             threads: 1,
             pairs: false,
@@ -93,7 +93,7 @@
     pub seed: u64,
     /// Rules that were broken; empty if all is well.
     pub broken: Vec<String>,
-    pub befell: Vec<String>,
+    pub applied_faults: Vec<String>,
     pub started: u32,
     pub jobs: usize,
     pub copied: u32,
@@ -107,7 +107,7 @@
 }
 
 /// When the drawn troubles begin, end, and when the day does.
-const TROUBLES: (Ms, Ms) = (Ms(8_000), Ms(130_000));
+const FAULT_WINDOW: (Ms, Ms) = (Ms(8_000), Ms(130_000));
 const END: Ms = Ms(600_000);
 
 /// What was broken on a day that is over.
@@ -125,22 +125,23 @@
 
 pub fn play(plan: &Plan, seed: u64) -> Day {
     let mut world = World::sized(seed, false, plan.region());
-    let kinds = if plan.only.is_empty() { Trouble::ALL } else { &plan.only };
+    let kinds = if plan.only.is_empty() { Fault::ALL } else { &plan.only };
     world.digest = plan.digest.then(BehaviorDigest::default);
     world.poll_everything();
-    world.draw_troubles(kinds, TROUBLES.0, TROUBLES.1, plan.troubles);
+    world.draw_faults(kinds, FAULT_WINDOW.0, FAULT_WINDOW.1, plan.faults);
     world.run(END);
     let broken = verdict(&mut world);
     let sizes = world.sizes();
-    let befell = world.troubles.befell.iter();
-    let befell = befell.map(|(at, what, until)| format!("{} {what:?} until {}", at.0, until.0));
+    let applied_faults = world.faults.applied_faults.iter();
+    let applied_faults =
+        applied_faults.map(|(at, what, until)| format!("{} {what:?} until {}", at.0, until.0));
     Day {
         seed,
         broken,
-        befell: befell.collect(),
+        applied_faults: applied_faults.collect(),
         started: world.started,
         jobs: world.jobs.values().filter(|j| j.accepted).count(),
-        copied: world.troubles.copied,
+        copied: world.faults.copied,
         longest_ms: world.polls.longest_ms,
         waited_ms: world.starvation.longest_ms,
         sizes,
@@ -194,7 +195,7 @@
             println!("    digest {digest:032x}");
         }
         if plan.verbose || !day.broken.is_empty() {
-            day.befell.iter().for_each(|b| println!("    {b}"));
+            day.applied_faults.iter().for_each(|b| println!("    {b}"));
         }
         day.broken.iter().for_each(|b| println!("  broken: {b}"));
     }
--- a/crates/cleatfold-testbed/src/elastic.rs
+++ b/crates/cleatfold-testbed/src/elastic.rs
@@ -181,22 +181,22 @@
         (code == 200).then(|| serde_json::from_slice(&body).ok())?
     }
 
-    pub async fn look(&self) -> Seen {
+    pub async fn inspect(&self) -> Seen {
         let (answer, seen) = oneshot::channel();
-        let _ = self.region.send(ToRegion::Look(answer));
+        let _ = self.region.send(ToRegion::Inspect(answer));
         seen.await.unwrap_or_default()
     }
 }
 
 /// Counts the turns of a width: a run of growth or of shrinking is one.
 #[derive(Default)]
-struct Turns {
+struct Reversals {
     last: u32,
     up: Option<bool>,
     count: u32,
 }
 
-impl Turns {
+impl Reversals {
     fn see(&mut self, width: u32) {
         if width != self.last {
             let up = width > self.last;
@@ -218,7 +218,7 @@
     sweep.elastic = Some(Elastic { steps: plan.steps, least: 0, step_s: 3.5 });
     up.submit(&sweep).await?;
     let began = Instant::now();
-    let mut turns = Turns::default();
+    let mut reversals = Reversals::default();
     let mut arrived: Vec<(JobId, Ms)> = Vec::new();
     let mut next_render = began + Duration::from_secs(8);
     let mut next_kill = began + Duration::from_secs(10);
@@ -227,8 +227,8 @@
     let pause = |rng: &mut SmallRng| Duration::from_millis(rng.random_range(5500..6300));
     let limit = Duration::from_secs(60 + u64::from(plan.steps) * 2);
     loop {
-        let seen = up.look().await;
-        turns.see(seen.running.get(&sweep.id).copied().unwrap_or(0));
+        let seen = up.inspect().await;
+        reversals.see(seen.running.get(&sweep.id).copied().unwrap_or(0));
         let now = Instant::now();
         if arrived.len() < plan.renders as usize && now >= next_render {
             next_render = now + pause(&mut rng);
@@ -237,7 +237,7 @@
                     break;
                 }
                 let render = job(100 + arrived.len() as u32, "renders", Urgency::Normal, 8.0, 1.5);
-                arrived.push((render.id.clone(), up.look().await.now));
+                arrived.push((render.id.clone(), up.inspect().await.now));
                 up.submit(&render).await?;
                 tracing::info!(job = %render.id, "a render arrives");
             }
@@ -267,8 +267,8 @@
         sleep(Duration::from_millis(300)).await;
         state = up.status(&sweep.id).await.map(|s| s.state);
     }
-    let seen = up.look().await;
-    Ok(results(&plan, &sweep.id, &arrived, &seen, turns.count, began.elapsed(), state))
+    let seen = up.inspect().await;
+    Ok(results(&plan, &sweep.id, &arrived, &seen, reversals.count, began.elapsed(), state))
 }
 
 fn results(
--- a/crates/cleatfold-testbed/src/weights.rs
+++ b/crates/cleatfold-testbed/src/images.rs
@@ -1,7 +1,7 @@
 //! Many machines want one large image at once: three real controllers, killed in turn, in a simulated
 //! region; beside what the same machines would need otherwise.
 
-use crate::world::{Size, Weights, World, CONTROLLERS};
+use crate::world::{ImageSettings, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::*;
 use rand::rngs::SmallRng;
@@ -67,17 +67,17 @@
 
 /// All machines are up, a third in each zone, and have nothing to do.
 fn machines_up(plan: &Plan) -> World {
-    let weights = Weights {
+    let images = ImageSettings {
         origin_gb_per_s: plan.origin,
         fetch_gb_per_s: plan.rate,
         cache_gb: plan.gb * 1.5,
-        ..Weights::SMALL
+        ..ImageSettings::SMALL
     };
     let size = Size {
         machines: plan.machines,
         most_jobs: 0,
-        report_ms: 2000,
-        weights: Some(weights),
+        heartbeat_interval_ms: 2000,
+        images: Some(images),
         ..Size::SMALL
     };
     let mut world = World::sized(plan.seed, false, size);
@@ -101,7 +101,7 @@
         // In turn, over most of the time that it takes at least; the first early, while turns are given.
         let part = (kill as f64 + rng.random_range(0.0..1.0)) / plan.kills as f64;
         let at = (bound_s * 800.0 * part.powi(2)) as u64;
-        world.at(at, crate::world::Happens::Crash(kill % CONTROLLERS));
+        world.at(at, crate::world::SimulationEvent::Crash(kill % CONTROLLERS));
     }
     let image = ImageId::new(IMAGE);
     let (mut half_s, mut all_s) = (None, None);
--- a/crates/cleatfold-testbed/src/main.rs
+++ b/crates/cleatfold-testbed/src/main.rs
@@ -1,7 +1,7 @@
 //! The laboratory's command line.
 
 use clap::{Parser, Subcommand};
-use cleatfold_testbed::{capacity, days, elastic, scale, team, weights};
+use cleatfold_testbed::{capacity, days, elastic, images, scale, team};
 use std::process::ExitCode;
 use tracing_subscriber::filter::{LevelFilter, Targets};
 use tracing_subscriber::prelude::*;
@@ -30,7 +30,8 @@
     /// A team's jobs, queue or history as a table: team ADDRESS TEAM [jobs|queue|history].
     Team(team::Question),
     /// Many machines want one large image, while controllers are killed, in simulated time.
-    Weights(weights::Plan),
+    #[command(name = "weights")]
+    Images(images::Plan),
     /// Seeded days with several controllers failing at once and every trouble drawn, in
     /// simulated time, watched for all rules.
     Region(days::Plan),
@@ -75,8 +76,8 @@
             }
             Command::Scale(plan) => scale::run(&plan).map(|()| true),
             Command::Team(question) => team::run(&question).await.map(|()| true),
-            Command::Weights(plan) => {
-                let results = weights::run(&plan)?;
+            Command::Images(plan) => {
+                let results = images::run(&plan)?;
                 let text = serde_json::to_string_pretty(&results)?;
                 println!("{text}");
                 if let Some(path) = &plan.json {
--- a/crates/cleatfold-testbed/src/pairs.rs
+++ b/crates/cleatfold-testbed/src/pairs.rs
@@ -2,7 +2,7 @@
 //! to the first.
 
 use crate::days::Plan;
-use crate::world::{Aim, Happens, Times, Trouble, World};
+use crate::world::{Aim, Fault, SimulationEvent, Times, World};
 use clap::ValueEnum;
 use cleatfold_wire::Ms;
 use rand::Rng;
@@ -13,10 +13,10 @@
 
 /// Two troubles, the first of which begins first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pair(pub Trouble, pub Trouble);
+pub struct Pair(pub Fault, pub Fault);
 
-fn name(trouble: Trouble) -> String {
-    trouble.to_possible_value().map(|v| v.get_name().to_string()).unwrap_or_default()
+fn name(fault: Fault) -> String {
+    fault.to_possible_value().map(|v| v.get_name().to_string()).unwrap_or_default()
 }
 
 impl fmt::Display for Pair {
@@ -29,8 +29,8 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let kinds: Result<Vec<Trouble>, _> =
-            text.split(',').map(|t| Trouble::from_str(t, false)).collect();
+        let kinds: Result<Vec<Fault>, _> =
+            text.split(',').map(|t| Fault::from_str(t, false)).collect();
         match kinds.as_deref() {
             Ok([a, b]) => Ok(Pair(*a, *b)),
             Ok(_) => Err("a pair is two kinds of troubles, as `blink,outage`".into()),
@@ -45,7 +45,7 @@
         if let Some(pair) = plan.pair {
             return vec![pair];
         }
-        let kinds = if plan.only.is_empty() { Trouble::ALL } else { &plan.only };
+        let kinds = if plan.only.is_empty() { Fault::ALL } else { &plan.only };
         kinds.iter().flat_map(|a| kinds.iter().map(|b| Pair(*a, *b))).collect()
     }
 
@@ -62,7 +62,7 @@
     pub pair: Pair,
     pub seed: u64,
     pub broken: Vec<String>,
-    pub befell: Vec<String>,
+    pub applied_faults: Vec<String>,
     pub started: u32,
     /// Tasks that ran when the troubles began.
     pub running: (usize, usize),
@@ -82,17 +82,25 @@
     let size = plan.region();
     let mut world = World::sized(pair.luck(seed), false, size);
     world.poll_everything();
-    let Times { lease_ms, cancel_ms, controller_lease_ms, report_ms } = size.times();
+    let Times { lease_ms, cancel_ms, controller_lease_ms, heartbeat_interval_ms } = size.times();
     let rng = &mut world.rng;
     let begins = rng.random_range(20_000..28_000);
-    let means = [0, 300, report_ms, controller_lease_ms, lease_ms, cancel_ms - lease_ms, cancel_ms];
+    let means = [
+        0,
+        300,
+        heartbeat_interval_ms,
+        controller_lease_ms,
+        lease_ms,
+        cancel_ms - lease_ms,
+        cancel_ms,
+    ];
     let around = means[rng.random_range(0..means.len())];
     // Some come a little earlier than that, some later.
     let offset = match around {
         0 => 0,
         _ => rng.random_range(around * 3 / 4..around * 5 / 4),
     };
-    let mut lasts = |kind: Trouble, or: u64| match rng.random_bool(0.3) {
+    let mut lasts = |kind: Fault, or: u64| match rng.random_bool(0.3) {
         // It ends about when the other begins.
         true => rng.random_range(or.saturating_sub(2_000)..or + 2_000).clamp(500, kind.most_ms()),
         false => rng.random_range(1_500..kind.most_ms()),
@@ -109,15 +117,15 @@
     world.run(Ms(first));
     let before = world.running.len();
     let a_aim = if aims.0 < 0.7 { Aim::Most } else { Aim::Any };
-    world.troubles.drawn_until = Ms(second);
-    world.happen(Happens::Meets(pair.0, a_ms, a_aim));
-    world.at(offset, Happens::Meets(pair.1, b_ms, aim(aims.1)));
+    world.faults.drawn_until = Ms(second);
+    world.handle_event(SimulationEvent::Meets(pair.0, a_ms, a_aim));
+    world.at(offset, SimulationEvent::Meets(pair.1, b_ms, aim(aims.1)));
     world.run(Ms(second + 1));
     let running = (before, world.running.len());
     loop {
         let now = world.now;
         world.run(now.plus(2_000));
-        let over = world.troubles_over();
+        let over = world.faults_over();
         let since = world.now.since(over);
         if since > REST_MS
             || since > SETTLED_MS && world.is_settled(SETTLED_MS)
@@ -131,16 +139,17 @@
         true => std::mem::take(&mut world.broken),
         false => crate::days::verdict(&mut world),
     };
-    let over = world.troubles_over();
+    let over = world.faults_over();
     let within = |at: &Ms| *at >= Ms(first) && *at <= over;
-    let cancelled = world.jobs.values().filter_map(|j| j.cancel_told).filter(within).count();
-    let befell = world.troubles.befell.iter();
-    let befell = befell.map(|(at, what, until)| format!("{} {what:?} until {}", at.0, until.0));
+    let cancelled = world.jobs.values().filter_map(|j| j.cancel_confirmed).filter(within).count();
+    let applied_faults = world.faults.applied_faults.iter();
+    let applied_faults =
+        applied_faults.map(|(at, what, until)| format!("{} {what:?} until {}", at.0, until.0));
     Met {
         pair,
         seed,
         broken,
-        befell: befell.collect(),
+        applied_faults: applied_faults.collect(),
         started: world.started,
         running,
         cancelled,
@@ -186,7 +195,7 @@
             day.late,
             day.longest_ms as f64 / 1000.0
         );
-        day.befell.iter().for_each(|b| println!("    {b}"));
+        day.applied_faults.iter().for_each(|b| println!("    {b}"));
         day.broken.iter().for_each(|b| println!("  broken: {b}"));
         if !day.broken.is_empty() {
             println!(
--- a/crates/cleatfold-testbed/src/region.rs
+++ b/crates/cleatfold-testbed/src/region.rs
@@ -6,11 +6,11 @@
 use cleatfold_fakes::cloud::Cloud;
 use cleatfold_fakes::store::{Refusal, Store};
 use cleatfold_fakes::worker::{Happening, Worker};
-use cleatfold_wire::cloud::{MachineList, MachineType, MachineTypes, Machines, RentRequest};
+use cleatfold_wire::cloud::{MachineList, MachineType, MachineTypes, Machines, ScaleOutRequest};
 use cleatfold_wire::job::{JobSpec, Problem};
 use cleatfold_wire::steps::{StepReply, StepReport};
 use cleatfold_wire::store::{Grant, Granted, Revision, Txn};
-use cleatfold_wire::worker::{Exit, Orders, Redirect, Report, ReportReply};
+use cleatfold_wire::worker::{Exit, Heartbeat, HeartbeatResponse, Orders, Redirect};
 use cleatfold_wire::*;
 use hyper::Method;
 use serde::de::DeserializeOwned;
@@ -43,14 +43,14 @@
         agent_epoch: u64,
         answer: Option<Answer>,
     },
-    MemberTold {
+    MemberAnswered {
         machine: MachineId,
         key: (TaskId, Attempt),
         answer: Option<Answer>,
     },
     /// What workers fetch when they start a task.
     Describe(Box<JobSpec>),
-    Look(oneshot::Sender<Seen>),
+    Inspect(oneshot::Sender<Seen>),
 }
 
 /// What can be seen from outside.
@@ -178,11 +178,13 @@
             ToRegion::Reported { machine, sent, agent_epoch, answer } => {
                 self.reported(machine, sent, agent_epoch, answer)
             }
-            ToRegion::MemberTold { machine, key, answer } => self.member_told(machine, key, answer),
+            ToRegion::MemberAnswered { machine, key, answer } => {
+                self.member_answered(machine, key, answer)
+            }
             ToRegion::Describe(spec) => {
                 self.jobs.insert(spec.id.clone(), *spec);
             }
-            ToRegion::Look(answer) => {
+            ToRegion::Inspect(answer) => {
                 let mut running: BTreeMap<JobId, u32> = BTreeMap::new();
                 for task in self.running.keys() {
                     *running.entry(task.job.clone()).or_default() += 1;
@@ -277,7 +279,7 @@
         else {
             return;
         };
-        let report: Report = worker.report();
+        let report: Heartbeat = worker.report();
         let agent_epoch = worker.agent_epoch;
         let body = serde_json::to_vec(&report).unwrap_or_default();
         self.call(line.target, "/hello".into(), body, move |answer| ToRegion::Reported {
@@ -300,7 +302,7 @@
         let (mut target, mut pause) = (None, REPORT_MS);
         match answer {
             Some((200, body)) if now.since(sent) <= 4000 => {
-                let Ok(reply) = serde_json::from_slice::<ReportReply>(&body) else { return };
+                let Ok(reply) = serde_json::from_slice::<HeartbeatResponse>(&body) else { return };
                 let jobs = &self.jobs;
                 let find = |task: &TaskId| {
                     let spec = jobs.get(&task.job)?.clone();
@@ -337,14 +339,19 @@
         let machine = id.clone();
         let path = format!("/v1/jobs/{}/steps", key.0.job);
         let body = serde_json::to_vec(&report).unwrap_or_default();
-        self.call(controller, path, body, move |answer| ToRegion::MemberTold {
+        self.call(controller, path, body, move |answer| ToRegion::MemberAnswered {
             machine,
             key,
             answer,
         });
     }
 
-    fn member_told(&mut self, machine: MachineId, key: (TaskId, Attempt), answer: Option<Answer>) {
+    fn member_answered(
+        &mut self,
+        machine: MachineId,
+        key: (TaskId, Attempt),
+        answer: Option<Answer>,
+    ) {
         let now = self.now();
         let named = answer.as_ref().filter(|a| a.0 == 421).and_then(|a| self.node_named(&a.1));
         let worker = self.workers.get_mut(&machine);
@@ -414,7 +421,7 @@
             ("GET", ["machines"]) => {
                 json(200, &MachineList { machines: self.cloud.list(self.now()), more: false })
             }
-            ("POST", ["machines"]) => read(body, |request: RentRequest| self.rent(&request)),
+            ("POST", ["machines"]) => read(body, |request: ScaleOutRequest| self.rent(&request)),
             ("POST", ["machines", "delete"]) => read(body, |names: Machines| {
                 self.cloud.delete(&names.machines);
                 for id in &names.machines {
@@ -449,7 +456,7 @@
         }
     }
 
-    fn rent(&mut self, request: &RentRequest) -> Answer {
+    fn rent(&mut self, request: &ScaleOutRequest) -> Answer {
         let now = self.now();
         let Some(names) = self.cloud.rent(now, request) else { return problem(503, "no capacity") };
         for id in &names {
--- a/crates/cleatfold-testbed/src/scale.rs
+++ b/crates/cleatfold-testbed/src/scale.rs
@@ -52,7 +52,7 @@
 pub fn play(plan: &Plan, machines: usize) -> Played {
     let size = Size {
         machines,
-        report_ms: 8000,
+        heartbeat_interval_ms: 8000,
         changes_per_s: plan.changes_per_s,
         limit_cpus: 4.0 * machines as f64,
         // A job a second for two hundred machines.
--- a/crates/cleatfold-testbed/src/world.rs
+++ b/crates/cleatfold-testbed/src/world.rs
@@ -4,37 +4,37 @@
 //! Time is simulated and all luck is seeded: a seed always plays the same day.
 
 mod answers;
-mod blinks;
 mod cancelled;
 mod commands;
 mod digest;
 mod drawn;
-mod insistent;
-mod lanes;
+mod fault_schedule;
+mod faults;
+mod images;
 mod late;
 mod leaders;
-mod look;
+mod load_generator;
 mod meetings;
-mod moments;
 mod polls;
+mod priority_watch;
+mod queries;
+mod quick_restarts;
 mod services;
 mod size;
 mod sizes;
 mod small_jobs;
 mod starvation;
-mod troubles;
 mod users;
 mod watch;
-mod weights;
 mod workers;
 mod written;
 
-pub use answers::Look;
-pub use blinks::{Back, Blink, Moment, Step, Who};
+pub use answers::Query;
 pub use digest::BehaviorDigest;
-pub use drawn::{Aim, Trouble};
+pub use drawn::{Aim, Fault};
 pub use late::Purpose;
 pub use polls::TurnedAway;
+pub use quick_restarts::{Back, Blink, Moment, Step, Who};
 pub use size::{controller_id, team_id, Size, Times, CONTROLLERS};
 pub use sizes::SizeRow;
 pub use written::{ChangeCounts, ChangeKind};
@@ -50,17 +50,17 @@
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::worker::{Exit, Orders, Report};
+use cleatfold_wire::worker::{Exit, Heartbeat, Orders};
 use cleatfold_wire::*;
+pub use images::ImageSettings;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use size::{config, kind, LEASE_MS, ZONES};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-pub use weights::Weights;
 
 #[derive(Debug)]
-pub enum Happens {
+pub enum SimulationEvent {
     Tick(usize),
     /// To a node's incarnation.
     Controller(usize, u32, Box<Event>),
@@ -82,7 +82,7 @@
         controller: usize,
         machine: MachineId,
         sent: Ms,
-        report: Report,
+        report: Heartbeat,
     },
     WorkerAnswer {
         machine: MachineId,
@@ -132,13 +132,13 @@
     },
     Die(MachineId),
     /// One of the drawn troubles, who it befalls being drawn now.
-    Befalls(Trouble, u64),
+    ApplyFault(Fault, u64),
     /// The same, befalling whom the pair of troubles says.
-    Meets(Trouble, u64, Aim),
+    Meets(Fault, u64, Aim),
     /// Users that submit and cancel all the time.
-    Insists,
+    GenerateLoad,
     /// A copy of a report comes to a controller; nobody waits for the answer.
-    Copy(usize, Box<Report>),
+    Copy(usize, Box<Heartbeat>),
     /// A user cancels a job, and repeats that until there is an answer.
     Cancels(JobId),
     /// Looks whether a leader or an owner has changed, for the reports that are kept until then.
@@ -149,7 +149,7 @@
     Looks {
         controller: usize,
         job: JobId,
-        what: Look,
+        what: Query,
     },
     /// One of the odd requests.
     Odd,
@@ -162,7 +162,7 @@
         number: u64,
         report: StepReport,
     },
-    MemberTold {
+    MemberAnswered {
         machine: MachineId,
         key: MemberKey,
         number: u64,
@@ -193,8 +193,8 @@
     pub spec: Option<JobSpec>,
     pub done: BTreeSet<u32>,
     pub accepted: bool,
-    pub told: Option<JobState>,
-    pub cancel_told: Option<Ms>,
+    pub answered_state: Option<JobState>,
+    pub cancel_confirmed: Option<Ms>,
     pub cancel_asked: bool,
     pub accepted_at: Option<Ms>,
     /// When the first of its tasks did.
@@ -208,7 +208,7 @@
     Submit(JobId),
     Poll(JobId, Option<JobState>, bool),
     Withdraw(JobId),
-    Report(MachineId, Ms, u64, u64),
+    Heartbeat(MachineId, Ms, u64, u64),
     Steps(MachineId, MemberKey, u64),
     TeamLosses,
     /// What a team asked of its workspace.
@@ -219,7 +219,7 @@
     pub rng: SmallRng,
     pub now: Ms,
     pub queue: BinaryHeap<Reverse<(Ms, u64)>>,
-    pub events: BTreeMap<u64, Happens>,
+    pub events: BTreeMap<u64, SimulationEvent>,
     pub number: u64,
     pub controllers: Vec<Option<Controller>>,
     pub lives: Vec<u32>,
@@ -234,7 +234,7 @@
     pub running: BTreeMap<TaskId, MachineId>,
     /// What the tasks of each team use.
     pub in_use: BTreeMap<TeamId, f64>,
-    pub looked: Ms,
+    pub last_checked: Ms,
     /// When each worker is to be looked at next.
     pub wakes: BTreeMap<MachineId, Ms>,
     pub steps: StepWatch,
@@ -278,7 +278,7 @@
     pub booted: usize,
     /// Machines that were ever rented.
     ever_up: BTreeSet<MachineId>,
-    pub trouble: bool,
+    pub fault: bool,
     pub started: u32,
     pub absences: u32,
     pub mesh_off: bool,
@@ -287,21 +287,21 @@
     pub cloud_off: bool,
     /// How much later than usual the state service's answers reach a node.
     pub slow_answers: Vec<u64>,
-    pub troubles: troubles::Troubles,
+    pub faults: faults::FaultState,
     /// Large images on the machines.
-    pub net: Option<cleatfold_fakes::weights::Net>,
+    pub net: Option<cleatfold_fakes::images::Net>,
     images_moved: Ms,
     pub polls: polls::Polls,
-    pub lanes: lanes::LaneWatch,
+    pub priority_watch: priority_watch::PriorityWatch,
     /// Changes that came too late.
     pub conflicts: u32,
-    pub blinks: blinks::Blinks,
+    pub quick_restarts: quick_restarts::QuickRestarts,
     pub meetings: meetings::Meetings,
-    pub moments: moments::Moments,
+    pub fault_schedule: fault_schedule::FaultSchedule,
     pub late: late::Late,
     pub leaders: leaders::Leaders,
     pub small: small_jobs::SmallJobs,
-    pub insistent: insistent::Insistent,
+    pub load_generator: load_generator::LoadGenerator,
     pub answers: answers::Answers,
     pub command_faults: commands::CommandFaults,
     pub cancel_watch: cancelled::CancelWatch,
@@ -313,11 +313,11 @@
 }
 
 impl World {
-    pub fn new(seed: u64, trouble: bool) -> Self {
-        Self::sized(seed, trouble, Size::SMALL)
+    pub fn new(seed: u64, fault: bool) -> Self {
+        Self::sized(seed, fault, Size::SMALL)
     }
 
-    pub fn sized(seed: u64, trouble: bool, size: Size) -> Self {
+    pub fn sized(seed: u64, fault: bool, size: Size) -> Self {
         let mut cloud = Cloud::default();
         cloud.types = vec![kind("small", &ZONES, size), kind("other", &["a"], size)];
         cloud.capacity = size.machines;
@@ -341,7 +341,7 @@
             jobs: BTreeMap::new(),
             running: BTreeMap::new(),
             in_use: BTreeMap::new(),
-            looked: Ms(0),
+            last_checked: Ms(0),
             wakes: BTreeMap::new(),
             steps: StepWatch::default(),
             refused: 0,
@@ -369,26 +369,26 @@
             changes: Vec::new(),
             booted: 0,
             ever_up: BTreeSet::new(),
-            trouble,
+            fault,
             started: 0,
             absences: 0,
             mesh_off: false,
             mesh_cut: BTreeSet::new(),
             cloud_off: false,
             slow_answers: vec![0; size.controllers],
-            troubles: Default::default(),
-            net: size.weights.map(|w| w.net()),
+            faults: Default::default(),
+            net: size.images.map(|w| w.net()),
             images_moved: Ms(0),
             polls: Default::default(),
-            lanes: Default::default(),
+            priority_watch: Default::default(),
             conflicts: 0,
-            blinks: Default::default(),
+            quick_restarts: Default::default(),
             meetings: Default::default(),
-            moments: Default::default(),
+            fault_schedule: Default::default(),
             late: Default::default(),
             leaders: Default::default(),
             small: Default::default(),
-            insistent: Default::default(),
+            load_generator: Default::default(),
             answers: Default::default(),
             command_faults: Default::default(),
             cancel_watch: Default::default(),
@@ -397,19 +397,19 @@
             digest: None,
         };
         for i in 0..size.controllers {
-            world.at(10 + i as u64, Happens::Tick(i));
+            world.at(10 + i as u64, SimulationEvent::Tick(i));
         }
         // Without jobs of their own, users are left out.
         for u in 0..if size.most_jobs > 0 { 4 } else { 0 } {
-            world.at(3000 + 100 * u as u64, Happens::User(u));
+            world.at(3000 + 100 * u as u64, SimulationEvent::User(u));
         }
-        if trouble {
-            world.plan_troubles();
+        if fault {
+            world.schedule_faults();
         }
         world
     }
 
-    pub fn at(&mut self, ms: u64, event: Happens) {
+    pub fn at(&mut self, ms: u64, event: SimulationEvent) {
         self.number += 1;
         self.queue.push(Reverse((self.now.plus(ms), self.number)));
         self.events.insert(self.number, event);
@@ -435,7 +435,7 @@
             self.now = at;
             // What was put off has another number by now.
             let Some(event) = self.events.remove(&number) else { continue };
-            self.happen(event);
+            self.handle_event(event);
             self.watch();
             if self.broken.len() > 3 {
                 return;
@@ -461,9 +461,9 @@
                 Effect::Reply { rid, response } => self.on_reply(controller, rid, response),
                 Effect::Store { op, request, .. } => {
                     let mut delay =
-                        self.delay(controller) + self.troubles.held_apart(controller, self.now);
+                        self.delay(controller) + self.faults.held_apart(controller, self.now);
                     delay += self.late_by(&request);
-                    let lost = self.trouble && self.rng.random_bool(0.01);
+                    let lost = self.fault && self.rng.random_bool(0.01);
                     if lost && self.rng.random_bool(0.5) {
                         // It arrives, but long after its sender gave up.
                         delay += self.rng.random_range(1000..20_000);
@@ -478,19 +478,22 @@
                             _ => StoreReply::Refused,
                         };
                         let event = Box::new(Event::Store { op, reply });
-                        self.at(meetings::STORE_MS, Happens::Controller(controller, life, event));
+                        self.at(
+                            meetings::STORE_MS,
+                            SimulationEvent::Controller(controller, life, event),
+                        );
                     }
                     if answered && back > 0 {
                         self.meetings.back.insert((controller, life, op), back);
                     }
                     self.at(
                         delay,
-                        Happens::StoreRequest { controller, life, op, request, answered },
+                        SimulationEvent::StoreRequest { controller, life, op, request, answered },
                     );
                 }
                 Effect::Cloud { op, request, .. } => {
                     let delay = self.delay(controller) + 100;
-                    self.at(delay, Happens::CloudRequest { controller, life, op, request });
+                    self.at(delay, SimulationEvent::CloudRequest { controller, life, op, request });
                 }
                 Effect::Order { machine, orders, .. } => {
                     self.send_command(controller, machine, orders);
@@ -498,21 +501,21 @@
                 Effect::Probe { machine, .. } => {
                     let delay = 2 * self.delay(controller);
                     let cut = self.machine_cut(&machine);
-                    let (troubles, now) = (&self.troubles, self.now);
+                    let (faults, now) = (&self.faults, self.now);
                     let hangs = self.hung.get(&machine).is_some_and(|until| *until > now);
                     let said = self.workers.get_mut(&machine).and_then(|w| {
-                        let reached = !troubles.cut_off(controller, &w.zone, now)
-                            && !troubles.is_deaf(w, now)
+                        let reached = !faults.cut_off(controller, &w.zone, now)
+                            && !faults.is_partitioned(w, now)
                             && delay < 1000;
                         // Before it is up it answers nobody.
                         let reached = reached && !cut;
                         let there = reached && !hangs && w.renewed <= now;
                         there.then(|| w.report()).map(|r| (r.agent_epoch, r.seq))
                     });
-                    let event = Event::Probed { machine, said };
+                    let event = Event::Probed { machine, answer: said };
                     self.at(
                         delay.min(1000),
-                        Happens::Controller(controller, life, Box::new(event)),
+                        SimulationEvent::Controller(controller, life, Box::new(event)),
                     );
                 }
                 Effect::Mesh { to, message } => self.on_mesh(controller, to, &message),
@@ -535,48 +538,49 @@
                 continue;
             }
             let cut = self.mesh_cut.contains(&(controller, peer));
-            if cut || self.troubles.apart(controller, peer, self.now) {
+            if cut || self.faults.apart(controller, peer, self.now) {
                 continue;
             }
             let delay = self.delay(controller).max(self.delay(peer));
             let event = Event::Mesh { from: controller_id(controller), message: message.clone() };
-            self.at(delay, Happens::Controller(peer, self.lives[peer], Box::new(event)));
+            self.at(delay, SimulationEvent::Controller(peer, self.lives[peer], Box::new(event)));
         }
     }
 
-    pub fn happen(&mut self, event: Happens) {
+    pub fn handle_event(&mut self, event: SimulationEvent) {
         match event {
-            Happens::Tick(i) => {
+            SimulationEvent::Tick(i) => {
                 self.give(i, Event::Tick);
-                self.at(50, Happens::Tick(i));
+                self.at(50, SimulationEvent::Tick(i));
             }
-            Happens::Controller(i, life, event) => {
+            SimulationEvent::Controller(i, life, event) => {
                 if self.lives[i] == life {
                     self.give(i, *event);
                 }
             }
-            Happens::StoreRequest { controller, life, op, request, answered } => {
+            SimulationEvent::StoreRequest { controller, life, op, request, answered } => {
                 let due = self.blink_due(controller, &request);
-                if let Some(due) = due.as_ref().filter(|d| !blinks::is_after(d)) {
-                    self.blinks_now(due);
+                if let Some(due) = due.as_ref().filter(|d| !quick_restarts::is_after(d)) {
+                    self.quick_restart_now(due);
                 }
-                if let Some(ms) = blinks::late(due.as_ref()) {
-                    let request = Happens::StoreRequest { controller, life, op, request, answered };
+                if let Some(ms) = quick_restarts::late(due.as_ref()) {
+                    let request =
+                        SimulationEvent::StoreRequest { controller, life, op, request, answered };
                     return self.at(ms, request);
                 }
                 let is_txn = matches!(request, StoreRequest::Txn(_));
                 let late = (!answered).then(|| late::purpose(&request)).flatten();
                 let reply = if self.outage > self.now
                     || self.store_cut[controller] > self.now
-                    || self.troubles.refused_apart(controller, self.now)
+                    || self.faults.refused_apart(controller, self.now)
                 {
                     StoreReply::Refused
                 } else {
                     self.execute(request)
                 };
                 self.note_late(late, &reply);
-                if let Some(due) = due.filter(blinks::is_after) {
-                    self.blinks_now(&due);
+                if let Some(due) = due.filter(quick_restarts::is_after) {
+                    self.quick_restart_now(&due);
                 }
                 if answered {
                     let back =
@@ -585,42 +589,47 @@
                         self.slow_answers[controller] + self.commit_late(controller, is_txn) + back;
                     let delay = self.delay(controller) + late;
                     let event = Box::new(Event::Store { op, reply });
-                    self.at(delay, Happens::Controller(controller, life, event));
+                    self.at(delay, SimulationEvent::Controller(controller, life, event));
                 }
             }
-            Happens::CloudRequest { controller, life, op, request } => {
+            SimulationEvent::CloudRequest { controller, life, op, request } => {
                 let due = self.call_blink_due(controller, &request);
-                if let Some(due) = due.as_ref().filter(|d| !blinks::is_after(d)) {
-                    self.blinks_now(due);
+                if let Some(due) = due.as_ref().filter(|d| !quick_restarts::is_after(d)) {
+                    self.quick_restart_now(due);
                 }
-                if let Some(ms) = blinks::late(due.as_ref()) {
-                    return self.at(ms, Happens::CloudRequest { controller, life, op, request });
+                if let Some(ms) = quick_restarts::late(due.as_ref()) {
+                    return self
+                        .at(ms, SimulationEvent::CloudRequest { controller, life, op, request });
                 }
                 let reply = self.execute_cloud(request);
-                if let Some(due) = due.filter(blinks::is_after) {
-                    self.blinks_now(&due);
+                if let Some(due) = due.filter(quick_restarts::is_after) {
+                    self.quick_restart_now(&due);
                 }
                 let delay = self.delay(controller) + 50;
                 self.at(
                     delay,
-                    Happens::Controller(controller, life, Box::new(Event::Cloud { op, reply })),
+                    SimulationEvent::Controller(
+                        controller,
+                        life,
+                        Box::new(Event::Cloud { op, reply }),
+                    ),
                 );
             }
-            Happens::WorkerReports(id) => self.worker_reports(id),
-            Happens::ReportArrives { controller, machine, sent, report } => {
+            SimulationEvent::WorkerReports(id) => self.worker_reports(id),
+            SimulationEvent::ReportArrives { controller, machine, sent, report } => {
                 if self.controllers[controller].is_none() {
                     return;
                 }
                 self.next_rid += 1;
                 let rid = self.next_rid;
-                let asked = Asked::Report(machine, sent, report.agent_epoch.0, report.seq.0);
+                let asked = Asked::Heartbeat(machine, sent, report.agent_epoch.0, report.seq.0);
                 self.asked.insert((controller, rid), asked);
-                self.give(controller, Event::Report { rid, report: report.into_raw() });
+                self.give(controller, Event::Heartbeat { rid, report: report.into_raw() });
             }
-            Happens::WorkerAnswer { machine, number, sent, agent_epoch, response } => {
+            SimulationEvent::WorkerAnswer { machine, number, sent, agent_epoch, response } => {
                 self.worker_answer(machine, number, sent, agent_epoch, response)
             }
-            Happens::WorkerTimeout { machine, number } => {
+            SimulationEvent::WorkerTimeout { machine, number } => {
                 let Some(link) = self.links.get_mut(&machine) else { return };
                 if link.waiting == Some(number) {
                     link.waiting = None;
@@ -628,36 +637,36 @@
                     self.report_in(1000, machine);
                 }
             }
-            Happens::User(u) => self.user(u),
-            Happens::Crash(i) => {
+            SimulationEvent::User(u) => self.user(u),
+            SimulationEvent::Crash(i) => {
                 if self.controllers[i].is_some() {
                     let back = self.rng.random_range(3000..6000);
                     self.crash(i, back);
                 }
             }
-            Happens::Blink(i) => self.blink_node(i),
-            Happens::Thaw(i, life) => self.thaw(i, life),
-            Happens::Restart(i) if self.controllers[i].is_some() => {}
-            Happens::Restart(i) if self.stays_away(i) => {}
-            Happens::Restart(i) => {
+            SimulationEvent::Blink(i) => self.blink_node(i),
+            SimulationEvent::Thaw(i, life) => self.thaw(i, life),
+            SimulationEvent::Restart(i) if self.controllers[i].is_some() => {}
+            SimulationEvent::Restart(i) if self.stays_away(i) => {}
+            SimulationEvent::Restart(i) => {
                 self.controllers[i] = Some(Controller::new(config(i, self.size)))
             }
-            Happens::Ends { controller, back_ms } => self.crash(controller, back_ms),
-            Happens::LeaderEnds { left, until } => self.leader_ends(left, until),
-            Happens::SmallJobs => self.small_jobs_go_on(),
-            Happens::OnceMoved { controller, tokens, until } => {
+            SimulationEvent::Ends { controller, back_ms } => self.crash(controller, back_ms),
+            SimulationEvent::LeaderEnds { left, until } => self.leader_ends(left, until),
+            SimulationEvent::SmallJobs => self.small_jobs_go_on(),
+            SimulationEvent::OnceMoved { controller, tokens, until } => {
                 self.once_moved(controller, tokens, until)
             }
-            Happens::Cut { controller, until } => {
+            SimulationEvent::Cut { controller, until } => {
                 self.cut[controller] = self.cut[controller].max(until)
             }
-            Happens::StoreCut { controller, until } => self.store_cut[controller] = until,
-            Happens::Outage { until } => {
+            SimulationEvent::StoreCut { controller, until } => self.store_cut[controller] = until,
+            SimulationEvent::Outage { until } => {
                 self.outage = self.outage.max(until);
                 // Whatever expired meanwhile has its full time again.
                 self.store.renew_all(self.outage);
             }
-            Happens::Die(id) => {
+            SimulationEvent::Die(id) => {
                 if let Some(worker) = self.workers.remove(&id) {
                     for (task, _) in worker.tasks.keys() {
                         self.gone(task, &id);
@@ -666,17 +675,17 @@
                     self.wakes.remove(&id);
                 }
             }
-            Happens::Wake(id) => self.wake(&id),
-            Happens::Befalls(trouble, for_ms) => self.befalls(trouble, for_ms),
-            Happens::Meets(trouble, for_ms, aim) => self.meets(trouble, for_ms, aim),
-            Happens::Insists => self.insists(),
-            Happens::Copy(controller, report) => self.copy_arrives(controller, *report),
-            Happens::Cancels(job) => self.cancels(job),
-            Happens::LeadershipCheck => self.leadership_check(),
-            Happens::Asks(job) => self.asks(job),
-            Happens::Looks { controller, job, what } => self.looks(controller, job, what),
-            Happens::Odd => self.odd(),
-            Happens::MemberAsks { controller, machine, key, number, report } => {
+            SimulationEvent::Wake(id) => self.wake(&id),
+            SimulationEvent::ApplyFault(fault, for_ms) => self.apply_fault(fault, for_ms),
+            SimulationEvent::Meets(fault, for_ms, aim) => self.meets(fault, for_ms, aim),
+            SimulationEvent::GenerateLoad => self.generate_load(),
+            SimulationEvent::Copy(controller, report) => self.copy_arrives(controller, *report),
+            SimulationEvent::Cancels(job) => self.cancels(job),
+            SimulationEvent::LeadershipCheck => self.leadership_check(),
+            SimulationEvent::Asks(job) => self.asks(job),
+            SimulationEvent::Looks { controller, job, what } => self.looks(controller, job, what),
+            SimulationEvent::Odd => self.odd(),
+            SimulationEvent::MemberAsks { controller, machine, key, number, report } => {
                 if self.controllers[controller].is_none() {
                     return;
                 }
@@ -686,25 +695,26 @@
                 let request = Request::Steps(Box::new(report));
                 self.give(controller, Event::Request { rid, request });
             }
-            Happens::MemberTold { machine, key, number, response } => {
-                self.member_told(machine, key, number, response)
+            SimulationEvent::MemberAnswered { machine, key, number, response } => {
+                self.member_answered(machine, key, number, response)
             }
-            held @ Happens::Orders { .. } if self.orders_held(&held) => {}
-            Happens::Orders { controller, life, machine, orders, answered } => {
+            held @ SimulationEvent::Orders { .. } if self.orders_held(&held) => {}
+            SimulationEvent::Orders { controller, life, machine, orders, answered } => {
                 let now = self.now;
                 // A machine that hangs executes them when it carries on.
                 if let Some(until) = self.hung.get(&machine).filter(|u| **u > now) {
                     let until = until.since(now) + 1;
-                    let order = Happens::Orders { controller, life, machine, orders, answered };
+                    let order =
+                        SimulationEvent::Orders { controller, life, machine, orders, answered };
                     return self.at(until, order);
                 }
                 self.wake(&machine);
                 let cut = self.machine_cut(&machine);
                 let lost = self.order_answer_lost();
                 let Some(worker) = self.workers.get_mut(&machine) else { return };
-                if cut || self.troubles.is_deaf(worker, now) {
+                if cut || self.faults.is_partitioned(worker, now) {
                     let event = Box::new(Event::Ordered { machine, report: None });
-                    return self.at(4000, Happens::Controller(controller, life, event));
+                    return self.at(4000, SimulationEvent::Controller(controller, life, event));
                 }
                 let report = worker.orders(now, &orders, |_| None).map(|happenings| {
                     let report = worker.report();
@@ -718,7 +728,7 @@
                     }
                     let event = Event::Ordered { machine, report: Some(report).filter(|_| !lost) };
                     let delay = self.delay(controller);
-                    self.at(delay, Happens::Controller(controller, life, Box::new(event)));
+                    self.at(delay, SimulationEvent::Controller(controller, life, Box::new(event)));
                 }
             }
         }
--- a/crates/cleatfold-testbed/src/world/answers.rs
+++ b/crates/cleatfold-testbed/src/world/answers.rs
@@ -7,7 +7,7 @@
 
 /// What a user does about a job that has just changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum Query {
     Polls,
     /// It submits the job once more.
     Repeats,
@@ -17,7 +17,7 @@
 /// So often each controller is asked about a job that has just been accepted, has ended or was cancelled, and within
 /// how many milliseconds.
 const LOOKS: u32 = 3;
-const LOOK_WITHIN_MS: u64 = 6;
+const QUERY_WINDOW_MS: u64 = 6;
 /// Of the jobs that were just accepted, so many are cancelled at once.
 const CANCELLED_AT_ONCE: f64 = 0.15;
 /// Users that cancel as a job ends do so within this time after its last task.
@@ -73,7 +73,7 @@
 impl World {
     /// Until then users ask at all controllers right after a job was accepted, has ended or was cancelled, submit it
     /// once more, and cancel some that were just accepted.
-    pub fn look_closely_until(&mut self, until: Ms) {
+    pub fn query_repeatedly_until(&mut self, until: Ms) {
         self.answers.close_looks = until;
         self.over_at(until);
     }
@@ -94,24 +94,24 @@
     /// or lacks a field.
     pub fn odd_requests(&mut self, until: Ms) {
         if self.answers.odd <= self.now {
-            self.at(1, Happens::Odd);
+            self.at(1, SimulationEvent::Odd);
         }
         self.answers.odd = until;
         self.over_at(until);
     }
 
-    pub(super) fn answers_trouble(&mut self, kind: Trouble, until: Ms) {
+    pub(super) fn answers_trouble(&mut self, kind: Fault, until: Ms) {
         match kind {
-            Trouble::CloseLooks => self.look_closely_until(until),
-            Trouble::AnswersLost => {
+            Fault::CloseLooks => self.query_repeatedly_until(until),
+            Fault::AnswersLost => {
                 let share = [0.1, 0.25, 0.6][self.rng.random_range(0..3)];
                 self.lose_answers(share, until);
             }
-            Trouble::CancelAtEnd => {
+            Fault::CancelAtEnd => {
                 let share = self.rng.random_range(0.2..1.0);
                 self.cancel_at_end(share, until);
             }
-            Trouble::OddRequests => self.odd_requests(until),
+            Fault::OddRequests => self.odd_requests(until),
             _ => {}
         }
     }
@@ -132,7 +132,7 @@
             self.answers.submitted.entry(id.clone()).or_insert(self.now);
         }
         let Some(watch) = self.jobs.get(id) else { return };
-        let end = watch.told.filter(|t| t.is_final());
+        let end = watch.answered_state.filter(|t| t.is_final());
         self.answers.known.insert(rid, Known { accepted: watch.accepted, end });
     }
 
@@ -155,48 +155,48 @@
         }
         self.answers.last.insert(id.clone(), (code, state));
         let Some((watch, state)) = self.jobs.get(id).zip(state) else { return };
-        let ended = state.is_final() && watch.told != Some(state);
+        let ended = state.is_final() && watch.answered_state != Some(state);
         if ended || !watch.accepted {
-            self.look_closely(&id.clone(), state);
+            self.query_repeatedly(&id.clone(), state);
         }
     }
 
-    fn look_closely(&mut self, id: &JobId, state: JobState) {
+    fn query_repeatedly(&mut self, id: &JobId, state: JobState) {
         if self.answers.close_looks <= self.now {
             return;
         }
         for controller in 0..self.controllers.len() {
-            for what in [Look::Polls; LOOKS as usize].into_iter().chain([Look::Repeats]) {
-                self.look_within(controller, id, what, LOOK_WITHIN_MS);
+            for what in [Query::Polls; LOOKS as usize].into_iter().chain([Query::Repeats]) {
+                self.query_within(controller, id, what, QUERY_WINDOW_MS);
             }
         }
         if !state.is_final() && self.rng.random_bool(CANCELLED_AT_ONCE) {
             let controller = self.rng.random_range(0..self.controllers.len());
-            self.look_within(controller, id, Look::Cancels, LOOK_WITHIN_MS);
+            self.query_within(controller, id, Query::Cancels, QUERY_WINDOW_MS);
         }
     }
 
-    fn look_within(&mut self, controller: usize, job: &JobId, what: Look, within_ms: u64) {
+    fn query_within(&mut self, controller: usize, job: &JobId, what: Query, within_ms: u64) {
         let ms = self.rng.random_range(0..within_ms);
-        self.at(ms, Happens::Looks { controller, job: job.clone(), what });
+        self.at(ms, SimulationEvent::Looks { controller, job: job.clone(), what });
     }
 
-    pub(super) fn looks(&mut self, controller: usize, id: JobId, what: Look) {
+    pub(super) fn looks(&mut self, controller: usize, id: JobId, what: Query) {
         if self.controllers[controller].is_none() || self.cut[controller] > self.now {
             return;
         }
         let Some(watch) = self.jobs.get_mut(&id) else { return };
         self.answers.looks += 1;
         let (asked, request) = match what {
-            Look::Polls => {
-                let asked = Asked::Poll(id.clone(), watch.told, watch.accepted);
+            Query::Polls => {
+                let asked = Asked::Poll(id.clone(), watch.answered_state, watch.accepted);
                 (asked, Request::Poll(id))
             }
-            Look::Repeats => {
+            Query::Repeats => {
                 let Some(spec) = watch.spec.clone() else { return };
                 (Asked::Submit(id), Request::Submit(Box::new(spec)))
             }
-            Look::Cancels => {
+            Query::Cancels => {
                 watch.cancel_asked = true;
                 (Asked::Withdraw(id.clone()), Request::Withdraw(id))
             }
@@ -215,9 +215,9 @@
         }
         self.answers.cancelled_at_end += 1;
         for controller in 0..self.controllers.len() {
-            for what in [Look::Cancels, Look::Repeats, Look::Polls] {
+            for what in [Query::Cancels, Query::Repeats, Query::Polls] {
                 let within = [20, 300, END_MS][self.rng.random_range(0..3)];
-                self.look_within(controller, &task.job, what, within);
+                self.query_within(controller, &task.job, what, within);
             }
         }
     }
@@ -227,18 +227,19 @@
             return;
         }
         let pause = self.rng.random_range(ODD_EVERY_MS);
-        self.at(pause, Happens::Odd);
+        self.at(pause, SimulationEvent::Odd);
         let controller = self.rng.random_range(0..self.controllers.len());
         match self.rng.random_range(0..4) {
             0 => {
-                let open = |w: &JobWatch| w.accepted && w.told.is_none_or(|t| !t.is_final());
+                let open =
+                    |w: &JobWatch| w.accepted && w.answered_state.is_none_or(|t| !t.is_final());
                 if let Some(job) = self.some_known(open) {
-                    self.looks(controller, job, Look::Repeats);
+                    self.looks(controller, job, Query::Repeats);
                 }
             }
             1 => {
                 // Nobody has asked for its cancellation in time, so it must stay done.
-                if let Some(job) = self.some_known(|w| w.told == Some(JobState::Done)) {
+                if let Some(job) = self.some_known(|w| w.answered_state == Some(JobState::Done)) {
                     if self.controllers[controller].is_some() && self.cut[controller] <= self.now {
                         self.ask(controller, Asked::Withdraw(job.clone()), Request::Withdraw(job));
                     }
--- a/crates/cleatfold-testbed/src/world/cancelled.rs
+++ b/crates/cleatfold-testbed/src/world/cancelled.rs
@@ -12,13 +12,13 @@
     /// How many such tasks there were, and the longest that one of them stayed after that.
     pub went_on_count: u32,
     pub longest_after_hang_ms: u64,
-    looked: Ms,
+    last_checked: Ms,
 }
 
 impl World {
     /// A task has started: one that starts later than a cancellation may take breaks a rule, however short it is.
     pub(super) fn see_cancelled_start(&mut self, task: &TaskId) {
-        let Some(told) = self.jobs.get(&task.job).and_then(|w| w.cancel_told) else { return };
+        let Some(told) = self.jobs.get(&task.job).and_then(|w| w.cancel_confirmed) else { return };
         let after_ms = self.now.since(told);
         self.cancel_watch.starts_after.push((task.clone(), after_ms));
         if after_ms > self.size.cancel_ms {
@@ -31,13 +31,13 @@
 
     /// Looks at the machines that have stopped hanging since the last look, and at the cancelled tasks on them.
     pub(super) fn watch_cancelled(&mut self) {
-        let (now, looked) = (self.now, self.cancel_watch.looked);
-        self.cancel_watch.looked = now;
-        let ended = self.hung.iter().filter(|(_, until)| **until > looked && **until <= now);
+        let (now, last_checked) = (self.now, self.cancel_watch.last_checked);
+        self.cancel_watch.last_checked = now;
+        let ended = self.hung.iter().filter(|(_, until)| **until > last_checked && **until <= now);
         let ended: BTreeMap<MachineId, Ms> =
             ended.map(|(id, until)| (id.clone(), *until)).collect();
         for (task, machine) in &self.running {
-            let told = self.jobs.get(&task.job).is_some_and(|w| w.cancel_told.is_some());
+            let told = self.jobs.get(&task.job).is_some_and(|w| w.cancel_confirmed.is_some());
             if let Some(until) = ended.get(machine).filter(|_| told) {
                 self.cancel_watch.went_on_count += 1;
                 self.cancel_watch.went_on.insert(task.clone(), (machine.clone(), *until));
@@ -47,7 +47,7 @@
         watch.went_on.retain(|task, (machine, _)| self.running.get(task) == Some(machine));
         for (task, (machine, until)) in &watch.went_on {
             watch.longest_after_hang_ms = watch.longest_after_hang_ms.max(now.since(*until));
-            let told = self.jobs.get(&task.job).and_then(|w| w.cancel_told).unwrap_or(now);
+            let told = self.jobs.get(&task.job).and_then(|w| w.cancel_confirmed).unwrap_or(now);
             if now.since(told) > self.size.cancel_ms {
                 self.broken
                     .push(format!("{now:?} ran_cancelled {task} went on after {machine} hung"));
--- a/crates/cleatfold-testbed/src/world/commands.rs
+++ b/crates/cleatfold-testbed/src/world/commands.rs
@@ -31,7 +31,7 @@
 pub struct CommandFaults {
     late_commands: Option<Share>,
     reports_for_next: Option<Share>,
-    kept: Vec<Report>,
+    kept: Vec<Heartbeat>,
     /// The newest change of any pool's owner or duty's holder that was seen.
     leadership: Version,
     /// Machines that open no connection to a controller, until when.
@@ -78,7 +78,7 @@
         self.command_faults.reports_for_next = Some(Share { share, until });
         self.command_faults.leadership = self.leadership();
         self.over_at(until);
-        self.at(1, Happens::LeadershipCheck);
+        self.at(1, SimulationEvent::LeadershipCheck);
     }
 
     /// The machine reaches no controller, while what is sent to it directly arrives.
@@ -100,7 +100,7 @@
         for job in jobs {
             self.command_faults.cancelled += 1;
             let at = self.rng.random_range(0..CANCEL_NOW_MS);
-            self.at(at, Happens::Cancels(job));
+            self.at(at, SimulationEvent::Cancels(job));
         }
         let Some(hang_ms) = hang_ms else { return };
         for machine in machines.into_iter().take(MOST_HUNG) {
@@ -120,7 +120,7 @@
         };
         let open = |job: &JobId| {
             self.jobs.get(job).is_some_and(|w| {
-                w.accepted && !w.cancel_asked && w.told.is_none_or(|t| !t.is_final())
+                w.accepted && !w.cancel_asked && w.answered_state.is_none_or(|t| !t.is_final())
             })
         };
         let long =
@@ -132,11 +132,11 @@
     /// A user cancels the job, and repeats that until there is an answer.
     pub(super) fn cancels(&mut self, job: JobId) {
         let Some(watch) = self.jobs.get_mut(&job) else { return };
-        if watch.told.is_some_and(JobState::is_final) {
+        if watch.answered_state.is_some_and(JobState::is_final) {
             return;
         }
         watch.cancel_asked = true;
-        self.at(REPEAT_MS, Happens::Cancels(job.clone()));
+        self.at(REPEAT_MS, SimulationEvent::Cancels(job.clone()));
         if let Some(controller) = self.users_node() {
             self.ask(controller, Asked::Withdraw(job.clone()), Request::Withdraw(job));
         }
@@ -163,25 +163,33 @@
     /// Sends a direct command, now or late.
     pub(super) fn send_command(&mut self, controller: usize, machine: MachineId, orders: Orders) {
         let (life, delay) = (self.lives[controller], self.delay(controller) + self.order_late());
-        self.only_stops(&machine, &orders);
+        self.only_kills(&machine, &orders);
         let late = self.command_faults.late_commands.filter(|late| late.until > self.now);
         if !late.is_some_and(|late| self.rng.random_bool(late.share)) {
-            return self
-                .at(delay, Happens::Orders { controller, life, machine, orders, answered: true });
+            return self.at(
+                delay,
+                SimulationEvent::Orders { controller, life, machine, orders, answered: true },
+            );
         }
         let unanswered = Event::Ordered { machine: machine.clone(), report: None };
-        self.at(COMMAND_TIMEOUT_MS, Happens::Controller(controller, life, Box::new(unanswered)));
+        self.at(
+            COMMAND_TIMEOUT_MS,
+            SimulationEvent::Controller(controller, life, Box::new(unanswered)),
+        );
         let late_ms = self.rng.random_range(LATE_COMMAND_MS);
         let (sent, due) = (self.now, self.now.plus(late_ms));
         self.command_faults.late += 1;
         let held = HeldCommand { machine: machine.clone(), orders: orders.clone(), sent, due };
         self.command_faults.held.push(held);
-        self.at(late_ms, Happens::Orders { controller, life, machine, orders, answered: false });
+        self.at(
+            late_ms,
+            SimulationEvent::Orders { controller, life, machine, orders, answered: false },
+        );
     }
 
     /// A start that is sent directly could be executed after its claim has ended, in the same session and under the
     /// same token: direct commands only ever stop.
-    fn only_stops(&mut self, machine: &MachineId, orders: &Orders) {
+    fn only_kills(&mut self, machine: &MachineId, orders: &Orders) {
         use cleatfold_wire::worker::Command;
         if orders.commands.iter().any(|c| !matches!(c, Command::Stop { .. })) {
             self.broken.push(format!("{:?} more than a stop sent directly to {machine}", self.now));
@@ -189,7 +197,7 @@
     }
 
     /// Keeps a copy of a report for the next leader, perhaps.
-    pub(super) fn keep_perhaps(&mut self, report: &Report) {
+    pub(super) fn keep_perhaps(&mut self, report: &Heartbeat) {
         let Some(keeps) = self.command_faults.reports_for_next else { return };
         if keeps.until <= self.now || !self.rng.random_bool(keeps.share) {
             return;
@@ -218,34 +226,34 @@
             }
         }
         if keeps.until > self.now {
-            return self.at(20, Happens::LeadershipCheck);
+            return self.at(20, SimulationEvent::LeadershipCheck);
         }
         self.command_faults.reports_for_next = None;
         self.command_faults.kept.clear();
     }
 
     /// A copy of the report arrives at every controller at about the same moment.
-    pub fn deliver_everywhere(&mut self, report: &Report) {
+    pub fn deliver_everywhere(&mut self, report: &Heartbeat) {
         self.command_faults.delivered += 1;
         let (from, to) = ARRIVALS_MS[self.rng.random_range(0..ARRIVALS_MS.len())];
         let after = self.rng.random_range(from..to);
         for controller in 0..self.controllers.len() {
-            self.at(after, Happens::Copy(controller, Box::new(report.clone())));
+            self.at(after, SimulationEvent::Copy(controller, Box::new(report.clone())));
         }
     }
 
     /// One of these faults, drawn in all that is left open.
-    pub(super) fn command_fault(&mut self, kind: Trouble, until: Ms) {
+    pub(super) fn command_fault(&mut self, kind: Fault, until: Ms) {
         let shares = [0.2, 0.5, 1.0];
         let share = shares[self.rng.random_range(0..shares.len())];
         match kind {
-            Trouble::LateCommands => {
+            Fault::LateCommands => {
                 self.submit_elastic();
                 self.late_commands(share, until);
             }
-            Trouble::ReportsForNextLeader => self.reports_for_next_leader(share, until),
-            Trouble::Mute => self.mute_some(until),
-            Trouble::CancelNow => {
+            Fault::ReportsForNextLeader => self.reports_for_next_leader(share, until),
+            Fault::Mute => self.mute_some(until),
+            Fault::CancelNow => {
                 let count = self.rng.random_range(2..12);
                 let most = self.size.lease_ms * 3 / 2;
                 let hang_ms = self.rng.random_range(2_000..most);
--- a/crates/cleatfold-testbed/src/world/digest.rs
+++ b/crates/cleatfold-testbed/src/world/digest.rs
@@ -43,9 +43,9 @@
                 self.tagged(1, *rid);
                 self.response(response);
             }
-            Effect::Store { op, lane, request } => {
+            Effect::Store { op, priority, request } => {
                 self.tagged(2, *op);
-                self.number(*lane as u64);
+                self.number(*priority as u64);
                 self.store_request(request);
             }
             Effect::Cloud { op, request, spacing_ms } => {
@@ -111,7 +111,7 @@
         match request {
             CloudRequest::Types => self.number(1),
             CloudRequest::List { from } => self.tagged_json(2, from),
-            CloudRequest::Rent(rent) => self.tagged_json(3, rent),
+            CloudRequest::ScaleOut(rent) => self.tagged_json(3, rent),
             CloudRequest::Delete(machines) => self.tagged_json(4, machines),
         }
     }
--- a/crates/cleatfold-testbed/src/world/drawn.rs
+++ b/crates/cleatfold-testbed/src/world/drawn.rs
@@ -1,10 +1,10 @@
-//! Troubles drawn by the seed.
+//! FaultState drawn by the seed.
 
 use super::*;
 
 /// What can go wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
-pub enum Trouble {
+pub enum Fault {
     /// A controller ends, and is back after seconds.
     Kill,
     /// Back within a fraction of a second, its connections half open.
@@ -33,9 +33,11 @@
     /// A machine is gone, and what is rented from now on is up within a second.
     Replaced,
     /// What is told a machine does not reach it, its reports arrive.
-    Deaf,
+    #[value(name = "deaf")]
+    OneWayPartition,
     /// The same of a pool, or of a zone.
-    DeafMany,
+    #[value(name = "deaf-many")]
+    OneWayPartitions,
     /// Copies of reports come late.
     Copies,
     /// A share of transactions gets no answer and is carried out late, after newer ones.
@@ -85,62 +87,62 @@
     Same,
 }
 
-impl Trouble {
+impl Fault {
     /// The five that the operators added.
-    pub const ADDED: &'static [Trouble] = &[
-        Trouble::Blink,
-        Trouble::AllBlink,
-        Trouble::Apart,
-        Trouble::Hiccup,
-        Trouble::Anew,
-        Trouble::Replaced,
-        Trouble::Deaf,
-        Trouble::DeafMany,
-        Trouble::Copies,
+    pub const ADDED: &'static [Fault] = &[
+        Fault::Blink,
+        Fault::AllBlink,
+        Fault::Apart,
+        Fault::Hiccup,
+        Fault::Anew,
+        Fault::Replaced,
+        Fault::OneWayPartition,
+        Fault::OneWayPartitions,
+        Fault::Copies,
     ];
-    pub const ALL: &'static [Trouble] = &[
-        Trouble::Kill,
-        Trouble::Blink,
-        Trouble::AllBlink,
-        Trouble::Freeze,
-        Trouble::Cut,
-        Trouble::StoreCut,
-        Trouble::Apart,
-        Trouble::WorkersCut,
-        Trouble::Outage,
-        Trouble::Die,
-        Trouble::Hiccup,
-        Trouble::Anew,
-        Trouble::Replaced,
-        Trouble::Deaf,
-        Trouble::DeafMany,
-        Trouble::Copies,
-        Trouble::LateWrites,
-        Trouble::Slow,
-        Trouble::RefusedThenOutage,
-        Trouble::HeldOrders,
-        Trouble::OverAndBack,
-        Trouble::AllButOne,
-        Trouble::CloseLooks,
-        Trouble::AnswersLost,
-        Trouble::CancelAtEnd,
-        Trouble::OddRequests,
-        Trouble::TenLeaders,
-        Trouble::AllAway,
-        Trouble::SmallJobs,
-        Trouble::LateCommands,
-        Trouble::ReportsForNextLeader,
-        Trouble::Mute,
-        Trouble::CancelNow,
+    pub const ALL: &'static [Fault] = &[
+        Fault::Kill,
+        Fault::Blink,
+        Fault::AllBlink,
+        Fault::Freeze,
+        Fault::Cut,
+        Fault::StoreCut,
+        Fault::Apart,
+        Fault::WorkersCut,
+        Fault::Outage,
+        Fault::Die,
+        Fault::Hiccup,
+        Fault::Anew,
+        Fault::Replaced,
+        Fault::OneWayPartition,
+        Fault::OneWayPartitions,
+        Fault::Copies,
+        Fault::LateWrites,
+        Fault::Slow,
+        Fault::RefusedThenOutage,
+        Fault::HeldOrders,
+        Fault::OverAndBack,
+        Fault::AllButOne,
+        Fault::CloseLooks,
+        Fault::AnswersLost,
+        Fault::CancelAtEnd,
+        Fault::OddRequests,
+        Fault::TenLeaders,
+        Fault::AllAway,
+        Fault::SmallJobs,
+        Fault::LateCommands,
+        Fault::ReportsForNextLeader,
+        Fault::Mute,
+        Fault::CancelNow,
     ];
 
     /// Lasts less than so long, where it does not say itself.
     pub fn most_ms(self) -> u64 {
         match self {
-            Trouble::Outage => 20_000,
-            Trouble::Freeze => 25_000,
-            Trouble::Deaf | Trouble::DeafMany | Trouble::Copies => 60_000,
-            Trouble::TenLeaders => 120_000,
+            Fault::Outage => 20_000,
+            Fault::Freeze => 25_000,
+            Fault::OneWayPartition | Fault::OneWayPartitions | Fault::Copies => 60_000,
+            Fault::TenLeaders => 120_000,
             _ => 45_000,
         }
     }
@@ -149,23 +151,23 @@
 impl World {
     /// Draws `count` troubles of these kinds that begin and end within the time given. Whom each
     /// befalls is drawn when it comes.
-    pub fn draw_troubles(&mut self, kinds: &[Trouble], from: Ms, until: Ms, count: usize) {
+    pub fn draw_faults(&mut self, kinds: &[Fault], from: Ms, until: Ms, count: usize) {
         for _ in 0..count {
             let kind = kinds[self.rng.random_range(0..kinds.len())];
             let at = self.rng.random_range(from.0..until.0);
             let for_ms = self.rng.random_range(1_500..kind.most_ms()).min(until.0 - at);
-            self.at(at.saturating_sub(self.now.0), Happens::Befalls(kind, for_ms));
+            self.at(at.saturating_sub(self.now.0), SimulationEvent::ApplyFault(kind, for_ms));
         }
-        self.troubles.drawn_until = self.troubles.drawn_until.max(until);
+        self.faults.drawn_until = self.faults.drawn_until.max(until);
     }
 
-    pub(super) fn meets(&mut self, kind: Trouble, for_ms: u64, aim: Aim) {
+    pub(super) fn meets(&mut self, kind: Fault, for_ms: u64, aim: Aim) {
         self.meetings.aim = match aim {
             Aim::Any => None,
             Aim::Most => self.most(),
             Aim::Same => self.meetings.last,
         };
-        self.befalls(kind, for_ms);
+        self.apply_fault(kind, for_ms);
     }
 
     pub(super) fn some_machine(&mut self) -> Option<MachineId> {
@@ -178,71 +180,67 @@
         (!all.is_empty()).then(|| all[self.rng.random_range(0..all.len())].clone())
     }
 
-    pub(super) fn befalls(&mut self, kind: Trouble, for_ms: u64) {
+    pub(super) fn apply_fault(&mut self, kind: Fault, for_ms: u64) {
         let controller = self.rng.random_range(0..self.controllers.len());
         let controller = self.meetings.aim.take().unwrap_or(controller);
         self.meetings.last = Some(controller);
         let (now, until) = (self.now, self.now.plus(for_ms));
         let machine = self.some_machine();
-        self.troubles.befell.push((now, kind, until));
+        self.faults.applied_faults.push((now, kind, until));
         match (kind, machine) {
-            (Trouble::Kill, _) => self.happen(Happens::Crash(controller)),
-            (Trouble::Blink, _) => self.blink_node(controller),
-            (Trouble::AllBlink, _) => {
+            (Fault::Kill, _) => self.handle_event(SimulationEvent::Crash(controller)),
+            (Fault::Blink, _) => self.blink_node(controller),
+            (Fault::AllBlink, _) => {
                 let apart = self.rng.random_range(0..150);
                 for i in 0..self.controllers.len() {
-                    self.at(1 + apart * i as u64, Happens::Blink(i));
+                    self.at(1 + apart * i as u64, SimulationEvent::Blink(i));
                 }
             }
-            (Trouble::Freeze, _) => self.freeze(controller, for_ms),
-            (Trouble::Cut, _) => self.happen(Happens::Cut { controller, until }),
-            (Trouble::StoreCut, _) => self.happen(Happens::StoreCut { controller, until }),
-            (Trouble::Apart, _) => {
+            (Fault::Freeze, _) => self.freeze(controller, for_ms),
+            (Fault::Cut, _) => self.handle_event(SimulationEvent::Cut { controller, until }),
+            (Fault::StoreCut, _) => {
+                self.handle_event(SimulationEvent::StoreCut { controller, until })
+            }
+            (Fault::Apart, _) => {
                 let held = self.rng.random_bool(0.5);
                 self.set_apart(controller, until, held);
             }
-            (Trouble::WorkersCut, _) => {
+            (Fault::WorkersCut, _) => {
                 let zone = self.rng.random_range(0..ZONES.len() * 2);
                 let zone = ZONES.get(zone).map(|z| ZoneId::new(*z));
-                self.troubles.cuts.insert(controller, (until, zone));
+                self.faults.cuts.insert(controller, (until, zone));
             }
-            (Trouble::Outage, _) => self.happen(Happens::Outage { until }),
-            (Trouble::Copies, _) => {
+            (Fault::Outage, _) => self.handle_event(SimulationEvent::Outage { until }),
+            (Fault::Copies, _) => {
                 let share = [0.02, 0.1, 0.4][self.rng.random_range(0..3)];
                 self.copies(share, (2_000, 3 * LEASE_MS), until);
             }
             (
-                Trouble::LateWrites
-                | Trouble::Slow
-                | Trouble::RefusedThenOutage
-                | Trouble::HeldOrders
-                | Trouble::OverAndBack
-                | Trouble::AllButOne,
+                Fault::LateWrites
+                | Fault::Slow
+                | Fault::RefusedThenOutage
+                | Fault::HeldOrders
+                | Fault::OverAndBack
+                | Fault::AllButOne,
                 _,
             ) => self.meeting(kind, controller, until),
             (
-                Trouble::CloseLooks
-                | Trouble::AnswersLost
-                | Trouble::CancelAtEnd
-                | Trouble::OddRequests,
+                Fault::CloseLooks | Fault::AnswersLost | Fault::CancelAtEnd | Fault::OddRequests,
                 _,
             ) => self.answers_trouble(kind, until),
-            (Trouble::TenLeaders | Trouble::AllAway, _) => self.leader_trouble(kind, until),
-            (Trouble::SmallJobs, _) => self.small_jobs(until),
+            (Fault::TenLeaders | Fault::AllAway, _) => self.leader_trouble(kind, until),
+            (Fault::SmallJobs, _) => self.small_jobs(until),
             (
-                Trouble::LateCommands
-                | Trouble::ReportsForNextLeader
-                | Trouble::Mute
-                | Trouble::CancelNow,
+                Fault::LateCommands | Fault::ReportsForNextLeader | Fault::Mute | Fault::CancelNow,
                 _,
             ) => self.command_fault(kind, until),
             (_, None) => {}
-            (Trouble::Die, Some(machine)) => self.happen(Happens::Die(machine)),
-            (Trouble::Hiccup, Some(machine)) => self.hiccup(&machine),
-            (Trouble::Anew, Some(machine)) => self.anew(&machine),
-            (Trouble::Replaced, Some(machine)) => self.replaced(&machine),
-            (Trouble::Deaf, Some(machine)) => self.deafen(&machine, until),
-            (Trouble::DeafMany, Some(machine)) => {
+            (Fault::Die, Some(machine)) => self.handle_event(SimulationEvent::Die(machine)),
+            (Fault::Hiccup, Some(machine)) => self.hiccup(&machine),
+            (Fault::Anew, Some(machine)) => self.anew(&machine),
+            (Fault::Replaced, Some(machine)) => self.replaced(&machine),
+            (Fault::OneWayPartition, Some(machine)) => self.deafen(&machine, until),
+            (Fault::OneWayPartitions, Some(machine)) => {
                 let Some(worker) = self.workers.get(&machine) else { return };
                 let (kind, zone) = (worker.machine_type.clone(), worker.zone.clone());
                 let kind = self.rng.random_bool(0.7).then_some(kind);
--- a/crates/cleatfold-testbed/src/world/moments.rs
+++ b/crates/cleatfold-testbed/src/world/fault_schedule.rs
@@ -4,7 +4,7 @@
 use cleatfold_control::records::{self, Key, Table};
 
 #[derive(Default)]
-pub struct Moments {
+pub struct FaultSchedule {
     /// Controllers whose transactions are answered late, by up to so much, until when. Readings are not.
     pub late_commits: BTreeMap<usize, (u64, Ms)>,
     /// How long tasks run, where that is not by their number.
@@ -25,16 +25,16 @@
 impl World {
     /// How much later than usual the state service's answer to a request reaches the controller.
     pub(super) fn commit_late(&mut self, controller: usize, is_txn: bool) -> u64 {
-        match self.moments.late_commits.get(&controller) {
+        match self.fault_schedule.late_commits.get(&controller) {
             Some((most, until)) if is_txn && *until > self.now => self.rng.random_range(0..*most),
             _ => 0,
         }
     }
 
     pub(super) fn order_late(&mut self) -> u64 {
-        match self.moments.late_orders {
+        match self.fault_schedule.late_orders {
             Some((most, until, _)) if until > self.now => {
-                self.moments.ordered_late += 1;
+                self.fault_schedule.ordered_late += 1;
                 self.rng.random_range(0..most)
             }
             _ => 0,
@@ -42,11 +42,11 @@
     }
 
     pub(super) fn order_answer_lost(&self) -> bool {
-        self.moments.late_orders.is_some_and(|(_, until, lost)| lost && until > self.now)
+        self.fault_schedule.late_orders.is_some_and(|(_, until, lost)| lost && until > self.now)
     }
 
     pub(super) fn machine_cut(&self, id: &MachineId) -> bool {
-        self.moments.cut_machines.get(id).is_some_and(|until| *until > self.now)
+        self.fault_schedule.cut_machines.get(id).is_some_and(|until| *until > self.now)
     }
 
     /// The task has begun on the machine.
@@ -55,7 +55,7 @@
         let running = worker.tasks.iter().filter(|((t, _), s)| t == task && s.exit.is_none());
         for attempt in running.map(|((_, attempt), _)| *attempt) {
             let launch = (machine.clone(), worker.agent_epoch, task.clone(), attempt);
-            if !self.moments.launched.insert(launch) {
+            if !self.fault_schedule.launched.insert(launch) {
                 self.broken.push(format!("{:?} launched again {task} on {machine}", self.now));
             }
         }
@@ -64,18 +64,18 @@
     /// A user asks: what it knows by now must not be taken back.
     pub(super) fn note_count(&mut self, rid: u64, asked: &Asked) {
         if let Asked::Poll(id, ..) | Asked::Submit(id) = asked {
-            let known = self.moments.told.get(id).copied().unwrap_or_default();
-            self.moments.counted.insert(rid, (id.clone(), known));
+            let known = self.fault_schedule.told.get(id).copied().unwrap_or_default();
+            self.fault_schedule.counted.insert(rid, (id.clone(), known));
         }
     }
 
     pub(super) fn judge_count(&mut self, rid: u64, response: &Response) {
-        let Some((id, before)) = self.moments.counted.remove(&rid) else { return };
+        let Some((id, before)) = self.fault_schedule.counted.remove(&rid) else { return };
         let Response::Status { status, .. } = response else { return };
         if status.done < before && status.state != JobState::Aborted {
             self.broken.push(format!("{:?} {id}: {} done after {before}", self.now, status.done));
         }
-        let told = self.moments.told.entry(id).or_default();
+        let told = self.fault_schedule.told.entry(id).or_default();
         *told = (*told).max(status.done);
     }
 
@@ -90,7 +90,7 @@
     /// Users ask about every job that was accepted, at this controller.
     pub fn ask_all_at(&mut self, controller: usize) {
         let known = self.jobs.iter().filter(|j| j.1.accepted);
-        let known: Vec<_> = known.map(|(id, w)| (id.clone(), w.told)).collect();
+        let known: Vec<_> = known.map(|(id, w)| (id.clone(), w.answered_state)).collect();
         for (id, told) in known {
             if self.controllers[controller].is_some() && self.cut[controller] <= self.now {
                 self.ask(controller, Asked::Poll(id.clone(), told, true), Request::Poll(id));
--- a/crates/cleatfold-testbed/src/world/troubles.rs
+++ b/crates/cleatfold-testbed/src/world/faults.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[derive(Default)]
-pub struct Troubles {
+pub struct FaultState {
     /// Controllers that workers, of one zone or of all, cannot reach, nor they them; until when.
     pub cuts: BTreeMap<usize, (Ms, Option<ZoneId>)>,
     /// Controllers that stand still, until when, with what has come for them meanwhile.
@@ -14,16 +14,16 @@
     /// their calls are held until then.
     apart: BTreeMap<usize, (Ms, bool)>,
     /// Machines that nothing told reaches, until when.
-    deaf: BTreeMap<MachineId, Ms>,
+    partitioned: BTreeMap<MachineId, Ms>,
     /// The same of a zone, or of its machines of a type.
-    deaf_zones: Vec<(ZoneId, Option<TypeId>, Ms)>,
+    partitioned_zones: Vec<(ZoneId, Option<TypeId>, Ms)>,
     copies: Option<Copies>,
     /// Copies that came so far.
     pub copied: u32,
     /// Until then what is rented is up within a second.
     quick_boots: Ms,
     /// What was drawn, and until when there is more to come.
-    pub befell: Vec<(Ms, Trouble, Ms)>,
+    pub applied_faults: Vec<(Ms, Fault, Ms)>,
     pub drawn_until: Ms,
 }
 
@@ -34,7 +34,7 @@
     until: Ms,
 }
 
-impl Troubles {
+impl FaultState {
     pub fn cut_off(&self, controller: usize, zone: &ZoneId, now: Ms) -> bool {
         let cut = self.cuts.get(&controller).filter(|c| c.0 > now);
         cut.is_some_and(|c| c.1.as_ref().is_none_or(|z| z == zone))
@@ -45,10 +45,10 @@
     }
 
     /// Whether nothing told reaches the machine.
-    pub fn is_deaf(&self, worker: &Worker, now: Ms) -> bool {
-        let alone = self.deaf.get(&worker.id).is_some_and(|until| *until > now);
+    pub fn is_partitioned(&self, worker: &Worker, now: Ms) -> bool {
+        let alone = self.partitioned.get(&worker.id).is_some_and(|until| *until > now);
         alone
-            || self.deaf_zones.iter().any(|(zone, kind, until)| {
+            || self.partitioned_zones.iter().any(|(zone, kind, until)| {
                 *until > now
                     && *zone == worker.zone
                     && kind.as_ref().is_none_or(|k| *k == worker.machine_type)
@@ -77,13 +77,13 @@
 impl World {
     /// The controller stands still while its clocks run on.
     pub fn freeze(&mut self, controller: usize, for_ms: u64) {
-        self.troubles.frozen.insert(controller, (self.now.plus(for_ms), Vec::new()));
-        self.at(for_ms, Happens::Thaw(controller, self.lives[controller]));
+        self.faults.frozen.insert(controller, (self.now.plus(for_ms), Vec::new()));
+        self.at(for_ms, SimulationEvent::Thaw(controller, self.lives[controller]));
     }
 
     /// Keeps back what comes for a controller that stands still; its clock's ticks are not made up for.
     pub(super) fn kept_back(&mut self, controller: usize, event: Event) -> Option<Event> {
-        let Some((until, kept)) = self.troubles.frozen.get_mut(&controller) else {
+        let Some((until, kept)) = self.faults.frozen.get_mut(&controller) else {
             return Some(event);
         };
         if *until <= self.now {
@@ -97,26 +97,26 @@
 
     /// It goes on, with all that has come meanwhile before its first tick.
     pub(super) fn thaw(&mut self, controller: usize, life: u32) {
-        let kept = self.troubles.frozen.remove(&controller).map(|f| f.1).unwrap_or_default();
+        let kept = self.faults.frozen.remove(&controller).map(|f| f.1).unwrap_or_default();
         if self.lives[controller] == life {
             kept.into_iter().for_each(|event| self.give(controller, event));
         }
     }
 
     /// The troubles of a day as they always were drawn.
-    pub(super) fn plan_troubles(&mut self) {
+    pub(super) fn schedule_faults(&mut self) {
         for _ in 0..14 {
             let at = self.rng.random_range(5_000..110_000u64);
             let controller = self.rng.random_range(0..self.controllers.len());
             let long = Ms(1000 + at + self.rng.random_range(2_000..45_000u64));
             let event = match self.rng.random_range(0..7) {
-                0 | 1 => Happens::Crash(controller),
-                2 | 3 => Happens::Cut { controller, until: long },
-                4 => Happens::StoreCut { controller, until: long },
-                5 => {
-                    Happens::Outage { until: Ms(1000 + at + self.rng.random_range(1_000..20_000)) }
-                }
-                _ => Happens::Die(MachineId::new(format!(
+                0 | 1 => SimulationEvent::Crash(controller),
+                2 | 3 => SimulationEvent::Cut { controller, until: long },
+                4 => SimulationEvent::StoreCut { controller, until: long },
+                5 => SimulationEvent::Outage {
+                    until: Ms(1000 + at + self.rng.random_range(1_000..20_000)),
+                },
+                _ => SimulationEvent::Die(MachineId::new(format!(
                     "vm-{:06}",
                     self.rng.random_range(0..self.size.machines)
                 ))),
@@ -127,7 +127,7 @@
         if self.rng.random_bool(0.3) {
             let at = self.rng.random_range(30_000..100_000);
             for controller in 0..self.controllers.len() {
-                self.at(at, Happens::Crash(controller));
+                self.at(at, SimulationEvent::Crash(controller));
             }
         }
     }
@@ -136,9 +136,9 @@
     pub fn crash(&mut self, controller: usize, back_ms: u64) {
         if self.controllers[controller].take().is_some() {
             // What had come for it while it stood still is lost with it.
-            self.troubles.frozen.remove(&controller);
+            self.faults.frozen.remove(&controller);
             self.lives[controller] += 1;
-            self.at(back_ms, Happens::Restart(controller));
+            self.at(back_ms, SimulationEvent::Restart(controller));
         }
     }
 
@@ -152,10 +152,10 @@
 
     /// Puts off some of what the controller has sent and is still on its way.
     fn put_off(&mut self, controller: usize, most_ms: u64) {
-        let of_it = |event: &Happens| match event {
-            Happens::StoreRequest { controller: n, .. }
-            | Happens::CloudRequest { controller: n, .. }
-            | Happens::Orders { controller: n, .. } => *n == controller,
+        let of_it = |event: &SimulationEvent| match event {
+            SimulationEvent::StoreRequest { controller: n, .. }
+            | SimulationEvent::CloudRequest { controller: n, .. }
+            | SimulationEvent::Orders { controller: n, .. } => *n == controller,
             _ => false,
         };
         let sent = self.events.iter().filter(|e| of_it(e.1)).map(|e| *e.0);
@@ -171,43 +171,43 @@
     /// The controller loses the state service and the other controllers, but not its workers and
     /// not its users. Its calls are refused, or held until the end.
     pub fn set_apart(&mut self, controller: usize, until: Ms, held: bool) {
-        self.troubles.apart.insert(controller, (until, held));
+        self.faults.apart.insert(controller, (until, held));
     }
 
     /// Nothing that is told the machine reaches it; its reports arrive.
     pub fn deafen(&mut self, machine: &MachineId, until: Ms) {
-        self.troubles.deaf.insert(machine.clone(), until);
+        self.faults.partitioned.insert(machine.clone(), until);
     }
 
     /// The same of a zone's machines, or of those of a type.
     pub fn deafen_zone(&mut self, zone: ZoneId, kind: Option<TypeId>, until: Ms) {
-        self.troubles.deaf_zones.push((zone, kind, until));
+        self.faults.partitioned_zones.push((zone, kind, until));
     }
 
     /// Until then a share of all reports comes once more, so many milliseconds later: to any
     /// controller and whatever became of the machine. The answer goes nowhere.
     pub fn copies(&mut self, share: f64, late_ms: (u64, u64), until: Ms) {
-        self.troubles.copies = Some(Copies { share, late_ms, until });
+        self.faults.copies = Some(Copies { share, late_ms, until });
     }
 
-    pub(super) fn copy_perhaps(&mut self, report: &Report) {
-        let Some(copies) = &self.troubles.copies else { return };
+    pub(super) fn copy_perhaps(&mut self, report: &Heartbeat) {
+        let Some(copies) = &self.faults.copies else { return };
         if copies.until <= self.now || !self.rng.random_bool(copies.share) {
             return;
         }
         let late = self.rng.random_range(copies.late_ms.0..copies.late_ms.1);
         let controller = self.rng.random_range(0..self.controllers.len());
-        self.at(late, Happens::Copy(controller, Box::new(report.clone())));
+        self.at(late, SimulationEvent::Copy(controller, Box::new(report.clone())));
     }
 
-    pub(super) fn copy_arrives(&mut self, controller: usize, report: Report) {
+    pub(super) fn copy_arrives(&mut self, controller: usize, report: Heartbeat) {
         if self.controllers[controller].is_none() {
             return;
         }
-        self.troubles.copied += 1;
+        self.faults.copied += 1;
         self.next_rid += 1;
         let rid = self.next_rid;
-        self.give(controller, Event::Report { rid, report: report.into_raw() });
+        self.give(controller, Event::Heartbeat { rid, report: report.into_raw() });
     }
 
     /// The machine stands still for a moment; its connection is gone, its session goes on.
@@ -237,26 +237,27 @@
 
     /// The machine is gone, and what is rented in its place is up within a second.
     pub fn replaced(&mut self, machine: &MachineId) {
-        self.troubles.quick_boots = self.now.plus(60_000);
-        self.happen(Happens::Die(machine.clone()));
+        self.faults.quick_boots = self.now.plus(60_000);
+        self.handle_event(SimulationEvent::Die(machine.clone()));
     }
 
     pub(super) fn boot_ms(&mut self) -> u64 {
-        match self.troubles.quick_boots > self.now {
+        match self.faults.quick_boots > self.now {
             true => self.rng.random_range(200..900),
             false => (self.size.boot_s * 1000.0) as u64,
         }
     }
 
     /// When all troubles that are known of are over.
-    pub fn troubles_over(&self) -> Ms {
-        let t = &self.troubles;
+    pub fn faults_over(&self) -> Ms {
+        let t = &self.faults;
         let cuts = t.cuts.values().map(|c| c.0).chain(t.apart.values().map(|a| a.0));
-        let deaf = t.deaf.values().copied().chain(t.deaf_zones.iter().map(|d| d.2));
+        let partitioned =
+            t.partitioned.values().copied().chain(t.partitioned_zones.iter().map(|d| d.2));
         let frozen = t.frozen.values().map(|f| f.0).chain(self.hung.values().copied());
         let copies = t.copies.iter().map(|c| c.until.plus(c.late_ms.1));
         let stores = self.cut.iter().chain(&self.store_cut).copied();
-        let all = cuts.chain(deaf).chain(frozen).chain(copies).chain(stores);
+        let all = cuts.chain(partitioned).chain(frozen).chain(copies).chain(stores);
         all.chain([self.outage, t.drawn_until, self.meetings.over]).max().unwrap_or_default()
     }
 }
--- a/crates/cleatfold-testbed/src/world/weights.rs
+++ b/crates/cleatfold-testbed/src/world/images.rs
@@ -1,14 +1,14 @@
 //! Large images on the machines, and what watches the seats at their origin.
 
 use super::*;
-use cleatfold_fakes::weights::Net;
+use cleatfold_fakes::images::Net;
 use cleatfold_image_distribution::{OriginRecord, Settings};
 
 const STEP_MS: u64 = 100;
 
 /// What the region's origin and machines can do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weights {
+pub struct ImageSettings {
     pub origin_gb_per_s: f64,
     pub fetch_gb_per_s: f64,
     pub cache_gb: f64,
@@ -17,8 +17,8 @@
     pub hear: usize,
 }
 
-impl Weights {
-    pub const SMALL: Weights = Weights {
+impl ImageSettings {
+    pub const SMALL: ImageSettings = ImageSettings {
         origin_gb_per_s: 2.0,
         fetch_gb_per_s: 1.0,
         cache_gb: 50.0,
@@ -38,10 +38,10 @@
 
 impl World {
     pub(super) fn has_images(&mut self, worker: &mut Worker) {
-        let (Some(weights), Some(net)) = (self.size.weights, &mut self.net) else { return };
-        worker.images.min_gb = weights.settings().min_gb;
-        worker.images.hears = self.booted * 37 % 100 < weights.hear;
-        let (rate, cache) = (weights.fetch_gb_per_s, weights.cache_gb);
+        let (Some(images), Some(net)) = (self.size.images, &mut self.net) else { return };
+        worker.images.min_gb = images.settings().min_gb;
+        worker.images.supports_peer_fetch = self.booted * 37 % 100 < images.hear;
+        let (rate, cache) = (images.fetch_gb_per_s, images.cache_gb);
         net.add(worker.id.clone(), worker.zone.clone(), rate, cache);
     }
 
@@ -59,7 +59,7 @@
                 come.push(id.clone());
             }
         }
-        self.watch_seats();
+        self.watch_slots();
         for id in come {
             self.wake(&id);
         }
@@ -71,10 +71,10 @@
     }
 
     /// The sum of the seats stays within the bound, and whoever fetches has one.
-    fn watch_seats(&mut self) {
-        let (Some(net), Some(weights)) = (&self.net, self.size.weights) else { return };
+    fn watch_slots(&mut self) {
+        let (Some(net), Some(images)) = (&self.net, self.size.images) else { return };
         let record = self.origin_record();
-        let bound = weights.settings().bound();
+        let bound = images.settings().bound();
         if record.used() > bound {
             self.broken.push(format!("{:?} seats {} of {bound}", self.now, record.used()));
         }
--- a/crates/cleatfold-testbed/src/world/late.rs
+++ b/crates/cleatfold-testbed/src/world/late.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
     Enlist,
-    TakeDuty,
-    GiveDuty,
-    Deal,
+    AcquireRole,
+    ReleaseRole,
+    PoolAssignment,
     Submit,
     /// Claims, ends and cancellations in a job's own record.
     Record,
@@ -23,20 +23,20 @@
     Workspace,
     History,
     LossLog,
-    Rents,
-    Rooms,
-    Seats,
+    ScaleOutIntents,
+    Preemptions,
+    Slots,
     Holders,
-    Allotment,
+    OverloadQuota,
     CleanUp,
 }
 
 impl Purpose {
     pub const ALL: [Purpose; 19] = [
         Purpose::Enlist,
-        Purpose::TakeDuty,
-        Purpose::GiveDuty,
-        Purpose::Deal,
+        Purpose::AcquireRole,
+        Purpose::ReleaseRole,
+        Purpose::PoolAssignment,
         Purpose::Submit,
         Purpose::Record,
         Purpose::Part,
@@ -46,11 +46,11 @@
         Purpose::Workspace,
         Purpose::History,
         Purpose::LossLog,
-        Purpose::Rents,
-        Purpose::Rooms,
-        Purpose::Seats,
+        Purpose::ScaleOutIntents,
+        Purpose::Preemptions,
+        Purpose::Slots,
         Purpose::Holders,
-        Purpose::Allotment,
+        Purpose::OverloadQuota,
         Purpose::CleanUp,
     ];
 
@@ -67,18 +67,18 @@
                 Key::Job(_) => Purpose::Record,
                 Key::Part(..) => Purpose::Part,
                 Key::Progress(..) => Purpose::Steps,
-                Key::Pool(_) => Purpose::Deal,
+                Key::Pool(_) => Purpose::PoolAssignment,
                 Key::Controller(_) => Purpose::Enlist,
                 Key::Slice(_) => Purpose::Slice,
                 Key::LossHead(_) => Purpose::LossLog,
                 Key::Workspace(_) => Purpose::Workspace,
                 Key::History(_) => Purpose::History,
-                Key::Made(_) => Purpose::Rooms,
-                Key::Weights(_) => Purpose::Holders,
-                Key::Duty(_) => Purpose::TakeDuty,
-                Key::Rents => Purpose::Rents,
-                Key::Allotment => Purpose::Allotment,
-                Key::Origin => Purpose::Seats,
+                Key::Preemption(_) => Purpose::Preemptions,
+                Key::ImageHolders(_) => Purpose::Holders,
+                Key::Role(_) => Purpose::AcquireRole,
+                Key::ScaleOutIntents => Purpose::ScaleOutIntents,
+                Key::OverloadQuota => Purpose::OverloadQuota,
+                Key::Origin => Purpose::Slots,
             })
         };
         // A transaction of a job that writes steps or parts may write its record as well.
@@ -88,8 +88,8 @@
         }
         let mut removed = txn.changes.iter().filter_map(|c| c.delete.as_deref());
         removed.find_map(|key| match records::parse_key(key)? {
-            Key::Duty(_) => Some(Purpose::GiveDuty),
-            Key::Weights(_) => Some(Purpose::Holders),
+            Key::Role(_) => Some(Purpose::ReleaseRole),
+            Key::ImageHolders(_) => Some(Purpose::Holders),
             Key::Part(..) | Key::Progress(..) => Some(Purpose::CleanUp),
             _ => None,
         })
@@ -253,9 +253,9 @@
                 | Key::LossHead(_)
                 | Key::Workspace(_)
                 | Key::History(_)
-                | Key::Made(_)
-                | Key::Rents
-                | Key::Allotment
+                | Key::Preemption(_)
+                | Key::ScaleOutIntents
+                | Key::OverloadQuota
                 | Key::Origin,
             ) if !put => self.wrong.push(format!("{key} removed")),
             _ => {}
--- a/crates/cleatfold-testbed/src/world/leaders.rs
+++ b/crates/cleatfold-testbed/src/world/leaders.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use cleatfold_control::records::HolderRecord;
-use cleatfold_roles::Duty;
+use cleatfold_roles::Role;
 
 /// A leader ends at most so often in one trouble.
 const MOST_ENDS: u32 = 10;
@@ -11,7 +11,7 @@
 /// A leader that ended is back after so long.
 const BACK_MS: std::ops::Range<u64> = 50..6_000;
 /// Where nobody leads, it is looked again so much later.
-const LOOK_AGAIN_MS: u64 = 50;
+const QUERY_INTERVAL_MS: u64 = 50;
 
 #[derive(Default)]
 pub struct Leaders {
@@ -29,7 +29,7 @@
 impl World {
     /// Who deals pools, and since which epoch, as the state service has it.
     pub fn leader(&self) -> Option<(usize, Version)> {
-        let item = self.store.get(Duty::Deal.key())?;
+        let item = self.store.get(Role::PoolAssignment.key())?;
         let holder: HolderRecord = serde_json::from_str(item.value.get()).ok()?;
         let controller = (0..self.controllers.len()).find(|i| controller_id(*i) == holder.owner)?;
         Some((controller, item.version))
@@ -54,14 +54,14 @@
         }
         let there = |(controller, _): &(usize, Version)| self.controllers[*controller].is_some();
         let Some((leader, epoch)) = self.leader().filter(there) else {
-            return self.at(LOOK_AGAIN_MS, Happens::LeaderEnds { left, until });
+            return self.at(QUERY_INTERVAL_MS, SimulationEvent::LeaderEnds { left, until });
         };
         self.leaders.epochs.insert(epoch, leader);
         self.leaders.ended.push(self.now);
         let back_ms = self.rng.random_range(BACK_MS);
         self.crash(leader, back_ms);
         let next_ms = self.rng.random_range(BETWEEN_ENDS_MS);
-        self.at(next_ms, Happens::LeaderEnds { left: left - 1, until });
+        self.at(next_ms, SimulationEvent::LeaderEnds { left: left - 1, until });
     }
 
     /// All controllers end now. The first is back after `away_ms`, each other one `apart_ms` after the one before.
@@ -83,7 +83,7 @@
     pub(super) fn stays_away(&mut self, controller: usize) -> bool {
         let back = self.leaders.away.get(&controller).copied().unwrap_or_default();
         if back > self.now {
-            self.at(back.since(self.now), Happens::Restart(controller));
+            self.at(back.since(self.now), SimulationEvent::Restart(controller));
             return true;
         }
         if let Some(since) = self.leaders.none_since.take() {
@@ -94,8 +94,8 @@
     }
 
     /// One of these troubles, drawn in all that is left open.
-    pub(super) fn leader_trouble(&mut self, kind: Trouble, until: Ms) {
-        if kind == Trouble::TenLeaders {
+    pub(super) fn leader_trouble(&mut self, kind: Fault, until: Ms) {
+        if kind == Fault::TenLeaders {
             return self.ten_leaders(until);
         }
         let away_ms = self.size.lease_ms + self.rng.random_range(500..15_000);
--- a/crates/cleatfold-testbed/src/world/insistent.rs
+++ b/crates/cleatfold-testbed/src/world/load_generator.rs
@@ -8,7 +8,7 @@
 const OPEN: usize = 24;
 
 #[derive(Default)]
-pub struct Insistent {
+pub struct LoadGenerator {
     until: Ms,
     mine: BTreeSet<JobId>,
     /// Cancellations that were asked for.
@@ -19,8 +19,8 @@
     /// Until then and while troubles last, users submit jobs of all lengths, cancel some that run and
     /// repeat that until they are told.
     pub fn keep_busy(&mut self, until: Ms) {
-        self.insistent.until = until;
-        self.at(3_000, Happens::Insists);
+        self.load_generator.until = until;
+        self.at(3_000, SimulationEvent::GenerateLoad);
     }
 
     /// A controller that users come to: mostly one that is ready, at times one that a connection
@@ -29,7 +29,7 @@
         let there = |i: &usize| self.cut[*i] <= self.now && self.controllers[*i].is_some();
         let all: Vec<usize> = (0..self.controllers.len()).filter(there).collect();
         let ready = |i: &usize| {
-            !self.troubles.stands_still(*i, self.now)
+            !self.faults.stands_still(*i, self.now)
                 && self.controllers[*i].as_ref().is_some_and(Controller::is_ready)
         };
         let ready: Vec<usize> = all.iter().copied().filter(ready).collect();
@@ -37,18 +37,18 @@
         (!of.is_empty()).then(|| of[self.rng.random_range(0..of.len())])
     }
 
-    pub(super) fn insists(&mut self) {
+    pub(super) fn generate_load(&mut self) {
         let open: Vec<JobId> =
-            self.insistent.mine.iter().filter(|id| !self.is_told(id)).cloned().collect();
-        let goes_on = self.now < self.insistent.until.max(self.troubles_over().plus(AFTER_MS));
+            self.load_generator.mine.iter().filter(|id| !self.is_answered(id)).cloned().collect();
+        let goes_on = self.now < self.load_generator.until.max(self.faults_over().plus(AFTER_MS));
         if !goes_on && open.is_empty() {
             return;
         }
         let pause = self.rng.random_range(400..1_200);
-        self.at(pause, Happens::Insists);
+        self.at(pause, SimulationEvent::GenerateLoad);
         if goes_on && open.len() < OPEN && self.rng.random_bool(0.7) {
             let spec = self.longer_job();
-            self.insistent.mine.insert(spec.id.clone());
+            self.load_generator.mine.insert(spec.id.clone());
             if let Some(controller) = self.users_node() {
                 self.submit(controller, spec);
             }
@@ -75,30 +75,30 @@
 
     /// Every job has ended, its user has been told, and the last cancellation is so long ago.
     pub fn is_settled(&self, ms: u64) -> bool {
-        let ended = |id: &JobId| !self.jobs[id].accepted || self.is_told(id);
-        let last = self.jobs.values().filter_map(|w| w.cancel_told).max().unwrap_or_default();
+        let ended = |id: &JobId| !self.jobs[id].accepted || self.is_answered(id);
+        let last = self.jobs.values().filter_map(|w| w.cancel_confirmed).max().unwrap_or_default();
         self.now.since(last) > ms && self.jobs.keys().all(ended) && self.unfinished().is_empty()
     }
 
-    fn is_told(&self, id: &JobId) -> bool {
-        self.jobs.get(id).is_none_or(|w| w.told.is_some_and(JobState::is_final))
+    fn is_answered(&self, id: &JobId) -> bool {
+        self.jobs.get(id).is_none_or(|w| w.answered_state.is_some_and(JobState::is_final))
     }
 
     /// Cancels a job that runs.
     fn cancels_one(&mut self) {
         let runs = |id: &&JobId| {
             let open = |w: &JobWatch| {
-                w.accepted && !w.cancel_asked && w.told.is_none_or(|t| !t.is_final())
+                w.accepted && !w.cancel_asked && w.answered_state.is_none_or(|t| !t.is_final())
             };
             self.running.keys().any(|t| t.job == **id) && self.jobs.get(*id).is_some_and(open)
         };
-        let of: Vec<JobId> = self.insistent.mine.iter().filter(runs).cloned().collect();
+        let of: Vec<JobId> = self.load_generator.mine.iter().filter(runs).cloned().collect();
         if of.is_empty() {
             return;
         }
         let id = of[self.rng.random_range(0..of.len())].clone();
         let Some(controller) = self.users_node() else { return };
-        self.insistent.asked += 1;
+        self.load_generator.asked += 1;
         if let Some(watch) = self.jobs.get_mut(&id) {
             watch.cancel_asked = true;
         }
--- a/crates/cleatfold-testbed/src/world/meetings.rs
+++ b/crates/cleatfold-testbed/src/world/meetings.rs
@@ -1,4 +1,4 @@
-//! Troubles that last over several moments of their own: what is carried out late, what is held
+//! FaultState that last over several moments of their own: what is carried out late, what is held
 //! up, and controllers that end more than once.
 
 use super::*;
@@ -82,7 +82,7 @@
     pub fn refused_then_outage(&mut self, controller: usize, gap_ms: u64, outage_ms: u64) {
         let (begins, until) = (self.now.plus(gap_ms), self.now.plus(gap_ms + outage_ms));
         self.store_cut[controller] = self.store_cut[controller].max(begins);
-        self.at(gap_ms, Happens::Outage { until });
+        self.at(gap_ms, SimulationEvent::Outage { until });
         self.over_at(until);
     }
 
@@ -99,16 +99,18 @@
     }
 
     /// Holds orders to a machine up; true if they are.
-    pub(super) fn orders_held(&mut self, event: &Happens) -> bool {
-        let Happens::Orders { controller, life, machine, orders, .. } = event else { return false };
+    pub(super) fn orders_held(&mut self, event: &SimulationEvent) -> bool {
+        let SimulationEvent::Orders { controller, life, machine, orders, .. } = event else {
+            return false;
+        };
         let Some(until) = self.meetings.held_until(machine, self.now) else { return false };
         let (controller, life, machine, orders) =
             (*controller, *life, machine.clone(), orders.clone());
         self.meetings.held_orders += 1;
         let told = Box::new(Event::Ordered { machine: machine.clone(), report: None });
-        self.at(ORDER_MS, Happens::Controller(controller, life, told));
+        self.at(ORDER_MS, SimulationEvent::Controller(controller, life, told));
         let ms = until.since(self.now) + 1;
-        self.at(ms, Happens::Orders { controller, life, machine, orders, answered: false });
+        self.at(ms, SimulationEvent::Orders { controller, life, machine, orders, answered: false });
         true
     }
 
@@ -122,7 +124,7 @@
         self.crash(controller, back_ms);
         let until = self.now.plus(25_000);
         self.over_at(until.plus(6_000));
-        self.at(back_ms + 50, Happens::OnceMoved { controller, tokens, until });
+        self.at(back_ms + 50, SimulationEvent::OnceMoved { controller, tokens, until });
     }
 
     pub(super) fn once_moved(
@@ -138,7 +140,7 @@
             let back_ms = self.rng.random_range(100..6_000);
             return self.crash(controller, back_ms);
         }
-        self.at(100, Happens::OnceMoved { controller, tokens, until });
+        self.at(100, SimulationEvent::OnceMoved { controller, tokens, until });
     }
 
     /// All controllers end within a second; one is back at once, the others much later.
@@ -150,7 +152,7 @@
                 true => self.rng.random_range(50..400),
                 false => self.rng.random_range(10_000..30_000),
             };
-            self.at(at, Happens::Ends { controller, back_ms });
+            self.at(at, SimulationEvent::Ends { controller, back_ms });
             self.over_at(self.now.plus(at + back_ms));
         }
     }
@@ -160,24 +162,24 @@
     }
 
     /// One of these troubles, drawn in all that is left open.
-    pub(super) fn meeting(&mut self, kind: Trouble, controller: usize, until: Ms) {
+    pub(super) fn meeting(&mut self, kind: Fault, controller: usize, until: Ms) {
         let most = self.most().unwrap_or(controller);
         match kind {
-            Trouble::LateWrites => {
+            Fault::LateWrites => {
                 let share = [0.1, 0.3, 0.6][self.rng.random_range(0..3)];
                 let changes_only = self.rng.random_bool(0.5);
                 self.late_writes(share, changes_only, until);
             }
-            Trouble::Slow => {
+            Fault::Slow => {
                 let usual = self.rng.random_range(200..1_200);
                 self.slow(usual, until);
             }
-            Trouble::RefusedThenOutage => {
+            Fault::RefusedThenOutage => {
                 let gap = self.rng.random_range(1_000..20_000);
                 let outage = self.size.cancel_ms + self.rng.random_range(2_000..15_000);
                 self.refused_then_outage(most, gap, outage);
             }
-            Trouble::HeldOrders => {
+            Fault::HeldOrders => {
                 let hangs = self.rng.random_bool(0.5);
                 let shorter = self.rng.random_bool(0.5);
                 let lease_ms = self.size.lease_ms;
@@ -193,8 +195,8 @@
                     }
                 }
             }
-            Trouble::OverAndBack => self.over_and_back(most),
-            Trouble::AllButOne => self.all_but_one(),
+            Fault::OverAndBack => self.over_and_back(most),
+            Fault::AllButOne => self.all_but_one(),
             _ => {}
         }
     }
--- a/crates/cleatfold-testbed/src/world/polls.rs
+++ b/crates/cleatfold-testbed/src/world/polls.rs
@@ -32,21 +32,21 @@
         self.polls.on = true;
         for id in self.jobs.keys().cloned().collect::<Vec<_>>() {
             let first = self.rng.random_range(0..EVERY_MS);
-            self.at(first, Happens::Asks(id));
+            self.at(first, SimulationEvent::Asks(id));
         }
     }
 
     /// A question, at a controller that the load balancer holds for ready.
     pub(super) fn asks(&mut self, id: JobId) {
         let Some(watch) = self.jobs.get(&id) else { return };
-        if watch.told.is_some_and(JobState::is_final) {
+        if watch.answered_state.is_some_and(JobState::is_final) {
             return;
         }
         let pause = self.rng.random_range(EVERY_MS * 3 / 4..EVERY_MS * 5 / 4);
-        let (told, accepted) = (watch.told, watch.accepted);
-        self.at(pause, Happens::Asks(id.clone()));
+        let (told, accepted) = (watch.answered_state, watch.accepted);
+        self.at(pause, SimulationEvent::Asks(id.clone()));
         let ready = |i: &usize| {
-            let there = self.cut[*i] <= self.now && !self.troubles.stands_still(*i, self.now);
+            let there = self.cut[*i] <= self.now && !self.faults.stands_still(*i, self.now);
             there && self.controllers[*i].as_ref().is_some_and(Controller::is_ready)
         };
         let ready: Vec<usize> = (0..self.controllers.len()).filter(ready).collect();
@@ -69,10 +69,10 @@
         if !self.polls.on {
             return;
         }
-        let over = self.troubles_over();
+        let over = self.faults_over();
         for (id, watch) in &self.jobs {
             let Some(accepted) = watch.accepted_at else { continue };
-            if watch.told.is_some_and(JobState::is_final) {
+            if watch.answered_state.is_some_and(JobState::is_final) {
                 continue;
             }
             let since = accepted.max(over).max(watch.answered.unwrap_or_default());
--- a/crates/cleatfold-testbed/src/world/lanes.rs
+++ b/crates/cleatfold-testbed/src/world/priority_watch.rs
@@ -6,7 +6,7 @@
 use cleatfold_priority::{inverts, Inversions, Start, Waiting};
 
 #[derive(Default)]
-pub struct LaneWatch {
+pub struct PriorityWatch {
     /// Looking at all jobs at each start costs: only where a test asks for it.
     pub on: bool,
     pub counted: Inversions,
@@ -16,7 +16,7 @@
     /// Since when a job has had tasks without a place.
     since: BTreeMap<JobId, Ms>,
     records: BTreeMap<JobId, (records::JobRecord, u32)>,
-    looked: Ms,
+    last_checked: Ms,
     /// When each task's claim was first seen, and what ended on each machine lately.
     claimed: BTreeMap<TaskId, Ms>,
     ended: BTreeMap<MachineId, Vec<(Ms, Resources)>>,
@@ -25,13 +25,13 @@
 impl World {
     /// Notes which jobs have tasks without a place; at least as often as a worker reports.
     pub(super) fn see_waiting(&mut self) {
-        if self.lanes.on && self.now.since(self.lanes.looked) >= 100 {
-            self.look_at_waiting();
+        if self.priority_watch.on && self.now.since(self.priority_watch.last_checked) >= 100 {
+            self.check_waiting();
         }
     }
 
-    fn look_at_waiting(&mut self) {
-        self.lanes.looked = self.now;
+    fn check_waiting(&mut self) {
+        self.priority_watch.last_checked = self.now;
         let mut from: Option<String> = None;
         let mut known: BTreeMap<JobId, (records::JobRecord, u32)> = BTreeMap::new();
         loop {
@@ -67,38 +67,42 @@
                 taken += table.claims.iter().map(|g| g.tasks.len() as u32).sum::<u32>();
             }
             *unclaimed = record.spec.tasks.saturating_sub(taken);
-            self.lanes.accepted.entry(id.clone()).or_insert(self.now);
+            self.priority_watch.accepted.entry(id.clone()).or_insert(self.now);
         }
         let now = self.now;
-        let lanes = &mut self.lanes;
-        lanes.claimed.retain(|t, _| claimed.contains(t));
+        let priority_watch = &mut self.priority_watch;
+        priority_watch.claimed.retain(|t, _| claimed.contains(t));
         for task in claimed {
-            lanes.claimed.entry(task).or_insert(now);
+            priority_watch.claimed.entry(task).or_insert(now);
         }
         let waits = |id: &JobId| known.get(id).is_some_and(|k| k.1 > 0 && !k.0.aborted);
-        lanes.since.retain(|id, _| waits(id));
+        priority_watch.since.retain(|id, _| waits(id));
         for id in known.keys().filter(|id| waits(id)) {
-            lanes.since.entry(id.clone()).or_insert(now);
+            priority_watch.since.entry(id.clone()).or_insert(now);
         }
-        lanes.records = known;
+        priority_watch.records = known;
     }
 
     /// A task's place there has come free.
     pub(super) fn see_end(&mut self, task: &TaskId, machine: &MachineId) {
-        let spec = self.jobs.get(&task.job).and_then(|w| w.spec.as_ref()).filter(|_| self.lanes.on);
+        let spec = self
+            .jobs
+            .get(&task.job)
+            .and_then(|w| w.spec.as_ref())
+            .filter(|_| self.priority_watch.on);
         let Some(spec) = spec else { return };
         let each = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
-        let ended = self.lanes.ended.entry(machine.clone()).or_default();
+        let ended = self.priority_watch.ended.entry(machine.clone()).or_default();
         ended.retain(|e| self.now.since(e.0) < 10_000);
         ended.push((self.now, each));
     }
 
     /// A task is about to count as running there.
     pub(super) fn see_start(&mut self, task: &TaskId, machine: &MachineId) {
-        if !self.lanes.on {
+        if !self.priority_watch.on {
             return;
         }
-        self.lanes.begun.entry(task.job.clone()).or_insert(self.now);
+        self.priority_watch.begun.entry(task.job.clone()).or_insert(self.now);
         let (Some(worker), Some(spec)) =
             (self.workers.get(machine), self.jobs.get(&task.job).and_then(|w| w.spec.as_ref()))
         else {
@@ -118,9 +122,9 @@
         // It was decided when it was claimed: what ended so lately that no report had told of it was not
         // known to be free then.
         let each = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
-        let decided = self.lanes.claimed.get(task).copied().unwrap_or(self.now);
-        let told = Ms(decided.0.saturating_sub(self.size.report_ms * 2));
-        for (at, each) in self.lanes.ended.get(machine).into_iter().flatten() {
+        let decided = self.priority_watch.claimed.get(task).copied().unwrap_or(self.now);
+        let told = Ms(decided.0.saturating_sub(self.size.heartbeat_interval_ms * 2));
+        for (at, each) in self.priority_watch.ended.get(machine).into_iter().flatten() {
             if *at > told {
                 free -= *each;
             }
@@ -130,21 +134,23 @@
         }
         let start = Start {
             job: task.job.clone(),
-            lane: spec.urgency,
+            urgency: spec.urgency,
             machine_type: worker.machine_type.clone(),
             zone: worker.zone.clone(),
             spot: worker.spot,
             free,
         };
         let worker_zone = worker.zone.clone();
-        let (now, report_ms) = (self.now, self.size.report_ms);
+        let (now, heartbeat_interval_ms) = (self.now, self.size.heartbeat_interval_ms);
         let waits = self.waiting(&worker_zone);
-        if waits.iter().any(|w| inverts(&start, w, decided, report_ms)) && self.lanes.looked < now {
+        if waits.iter().any(|w| inverts(&start, w, decided, heartbeat_interval_ms))
+            && self.priority_watch.last_checked < now
+        {
             // It may have got its place since we last looked.
-            self.look_at_waiting();
+            self.check_waiting();
         }
         let waits = self.waiting(&worker_zone);
-        self.lanes.counted.started(&start, &waits, decided, report_ms);
+        self.priority_watch.counted.started(&start, &waits, decided, heartbeat_interval_ms);
     }
 
     /// What waits, as seen from a zone.
@@ -155,8 +161,8 @@
                 *zones.entry((&other.job, &w.zone)).or_default() += 1;
             }
         }
-        let waiting = self.lanes.since.iter().filter_map(|(id, since)| {
-            let (record, _) = self.lanes.records.get(id)?;
+        let waiting = self.priority_watch.since.iter().filter_map(|(id, since)| {
+            let (record, _) = self.priority_watch.records.get(id)?;
             let spec = &record.spec;
             let half = spec.tasks.div_ceil(2);
             let full = |z: &&ZoneId| zones.get(&(id, *z)).is_some_and(|n| *n >= half);
@@ -164,7 +170,7 @@
             let within = self.limit_of(&spec.team).is_none_or(|limit| used + spec.cpus <= limit);
             Some(Waiting {
                 job: id.clone(),
-                lane: spec.urgency,
+                urgency: spec.urgency,
                 since: *since,
                 each: record.each(),
                 types: spec.types.clone(),
--- a/crates/cleatfold-testbed/src/world/blinks.rs
+++ b/crates/cleatfold-testbed/src/world/quick_restarts.rs
@@ -14,7 +14,7 @@
     /// Taking a team's workspace.
     Keep,
     /// A pool is given to a controller by whoever deals.
-    Deal,
+    PoolAssignment,
     /// A pool is taken by the controller that its workers come to.
     TakeOver,
     Claim,
@@ -23,7 +23,7 @@
     /// A part of a team's limit.
     Slice,
     /// A rental is noted.
-    Rent,
+    ScaleOut,
     /// The cloud is asked for it.
     RentCall,
 }
@@ -79,12 +79,12 @@
 const OTHERS_BACK_MS: u64 = 12_000;
 
 #[derive(Default)]
-pub struct Blinks {
+pub struct QuickRestarts {
     pub plan: Option<Blink>,
     /// Steps of each kind so far.
     pub seen: BTreeMap<Step, u32>,
     /// When it befell, and whom.
-    pub befell: Option<(Ms, String)>,
+    pub applied_faults: Option<(Ms, String)>,
 }
 
 impl World {
@@ -103,18 +103,18 @@
             let (Some(key), Some(value)) = (&change.put, &change.value) else { continue };
             let step = match records::parse_key(key) {
                 Some(Key::Controller(_)) => (Step::Enlist, None, None),
-                Some(Key::Duty(_)) => (Step::Elect, None, None),
+                Some(Key::Role(_)) => (Step::Elect, None, None),
                 Some(Key::Workspace(_)) => (Step::Keep, None, None),
                 Some(Key::Slice(_)) => (Step::Slice, None, None),
-                Some(Key::Rents) => (Step::Rent, None, None),
+                Some(Key::ScaleOutIntents) => (Step::ScaleOut, None, None),
                 Some(Key::Pool(pool)) => {
                     let owner = serde_json::from_str::<HolderRecord>(value.get()).ok()?.owner;
-                    let leader = self.store.get(cleatfold_roles::Duty::Deal.key());
+                    let leader = self.store.get(cleatfold_roles::Role::PoolAssignment.key());
                     let leader = leader.and_then(|i| {
                         serde_json::from_str::<HolderRecord>(i.value.get()).ok().map(|h| h.owner)
                     });
                     let takes = owner == controller_id(controller) && leader != Some(owner.clone());
-                    let step = if takes { Step::TakeOver } else { Step::Deal };
+                    let step = if takes { Step::TakeOver } else { Step::PoolAssignment };
                     (step, Some(pool), None)
                 }
                 Some(Key::Job(_)) => {
@@ -144,7 +144,7 @@
 
     /// Whether a blink is due at this request: before it, or after.
     pub(super) fn blink_due(&mut self, controller: usize, request: &StoreRequest) -> Option<Due> {
-        self.blinks.plan?;
+        self.quick_restarts.plan?;
         let StoreRequest::Txn(txn) = request else { return None };
         let (step, pool, machine) = self.step_of(controller, txn)?;
         self.due(controller, step, pool, machine)
@@ -155,8 +155,8 @@
         controller: usize,
         request: &CloudRequest,
     ) -> Option<Due> {
-        self.blinks.plan?;
-        let CloudRequest::Rent(rent) = request else { return None };
+        self.quick_restarts.plan?;
+        let CloudRequest::ScaleOut(rent) = request else { return None };
         let pool = PoolId { machine_type: rent.machine_type.clone(), zone: rent.zone.clone() };
         self.due(controller, Step::RentCall, Some(pool), None)
     }
@@ -168,13 +168,13 @@
         pool: Option<PoolId>,
         machine: Option<MachineId>,
     ) -> Option<Due> {
-        let seen = self.blinks.seen.entry(step).or_default();
+        let seen = self.quick_restarts.seen.entry(step).or_default();
         *seen += 1;
-        let plan = self.blinks.plan.filter(|p| p.step == step && p.nth == *seen)?;
+        let plan = self.quick_restarts.plan.filter(|p| p.step == step && p.nth == *seen)?;
         Some(Due { plan, controller, pool, machine })
     }
 
-    pub(super) fn blinks_now(&mut self, due: &Due) {
+    pub(super) fn quick_restart_now(&mut self, due: &Due) {
         let n = self.controllers.len();
         let whom = match due.plan.who {
             Who::Controller(offset) => {
@@ -201,7 +201,7 @@
                 machine.to_string()
             }
         };
-        self.blinks.befell = Some((self.now, whom));
+        self.quick_restarts.applied_faults = Some((self.now, whom));
     }
 
     /// All controllers end; one is back after so long, the others after longer.
@@ -210,13 +210,13 @@
             self.crash(i, others_back_ms);
         }
         self.crash(one, back_ms);
-        self.at(back_ms, Happens::Restart(one));
+        self.at(back_ms, SimulationEvent::Restart(one));
     }
 
     fn blink_at_once(&mut self, i: usize) {
         match self.controllers[i] {
             Some(_) => self.crash(i, BACK_MS),
-            None => self.happen(Happens::Restart(i)),
+            None => self.handle_event(SimulationEvent::Restart(i)),
         }
     }
 
--- a/crates/cleatfold-testbed/src/world/services.rs
+++ b/crates/cleatfold-testbed/src/world/services.rs
@@ -1,7 +1,7 @@
 //! The state service and the cloud of the region.
 
 use super::*;
-use cleatfold_wire::cloud::RentRequest;
+use cleatfold_wire::cloud::ScaleOutRequest;
 
 impl World {
     pub(super) fn execute(&mut self, request: StoreRequest) -> StoreReply {
@@ -72,9 +72,9 @@
             CloudRequest::List { .. } => {
                 CloudReply::List { machines: self.cloud.list(self.now), more: false }
             }
-            CloudRequest::Rent(request) => {
+            CloudRequest::ScaleOut(request) => {
                 // The same request may be sent again, but its name must never mean another one.
-                let reused = |a: &&(Ms, RentRequest, usize)| {
+                let reused = |a: &&(Ms, ScaleOutRequest, usize)| {
                     a.1.request == request.request && a.1 != request
                 };
                 if let Some(before) = self.cloud.asked.iter().find(reused) {
@@ -87,14 +87,14 @@
             CloudRequest::Delete(ids) => {
                 self.cloud.delete(&ids);
                 for id in ids {
-                    self.happen(Happens::Die(id));
+                    self.handle_event(SimulationEvent::Die(id));
                 }
                 CloudReply::Deleted
             }
         }
     }
 
-    fn rented(&mut self, request: RentRequest) -> CloudReply {
+    fn rented(&mut self, request: ScaleOutRequest) -> CloudReply {
         match self.cloud.rent(self.now, &request) {
             None => CloudReply::NoCapacity,
             Some(names) => {
--- a/crates/cleatfold-testbed/src/world/size.rs
+++ b/crates/cleatfold-testbed/src/world/size.rs
@@ -19,7 +19,7 @@
     pub changes_per_s: f64,
     /// Of each team that has a limit.
     pub limit_cpus: f64,
-    pub report_ms: u64,
+    pub heartbeat_interval_ms: u64,
     /// The workers' lease, and how long a cancellation may take.
     pub lease_ms: u64,
     pub cancel_ms: u64,
@@ -31,7 +31,7 @@
     /// Whether anything is done about overload that lasts.
     pub admission: bool,
     /// Large images: what their origin gives, and machines. None: no weights block.
-    pub weights: Option<Weights>,
+    pub images: Option<ImageSettings>,
     /// How long machines take to boot, in seconds.
     pub boot_s: f64,
 }
@@ -44,14 +44,14 @@
         machines: 9,
         changes_per_s: 60.0,
         limit_cpus: 24.0,
-        report_ms: 1000,
+        heartbeat_interval_ms: 1000,
         lease_ms: LEASE_MS,
         cancel_ms: CANCEL_MS,
         tasks: (1, 12),
         pause_ms: 900,
         most_jobs: 60,
         admission: true,
-        weights: None,
+        images: None,
         boot_s: 5.0,
     };
     /// What a region with fast boots takes to boot a machine, in seconds.
@@ -71,7 +71,7 @@
         machines: 240,
         changes_per_s: 15.0,
         limit_cpus: 200.0,
-        report_ms: 3000,
+        heartbeat_interval_ms: 3000,
         tasks: (10, 60),
         ..Size::SMALL
     };
@@ -80,7 +80,7 @@
 /// Times that the controllers and workers of a region go by.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
-    pub report_ms: u64,
+    pub heartbeat_interval_ms: u64,
     pub controller_lease_ms: u64,
     pub lease_ms: u64,
     pub cancel_ms: u64,
@@ -93,8 +93,9 @@
     }
 
     pub fn times(&self) -> Times {
-        let Config { report_ms, controller_lease_ms, lease_ms, cancel_ms, .. } = config(0, *self);
-        Times { report_ms, controller_lease_ms, lease_ms, cancel_ms }
+        let Config { heartbeat_interval_ms, controller_lease_ms, lease_ms, cancel_ms, .. } =
+            config(0, *self);
+        Times { heartbeat_interval_ms, controller_lease_ms, lease_ms, cancel_ms }
     }
 }
 
@@ -119,7 +120,7 @@
             .map(|j| (controller_id(j), zone(j)))
             .collect(),
         teams: (0..size.teams).map(team).collect(),
-        report_ms: size.report_ms,
+        heartbeat_interval_ms: size.heartbeat_interval_ms,
         lease_ms: size.lease_ms,
         cancel_ms: size.cancel_ms,
         txn_ops: 16,
@@ -137,7 +138,7 @@
         admission: size.admission.then(Default::default),
         guarantee_wait_s: Some(5.0),
         history: Default::default(),
-        weights: size.weights.map(|w| w.settings()),
+        image_distribution: size.images.map(|w| w.settings()),
     }
 }
 
@@ -157,8 +158,8 @@
         cpus: 8.0,
         gpus: 0.0,
         memory_gb: 32.0,
-        cache_gb: size.weights.map_or(50.0, |w| w.cache_gb),
-        fetch_gb_per_s: size.weights.map_or(1.0, |w| w.fetch_gb_per_s),
+        cache_gb: size.images.map_or(50.0, |w| w.cache_gb),
+        fetch_gb_per_s: size.images.map_or(1.0, |w| w.fetch_gb_per_s),
         price: 1.0,
         spot_price: 0.4,
         boot_s: size.boot_s,
--- a/crates/cleatfold-testbed/src/world/small_jobs.rs
+++ b/crates/cleatfold-testbed/src/world/small_jobs.rs
@@ -42,7 +42,7 @@
         self.small.until = self.small.until.max(until);
         self.over_at(until);
         if !already {
-            self.at(EVERY_MS, Happens::SmallJobs);
+            self.at(EVERY_MS, SimulationEvent::SmallJobs);
         }
     }
 
@@ -51,7 +51,7 @@
         if !goes_on && self.small.open.is_empty() {
             return;
         }
-        self.at(EVERY_MS, Happens::SmallJobs);
+        self.at(EVERY_MS, SimulationEvent::SmallJobs);
         if goes_on {
             self.submit_small_job();
         }
@@ -94,7 +94,7 @@
             };
         };
         let due = job.cancel_after_ms.is_some_and(|ms| self.now.since(accepted_at) >= ms);
-        match watch.told.is_some_and(JobState::is_final) {
+        match watch.answered_state.is_some_and(JobState::is_final) {
             true => Next::Leaves,
             false if due && (again || !watch.cancel_asked) => Next::Cancels,
             false => Next::Waits,
--- a/crates/cleatfold-testbed/src/world/starvation.rs
+++ b/crates/cleatfold-testbed/src/world/starvation.rs
@@ -10,7 +10,7 @@
 /// A job may wait so long beside a machine that it fits.
 const STARVED_MS: u64 = 90_000;
 /// The watcher looks this often.
-const LOOK_MS: u64 = 1_000;
+const CHECK_INTERVAL_MS: u64 = 1_000;
 /// Room counts once it was free at so many looks in a row.
 const FREE_LOOKS: usize = 10;
 /// A place under a team's limit is on its way back for so long after its task has ended: until that is reported,
@@ -23,9 +23,9 @@
 
 #[derive(Default)]
 pub struct Starvation {
-    looked: Ms,
+    last_checked: Ms,
     /// The last looks, the newest last.
-    looks: VecDeque<Look>,
+    looks: VecDeque<Inspection>,
     /// When tasks of limited teams ended, and the processors they had.
     freed: VecDeque<(Ms, TeamId, f64)>,
     /// Since when each job has waited beside a machine that it fits.
@@ -37,7 +37,7 @@
 }
 
 /// What was free at one moment.
-struct Look {
+struct Inspection {
     /// Processors and memory that each machine that takes work had left.
     machines: BTreeMap<MachineId, (f64, f64)>,
     /// Processors under each team's limit that tasks used, or that were on their way back.
@@ -77,22 +77,22 @@
     /// Once all troubles are over, no job waits for 90 s while a machine that fits has room and its team is under
     /// its limit.
     pub(super) fn watch_starvation(&mut self) {
-        if self.now.since(self.starvation.looked) < LOOK_MS {
+        if self.now.since(self.starvation.last_checked) < CHECK_INTERVAL_MS {
             return;
         }
-        self.starvation.looked = self.now;
-        if self.now <= self.all_troubles_over() || self.changes_are_used_up() {
+        self.starvation.last_checked = self.now;
+        if self.now <= self.all_faults_over() || self.changes_are_used_up() {
             self.starvation.since.clear();
             self.starvation.looks.clear();
             return;
         }
-        let look = Look { machines: self.room_on_machines(), in_use: self.limits_in_use() };
+        let look = Inspection { machines: self.free_on_machines(), in_use: self.limits_in_use() };
         self.starvation.looks.push_back(look);
         if self.starvation.looks.len() <= FREE_LOOKS {
             return;
         }
         self.starvation.looks.pop_front();
-        let waiting = self.jobs_beside_room();
+        let waiting = self.jobs_beside_free_machines();
         self.starvation.since.retain(|job, _| waiting.contains_key(job));
         for (job, machine) in waiting {
             let since = *self.starvation.since.entry(job.clone()).or_insert(self.now);
@@ -114,17 +114,19 @@
     }
 
     /// Also what tests alone bring about: writes, commits and orders that are late, machines that are cut off.
-    fn all_troubles_over(&self) -> Ms {
-        let moments = &self.moments;
-        let commits = moments.late_commits.values().map(|(late_ms, until)| until.plus(*late_ms));
-        let orders = moments.late_orders.iter().map(|(late_ms, until, _)| until.plus(*late_ms));
-        let machines = moments.cut_machines.values().copied();
-        let writes = [self.late.over(), self.troubles_over()];
+    fn all_faults_over(&self) -> Ms {
+        let fault_schedule = &self.fault_schedule;
+        let commits =
+            fault_schedule.late_commits.values().map(|(late_ms, until)| until.plus(*late_ms));
+        let orders =
+            fault_schedule.late_orders.iter().map(|(late_ms, until, _)| until.plus(*late_ms));
+        let machines = fault_schedule.cut_machines.values().copied();
+        let writes = [self.late.over(), self.faults_over()];
         commits.chain(orders).chain(machines).chain(writes).max().unwrap_or_default()
     }
 
     /// Jobs of which something waits that could start now, with a machine that it fits.
-    fn jobs_beside_room(&self) -> BTreeMap<JobId, MachineId> {
+    fn jobs_beside_free_machines(&self) -> BTreeMap<JobId, MachineId> {
         let vacancies = self.vacancies();
         let mut running: BTreeMap<&JobId, Vec<(&TaskId, &MachineId)>> = BTreeMap::new();
         for (task, machine) in &self.running {
@@ -147,18 +149,18 @@
     fn is_open(&self, id: &JobId, watch: &JobWatch) -> bool {
         watch.accepted
             && !watch.cancel_asked
-            && !watch.told.is_some_and(JobState::is_final)
-            && !self.troubles.broken.contains(id)
+            && !watch.answered_state.is_some_and(JobState::is_final)
+            && !self.faults.broken.contains(id)
             && self.store.get(&format!("ar/{id}")).is_none()
     }
 
     /// What machines that are up, are reached and take work have left.
-    fn room_on_machines(&self) -> BTreeMap<MachineId, (f64, f64)> {
+    fn free_on_machines(&self) -> BTreeMap<MachineId, (f64, f64)> {
         let mut machines = BTreeMap::new();
         for (id, worker) in &self.workers {
             let up = self.cloud.machines.contains_key(id) && worker.seq > 0;
             let hangs = self.hung.get(id).is_some_and(|until| *until > self.now);
-            let lost = self.machine_cut(id) || self.troubles.is_deaf(worker, self.now);
+            let lost = self.machine_cut(id) || self.faults.is_partitioned(worker, self.now);
             if !up || hangs || lost || self.is_emptied(id) {
                 continue;
             }
--- a/crates/cleatfold-testbed/src/world/users.rs
+++ b/crates/cleatfold-testbed/src/world/users.rs
@@ -8,17 +8,17 @@
         let sent = self.polls.sent.remove(&rid);
         let late = sent.is_some_and(|at| self.now.since(at) > polls::WAITS_MS);
         match self.asked.remove(&(controller, rid)) {
-            Some(Asked::Report(machine, sent, agent_epoch, number)) => {
+            Some(Asked::Heartbeat(machine, sent, agent_epoch, number)) => {
                 let delay = self.delay(controller);
                 self.at(
                     delay,
-                    Happens::WorkerAnswer { machine, number, sent, agent_epoch, response },
+                    SimulationEvent::WorkerAnswer { machine, number, sent, agent_epoch, response },
                 );
             }
             Some(Asked::Steps(machine, key, number)) => {
                 let delay = self.delay(controller);
                 let response = Some(response);
-                self.at(delay, Happens::MemberTold { machine, key, number, response });
+                self.at(delay, SimulationEvent::MemberAnswered { machine, key, number, response });
             }
             Some(Asked::TeamLosses) => {
                 if let Response::Losses(told) = response {
@@ -38,7 +38,7 @@
     pub(super) fn user(&mut self, u: usize) {
         let pause = self.size.pause_ms;
         let pause = self.rng.random_range(pause / 3..pause * 5 / 3);
-        self.at(pause, Happens::User(u));
+        self.at(pause, SimulationEvent::User(u));
         let controller = self.rng.random_range(0..self.controllers.len());
         if self.controllers[controller].is_none() || self.cut[controller] > self.now {
             return;
@@ -62,7 +62,7 @@
                     let spec = watch.spec.clone().expect("submitted");
                     (Asked::Submit(id), Request::Submit(Box::new(spec)))
                 } else {
-                    let asked = Asked::Poll(id.clone(), watch.told, watch.accepted);
+                    let asked = Asked::Poll(id.clone(), watch.answered_state, watch.accepted);
                     (asked, Request::Poll(id))
                 }
             };
@@ -125,7 +125,7 @@
         self.jobs.insert(spec.id.clone(), watch);
         if self.polls.on {
             let first = self.rng.random_range(3000..6000);
-            self.at(first, Happens::Asks(spec.id.clone()));
+            self.at(first, SimulationEvent::Asks(spec.id.clone()));
         }
     }
 
--- a/crates/cleatfold-testbed/src/world/watch.rs
+++ b/crates/cleatfold-testbed/src/world/watch.rs
@@ -7,13 +7,13 @@
         self.store.expire(if self.outage > self.now { Ms(0) } else { self.now });
         self.see_waiting();
         self.move_images();
-        if self.now.since(self.looked) >= 250 {
-            self.looked = self.now;
+        if self.now.since(self.last_checked) >= 250 {
+            self.last_checked = self.now;
             self.watch_answers();
             self.watch_cancelled();
             self.watch_starvation();
             for task in self.running.keys() {
-                let told = self.jobs.get(&task.job).and_then(|w| w.cancel_told);
+                let told = self.jobs.get(&task.job).and_then(|w| w.cancel_confirmed);
                 if told.is_some_and(|t| self.now.since(t) > self.size.cancel_ms) {
                     self.broken.push(format!("{:?} ran_cancelled {task}", self.now));
                 }
@@ -146,7 +146,7 @@
         let (id, before, accepted_before) = match &asked {
             Asked::Submit(id) | Asked::Withdraw(id) => (id.clone(), None, false),
             Asked::Poll(id, before, accepted) => (id.clone(), *before, *accepted),
-            Asked::Report(..) | Asked::Steps(..) | Asked::TeamLosses | Asked::Team => return,
+            Asked::Heartbeat(..) | Asked::Steps(..) | Asked::TeamLosses | Asked::Team => return,
         };
         let Some(watch) = self.jobs.get_mut(&id) else { return };
         let told =
@@ -179,12 +179,12 @@
                     wrong = Some("cancelled by nobody");
                 }
                 if status.state.is_final() {
-                    if watch.told.is_some_and(|t| t != status.state) {
+                    if watch.answered_state.is_some_and(|t| t != status.state) {
                         wrong = Some("two ends");
                     }
-                    watch.told = Some(status.state);
+                    watch.answered_state = Some(status.state);
                     if status.state == JobState::Aborted {
-                        watch.cancel_told.get_or_insert(now);
+                        watch.cancel_confirmed.get_or_insert(now);
                     }
                 }
             }
--- a/crates/cleatfold-testbed/src/world/workers.rs
+++ b/crates/cleatfold-testbed/src/world/workers.rs
@@ -25,7 +25,7 @@
         }
         if self.wakes.get(id).is_none_or(|at| *at <= now || *at > next) {
             self.wakes.insert(id.clone(), next);
-            self.at(next.since(now).max(1), Happens::Wake(id.clone()));
+            self.at(next.since(now).max(1), SimulationEvent::Wake(id.clone()));
         }
     }
 
@@ -46,7 +46,7 @@
             next = next.min(over(worker));
             self.judge(id, lost);
         }
-        self.at(next.since(now).max(1), Happens::Wake(id.clone()));
+        self.at(next.since(now).max(1), SimulationEvent::Wake(id.clone()));
         true
     }
 
@@ -57,16 +57,19 @@
         link.1 += 1;
         let (controller, number) = *link;
         let (machine, response) = (id.clone(), None);
-        self.at(5000, Happens::MemberTold { machine, key: key.clone(), number, response });
+        self.at(
+            5000,
+            SimulationEvent::MemberAnswered { machine, key: key.clone(), number, response },
+        );
         if mute {
             return;
         }
         let delay = self.delay(controller);
         let machine = id.clone();
-        self.at(delay, Happens::MemberAsks { controller, machine, key, number, report });
+        self.at(delay, SimulationEvent::MemberAsks { controller, machine, key, number, report });
     }
 
-    pub(super) fn member_told(
+    pub(super) fn member_answered(
         &mut self,
         machine: MachineId,
         key: MemberKey,
@@ -75,13 +78,13 @@
     ) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&machine) else { return };
-        let deaf = self.troubles.is_deaf(worker, now);
+        let partitioned = self.faults.is_partitioned(worker, now);
         let Some(member) = worker.members.get_mut(&key) else { return };
         let Some(link) = self.member_links.get_mut(&key) else { return };
         if link.1 != number || !member.waits_for_answer() {
             return;
         }
-        if response.is_some() && deaf {
+        if response.is_some() && partitioned {
             return;
         }
         match response {
@@ -121,7 +124,7 @@
         if let Some(link) = self.links.get_mut(&id) {
             link.due = self.now.plus(ms);
         }
-        self.at(ms, Happens::WorkerReports(id));
+        self.at(ms, SimulationEvent::WorkerReports(id));
     }
 
     pub(super) fn worker_reports(&mut self, id: MachineId) {
@@ -145,16 +148,19 @@
         let number = report.seq.0;
         link.waiting = Some(number);
         let controller = link.target;
-        self.at(4000, Happens::WorkerTimeout { machine: id.clone(), number });
+        self.at(4000, SimulationEvent::WorkerTimeout { machine: id.clone(), number });
         self.copy_perhaps(&report);
         self.keep_perhaps(&report);
         let unreached = self.machine_cut(&id) || self.is_mute(&id);
-        let cut = unreached || self.troubles.cut_off(controller, &report.zone, now);
+        let cut = unreached || self.faults.cut_off(controller, &report.zone, now);
         if self.controllers[controller].is_none() || cut {
             return;
         }
         let delay = self.delay(controller);
-        self.at(delay, Happens::ReportArrives { controller, machine: id, sent: now, report });
+        self.at(
+            delay,
+            SimulationEvent::ReportArrives { controller, machine: id, sent: now, report },
+        );
     }
 
     pub(super) fn worker_answer(
@@ -168,29 +174,31 @@
         let now = self.now;
         if let Some(until) = self.hung.get(&id).filter(|u| **u > now) {
             let until = until.since(now) + 1;
-            let answer = Happens::WorkerAnswer { machine: id, number, sent, agent_epoch, response };
+            let answer =
+                SimulationEvent::WorkerAnswer { machine: id, number, sent, agent_epoch, response };
             return self.at(until, answer);
         }
         if let Some(until) = self.meetings.held_until(&id, now) {
             let until = until.since(now) + 1;
-            let answer = Happens::WorkerAnswer { machine: id, number, sent, agent_epoch, response };
+            let answer =
+                SimulationEvent::WorkerAnswer { machine: id, number, sent, agent_epoch, response };
             return self.at(until, answer);
         }
         let Some(link) = self.links.get_mut(&id) else { return };
         if link.waiting != Some(number) || now.since(sent) > 4000 {
             return;
         }
-        if self.workers.get(&id).is_some_and(|w| self.troubles.is_deaf(w, now)) {
+        if self.workers.get(&id).is_some_and(|w| self.faults.is_partitioned(w, now)) {
             return;
         }
-        if self.moments.cut_machines.get(&id).is_some_and(|until| *until > now) {
+        if self.fault_schedule.cut_machines.get(&id).is_some_and(|until| *until > now) {
             return;
         }
         link.waiting = None;
         match response {
             Response::Worker(reply) => {
-                let (jobs, broken) = (&self.jobs, &self.troubles.broken);
-                let runs = &self.moments.runs;
+                let (jobs, broken) = (&self.jobs, &self.faults.broken);
+                let runs = &self.fault_schedule.runs;
                 let find = |task: &TaskId| {
                     let spec = jobs.get(&task.job)?.spec.clone()?;
                     (task.ix.0 < spec.tasks).then(|| {
@@ -204,8 +212,9 @@
                 let happenings = worker.answer(now, sent, agent_epoch, &reply, find);
                 self.judge(&id, happenings);
                 self.wake(&id);
-                let report_ms = self.size.report_ms;
-                let pause = self.rng.random_range(report_ms / 2..report_ms * 5 / 4);
+                let heartbeat_interval_ms = self.size.heartbeat_interval_ms;
+                let pause =
+                    self.rng.random_range(heartbeat_interval_ms / 2..heartbeat_interval_ms * 5 / 4);
                 self.report_in(pause, id);
             }
             Response::Redirect(Some(to)) => {
--- a/crates/cleatfold-testbed/tests/capacity.rs
+++ b/crates/cleatfold-testbed/tests/capacity.rs
@@ -12,17 +12,17 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const LAB: &str = env!("CARGO_BIN_EXE_cleatfold-testbed");
+const TESTBED: &str = env!("CARGO_BIN_EXE_cleatfold-testbed");
 
-fn lab(arguments: &str) -> Command {
-    let mut command = Command::new(LAB);
+fn testbed(arguments: &str) -> Command {
+    let mut command = Command::new(TESTBED);
     command.arg("capacity").args(arguments.split_whitespace()).stdin(Stdio::null());
     command
 }
 
 /// The controllers' program beside the lab's; built first if only this crate was built.
 fn with_controllers() {
-    let program = Path::new(LAB).with_file_name("cleatfold");
+    let program = Path::new(TESTBED).with_file_name("cleatfold");
     if !program.is_file() {
         let built = Command::new(env!("CARGO"))
             .args(["build", "--locked", "--offline", "-p", "cleatfold"])
@@ -45,7 +45,7 @@
         ("--hollow-threads 0", "--hollow-threads"),
         ("--sizes 10", "--sizes"),
     ] {
-        let output = lab(arguments).output().expect("the lab runs");
+        let output = testbed(arguments).output().expect("the lab runs");
         assert_eq!(output.status.code(), Some(2), "{arguments}");
         let error = String::from_utf8_lossy(&output.stderr);
         assert!(error.contains(named), "{arguments}: {error}");
@@ -146,7 +146,7 @@
 fn a_small_run_passes_and_leaves_nothing_behind() {
     with_controllers();
     let json = std::env::temp_dir().join(format!("capacity-test-{}.json", std::process::id()));
-    let mut run = lab(SMALL);
+    let mut run = testbed(SMALL);
     run.args(["--warm-s", "5", "--seconds", "5", "--calm", "--json"]).arg(&json);
     let run = run.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("the lab runs");
     let own = format!("cleatfold-capacity-{}-", run.id());
@@ -183,7 +183,7 @@
 #[test]
 fn an_interrupted_run_leaves_nothing_behind() {
     with_controllers();
-    let run = lab(SMALL).stdout(Stdio::null()).stderr(Stdio::piped()).spawn().expect("it runs");
+    let run = testbed(SMALL).stdout(Stdio::null()).stderr(Stdio::piped()).spawn().expect("it runs");
     let own = format!("cleatfold-capacity-{}-", run.id());
     wait_until("no controllers came", || with_command_line(&own) == 2);
     interrupt(&run);
--- a/crates/cleatfold-testbed/tests/days.rs
+++ b/crates/cleatfold-testbed/tests/days.rs
@@ -1,17 +1,22 @@
 //! A handful of days with several controllers failing at once and every trouble drawn; many more by
 //! the command `region`.
 
-use cleatfold_ingress::{Level, Turns};
+use cleatfold_ingress::{Level, PollSchedule};
 use cleatfold_testbed::days::{play, Plan};
-use cleatfold_testbed::world::{Size, Trouble, TurnedAway, World};
+use cleatfold_testbed::world::{Fault, Size, TurnedAway, World};
 use cleatfold_wire::{JobId, Ms};
 
 fn days(plan: &Plan, seeds: std::ops::Range<u64>) {
     let (mut started, mut longest) = (0, 0);
     for seed in seeds {
         let day = play(plan, seed);
-        assert!(day.broken.is_empty(), "seed {seed}: {:#?} after {:#?}", day.broken, day.befell);
-        assert!(!day.befell.is_empty() && day.jobs > 30, "seed {seed}: {day:?}");
+        assert!(
+            day.broken.is_empty(),
+            "seed {seed}: {:#?} after {:#?}",
+            day.broken,
+            day.applied_faults
+        );
+        assert!(!day.applied_faults.is_empty() && day.jobs > 30, "seed {seed}: {day:?}");
         started += day.started;
         longest = longest.max(day.longest_ms);
     }
@@ -26,12 +31,12 @@
 
 #[test]
 fn five_controllers_under_every_trouble() {
-    days(&Plan { controllers: 5, troubles: 30, ..Plan::default() }, 10..12);
+    days(&Plan { controllers: 5, faults: 30, ..Plan::default() }, 10..12);
 }
 
 #[test]
 fn the_added_troubles_alone() {
-    days(&Plan { only: Trouble::ADDED.to_vec(), troubles: 24, ..Plan::default() }, 20..23);
+    days(&Plan { only: Fault::ADDED.to_vec(), faults: 24, ..Plan::default() }, 20..23);
 }
 
 /// Questions are turned away nine times of ten and at random, as the door did under pressure: the
@@ -62,8 +67,9 @@
         all += forgotten;
     }
     assert!(all > 0);
-    let turns =
-        |id: &JobId, wall_ms: u64| Turns::wait_ms(id.as_str(), Level::Drowning, wall_ms).is_some();
+    let turns = |id: &JobId, wall_ms: u64| {
+        PollSchedule::wait_ms(id.as_str(), Level::Drowning, wall_ms).is_some()
+    };
     let (forgotten, asked, longest_ms) = day(1, Box::new(turns));
     assert_eq!(forgotten, 0, "of {asked} questions");
     // A round of turns, and the pause between two questions.
--- a/crates/cleatfold-testbed/tests/pairs.rs
+++ b/crates/cleatfold-testbed/tests/pairs.rs
@@ -6,12 +6,12 @@
 use cleatfold_control::Request;
 use cleatfold_testbed::days::Plan;
 use cleatfold_testbed::pairs::{play, Pair};
-use cleatfold_testbed::world::{Asked, Happens, Size, Trouble, World};
+use cleatfold_testbed::world::{Asked, Fault, SimulationEvent, Size, World};
 use cleatfold_wire::{JobId, MachineId, Ms};
 use std::collections::BTreeSet;
 
 fn meet(
-    pairs: &[(Trouble, Trouble)],
+    pairs: &[(Fault, Fault)],
     seeds: std::ops::Range<u64>,
 ) -> Vec<cleatfold_testbed::pairs::Met> {
     let plan = Plan::default();
@@ -25,7 +25,7 @@
                 "{} seed {seed}: {:#?} after {:#?}",
                 day.pair,
                 day.broken,
-                day.befell
+                day.applied_faults
             );
             seed += 1;
             assert!(seed < seeds.end + 4, "{} never met anything that ran: {day:?}", day.pair);
@@ -46,18 +46,22 @@
 
 #[test]
 fn a_refused_controller_and_an_outage_meet_others() {
-    use Trouble::*;
+    use Fault::*;
     meet(
-        &[(RefusedThenOutage, Kill), (Deaf, RefusedThenOutage), (RefusedThenOutage, Freeze)],
+        &[
+            (RefusedThenOutage, Kill),
+            (OneWayPartition, RefusedThenOutage),
+            (RefusedThenOutage, Freeze),
+        ],
         1..2,
     );
     // A repeated request for a rental brought machines back that had been returned.
-    meet(&[(RefusedThenOutage, Deaf), (RefusedThenOutage, Copies)], 1..2);
+    meet(&[(RefusedThenOutage, OneWayPartition), (RefusedThenOutage, Copies)], 1..2);
 }
 
 #[test]
 fn late_writes_meet_others() {
-    use Trouble::*;
+    use Fault::*;
     let met = meet(&[(LateWrites, Kill), (OverAndBack, LateWrites), (LateWrites, Copies)], 1..2);
     assert!(met.iter().map(|m| m.late.0).sum::<u32>() > 20, "{met:#?}");
     meet(&[(LateWrites, HeldOrders)], 1..2);
@@ -65,7 +69,7 @@
 
 #[test]
 fn held_orders_and_controllers_that_end_meet_others() {
-    use Trouble::*;
+    use Fault::*;
     let pairs =
         [(HeldOrders, Apart), (AllButOne, HeldOrders), (OverAndBack, AllButOne), (Slow, Apart)];
     meet(&pairs, 1..2);
@@ -73,7 +77,7 @@
 
 #[test]
 fn close_looks_lost_answers_and_odd_requests_meet_others() {
-    use Trouble::*;
+    use Fault::*;
     let pairs = [(CloseLooks, Kill), (AnswersLost, CloseLooks), (CancelAtEnd, AllBlink)];
     meet(&pairs, 1..2);
     meet(&[(OddRequests, Apart), (Slow, CloseLooks), (RefusedThenOutage, CancelAtEnd)], 1..2);
@@ -81,7 +85,7 @@
 
 #[test]
 fn changing_leaders_and_small_jobs_meet_others() {
-    use Trouble::*;
+    use Fault::*;
     let pairs = [
         (TenLeaders, Outage),
         (AllAway, LateWrites),
@@ -106,7 +110,7 @@
     let lease_ms = world.size.times().lease_ms;
     world.all_away(lease_ms + 3_000, 2_000);
     // Nothing else starts one of them before.
-    world.happen(Happens::Restart(0));
+    world.handle_event(SimulationEvent::Restart(0));
     run_for(&mut world, lease_ms + 2_900);
     assert_eq!(world.controllers.iter().flatten().count(), 0);
     run_for(&mut world, 200);
@@ -123,7 +127,7 @@
 
 #[test]
 fn late_commands_and_old_reports_meet_others() {
-    use Trouble::*;
+    use Fault::*;
     meet(&[(ReportsForNextLeader, Kill), (Mute, Kill), (CancelNow, OverAndBack)], 1..2);
     meet(&[(Mute, ReportsForNextLeader), (StoreCut, CancelNow)], 1..2);
     let met = meet(&[(LateCommands, Apart), (Freeze, LateCommands)], 1..2);
@@ -157,7 +161,7 @@
     let most = world.most().expect("somebody holds machines");
     world.crash(most, 5_000);
     world.run(Ms(37_000));
-    assert!(world.command_faults.delivered > 20 && world.troubles.copied > 20);
+    assert!(world.command_faults.delivered > 20 && world.faults.copied > 20);
     let mut world = busy(size);
     let machine = world.running.values().next().expect("a busy machine").clone();
     let agent_epoch = world.workers[&machine].agent_epoch;
@@ -193,7 +197,7 @@
         assert!(world.store_cut[most] == Ms(27_000) && world.outage == Ms(0));
         world.run(Ms(27_500));
         assert!(world.controllers.iter().flatten().count() == 3 && world.outage == Ms(72_000));
-        world.troubles_over()
+        world.faults_over()
     };
     assert_eq!(refused, Ms(72_000));
     let mut world = busy();
@@ -211,15 +215,19 @@
     let mut world = busy();
     let most = world.most().expect("somebody holds machines");
     let life = world.lives[most];
-    world.happen(Happens::Meets(Trouble::OverAndBack, 1_000, cleatfold_testbed::world::Aim::Most));
+    world.handle_event(SimulationEvent::Meets(
+        Fault::OverAndBack,
+        1_000,
+        cleatfold_testbed::world::Aim::Most,
+    ));
     world.run(Ms(55_000));
     assert_eq!(world.lives[most], life + 2);
     let mut world = busy();
-    world.look_closely_until(Ms(60_000));
+    world.query_repeatedly_until(Ms(60_000));
     world.lose_answers(0.5, Ms(60_000));
     world.cancel_at_end(1.0, Ms(60_000));
     world.odd_requests(Ms(60_000));
-    assert_eq!(world.troubles_over(), Ms(60_000));
+    assert_eq!(world.faults_over(), Ms(60_000));
     world.run(Ms(60_000));
     let marks = &world.answers;
     assert!(marks.looks > 100 && marks.lost_answers > 20, "{} {}", marks.looks, marks.lost_answers);
@@ -292,7 +300,7 @@
             world.ask(other, Asked::Withdraw(id.clone()), Request::Withdraw(id.clone()));
         }
         world.run(Ms(26_300));
-        let told = jobs.iter().filter(|id| world.jobs[*id].cancel_told.is_some()).count();
+        let told = jobs.iter().filter(|id| world.jobs[*id].cancel_confirmed.is_some()).count();
         let on = world.running.iter().filter(|(t, m)| jobs.contains(&t.job) && holds(&world, m));
         assert!(told > 2 && on.count() > 2, "seed {seed}: {told} of {} told", jobs.len());
         world.run(Ms(110_000));
--- a/crates/cleatfold-wire/src/cloud.rs
+++ b/crates/cleatfold-wire/src/cloud.rs
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RentRequest {
+pub struct ScaleOutRequest {
     #[serde(rename = "demandeLocation")]
     pub request: String,
     #[serde(rename = "gabaritMachine")]
--- a/crates/cleatfold-wire/src/mesh.rs
+++ b/crates/cleatfold-wire/src/mesh.rs
@@ -27,7 +27,7 @@
     Rented { pool: String, spot: bool, machines: Vec<String> },
     /// By zone: how long ago the sender heard of any of its workers, and whether it has asked them in
     /// vain since.
-    Hears { zones: Vec<(String, u64, bool)> },
+    ZoneContact { zones: Vec<(String, u64, bool)> },
     /// These jobs are cancelled: durably, and for ever.
     Cancelled { jobs: Vec<String> },
     /// The sender knows that these are.
--- a/crates/cleatfold-wire/src/steps.rs
+++ b/crates/cleatfold-wire/src/steps.rs
@@ -27,12 +27,12 @@
     pub wants: u32,
     /// The node that keeps this job did not answer the member: whoever gets this shall decide.
     #[serde(rename = "insiste", default, skip_serializing_if = "std::ops::Not::not")]
-    pub insists: bool,
+    pub generate_load: bool,
 }
 
 /// What a member should do after its present step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Onward {
+pub enum NextAction {
     /// Go on with what it holds.
     #[serde(rename = "continue")]
     Continue,
@@ -57,7 +57,7 @@
     #[serde(rename = "avance")]
     pub progress: StepCount,
     #[serde(rename = "suite")]
-    pub onward: Onward,
+    pub next_action: NextAction,
 }
 
 /// Why a step report is malformed.
--- a/crates/cleatfold-wire/src/worker.rs
+++ b/crates/cleatfold-wire/src/worker.rs
@@ -24,7 +24,7 @@
     Stopped,
     Error,
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     Busy,
     #[serde(rename = "no_such")]
     Unknown,
@@ -68,9 +68,9 @@
     *n == 0
 }
 
-/// A worker's report. `T` is its list of tasks: read, or as it came (`RawReport`).
+/// A worker's report. `T` is its list of tasks: read, or as it came (`RawHeartbeat`).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report<T = Vec<TaskReport>> {
+pub struct Heartbeat<T = Vec<TaskReport>> {
     #[serde(rename = "ruche")]
     pub machine: MachineId,
     /// Where it takes `/orders`.
@@ -100,12 +100,12 @@
 
 /// A report whose list of tasks is still the text that came. Most reports say the same as the
 /// one before, which a comparison of the texts shows without reading them.
-pub type RawReport = Report<Box<RawValue>>;
+pub type RawHeartbeat = Heartbeat<Box<RawValue>>;
 
-impl<T> Report<T> {
+impl<T> Heartbeat<T> {
     /// The same report with another list of tasks.
-    pub fn with_tasks<U>(self, tasks: U) -> Report<U> {
-        Report {
+    pub fn with_tasks<U>(self, tasks: U) -> Heartbeat<U> {
+        Heartbeat {
             machine: self.machine,
             endpoint: self.endpoint,
             machine_type: self.machine_type,
@@ -121,7 +121,7 @@
     }
 }
 
-impl RawReport {
+impl RawHeartbeat {
     /// Whether there is anything in the list of tasks.
     pub fn lists_tasks(&self) -> bool {
         self.tasks.get().contains('{')
@@ -133,8 +133,8 @@
     }
 }
 
-impl Report {
-    pub fn into_raw(self) -> RawReport {
+impl Heartbeat {
+    pub fn into_raw(self) -> RawHeartbeat {
         let text = serde_json::value::to_raw_value(&self.tasks).expect("tasks are plain JSON");
         self.with_tasks(text)
     }
@@ -173,7 +173,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportReply {
+pub struct HeartbeatResponse {
     #[serde(rename = "jeton")]
     pub token: FencingToken,
     #[serde(rename = "consignes")]
--- a/crates/cleatfold-workspace/src/entry.rs
+++ b/crates/cleatfold-workspace/src/entry.rs
@@ -57,7 +57,7 @@
         Self { job, state, done, summary, losses: total, causes, last_failure }
     }
 
-    pub fn told(&self, number: u64) -> EndedJob {
+    pub fn to_ended_job(&self, number: u64) -> EndedJob {
         let s = self.summary.as_ref();
         EndedJob {
             number,
--- a/crates/cleatfold-workspace/src/lib.rs
+++ b/crates/cleatfold-workspace/src/lib.rs
@@ -7,10 +7,10 @@
 mod history;
 pub mod owner;
 pub mod page;
-mod tail;
 mod turns;
+mod unwritten;
 
 pub use entry::{Entry, Group};
 pub use history::{HistoryHead, Keep, Summary};
-pub use tail::{End, Ended, Piece, GROUP, GROUP_MOST, LAG};
 pub use turns::Turns;
+pub use unwritten::{Ended, JobEnd, Piece, GROUP, GROUP_MOST, LAG};
--- a/crates/cleatfold-workspace/src/page.rs
+++ b/crates/cleatfold-workspace/src/page.rs
@@ -8,18 +8,18 @@
 
 /// Entries of an answer, as many as it holds.
 #[derive(Debug)]
-pub struct Paper<T> {
+pub struct AnswerPage<T> {
     pub entries: Vec<T>,
     length: usize,
 }
 
-impl<T> Default for Paper<T> {
+impl<T> Default for AnswerPage<T> {
     fn default() -> Self {
         Self { entries: Vec::new(), length: FRAME }
     }
 }
 
-impl<T: Serialize> Paper<T> {
+impl<T: Serialize> AnswerPage<T> {
     /// Takes some entries, all or none.
     pub fn fit(&mut self, some: Vec<T>) -> Result<(), Vec<T>> {
         let length = |e: &T| serde_json::to_string(e).map_or(MAX_ANSWER, |s| s.len() + 1);
@@ -41,7 +41,7 @@
     entries: impl Iterator<Item = (u64, T)>,
     slim: impl Fn(&mut T),
 ) -> (Vec<T>, u64, bool) {
-    let mut paper = Paper::default();
+    let mut answer_page = AnswerPage::default();
     let mut next = since;
     let mut entries = entries.peekable();
     while let Some((place, entry)) = entries.next() {
@@ -49,18 +49,18 @@
         while entries.peek().is_some_and(|(p, _)| *p == place) {
             together.extend(entries.next().map(|e| e.1));
         }
-        let first = paper.entries.is_empty();
-        if let Err(mut back) = paper.fit(together) {
+        let first = answer_page.entries.is_empty();
+        if let Err(mut back) = answer_page.fit(together) {
             if !first {
-                return (paper.entries, next, true);
+                return (answer_page.entries, next, true);
             }
             back.iter_mut().for_each(&slim);
             // A change is no longer than an answer, and says more of each job than this does.
-            while paper.fit(std::mem::take(&mut back)).map_err(|b| back = b).is_err() {
+            while answer_page.fit(std::mem::take(&mut back)).map_err(|b| back = b).is_err() {
                 back.pop();
             }
         }
         next = place + 1;
     }
-    (paper.entries, next, false)
+    (answer_page.entries, next, false)
 }
--- a/crates/cleatfold-workspace/src/tail.rs
+++ b/crates/cleatfold-workspace/src/unwritten.rs
@@ -16,7 +16,7 @@
 
 /// Ended jobs of one team, in order.
 #[derive(Debug, Default)]
-struct Tail {
+struct UnwrittenEntries {
     entries: BTreeMap<(u64, JobId), (Entry, usize)>,
     /// Complete from this revision on; none: from where everything is.
     from: Option<u64>,
@@ -24,7 +24,7 @@
 
 /// An ended job, as the archive's record has it, and the record's version.
 #[derive(Clone, Debug)]
-pub struct End {
+pub struct JobEnd {
     pub version: u64,
     pub team: TeamId,
     pub entry: Entry,
@@ -35,7 +35,7 @@
 pub struct Ended {
     /// Everything that ended after the first and up to the second revision has been read.
     read: Option<(u64, u64)>,
-    tails: BTreeMap<TeamId, Tail>,
+    unwritten: BTreeMap<TeamId, UnwrittenEntries>,
 }
 
 /// A piece of a tail that becomes a group: the next head, and how many jobs.
@@ -50,7 +50,7 @@
 impl Ended {
     /// All that ended after `from`, read at the revision `to`. Where it does not join what was read
     /// before, all of that is dropped: a gap would be a job without a number.
-    pub fn read(&mut self, from: u64, to: u64, ends: impl IntoIterator<Item = End>) {
+    pub fn read(&mut self, from: u64, to: u64, ends: impl IntoIterator<Item = JobEnd>) {
         match &mut self.read {
             Some((least, most)) if from <= *most && to >= *least => {
                 *least = from.min(*least);
@@ -58,28 +58,30 @@
             }
             _ => {
                 self.read = Some((from, to));
-                self.tails.clear();
+                self.unwritten.clear();
             }
         }
         for end in ends {
-            self.tails.entry(end.team.clone()).or_default().take(end);
+            self.unwritten.entry(end.team.clone()).or_default().take(end);
         }
         let to = self.read.map_or(0, |r| r.1);
-        for tail in self.tails.values_mut().filter(|t| t.entries.len() > HELD && t.from.is_none()) {
-            tail.entries.clear();
-            tail.from = Some(to);
+        for unwritten in
+            self.unwritten.values_mut().filter(|t| t.entries.len() > HELD && t.from.is_none())
+        {
+            unwritten.entries.clear();
+            unwritten.from = Some(to);
         }
     }
 
     /// All that ended after `from` of one team, found by going through the whole archive from the
     /// revision `at` on. Only of use where what ended since `at` has been read.
-    pub fn listed(&mut self, team: &TeamId, from: u64, at: u64, ends: Vec<End>) -> bool {
+    pub fn listed(&mut self, team: &TeamId, from: u64, at: u64, ends: Vec<JobEnd>) -> bool {
         if self.read.is_none_or(|r| r.0 > at) {
             return false;
         }
-        let tail = self.tails.entry(team.clone()).or_default();
-        ends.into_iter().for_each(|end| tail.take(end));
-        tail.from = Some(from);
+        let unwritten = self.unwritten.entry(team.clone()).or_default();
+        ends.into_iter().for_each(|end| unwritten.take(end));
+        unwritten.from = Some(from);
         true
     }
 
@@ -95,15 +97,15 @@
     /// What has ended since this head was written is known to the last job.
     pub fn covers(&self, team: &TeamId, head: &HistoryHead) -> bool {
         let Some((from, _)) = self.read else { return false };
-        let from = self.tails.get(team).and_then(|t| t.from).unwrap_or(from);
+        let from = self.unwritten.get(team).and_then(|t| t.from).unwrap_or(from);
         from <= head.upto
     }
 
     /// What is in groups need not be held.
     pub fn forget(&mut self, team: &TeamId, head: &HistoryHead) {
-        let Some(tail) = self.tails.get_mut(team) else { return };
-        while tail.entries.first_key_value().is_some_and(|(at, _)| at.0 <= head.upto) {
-            tail.entries.pop_first();
+        let Some(unwritten) = self.unwritten.get_mut(team) else { return };
+        while unwritten.entries.first_key_value().is_some_and(|(at, _)| at.0 <= head.upto) {
+            unwritten.entries.pop_first();
         }
     }
 
@@ -114,7 +116,7 @@
         head: &HistoryHead,
     ) -> impl Iterator<Item = (u64, &'a Entry)> + 'a {
         let from = head.upto;
-        let entries = self.tails.get(team).into_iter().flat_map(|t| t.entries.iter());
+        let entries = self.unwritten.get(team).into_iter().flat_map(|t| t.entries.iter());
         let beyond = entries.filter(move |(at, _)| at.0 > from).map(|(_, (e, _))| e);
         (head.entries..).zip(beyond)
     }
@@ -124,9 +126,9 @@
     pub fn piece(&self, team: &TeamId, head: &HistoryHead, bytes: usize) -> Option<Piece> {
         let (_, to) = self.read?;
         let lags = to.saturating_sub(head.upto) >= LAG;
-        let tail = self.tails.get(team);
+        let unwritten = self.unwritten.get(team);
         let beyond = || {
-            let entries = tail.into_iter().flat_map(|t| t.entries.iter());
+            let entries = unwritten.into_iter().flat_map(|t| t.entries.iter());
             entries.filter(|(at, _)| at.0 > head.upto)
         };
         let (mut entries, mut next) = (Vec::new(), head.clone());
@@ -155,8 +157,8 @@
     }
 }
 
-impl Tail {
-    fn take(&mut self, end: End) {
+impl UnwrittenEntries {
+    fn take(&mut self, end: JobEnd) {
         let at = (end.version, end.entry.job.clone());
         self.entries.entry(at).or_insert_with(|| {
             let length = end.entry.length();
--- a/crates/cleatfold-workspace/tests/ended.rs
+++ b/crates/cleatfold-workspace/tests/ended.rs
@@ -2,14 +2,14 @@
 
 use cleatfold_wire::job::{JobState, Urgency};
 use cleatfold_wire::{ClassId, JobId, TeamId};
-use cleatfold_workspace::{End, Ended, Entry, HistoryHead, Keep, Summary, GROUP_MOST, LAG};
+use cleatfold_workspace::{Ended, Entry, HistoryHead, JobEnd, Keep, Summary, GROUP_MOST, LAG};
 use proptest::prelude::*;
 
 fn team() -> TeamId {
     TeamId::new("t")
 }
 
-fn end(version: u64, number: usize, team: &TeamId) -> End {
+fn end(version: u64, number: usize, team: &TeamId) -> JobEnd {
     let summary = Summary {
         class: ClassId::new("c"),
         urgency: Urgency::Normal,
@@ -21,11 +21,11 @@
     };
     let job = JobId::new(format!("run-{number:06}"));
     let entry = Entry::new(job, JobState::Done, 1, Some(summary), 0, [].into_iter());
-    End { version, team: team.clone(), entry }
+    JobEnd { version, team: team.clone(), entry }
 }
 
 /// What the archive holds: revisions grow, some share one, some are another team's.
-fn archive(steps: &[(u64, bool)]) -> Vec<End> {
+fn archive(steps: &[(u64, bool)]) -> Vec<JobEnd> {
     let mut version = 1;
     let ends = steps.iter().enumerate().map(|(i, (step, ours))| {
         version += step;
@@ -34,7 +34,7 @@
     ends.collect()
 }
 
-fn between(all: &[End], from: u64, to: u64) -> Vec<End> {
+fn between(all: &[JobEnd], from: u64, to: u64) -> Vec<JobEnd> {
     all.iter().filter(|e| e.version > from && e.version <= to).cloned().collect()
 }
 
--- a/crates/cleatfold-write-batching/src/lib.rs
+++ b/crates/cleatfold-write-batching/src/lib.rs
@@ -3,8 +3,8 @@
 //! still with the workers, who keep an exited task in their reports until they are told to
 //! forget it.
 
-mod news;
 mod parts;
+mod pending_updates;
 
-pub use news::News;
-pub use parts::{claim_order, PartNews, Selection};
+pub use parts::{claim_order, PendingPartUpdates, Selection};
+pub use pending_updates::PendingUpdates;
--- a/crates/cleatfold-write-batching/src/parts.rs
+++ b/crates/cleatfold-write-batching/src/parts.rs
@@ -14,7 +14,7 @@
 
 /// What is to be recorded of one part.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PartNews {
+pub struct PendingPartUpdates {
     pub done: u32,
     pub lost: u32,
     /// Tasks of it that still run in this controller's pools.
@@ -23,7 +23,7 @@
     pub unclaimed: u32,
 }
 
-impl PartNews {
+impl PendingPartUpdates {
     /// Nothing will be gained by waiting for more of it.
     fn is_ripe(&self) -> bool {
         self.lost > 0 || (self.mine_left == 0 && self.unclaimed == 0)
@@ -38,8 +38,8 @@
 
 impl Selection {
     /// Ripe parts, then, if everything of the job should be told, those that tell most; `room` at most.
-    pub fn new(parts: &BTreeMap<u32, PartNews>, everything: bool, room: usize) -> Self {
-        let mut order: Vec<(&u32, &PartNews)> =
+    pub fn new(parts: &BTreeMap<u32, PendingPartUpdates>, everything: bool, room: usize) -> Self {
+        let mut order: Vec<(&u32, &PendingPartUpdates)> =
             parts.iter().filter(|(_, p)| everything || p.is_ripe()).collect();
         // What must start again first, then what tells most for its change.
         order.sort_by_key(|(n, p)| (!p.is_ripe(), p.lost == 0, u32::MAX - p.done - p.lost, **n));
--- a/crates/cleatfold-write-batching/src/news.rs
+++ b/crates/cleatfold-write-batching/src/pending_updates.rs
@@ -2,7 +2,7 @@
 
 /// What waits to be recorded of one job, as this controller sees it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct News {
+pub struct PendingUpdates {
     /// Completed tasks.
     pub done: u32,
     /// Tasks that ended otherwise: they can start again only once that is recorded.
@@ -10,7 +10,7 @@
     /// Tasks to be claimed.
     pub starts: u32,
     /// Members of an elastic job that report, and those of them that have nothing to do.
-    pub asked: u32,
+    pub member_reports: u32,
     pub idle: u32,
     /// Its user has asked to cancel it.
     pub abort: bool,
@@ -32,7 +32,7 @@
     pub gathers: bool,
 }
 
-impl News {
+impl PendingUpdates {
     /// Nothing but completed tasks of a job that goes on here: nobody waits for them to be
     /// recorded. The end of a lost task is another matter, for it can start again only after that.
     /// (Counted as one end among many, it waited a minute to be recorded when changes ran short.)
@@ -65,7 +65,8 @@
         }
         // A completed task holds nothing up: its room is planned with already. It can wait for
         // others of its job; a start cannot, nor can what must be started again.
-        let steps = u64::from(self.asked).max(u64::from(self.over)) + 4 * u64::from(self.idle);
+        let steps =
+            u64::from(self.member_reports).max(u64::from(self.over)) + 4 * u64::from(self.idle);
         let mut n = u64::from(self.done) + 4 * u64::from(self.starts) + 8 * u64::from(self.lost);
         n += steps;
         if self.finishes {
