--- a/crates/cleatfold-write-batching/tests/ledger.rs
+++ b/crates/cleatfold-write-batching/tests/write_batching.rs
@@ -1,19 +1,19 @@
 //! What is recorded when, against a plain reading of what may wait.
 
-use cleatfold_write_batching::{claim_order, News, PartNews, Selection};
+use cleatfold_write_batching::{claim_order, PendingPartUpdates, PendingUpdates, Selection};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 /// Some completed tasks of a job that goes on here.
-fn going_on(done: u32) -> News {
-    News {
+fn going_on(done: u32) -> PendingUpdates {
+    PendingUpdates {
         done,
         mine_left: 5,
         changes: 1,
         urgency: 2,
         patience_ms: 30_000,
         gathers: true,
-        ..News::default()
+        ..PendingUpdates::default()
     }
 }
 
@@ -22,9 +22,12 @@
 #[test]
 fn a_lost_task_does_not_wait_behind_completed_ones() {
     assert!(going_on(7).can_wait());
-    assert!(!News { lost: 1, ..going_on(7) }.can_wait());
-    assert!(!News { finishes: true, ..going_on(40) }.can_wait(), "the last one makes the job done");
-    let lost = News { lost: 1, ..going_on(0) }.weight(0);
+    assert!(!PendingUpdates { lost: 1, ..going_on(7) }.can_wait());
+    assert!(
+        !PendingUpdates { finishes: true, ..going_on(40) }.can_wait(),
+        "the last one makes the job done"
+    );
+    let lost = PendingUpdates { lost: 1, ..going_on(0) }.weight(0);
     assert!(lost > going_on(7).weight(0));
     // But nothing starves: what has waited long goes before what is new.
     assert!(going_on(1).weight(6000) > lost);
@@ -34,19 +37,20 @@
 /// for none of them, until the longest wait had passed.
 #[test]
 fn what_is_all_that_we_will_say_of_a_job_does_not_wait() {
-    let mut owners = [12u32, 20, 8].map(|mine| News { mine_left: mine, ..going_on(0) });
-    for news in &mut owners {
-        while news.mine_left > 0 {
-            assert!(!news.presses(0));
-            (news.mine_left, news.done) = (news.mine_left - 1, news.done + 1);
+    let mut owners = [12u32, 20, 8].map(|mine| PendingUpdates { mine_left: mine, ..going_on(0) });
+    for pending_updates in &mut owners {
+        while pending_updates.mine_left > 0 {
+            assert!(!pending_updates.presses(0));
+            (pending_updates.mine_left, pending_updates.done) =
+                (pending_updates.mine_left - 1, pending_updates.done + 1);
         }
-        assert!(news.presses(0));
+        assert!(pending_updates.presses(0));
     }
 }
 
 #[test]
 fn ends_over_many_records_give_way_to_those_in_one() {
-    let spread = News { changes: 10, ..going_on(20) };
+    let spread = PendingUpdates { changes: 10, ..going_on(20) };
     assert!(going_on(20).weight(0) > spread.weight(0));
     assert!(going_on(3).weight(0) > spread.weight(0));
 }
@@ -75,14 +79,14 @@
         everything: bool,
         room in 1usize..20,
     ) {
-        let parts: BTreeMap<u32, PartNews> = parts
+        let parts: BTreeMap<u32, PendingPartUpdates> = parts
             .into_iter()
             .map(|(n, (done, lost, mine_left, unclaimed))| {
-                (n, PartNews { done, lost, mine_left, unclaimed })
+                (n, PendingPartUpdates { done, lost, mine_left, unclaimed })
             })
             .collect();
         let selection = Selection::new(&parts, everything, room);
-        let ripe = |p: &PartNews| p.lost > 0 || (p.mine_left == 0 && p.unclaimed == 0);
+        let ripe = |p: &PendingPartUpdates| p.lost > 0 || (p.mine_left == 0 && p.unclaimed == 0);
         let open = parts.values().filter(|p| everything || ripe(p)).count();
         prop_assert_eq!(selection.len(), open.min(room));
         prop_assert_eq!(selection.is_empty(), open == 0);
@@ -101,8 +105,8 @@
     /// Nothing waits longer than its patience.
     #[test]
     fn everything_presses_in_the_end(done in 0u32..50, mine_left in 0u32..5, unclaimed in 0u32..5, waited in 0u64..100_000) {
-        let news = News { done, mine_left, unclaimed, ..going_on(done) };
-        prop_assert!(news.presses(30_000 + waited));
-        prop_assert!(news.weight(waited) <= news.weight(waited + 1));
+        let pending_updates = PendingUpdates { done, mine_left, unclaimed, ..going_on(done) };
+        prop_assert!(pending_updates.presses(30_000 + waited));
+        prop_assert!(pending_updates.weight(waited) <= pending_updates.weight(waited + 1));
     }
 }
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -8,9 +8,9 @@
 use bytes::Bytes;
 use cleatfold_clients::{cloud, mesh, store, workers};
 use cleatfold_control::{Controller, Effect, Event, Request, Response};
-use cleatfold_ingress::{Class, Desk, Level, Pressure, Turns};
+use cleatfold_ingress::{Class, Level, PollSchedule, Pressure, RequestQueue};
 use cleatfold_wire::mesh::Message;
-use cleatfold_wire::worker::RawReport;
+use cleatfold_wire::worker::RawHeartbeat;
 use cleatfold_wire::{ControllerId, JobId, Ms};
 use std::collections::HashMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -32,14 +32,14 @@
 
 pub enum Asked {
     Request(Request),
-    Report(RawReport),
+    Heartbeat(RawHeartbeat),
 }
 
 impl Asked {
     fn class(&self) -> Class {
         match self {
-            Asked::Report(report) if report.lists_tasks() => Class::Busy,
-            Asked::Report(_) => Class::Idle,
+            Asked::Heartbeat(report) if report.lists_tasks() => Class::Busy,
+            Asked::Heartbeat(_) => Class::Idle,
             Asked::Request(Request::Poll(_)) => Class::Poll,
             Asked::Request(_) => Class::Ask,
         }
@@ -61,7 +61,7 @@
     pub vitals: watch::Receiver<Vitals>,
 }
 
-struct Outlets {
+struct OutgoingChannels {
     store: mpsc::UnboundedSender<store::Job>,
     cloud: mpsc::UnboundedSender<cloud::Job>,
     workers: mpsc::UnboundedSender<workers::Job>,
@@ -71,7 +71,7 @@
     refused: Option<String>,
 }
 
-impl Outlets {
+impl OutgoingChannels {
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Reply { rid, response } => {
@@ -80,8 +80,8 @@
                     let _ = answer.send(response);
                 }
             }
-            Effect::Store { op, lane, request } => {
-                let _ = self.store.send(store::Job { op, lane, request });
+            Effect::Store { op, priority, request } => {
+                let _ = self.store.send(store::Job { op, priority, request });
             }
             Effect::Cloud { op, request, spacing_ms } => {
                 let spacing = Duration::from_millis(spacing_ms);
@@ -141,10 +141,10 @@
         },
     ));
     let to_core = core.clone();
-    tokio::task::spawn_local(workers::run(worker_jobs, move |machine, told| {
-        let _ = to_core.send(match told {
-            workers::Told::Ordered(report) => Event::Ordered { machine, report },
-            workers::Told::Inspected(said) => Event::Probed { machine, said },
+    tokio::task::spawn_local(workers::run(worker_jobs, move |machine, announced_level| {
+        let _ = to_core.send(match announced_level {
+            workers::CallResult::Ordered(report) => Event::Ordered { machine, report },
+            workers::CallResult::Inspected(said) => Event::Probed { machine, answer: said },
         });
     }));
     let to_core = core.clone();
@@ -158,10 +158,13 @@
         let me = settings.controller.clone();
         tokio::task::spawn_local(mesh::dial(me, peer.endpoint.to_string(), frames));
     }
-    let door = crate::serve::Door { sockets: settings.sockets(), idle: settings.idle_connection() };
-    tokio::task::spawn_local(crate::serve::run(listener, Core { asks, vitals }, door));
+    let limits = crate::serve::ServerLimits {
+        sockets: settings.sockets(),
+        idle: settings.idle_connection(),
+    };
+    tokio::task::spawn_local(crate::serve::run(listener, Core { asks, vitals }, limits));
 
-    let outlets = Outlets {
+    let outgoing = OutgoingChannels {
         store: store_queue,
         cloud: cloud_queue,
         workers: worker_queue,
@@ -174,13 +177,13 @@
     tracing::info!(controller = %settings.controller, zone = %settings.zone, "serving");
     CoreActor {
         controller: Controller::new(config),
-        outlets,
+        outgoing,
         start: Instant::now(),
-        desk: Desk::default(),
+        request_queue: RequestQueue::default(),
         pressure: Pressure::default(),
-        turns: Turns::default(),
+        poll_schedule: PollSchedule::default(),
         polls: HashMap::new(),
-        told: Level::Calm,
+        announced_level: Level::Calm,
         say,
         next_rid: 0,
     }
@@ -196,14 +199,14 @@
 /// Owns the node's state; everything else speaks to it by messages.
 struct CoreActor {
     controller: Controller,
-    outlets: Outlets,
+    outgoing: OutgoingChannels,
     start: Instant,
-    desk: Desk<Ask>,
+    request_queue: RequestQueue<Ask>,
     pressure: Pressure,
-    turns: Turns,
+    poll_schedule: PollSchedule,
     /// Questions that are being answered.
     polls: HashMap<u64, JobId>,
-    told: Level,
+    announced_level: Level,
     say: watch::Sender<Vitals>,
     next_rid: u64,
 }
@@ -217,7 +220,7 @@
         let mut next_tick = Instant::now();
         let mut handled = 0;
         loop {
-            if let Some(why) = self.outlets.refused.take() {
+            if let Some(why) = self.outgoing.refused.take() {
                 return Err(std::io::Error::other(why));
             }
             while let Ok(event) = inner.try_recv() {
@@ -231,7 +234,7 @@
                 self.tick(now - next_tick);
                 next_tick = now + TICK;
             }
-            if let Some(ask) = self.desk.pop(self.millis(now)) {
+            if let Some(ask) = self.request_queue.pop(self.millis(now)) {
                 self.work_on(ask);
                 handled += 1;
                 if handled % AT_ONCE == 0 {
@@ -266,25 +269,25 @@
             if let Effect::Reply { rid, response } = &effect {
                 let job = self.polls.remove(rid);
                 if let (Some(job), Response::Refusal { code: 503, .. }) = (job, response) {
-                    self.turns.give_back(job.as_str());
+                    self.poll_schedule.give_back(job.as_str());
                 }
             }
-            self.outlets.carry_out(effect);
+            self.outgoing.carry_out(effect);
         }
     }
 
     fn tick(&mut self, late: Duration) {
         let now = self.millis(Instant::now());
-        for (class, ask) in self.desk.expired(now) {
+        for (class, ask) in self.request_queue.expired(now) {
             // Its asker has left, or will have before an answer could be there.
             tracing::debug!(?class, "too late to answer");
             self.turn_away(ask);
         }
-        self.pressure.note(now, late.as_millis() as u64, self.desk.oldest_ms(now));
-        if self.pressure.level() != self.told {
-            self.told = self.pressure.level();
-            tracing::info!(level = ?self.told, waiting = self.desk.len(), "pressure");
-            self.controller.set_stretch(self.pressure.stretch());
+        self.pressure.note(now, late.as_millis() as u64, self.request_queue.oldest_ms(now));
+        if self.pressure.level() != self.announced_level {
+            self.announced_level = self.pressure.level();
+            tracing::info!(level = ?self.announced_level, waiting = self.request_queue.len(), "pressure");
+            self.controller.set_backpressure(self.pressure.backpressure());
         }
         self.handle(Event::Tick);
         let vitals = Vitals { ready: self.controller.is_ready(), level: self.pressure.level() };
@@ -293,7 +296,7 @@
 
     fn take(&mut self, ask: Ask) {
         let arrived = self.millis(ask.arrived);
-        if let Some(turned) = self.desk.push(ask.what.class(), arrived, ask) {
+        if let Some(turned) = self.request_queue.push(ask.what.class(), arrived, ask) {
             self.turn_away(turned);
         }
     }
@@ -310,7 +313,7 @@
             return;
         }
         if let Asked::Request(Request::Poll(job)) = &ask.what {
-            if !self.turns.take(job.as_str(), self.pressure.level(), wall_ms()) {
+            if !self.poll_schedule.take(job.as_str(), self.pressure.level(), wall_ms()) {
                 return self.turn_away(ask);
             }
         }
@@ -319,10 +322,10 @@
         if let Asked::Request(Request::Poll(job)) = &ask.what {
             self.polls.insert(rid, job.clone());
         }
-        self.outlets.answers.insert(rid, ask.answer);
+        self.outgoing.answers.insert(rid, ask.answer);
         self.handle(match ask.what {
             Asked::Request(request) => Event::Request { rid, request },
-            Asked::Report(report) => Event::Report { rid, report },
+            Asked::Heartbeat(report) => Event::Heartbeat { rid, report },
         });
     }
 }
--- a/crates/cleatfold/src/operator.rs
+++ b/crates/cleatfold/src/operator.rs
@@ -30,7 +30,8 @@
     /// How much of each team's history is kept.
     pub history: Option<Keep>,
     /// Large images are fetched in stages and handed on. Without it each machine fetches for itself.
-    pub weights: Option<cleatfold_image_distribution::Settings>,
+    #[serde(rename = "weights")]
+    pub image_distribution: Option<cleatfold_image_distribution::Settings>,
 }
 
 impl Operator {
@@ -68,7 +69,9 @@
         if self.admission == Some(false) && self.refuse_after.is_some() {
             return Err("refuse_after: needs admission".into());
         }
-        self.weights.as_ref().map_or(Ok(()), |weights| weights.check())
+        self.image_distribution
+            .as_ref()
+            .map_or(Ok(()), |image_distribution| image_distribution.check())
     }
 
     pub fn apply(&self, config: &mut Config) {
@@ -96,7 +99,7 @@
         if let Some(keep) = self.history {
             config.history = keep;
         }
-        config.weights.clone_from(&self.weights);
+        config.image_distribution.clone_from(&self.image_distribution);
         if let Some(rules) = &mut config.admission {
             rules.refuse = self.refuse_after;
         }
@@ -134,7 +137,15 @@
             assert!(error.contains(field) || error.contains("expected"), "{text}: {error}");
         }
         let text = include_str!("../../../deploy/weights.hcl");
-        let weights = Operator::parse(text).unwrap().weights.expect("a block");
-        assert_eq!((weights.origin_gb_per_s, weights.uploads, weights.hand_on), (10.0, 2, true));
+        let image_distribution =
+            Operator::parse(text).unwrap().image_distribution.expect("a block");
+        assert_eq!(
+            (
+                image_distribution.origin_gb_per_s,
+                image_distribution.uploads,
+                image_distribution.hand_on
+            ),
+            (10.0, 2, true)
+        );
     }
 }
--- a/crates/cleatfold/src/serve.rs
+++ b/crates/cleatfold/src/serve.rs
@@ -3,10 +3,10 @@
 use crate::actor::{Ask, Asked, Core};
 use bytes::{Buf, Bytes, BytesMut};
 use cleatfold_control::{Request, Response, TeamAsk};
-use cleatfold_ingress::{SeatId, Seats, Turns};
+use cleatfold_ingress::{ConnectionId, ConnectionTable, PollSchedule};
 use cleatfold_wire::job::{is_job_id, JobSpec, Problem, SpecError, MAX_BODY};
 use cleatfold_wire::steps::StepReport;
-use cleatfold_wire::worker::{RawReport, Redirect};
+use cleatfold_wire::worker::{RawHeartbeat, Redirect};
 use cleatfold_wire::{JobId, TeamId};
 use futures_util::{Stream, StreamExt};
 use hyper::server::conn::http1;
@@ -26,17 +26,17 @@
 type Reply = warp::http::Response<Bytes>;
 
 /// What the server may use.
-pub struct Door {
+pub struct ServerLimits {
     pub sockets: usize,
     /// A connection without a request for so long is closed.
     pub idle: Duration,
 }
 
 /// What a connection says of itself.
-enum News {
-    Began { id: SeatId, worker: bool },
-    Ended { id: SeatId },
-    Closed { id: SeatId },
+enum ConnectionEvent {
+    Began { id: ConnectionId, worker: bool },
+    Ended { id: ConnectionId },
+    Closed { id: ConnectionId },
 }
 
 /// How often connections that nobody uses are looked for.
@@ -45,10 +45,10 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts connections and owns the table of them.
-pub async fn run(listener: TcpListener, core: Core, door: Door) {
-    let (news, mut heard) = mpsc::unbounded_channel();
-    let mut seats = Seats::new(door.sockets, door.idle.as_millis() as u64);
-    let mut leave: HashMap<SeatId, oneshot::Sender<()>> = HashMap::new();
+pub async fn run(listener: TcpListener, core: Core, limits: ServerLimits) {
+    let (events, mut heard) = mpsc::unbounded_channel();
+    let mut connections = ConnectionTable::new(limits.sockets, limits.idle.as_millis() as u64);
+    let mut leave: HashMap<ConnectionId, oneshot::Sender<()>> = HashMap::new();
     let start = Instant::now();
     let millis = || start.elapsed().as_millis() as u64;
     let mut sweep = tokio::time::interval(SWEEP);
@@ -56,26 +56,26 @@
         tokio::select! {
             biased;
             told = heard.recv() => match told {
-                Some(News::Began { id, worker }) => seats.note(id, millis(), true, worker),
-                Some(News::Ended { id }) => seats.note(id, millis(), false, false),
-                Some(News::Closed { id }) => {
-                    seats.close(id);
+                Some(ConnectionEvent::Began { id, worker }) => connections.note(id, millis(), true, worker),
+                Some(ConnectionEvent::Ended { id }) => connections.note(id, millis(), false, false),
+                Some(ConnectionEvent::Closed { id }) => {
+                    connections.close(id);
                     leave.remove(&id);
                 }
                 None => return,
             },
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let (id, leaves) = seats.open(millis());
+                    let (id, leaves) = connections.open(millis());
                     let (asked_to, told_to) = oneshot::channel();
                     leave.insert(id, asked_to);
-                    let visit = Visit { id, core: core.clone(), news: news.clone() };
+                    let visit = Visit { id, core: core.clone(), events: events.clone() };
                     tokio::task::spawn_local(visit.run(stream, told_to));
                     if let Some(other) = leaves {
-                        tracing::debug!(seats = seats.len(), "no sockets left: closing one");
+                        tracing::debug!(connections = connections.len(), "no sockets left: closing one");
                         // Its seat is free at once: the next one that comes in the same burst
                         // must not choose it again, or the sockets kept back would go too.
-                        seats.close(other);
+                        connections.close(other);
                         leave.remove(&other);
                     }
                 }
@@ -85,7 +85,7 @@
                 }
             },
             _ = sweep.tick() => {
-                for id in seats.unused(millis()) {
+                for id in connections.unused(millis()) {
                     leave.remove(&id);
                 }
             }
@@ -96,16 +96,16 @@
 /// One connection.
 #[derive(Clone)]
 struct Visit {
-    id: SeatId,
+    id: ConnectionId,
     core: Core,
-    news: mpsc::UnboundedSender<News>,
+    events: mpsc::UnboundedSender<ConnectionEvent>,
 }
 
 impl Visit {
     /// Serves until either side closes, or until `leave` is dropped.
     async fn run(self, stream: TcpStream, leave: oneshot::Receiver<()>) {
         let _ = stream.set_nodelay(true);
-        let (id, news) = (self.id, self.news.clone());
+        let (id, events) = (self.id, self.events.clone());
         let service = TowerToHyperService::new(warp::service(self.routes()));
         let serving = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::select! {
@@ -113,7 +113,7 @@
             _ = serving => {}
             _ = leave => {}
         }
-        let _ = news.send(News::Closed { id });
+        let _ = events.send(ConnectionEvent::Closed { id });
     }
 
     fn routes(self) -> impl Filter<Extract = (Reply,), Error = Infallible> + Clone {
@@ -150,21 +150,21 @@
     ) -> Reply {
         let path = path.as_str();
         if method == Method::GET {
-            if let Some(reply) = self.at_the_door(path) {
+            if let Some(reply) = self.answer_without_core(path) {
                 return reply;
             }
         }
-        let _ = self.news.send(News::Began { id: self.id, worker: path == "/hello" });
+        let _ = self.events.send(ConnectionEvent::Began { id: self.id, worker: path == "/hello" });
         let reply = match read_body(length, body).await {
             Ok(body) => route(&method, path, &query, &body, &self.core).await,
             Err(refusal) => refusal,
         };
-        let _ = self.news.send(News::Ended { id: self.id });
+        let _ = self.events.send(ConnectionEvent::Ended { id: self.id });
         reply
     }
 
     /// What needs no turn at the core: readiness, and polls that are turned away.
-    fn at_the_door(&self, path: &str) -> Option<Reply> {
+    fn answer_without_core(&self, path: &str) -> Option<Reply> {
         let vitals = *self.core.vitals.borrow();
         if path == "/ready" {
             return Some(match vitals.ready {
@@ -173,7 +173,7 @@
             });
         }
         let job = path.strip_prefix("/v1/jobs/")?;
-        Turns::wait_ms(job, vitals.level, crate::actor::wall_ms()).map(|ms| {
+        PollSchedule::wait_ms(job, vitals.level, crate::actor::wall_ms()).map(|ms| {
             let why = "more is asked than can be answered".to_string();
             let retry_after_s = Some(ms.div_ceil(1000) as u32);
             render(Response::Refusal { code: 503, why, retry_after_s })
@@ -220,8 +220,8 @@
         return reply;
     }
     match parts.as_slice() {
-        ["hello"] => match serde_json::from_slice::<RawReport>(body) {
-            Ok(report) => ask(core, Asked::Report(report)).await,
+        ["hello"] => match serde_json::from_slice::<RawHeartbeat>(body) {
+            Ok(report) => ask(core, Asked::Heartbeat(report)).await,
             Err(error) => problem(400, &format!("not a report: {error}")),
         },
         ["v1", "jobs"] => match JobSpec::from_json(body) {
--- a/crates/cleatfold/src/settings.rs
+++ b/crates/cleatfold/src/settings.rs
@@ -231,7 +231,7 @@
                     gpus_max: t.gpus_max,
                 })
                 .collect(),
-            report_ms: ms(c.workers.report_s),
+            heartbeat_interval_ms: ms(c.workers.report_s),
             lease_ms: ms(c.workers.lease_s),
             cancel_ms: ms(c.workers.cancel_s),
             txn_ops: c.state.txn_ops,
@@ -255,7 +255,7 @@
             preempt: c.objectives.iter().any(|o| o.kind == "wait"),
             admission: Some(Default::default()),
             history: Default::default(),
-            weights: None,
+            image_distribution: None,
             guarantee_wait_s: c
                 .objectives
                 .iter()
