--- a/crates/cleatfold-control/src/admission.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -5,13 +5,13 @@
 //! no harm: every claim is guarded as ever. The writer's word is guarded by its duty's key: a
 //! holder that was replaced cannot overwrite what the next one has written.
 
-use crate::cache::CachedJob;
+use crate::admission::state::{work, LongWork, MEASUREMENT_INTERVAL_MS, SETTLED_MS};
 use crate::config::AimKind;
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::inventory::Machine;
-use crate::records::*;
-use crate::state::admission::{work, LongWork, MEASUREMENT_INTERVAL_MS, SETTLED_MS};
+use crate::machines::inventory::Machine;
+use crate::store::cache::CachedJob;
+use crate::store::records::*;
 use cleatfold_admission::long_work_limit::LongWorkLimit;
 use cleatfold_admission::meter::{Largest, Spread};
 use cleatfold_admission::size_classes;
--- a/crates/cleatfold-control/src/state/admission.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -1,6 +1,6 @@
 //! What each group asks for and what there was to give, as one controller has measured it.
 
-use crate::cache::CachedJob;
+use crate::store::cache::CachedJob;
 use cleatfold_admission::long_work_limit::{Asks, LongWorkLimit};
 use cleatfold_admission::{size_classes, Entry, Group, Judge, Meter};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -1,12 +1,12 @@
 //! One controller: its state, and what it does at each event.
 
-use crate::cache::StateCache;
 use crate::config::Config;
 use crate::effects::*;
-use crate::inventory::Inventory;
-use crate::records::*;
-use crate::schedule::Plans;
-use crate::state::jobs::LocalJobState;
+use crate::jobs::state::LocalJobState;
+use crate::machines::inventory::Inventory;
+use crate::scheduling::planning::Plans;
+use crate::store::cache::StateCache;
+use crate::store::records::*;
 use cleatfold_roles::RoleAssignment;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
@@ -28,7 +28,7 @@
     pub(crate) ops: BTreeMap<u64, Pending>,
     pub(crate) resend: Vec<(Ms, u64, CallPriority, StoreRequest)>,
 
-    pub(crate) format_check: crate::state::format::FormatCheck,
+    pub(crate) format_check: crate::store::format_check::FormatCheck,
     pub(crate) cache: StateCache,
     pub(crate) loaded: bool,
     pub(crate) loading: bool,
@@ -37,7 +37,7 @@
     pub(crate) sync_inflight: bool,
     pub(crate) sync_sent: Ms,
     pub(crate) want_sync: bool,
-    pub(crate) rate_limiter: crate::rate_limiter::ChangeRateLimiter,
+    pub(crate) rate_limiter: crate::store::rate_limiter::ChangeRateLimiter,
     /// Something may be due to be recorded.
     pub(crate) flush_due: bool,
     /// Jobs that may have something to be recorded.
@@ -63,11 +63,11 @@
     pub(crate) pool_assigned_at: BTreeMap<PoolId, Ms>,
 
     pub(crate) job_states: BTreeMap<JobId, LocalJobState>,
-    pub(crate) submitting: crate::submissions::Submitting,
+    pub(crate) submitting: crate::jobs::submissions::Submitting,
     pub(crate) waiting: Vec<WaitingRequest>,
-    pub(crate) terminal_jobs: crate::requests::TerminalJobCache,
-    pub(crate) archive: crate::archive::ArchiveLookups,
-    pub(crate) losses: crate::state::losses::Losses,
+    pub(crate) terminal_jobs: crate::jobs::requests::TerminalJobCache,
+    pub(crate) archive: crate::jobs::archive::ArchiveLookups,
+    pub(crate) losses: crate::namespaces::loss_logs::Losses,
 
     pub(crate) inventory: Inventory,
     pub(crate) types_at: Option<Ms>,
@@ -76,9 +76,9 @@
     pub(crate) list_at: Option<Ms>,
     pub(crate) list_acc: Vec<cleatfold_wire::cloud::ListedMachine>,
     pub(crate) owned_since: BTreeMap<PoolId, (FencingToken, Ms)>,
-    pub(crate) long_polls: BTreeMap<MachineId, crate::workers::LongPoll>,
+    pub(crate) long_polls: BTreeMap<MachineId, crate::pools::heartbeats::LongPoll>,
     /// Who reaches whom.
-    pub(crate) reachability: crate::state::reachability::ReachabilityState,
+    pub(crate) reachability: crate::membership::state::ReachabilityState,
     pub(crate) started: Option<Ms>,
     pub(crate) last_tick: Ms,
     pub(crate) watched: Ms,
@@ -88,24 +88,24 @@
     pub(crate) alive_sent: Ms,
     pub(crate) plans: Plans,
     pub(crate) replan_needed: bool,
-    pub(crate) scale_out: crate::scale_out::ScaleOutState,
+    pub(crate) scale_out: crate::machines::scale_out::ScaleOutState,
     pub(crate) assigned_at: Ms,
     pub(crate) limits: crate::quota::Limits,
-    pub(crate) admission: crate::state::admission::Admission,
-    pub(crate) workspaces: crate::state::workspaces::Workspaces,
-    pub(crate) teams: crate::state::teams::Teams,
-    pub(crate) priority: crate::state::priority::PriorityState,
-    pub(crate) image_distribution: crate::state::image_distribution::ImageDistribution,
+    pub(crate) admission: crate::admission::state::Admission,
+    pub(crate) workspaces: crate::namespaces::workspace_state::Workspaces,
+    pub(crate) teams: crate::namespaces::question_state::Teams,
+    pub(crate) priority: crate::scheduling::priority_state::PriorityState,
+    pub(crate) image_distribution: crate::images::state::ImageDistribution,
     pub(crate) garbage_collection_inflight: bool,
     /// Tasks of our machines that are told to leave.
-    pub(crate) evictions: crate::state::evictions::Evictions,
+    pub(crate) evictions: crate::scheduling::evictions::Evictions,
     pub(crate) completed_at: Ms,
-    pub(crate) cancellations: crate::state::cancellations::Cancellations,
+    pub(crate) cancellations: crate::jobs::cancellation_state::Cancellations,
 }
 
 impl Controller {
     pub fn new(cfg: Config) -> Self {
-        let reachability = crate::state::reachability::ReachabilityState::new(&cfg);
+        let reachability = crate::membership::state::ReachabilityState::new(&cfg);
         let limits = crate::quota::Limits::new(&cfg.me);
         Self {
             cfg,
--- a/crates/cleatfold-control/src/image_distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -3,7 +3,7 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::records::*;
+use crate::store::records::*;
 use cleatfold_image_distribution::{Seen, Settings, Turn, View, Want};
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::store::Txn;
--- /dev/null
+++ b/crates/cleatfold-control/src/images/mod.rs
@@ -0,0 +1,4 @@
+//! Distribution of large images that many machines want at once.
+
+mod distribution;
+pub(crate) mod state;
--- a/crates/cleatfold-control/src/state/image_distribution.rs
+++ b/crates/cleatfold-control/src/images/state.rs
@@ -1,7 +1,7 @@
 //! The distribution of images that many machines want at once, as one controller keeps it.
 
-use crate::cache::CachedJob;
-use crate::inventory::Machine;
+use crate::machines::inventory::Machine;
+use crate::store::cache::CachedJob;
 use cleatfold_image_distribution::ImageDistributor;
 use cleatfold_wire::worker::TaskState;
 use cleatfold_wire::{AgentEpoch, ImageId, JobId, MachineId, Ms};
--- a/crates/cleatfold-control/src/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -1,8 +1,8 @@
 //! Failed tasks: what the records and the machines' owners know of them, as `cleatfold_fault_attribution` judges.
 
-use crate::cache::CachedJob;
 use crate::controller::Controller;
-use crate::state::jobs::LocalJobState;
+use crate::jobs::state::LocalJobState;
+use crate::store::cache::CachedJob;
 use cleatfold_fault_attribution::{pause_ms, verdict, Evidence, Failure, Verdict};
 use cleatfold_wire::job::{JobState, Kind};
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/src/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -1,10 +1,10 @@
 //! What users ask: submissions, polls, cancellations.
 
-use crate::archive::Joined;
 use crate::controller::{Controller, EventNumber, Pending, Submission, WaitReason, WaitingRequest};
 use crate::effects::*;
-use crate::records::*;
-use crate::submissions::SUBMIT_MS;
+use crate::jobs::archive::Joined;
+use crate::jobs::submissions::SUBMIT_MS;
+use crate::store::records::*;
 use cleatfold_wire::job::{JobState, JobStatus, StepCount};
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/cleatfold-control/src/state/jobs.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -1,9 +1,9 @@
 //! What a controller keeps about a job beside its record, and the transaction on it that is under way.
 
 use crate::event_number::EventNumber;
-use crate::records::{ArchiveRecord, JobRecord, PART};
-use crate::state::sent::Sent;
-use crate::state::steps::{JudgedReports, MemberReport};
+use crate::jobs::step_reports::{JudgedReports, MemberReport};
+use crate::store::records::{ArchiveRecord, JobRecord, PART};
+use crate::store::sent::Sent;
 use cleatfold_wire::losses::LossCause;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/src/state/steps.rs
+++ b/crates/cleatfold-control/src/jobs/step_reports.rs
@@ -2,8 +2,8 @@
 //!
 //! Decided from the records alone; who records a report, and when, is the controller's to say.
 
-use crate::cache::ProgressMap;
-use crate::records::*;
+use crate::store::cache::ProgressMap;
+use crate::store::records::*;
 use cleatfold_elastic::{Members, Part, Progress, StepAccounts, Verdict};
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::store::Txn;
--- a/crates/cleatfold-control/src/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -6,10 +6,10 @@
 //! record, which holds the members' claims, and of each part of the progress that it changes:
 //! a report of a member whose claim has ended meanwhile fails, and is judged anew.
 
-use crate::cache::CachedJob;
 use crate::controller::{Controller, WaitReason};
 use crate::effects::*;
-use crate::state::steps::MemberReport;
+use crate::jobs::step_reports::MemberReport;
+use crate::store::cache::CachedJob;
 use cleatfold_elastic::Verdict;
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/src/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -2,8 +2,8 @@
 
 use crate::controller::{Controller, Pending, Submission, WaitReason};
 use crate::effects::*;
-use crate::records::*;
-use crate::state::sent::Sent;
+use crate::store::records::*;
+use crate::store::sent::Sent;
 use cleatfold_backfill::Resources;
 use cleatfold_ingress::SubmissionQueue;
 use cleatfold_wire::job::{JobSpec, JobState, Kind};
--- a/crates/cleatfold-control/src/jobs.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -4,13 +4,13 @@
 //! very same transaction again: if it was executed, its guards fail now, and the next reading
 //! shows what stands. Until then nothing is built on it.
 
-use crate::cache::PartMap;
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::records::*;
-use crate::state::jobs::{part_of, ClaimEnd, JobTransaction, LocalJobState, Outcome};
-use crate::state::sent::Sent;
-use crate::state::steps::{judge, JudgedReports};
+use crate::jobs::state::{part_of, ClaimEnd, JobTransaction, LocalJobState, Outcome};
+use crate::jobs::step_reports::{judge, JudgedReports};
+use crate::store::cache::PartMap;
+use crate::store::records::*;
+use crate::store::sent::Sent;
 use cleatfold_elastic::Verdict;
 use cleatfold_wire::job::{JobState, Kind};
 use cleatfold_wire::mesh::Message;
@@ -188,7 +188,7 @@
                 steps.finished = progress.finished();
             } else {
                 steps = judge(progress, &record, &mut job_state.member_reports, room);
-                crate::state::steps::write(&mut txn, job, known, &steps);
+                crate::jobs::step_reports::write(&mut txn, job, known, &steps);
             }
         }
         job_state.over = false;
--- a/crates/cleatfold-control/src/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -1,9 +1,9 @@
 //! Which job's news is recorded next.
 
-use crate::cache::CachedJob;
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::state::jobs::{part_of, LocalJobState};
+use crate::jobs::state::{part_of, LocalJobState};
+use crate::store::cache::CachedJob;
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 use cleatfold_write_batching::{PendingPartUpdates, PendingUpdates, Selection};
@@ -121,7 +121,7 @@
                 Urgency::BestEffort => 1,
             },
             patience_ms: ((spec.estimate_s * 1000.0) as u64).clamp(LEAST_WAIT_MS, most),
-            gathers: crate::state::steps::can_gather(&job_state.member_reports, self.now),
+            gathers: crate::jobs::step_reports::can_gather(&job_state.member_reports, self.now),
         }
     }
 
@@ -138,7 +138,7 @@
         let live = self.cache.jobs.get(job).filter(|l| l.record.in_parts())?;
         let mut parts: BTreeMap<u32, PendingPartUpdates> = BTreeMap::new();
         for end in &job_state.ends {
-            let part = parts.entry(end.ix.0 / crate::records::PART).or_default();
+            let part = parts.entry(end.ix.0 / crate::store::records::PART).or_default();
             *if end.done { &mut part.done } else { &mut part.lost } += 1;
         }
         let tables = self.cache.parts.get(job);
--- a/crates/cleatfold-control/src/leader.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -5,8 +5,8 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::queue::Queued;
-use crate::records::*;
+use crate::scheduling::queue::Queued;
+use crate::store::records::*;
 use cleatfold_backfill::pools::{choose, Load};
 use cleatfold_roles::Role;
 use cleatfold_wire::job::Kind;
@@ -42,7 +42,7 @@
 
     // ---- dealing ----
 
-    fn live(&self, holding: &crate::cache::PoolOwnership) -> bool {
+    fn live(&self, holding: &crate::store::cache::PoolOwnership) -> bool {
         self.cache.controllers.get(&holding.owner).is_some_and(|n| n.0 == holding.incarnation)
     }
 
--- a/crates/cleatfold-control/src/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::records::*;
+use crate::store::records::*;
 use cleatfold_roles::Role;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/src/lib.rs
+++ b/crates/cleatfold-control/src/lib.rs
@@ -1,53 +1,42 @@
-//! The service's decisions as state machines: events in, effects out, no I/O and no clock.
+//! One controller as a state machine: events in, effects out, no I/O and no clock.
 //!
-//! `Controller` is one controller. Safety rests on the state service alone: every claim is one
-//! transaction guarded by the job's and the pool's version (see `docs/safety.md`).
+//! [`Controller`] owns all state of a process and routes each [`Event`] to the module it concerns:
+//!
+//! - `store`: the cache of the state service, the session that keeps it current, the records
+//! - `membership` and `leadership`: peers, who reaches whom, and roles of exactly one controller
+//! - `pools`: ownership of pools and their workers' heartbeats
+//! - `scheduling`: the queue, reservations, claims to be made, preemption
+//! - `jobs`: users' requests and the transactions on jobs' records
+//! - `quota` and `admission`: teams' limits, and shares under lasting overload
+//! - `machines` and `images`: the inventory, scaling out and in, large images
+//! - `namespaces`: each team's jobs, queue, history and losses
+//!
+//! Safety rests on the state service alone: every claim is one transaction guarded by the job's and
+//! the pool's version (`docs/safety.md`).
 
 mod admission;
-mod archive;
-mod cache;
-mod cancellations;
 pub mod config;
 mod controller;
-mod deleted_machines;
 pub mod effects;
 mod event_number;
-mod fault_attribution;
-mod format;
-mod image_distribution;
-mod inventory;
+mod images;
 mod jobs;
-mod leader;
-mod losses;
+mod leadership;
 mod machines;
-mod mesh;
+mod membership;
+mod namespaces;
 mod pending;
-mod preemption;
-mod priority;
-mod queue;
+mod pools;
 mod quota;
-mod rate_limiter;
-mod reachability;
-pub mod records;
-mod requests;
-mod roles;
-mod scale_out;
-mod schedule;
-mod state;
-mod steps;
-mod submissions;
-mod teams;
-mod unknown_outcomes;
-mod worker_authority;
-mod workers;
-mod workspaces;
-mod write_batching;
+mod scheduling;
+mod store;
 
 pub use config::{Aim, AimKind, Config, Team};
 pub use controller::Controller;
-pub use deleted_machines::DeletedMachines;
 pub use effects::{
     CallPriority, CloudReply, CloudRequest, Effect, Event, Request, Response, StoreReply,
     StoreRequest, TeamAnswer, TeamAsk,
 };
-pub use format::FORMAT;
+pub use machines::deleted::DeletedMachines;
+pub use store::format::FORMAT;
+pub use store::records;
--- a/crates/cleatfold-control/src/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -1,6 +1,6 @@
 //! Machines as their reports and the cloud's list tell of them.
 
-use crate::deleted_machines::DeletedMachines;
+use crate::machines::deleted::DeletedMachines;
 use cleatfold_backfill::Resources;
 use cleatfold_wire::cloud::{MachineState, MachineType};
 use cleatfold_wire::worker::{HeldImage, TaskReport, TaskState};
--- a/crates/cleatfold-control/src/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -7,9 +7,9 @@
 use crate::config::AimKind;
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::inventory::Machine;
-use crate::queue::Queued;
-use crate::records::*;
+use crate::machines::inventory::Machine;
+use crate::scheduling::queue::Queued;
+use crate::store::records::*;
 use cleatfold_roles::scale_out::Step;
 use cleatfold_roles::{Answer, Role, ScaleOutIntent, ScaleOutTracker};
 use cleatfold_wire::cloud::ScaleOutRequest;
@@ -247,7 +247,7 @@
     }
 
     /// How long the tasks of a job may still wait if it is to meet what is expected of it.
-    fn slack_s(&self, live: &crate::cache::CachedJob) -> f64 {
+    fn slack_s(&self, live: &crate::store::cache::CachedJob) -> f64 {
         let spec = &live.record.spec;
         let elapsed = self.wall_ms.saturating_sub(live.record.accepted_ms) as f64 / 1000.0;
         let aims = self.cfg.aims.iter().filter(|a| a.class == spec.class);
@@ -262,7 +262,7 @@
     /// Where to rent for a job: cheap per processor, soon up, and not all in one place.
     fn best_offer(
         &self,
-        live: &crate::cache::CachedJob,
+        live: &crate::store::cache::CachedJob,
         lacking: &BTreeMap<(PoolId, bool), f64>,
         zones: &BTreeMap<ZoneId, f64>,
         per_zone: f64,
--- a/crates/cleatfold-control/src/machines.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -1,11 +1,11 @@
 //! What the cloud tells of machines, and what owners see of theirs: silent ones, idle ones, those that are
 //! returned, and those that only their claims tell of.
 
-use crate::cache::CachedJob;
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::inventory::Machine;
-use crate::state::jobs::ClaimEnd;
+use crate::jobs::state::ClaimEnd;
+use crate::machines::inventory::Machine;
+use crate::store::cache::CachedJob;
 use cleatfold_roles::Role;
 use cleatfold_wire::cloud::{ListedMachine, MachineState};
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/src/state/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/loss_logs.rs
@@ -1,6 +1,6 @@
 //! What is known of the teams' logs of lost starts: what is in them, and what has still to be written.
 
-use crate::records::*;
+use crate::store::records::*;
 use cleatfold_wire::losses::Loss;
 use cleatfold_wire::store::Event;
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/src/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -8,7 +8,7 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::records::*;
+use crate::store::records::*;
 use cleatfold_wire::losses::{Loss, TeamLosses};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
--- /dev/null
+++ b/crates/cleatfold-control/src/namespaces/mod.rs
@@ -0,0 +1,9 @@
+//! A team's namespace (its workspace, as the operators say): its owner, its history, its log of
+//! losses, and its questions.
+
+pub(crate) mod loss_logs;
+mod losses;
+pub(crate) mod question_state;
+mod questions;
+pub(crate) mod workspace_state;
+mod workspaces;
--- a/crates/cleatfold-control/src/teams.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -4,12 +4,12 @@
 //! as polls are; history from the groups in the state service and, beyond them, from what has ended by such
 //! a reading. A team is told of nobody else: no ids, no names, no numbers.
 
-use crate::cache::CachedJob;
 use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::*;
-use crate::records::*;
-use crate::state::teams::{HistoryRead, Question, Ranks};
-use crate::state::workspaces::read_group;
+use crate::namespaces::question_state::{HistoryRead, Question, Ranks};
+use crate::namespaces::workspace_state::read_group;
+use crate::store::cache::CachedJob;
+use crate::store::records::*;
 use cleatfold_wire::team::*;
 use cleatfold_wire::*;
 use cleatfold_workspace::page::{by_place, AnswerPage};
--- a/crates/cleatfold-control/src/state/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspace_state.rs
@@ -1,6 +1,6 @@
 //! The workspaces that a controller owns, and what is on its way to their histories.
 
-use crate::records::*;
+use crate::store::records::*;
 use cleatfold_roles::Vacancies;
 use cleatfold_wire::store::{Item, Txn};
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/src/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -7,8 +7,8 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::records::*;
-use crate::state::workspaces::{read_group, Kept, Listing, Write};
+use crate::namespaces::workspace_state::{read_group, Kept, Listing, Write};
+use crate::store::records::*;
 use cleatfold_wire::store::{Events, Item, Txn};
 use cleatfold_wire::*;
 use cleatfold_workspace::{owner, JobEnd, GROUP};
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -1,9 +1,9 @@
 //! What waits for an answer: our calls to the services, and those who asked us.
 
 pub(crate) use crate::event_number::EventNumber;
-use crate::records::*;
-use crate::state::jobs::JobTransaction;
-use crate::state::sent::Sent;
+use crate::jobs::state::JobTransaction;
+use crate::store::records::*;
+use crate::store::sent::Sent;
 use cleatfold_roles::Role;
 use cleatfold_wire::cloud::ScaleOutRequest;
 use cleatfold_wire::job::JobSpec;
@@ -62,7 +62,7 @@
     Spread,
     OverloadQuota,
     /// Room that is being made, and who leaves once that is durable.
-    Preemption(Box<crate::state::priority::UncommittedPreemption>),
+    Preemption(Box<crate::scheduling::priority_state::UncommittedPreemption>),
     /// What is in the teams' logs already.
     LossLog,
     /// A group of losses for a team's log.
@@ -78,7 +78,7 @@
     },
     /// Taking workspaces, or giving one over.
     Workspaces(Vec<TeamId>, HolderRecord),
-    History(Box<crate::state::workspaces::Write>),
+    History(Box<crate::namespaces::workspace_state::Write>),
     /// The oldest groups of a team's history.
     Oldest {
         team: TeamId,
@@ -86,7 +86,7 @@
     },
     /// The whole archive, for teams of which it is not known what has ended.
     ArchivePage,
-    TeamHistory(Box<crate::state::teams::HistoryRead>),
+    TeamHistory(Box<crate::namespaces::question_state::HistoryRead>),
     Types,
     List {
         sent: Ms,
--- a/crates/cleatfold-control/src/workers.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -8,8 +8,8 @@
 
 use crate::controller::Controller;
 use crate::effects::*;
-use crate::inventory::{LastHeartbeat, Machine};
-use crate::state::jobs::ClaimEnd;
+use crate::jobs::state::ClaimEnd;
+use crate::machines::inventory::{LastHeartbeat, Machine};
 use cleatfold_wire::cloud::MachineState;
 use cleatfold_wire::worker::{Command, Exit, Heartbeat, RawHeartbeat, TaskState};
 use cleatfold_wire::*;
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -3,11 +3,11 @@
 //! Only a pool's owner changes the pool's part, guarded by the pool's version; so the parts never
 //! add up to more than the limit, and what a pool uses never exceeds its part.
 
-use crate::cache::CachedJob;
 use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::*;
-use crate::records::*;
-use crate::schedule::PoolPlan;
+use crate::scheduling::planning::PoolPlan;
+use crate::store::cache::CachedJob;
+use crate::store::records::*;
 use cleatfold_admission::long_work_limit::LongWorkLimit;
 use cleatfold_backfill::profile::FOREVER;
 use cleatfold_backfill::{AvailabilityProfile, Resources};
--- a/crates/cleatfold-control/src/state/evictions.rs
+++ b/crates/cleatfold-control/src/scheduling/evictions.rs
@@ -1,6 +1,6 @@
 //! Tasks that were told to leave, so that others get their places.
 
-use crate::cache::MachineClaims;
+use crate::store::cache::MachineClaims;
 use cleatfold_wire::worker::{Command, TaskReport};
 use cleatfold_wire::*;
 use std::collections::BTreeMap;
--- /dev/null
+++ b/crates/cleatfold-control/src/scheduling/mod.rs
@@ -0,0 +1,9 @@
+//! From the cache and the inventory to decisions: the queue's order, reservations, placement
+//! requests, and preemption.
+
+pub(crate) mod evictions;
+pub(crate) mod planning;
+mod preemption;
+mod priority;
+pub(crate) mod priority_state;
+pub(crate) mod queue;
--- a/crates/cleatfold-control/src/schedule.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -1,13 +1,13 @@
 //! From the mirror and the fleet to reservations, promises and claims.
 
-use crate::cache::CachedJob;
 use crate::controller::Controller;
 use crate::effects::Effect;
-use crate::inventory::Machine;
-use crate::queue::Queued;
+use crate::jobs::state::{LocalJobState, PlacementRequest};
+use crate::machines::inventory::Machine;
 use crate::quota::{Binding, Usage};
-use crate::state::evictions::YIELD_MS;
-use crate::state::jobs::{LocalJobState, PlacementRequest};
+use crate::scheduling::evictions::YIELD_MS;
+use crate::scheduling::queue::Queued;
+use crate::store::cache::CachedJob;
 use cleatfold_backfill::profile::FOREVER;
 use cleatfold_backfill::{AvailabilityProfile, MachineProfile, Request, Reservation};
 use cleatfold_priority::{believed, prompt_ms};
@@ -223,7 +223,7 @@
     fn expected_end(
         &self,
         machine_id: &MachineId,
-        machine: &crate::inventory::Machine,
+        machine: &crate::machines::inventory::Machine,
         (job, ix): (&JobId, TaskIx),
         live: &CachedJob,
         job_state: Option<&LocalJobState>,
--- a/crates/cleatfold-control/src/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -4,13 +4,13 @@
 //! Whom to stop is decided in `cleatfold_backfill::victims`. What is kept here may be lost with the
 //! node: a task whose stop is forgotten just runs on.
 
-use crate::cache::CachedJob;
 use crate::config::AimKind;
 use crate::controller::Controller;
 use crate::effects::*;
-use crate::inventory::Machine;
-use crate::schedule::PoolPlan;
-use crate::state::evictions::{Eviction, YIELD_MS};
+use crate::machines::inventory::Machine;
+use crate::scheduling::evictions::{Eviction, YIELD_MS};
+use crate::scheduling::planning::PoolPlan;
+use crate::store::cache::CachedJob;
 use cleatfold_backfill::preemption::{self, MachineLoad, Need, Preemption, Running};
 use cleatfold_priority::{PreemptionPlan, Victim};
 use cleatfold_wire::job::Kind;
--- a/crates/cleatfold-control/src/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -2,9 +2,9 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
-use crate::queue::Queued;
-use crate::records::{pool_key, preemption_key};
-use crate::state::priority::UncommittedPreemption;
+use crate::scheduling::priority_state::UncommittedPreemption;
+use crate::scheduling::queue::Queued;
+use crate::store::records::{pool_key, preemption_key};
 use cleatfold_priority::{lives, ListenerHealth, Owner, PreemptionPlan, Seen, StartBarrier};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::store::Txn;
--- a/crates/cleatfold-control/src/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -1,8 +1,8 @@
 //! The queue's order: what of each job waits for a place, and who goes first.
 
-use crate::cache::CachedJob;
+use crate::admission::state::size_class_demand;
 use crate::controller::Controller;
-use crate::state::admission::size_class_demand;
+use crate::store::cache::CachedJob;
 use cleatfold_admission::{order, size_classes, SizeClass, Sizes};
 use cleatfold_backfill::order::{Guarantees, Place};
 use cleatfold_priority::acceptance_times;
--- a/crates/cleatfold-control/src/queue/tests.rs
+++ b/crates/cleatfold-control/src/scheduling/queue/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::config::{Config, Team};
-use crate::records::JobRecord;
+use crate::store::records::JobRecord;
 use cleatfold_wire::job::{JobSpec, Kind};
 use proptest::prelude::*;
 
--- a/crates/cleatfold-control/src/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -4,7 +4,7 @@
 //! transactions. Each key's version only ever grows here, so a late or repeated piece of news
 //! cannot turn a key back.
 
-use crate::records::*;
+use crate::store::records::*;
 use cleatfold_admission::OverloadQuota;
 use cleatfold_backfill::Resources;
 use cleatfold_elastic::{Part, PartRecord, Progress, Width};
--- a/crates/cleatfold-control/src/format.rs
+++ b/crates/cleatfold-control/src/store/format.rs
@@ -7,8 +7,8 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::*;
-use crate::records::FORMAT_KEY;
-use crate::state::format::Format;
+use crate::store::format_check::Format;
+use crate::store::records::FORMAT_KEY;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
 use serde::{Deserialize, Serialize};
--- /dev/null
+++ b/crates/cleatfold-control/src/store/mod.rs
@@ -0,0 +1,11 @@
+//! The state service as one controller sees it: the cache of its records, the session that keeps the
+//! cache current, the records' forms, and what is done about transactions without an answer.
+
+pub(crate) mod cache;
+pub(crate) mod format;
+pub(crate) mod format_check;
+mod loss_records;
+pub(crate) mod rate_limiter;
+pub mod records;
+pub(crate) mod sent;
+mod unknown_outcomes;
--- a/crates/cleatfold-control/src/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -5,9 +5,7 @@
 //! head names the parts that are complete. Ended jobs move to `ar/<job>`, outside of what
 //! nodes read at start and follow.
 
-mod losses;
-
-pub use losses::*;
+pub use super::loss_records::*;
 
 use cleatfold_backfill::Resources;
 pub use cleatfold_image_distribution::{OriginRecord, SpreadRecord};
--- a/crates/cleatfold-control/src/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -14,9 +14,9 @@
 
 use crate::controller::{Controller, Pending, Submission, WaitReason};
 use crate::effects::*;
-use crate::records::*;
-use crate::state::jobs::JobTransaction;
-use crate::state::sent::{Sent, UnansweredAction, UNANSWERED_AFTER_MS};
+use crate::jobs::state::JobTransaction;
+use crate::store::records::*;
+use crate::store::sent::{Sent, UnansweredAction, UNANSWERED_AFTER_MS};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
 
