--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -8,10 +8,10 @@
 use crate::admission::state::{work, LongWork, MEASUREMENT_INTERVAL_MS, SETTLED_MS};
 use crate::config::AimKind;
 use crate::controller::{Controller, Pending};
-use crate::effects::*;
+use crate::effects::{CallPriority, StoreRequest};
 use crate::machines::inventory::Machine;
 use crate::store::cache::CachedJob;
-use crate::store::records::*;
+use crate::store::records::OVERLOAD_QUOTA_KEY;
 use cleatfold_admission::long_work_limit::LongWorkLimit;
 use cleatfold_admission::meter::{Largest, Spread};
 use cleatfold_admission::size_classes;
@@ -21,7 +21,7 @@
 use cleatfold_roles::Role;
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::{ClassId, JobId, TeamId};
 use std::collections::BTreeMap;
 
 /// An allotment stands for so long, unless a group comes or goes.
--- a/crates/cleatfold-control/src/admission/state.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -4,7 +4,7 @@
 use cleatfold_admission::long_work_limit::{Asks, LongWorkLimit};
 use cleatfold_admission::{size_classes, Entry, Group, Judge, Meter};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
-use cleatfold_wire::*;
+use cleatfold_wire::{JobId, Ms, TeamId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Between two measurements, in milliseconds.
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -1,16 +1,18 @@
 //! One controller: its state, and what it does at each event.
 
 use crate::config::Config;
-use crate::effects::*;
+use crate::effects::{
+    CallPriority, CloudRequest, Effect, Event, Response, StoreReply, StoreRequest,
+};
 use crate::jobs::state::LocalJobState;
 use crate::machines::inventory::Inventory;
 use crate::scheduling::planning::Plans;
 use crate::store::cache::StateCache;
-use crate::store::records::*;
+use crate::store::records::{controller_key, ControllerRecord, LIVE};
 use cleatfold_roles::RoleAssignment;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::{ControllerId, FencingToken, JobId, LeaseId, MachineId, Ms, PoolId, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub(crate) use crate::pending::{EventNumber, Pending, Submission, WaitReason, WaitingRequest};
--- a/crates/cleatfold-control/src/effects.rs
+++ b/crates/cleatfold-control/src/effects.rs
@@ -11,7 +11,7 @@
 use cleatfold_wire::store::{Events, Item, Page, Txn};
 use cleatfold_wire::team::{TeamHistory, TeamJobs, TeamQueue};
 use cleatfold_wire::worker::{Heartbeat, HeartbeatResponse, Orders, RawHeartbeat};
-use cleatfold_wire::*;
+use cleatfold_wire::{AgentEpoch, ControllerId, JobId, LeaseId, MachineId, Seq, TeamId, Version};
 
 /// What a user asks.
 #[derive(Clone, Debug)]
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -2,13 +2,13 @@
 //! becomes of its decisions, and the two records.
 
 use crate::controller::{Controller, Pending};
-use crate::effects::*;
-use crate::store::records::*;
+use crate::effects::{CallPriority, StoreReply, StoreRequest};
+use crate::store::records::{image_holders_key, pool_key, OriginRecord, SpreadRecord, ORIGIN_KEY};
 use cleatfold_image_distribution::{Seen, Settings, Turn, View, Want};
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::worker::{Command, HeldImage, TaskReport, TaskState};
-use cleatfold_wire::*;
+use cleatfold_wire::{Attempt, ImageId, JobId, MachineId, Ms, PoolId, TaskIx, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Between two looks at all spreads, two changes of the slots, and two of who holds what.
--- a/crates/cleatfold-control/src/jobs/archive.rs
+++ b/crates/cleatfold-control/src/jobs/archive.rs
@@ -9,7 +9,7 @@
 //! read for all jobs at once (`follow`), so that hardly anybody has to ask.
 
 use crate::pending::{EventNumber, WaitingRequest};
-use cleatfold_wire::*;
+use cleatfold_wire::{JobId, Version};
 use std::collections::BTreeMap;
 
 /// Questions under way at one time.
--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -6,7 +6,7 @@
 
 use crate::controller::Controller;
 use cleatfold_wire::mesh::Message;
-use cleatfold_wire::*;
+use cleatfold_wire::{ControllerId, JobId};
 
 const BROADCAST_INTERVAL_MS: u64 = 250;
 
--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -5,7 +5,7 @@
 use crate::store::cache::CachedJob;
 use cleatfold_fault_attribution::{pause_ms, verdict, Evidence, Failure, Verdict};
 use cleatfold_wire::job::{JobState, Kind};
-use cleatfold_wire::*;
+use cleatfold_wire::{Attempt, JobId, MachineId, TaskId, TaskIx};
 use std::collections::BTreeSet;
 
 impl Controller {
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -1,12 +1,12 @@
 //! What users ask: submissions, polls, cancellations.
 
 use crate::controller::{Controller, EventNumber, Pending, Submission, WaitReason, WaitingRequest};
-use crate::effects::*;
+use crate::effects::{CallPriority, Request, Response, StoreReply, StoreRequest};
 use crate::jobs::archive::Joined;
 use crate::jobs::submissions::SUBMIT_MS;
-use crate::store::records::*;
+use crate::store::records::{archive_key, status, ArchiveRecord, LossList, ARCHIVE};
 use cleatfold_wire::job::{JobState, JobStatus, StepCount};
-use cleatfold_wire::*;
+use cleatfold_wire::{JobId, Ms, Version};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Answers that are final may be kept: they never change. Bounded; the archive has them all.
--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -6,7 +6,7 @@
 use crate::store::sent::Sent;
 use cleatfold_wire::losses::LossCause;
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::{Attempt, FencingToken, JobId, MachineId, Ms, PoolId, TaskIx};
 use std::collections::BTreeMap;
 
 /// A claim that is over, with proof.
--- a/crates/cleatfold-control/src/jobs/step_reports.rs
+++ b/crates/cleatfold-control/src/jobs/step_reports.rs
@@ -3,11 +3,11 @@
 //! Decided from the records alone; who records a report, and when, is the controller's to say.
 
 use crate::store::cache::ProgressMap;
-use crate::store::records::*;
+use crate::store::records::{progress_key, JobRecord};
 use cleatfold_elastic::{Members, Part, Progress, StepAccounts, Verdict};
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::{JobId, Ms};
 
 /// Finished steps of members that still have work gather for so long.
 const GATHER_MS: u64 = 1000;
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -7,12 +7,12 @@
 //! a report of a member whose claim has ended meanwhile fails, and is judged anew.
 
 use crate::controller::{Controller, WaitReason};
-use crate::effects::*;
+use crate::effects::Response;
 use crate::jobs::step_reports::MemberReport;
 use crate::store::cache::CachedJob;
 use cleatfold_elastic::Verdict;
 use cleatfold_wire::steps::StepReport;
-use cleatfold_wire::*;
+use cleatfold_wire::{ControllerId, JobId};
 
 /// A report that could not be recorded for so long is answered 503.
 const ASK_MS: u64 = 4000;
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -1,15 +1,15 @@
 //! Submissions: who may, in what order they are made durable, and what became of them.
 
 use crate::controller::{Controller, Pending, Submission, WaitReason};
-use crate::effects::*;
-use crate::store::records::*;
+use crate::effects::{CallPriority, Response, StoreReply, StoreRequest};
+use crate::store::records::{archive_key, job_key, status, JobRecord};
 use crate::store::sent::Sent;
 use cleatfold_backfill::Resources;
 use cleatfold_ingress::SubmissionQueue;
 use cleatfold_wire::job::{JobSpec, JobState, Kind};
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::{TeamId, Version};
 
 /// After so long whoever submits has left, and asks again.
 pub(crate) const SUBMIT_MS: u64 = 4500;
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -5,18 +5,20 @@
 //! shows what stands. Until then nothing is built on it.
 
 use crate::controller::{Controller, Pending};
-use crate::effects::*;
+use crate::effects::{CallPriority, Effect, Response, StoreReply};
 use crate::jobs::state::{part_of, ClaimEnd, JobTransaction, LocalJobState, Outcome};
 use crate::jobs::step_reports::{judge, JudgedReports};
 use crate::store::cache::PartMap;
-use crate::store::records::*;
+use crate::store::records::{
+    archive_key, job_key, part_key, pool_key, status, ArchiveRecord, JobRecord, Table, PART,
+};
 use crate::store::sent::Sent;
 use cleatfold_elastic::Verdict;
 use cleatfold_wire::job::{JobState, Kind};
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::worker::Exit;
-use cleatfold_wire::*;
+use cleatfold_wire::{Attempt, FencingToken, JobId, MachineId, PoolId, TaskIx, Version, ZoneId};
 use cleatfold_write_batching::{claim_order, Selection};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -1,11 +1,11 @@
 //! Which job's news is recorded next.
 
 use crate::controller::{Controller, Pending};
-use crate::effects::*;
+use crate::effects::{CallPriority, StoreRequest};
 use crate::jobs::state::{part_of, LocalJobState};
 use crate::store::cache::CachedJob;
 use cleatfold_wire::job::Urgency;
-use cleatfold_wire::*;
+use cleatfold_wire::JobId;
 use cleatfold_write_batching::{PendingPartUpdates, PendingUpdates, Selection};
 use std::collections::BTreeMap;
 
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -4,15 +4,15 @@
 //! version of the key they change.
 
 use crate::controller::{Controller, Pending};
-use crate::effects::*;
+use crate::effects::{CallPriority, StoreRequest};
 use crate::scheduling::queue::Queued;
-use crate::store::records::*;
+use crate::store::records::{pool_key, HolderRecord};
 use cleatfold_backfill::pools::{choose, Load};
 use cleatfold_roles::Role;
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::{ControllerId, JobId, Ms, PoolId, Version, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A pool that changed hands is left where it is for so long.
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -1,11 +1,11 @@
 //! Taking duties, giving them back, and the small ones themselves.
 
 use crate::controller::{Controller, Pending};
-use crate::effects::*;
-use crate::store::records::*;
+use crate::effects::{CallPriority, StoreReply, StoreRequest};
+use crate::store::records::{job_key, part_key, progress_key, HolderRecord};
 use cleatfold_roles::Role;
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::Version;
 use std::collections::BTreeSet;
 
 impl Controller {
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -4,7 +4,9 @@
 use cleatfold_backfill::Resources;
 use cleatfold_wire::cloud::{MachineState, MachineType};
 use cleatfold_wire::worker::{HeldImage, TaskReport, TaskState};
-use cleatfold_wire::*;
+use cleatfold_wire::{
+    AgentEpoch, FencingToken, ImageId, JobId, MachineId, Ms, PoolId, Seq, TaskIx, TypeId,
+};
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -6,17 +6,17 @@
 
 use crate::config::AimKind;
 use crate::controller::{Controller, Pending};
-use crate::effects::*;
+use crate::effects::{CallPriority, CloudReply, CloudRequest, StoreReply, StoreRequest};
 use crate::machines::inventory::Machine;
 use crate::scheduling::queue::Queued;
-use crate::store::records::*;
+use crate::store::records::SCALE_OUT_KEY;
 use cleatfold_roles::scale_out::Step;
 use cleatfold_roles::{Answer, Role, ScaleOutIntent, ScaleOutTracker};
 use cleatfold_wire::cloud::ScaleOutRequest;
 use cleatfold_wire::job::{JobSpec, Kind};
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::{MachineId, Ms, PoolId, ZoneId};
 use std::collections::BTreeMap;
 
 const SCALE_OUT_INTERVAL_MS: u64 = 500;
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -2,13 +2,13 @@
 //! returned, and those that only their claims tell of.
 
 use crate::controller::{Controller, Pending};
-use crate::effects::*;
+use crate::effects::{CloudReply, CloudRequest};
 use crate::jobs::state::ClaimEnd;
 use crate::machines::inventory::Machine;
 use crate::store::cache::CachedJob;
 use cleatfold_roles::Role;
 use cleatfold_wire::cloud::{ListedMachine, MachineState};
-use cleatfold_wire::*;
+use cleatfold_wire::{FencingToken, MachineId, Ms, PoolId, TeamId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Looking at every machine costs by their number; nothing it finds is in a hurry.
--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::Controller;
 use cleatfold_wire::mesh::Message;
-use cleatfold_wire::*;
+use cleatfold_wire::{ControllerId, FencingToken, ImageId, MachineId, Ms, PoolId};
 
 impl Controller {
     pub(crate) fn on_mesh(&mut self, from: ControllerId, message: Message) {
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -7,7 +7,7 @@
 use cleatfold_wire::cloud::MachineState;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::worker::RawHeartbeat;
-use cleatfold_wire::*;
+use cleatfold_wire::{AgentEpoch, ControllerId, MachineId, Ms, PoolId, Seq, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
 const CONTACT_INTERVAL_MS: u64 = 500;
--- a/crates/cleatfold-control/src/membership/state.rs
+++ b/crates/cleatfold-control/src/membership/state.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use cleatfold_reachability::{Reachability, Timing};
-use cleatfold_wire::*;
+use cleatfold_wire::{ControllerId, Ms, PoolId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Who reaches whom, and what was last told and seen of it.
--- a/crates/cleatfold-control/src/namespaces/loss_logs.rs
+++ b/crates/cleatfold-control/src/namespaces/loss_logs.rs
@@ -1,9 +1,9 @@
 //! What is known of the teams' logs of lost starts: what is in them, and what has still to be written.
 
-use crate::store::records::*;
+use crate::store::records::{LossList, LOSS_LOG};
 use cleatfold_wire::losses::Loss;
 use cleatfold_wire::store::Event;
-use cleatfold_wire::*;
+use cleatfold_wire::{Attempt, JobId, Ms, TaskIx, TeamId, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is kept in memory of what is in a log, and of what is not in it yet. What is above
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -7,11 +7,13 @@
 //! what is there and adds what is missing).
 
 use crate::controller::{Controller, Pending};
-use crate::effects::*;
-use crate::store::records::*;
+use crate::effects::{CallPriority, Response, StoreReply, StoreRequest};
+use crate::store::records::{
+    loss_head_key, loss_log_key, loss_log_prefix, workspace_key, ArchiveRecord, LossHead, LOSS_LOG,
+};
 use cleatfold_wire::losses::{Loss, TeamLosses};
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::{JobId, TeamId, Version};
 use std::collections::BTreeMap;
 
 /// An owner looks for losses that are not in the log yet so often.
--- a/crates/cleatfold-control/src/namespaces/question_state.rs
+++ b/crates/cleatfold-control/src/namespaces/question_state.rs
@@ -2,7 +2,7 @@
 
 use crate::effects::TeamAsk;
 use crate::event_number::EventNumber;
-use cleatfold_wire::*;
+use cleatfold_wire::{JobId, Ms, TeamId};
 use std::collections::BTreeMap;
 
 /// Questions of one team that wait at a time; a team that asks more is told to come back.
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -5,13 +5,15 @@
 //! a reading. A team is told of nobody else: no ids, no names, no numbers.
 
 use crate::controller::{Controller, EventNumber, Pending};
-use crate::effects::*;
+use crate::effects::{CallPriority, Response, StoreReply, StoreRequest, TeamAnswer, TeamAsk};
 use crate::namespaces::question_state::{HistoryRead, Question, Ranks};
 use crate::namespaces::workspace_state::read_group;
 use crate::store::cache::CachedJob;
-use crate::store::records::*;
-use cleatfold_wire::team::*;
-use cleatfold_wire::*;
+use crate::store::records::{history_group_key, history_head_key, history_prefix};
+use cleatfold_wire::team::{
+    EndedJob, Holdup, LiveJob, TeamHistory, TeamJobs, TeamQueue, WaitingJob,
+};
+use cleatfold_wire::{JobId, PoolId, TeamId};
 use cleatfold_workspace::page::{by_place, AnswerPage};
 use cleatfold_workspace::GROUP_MOST;
 use std::collections::BTreeSet;
--- a/crates/cleatfold-control/src/namespaces/workspace_state.rs
+++ b/crates/cleatfold-control/src/namespaces/workspace_state.rs
@@ -1,9 +1,9 @@
 //! The workspaces that a controller owns, and what is on its way to their histories.
 
-use crate::store::records::*;
+use crate::store::records::{HistoryGroup, HistoryHead};
 use cleatfold_roles::Vacancies;
 use cleatfold_wire::store::{Item, Txn};
-use cleatfold_wire::*;
+use cleatfold_wire::{JobId, Ms, TeamId, Version};
 use cleatfold_workspace::{Ended, JobEnd};
 use std::collections::BTreeMap;
 
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -6,11 +6,14 @@
 //! team next goes on from the revision that the head names.
 
 use crate::controller::{Controller, Pending};
-use crate::effects::*;
+use crate::effects::{CallPriority, StoreReply, StoreRequest};
 use crate::namespaces::workspace_state::{read_group, Kept, Listing, Write};
-use crate::store::records::*;
+use crate::store::records::{
+    history_group_key, history_head_key, history_prefix, workspace_key, ArchiveRecord,
+    HistoryGroup, HistoryHead, HolderRecord, ARCHIVE,
+};
 use cleatfold_wire::store::{Events, Item, Txn};
-use cleatfold_wire::*;
+use cleatfold_wire::{JobId, TeamId, Version};
 use cleatfold_workspace::{owner, JobEnd, GROUP};
 use std::collections::BTreeMap;
 
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -2,14 +2,14 @@
 
 pub(crate) use crate::event_number::EventNumber;
 use crate::jobs::state::JobTransaction;
-use crate::store::records::*;
+use crate::store::records::{HolderRecord, OriginRecord};
 use crate::store::sent::Sent;
 use cleatfold_roles::Role;
 use cleatfold_wire::cloud::ScaleOutRequest;
 use cleatfold_wire::job::JobSpec;
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::{JobId, MachineId, Ms, TeamId, Version};
 
 /// A call to the state service or the cloud that has no answer yet.
 #[derive(Debug)]
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -7,12 +7,12 @@
 //! a lease that has provably run out; deletion or failure of the machine.
 
 use crate::controller::Controller;
-use crate::effects::*;
+use crate::effects::Response;
 use crate::jobs::state::ClaimEnd;
 use crate::machines::inventory::{LastHeartbeat, Machine};
 use cleatfold_wire::cloud::MachineState;
 use cleatfold_wire::worker::{Command, Exit, Heartbeat, RawHeartbeat, TaskState};
-use cleatfold_wire::*;
+use cleatfold_wire::{Attempt, FencingToken, JobId, MachineId, Ms, PoolId, TaskId, TaskIx};
 use serde_json::value::RawValue;
 use std::collections::BTreeSet;
 
--- a/crates/cleatfold-control/src/pools/worker_authority.rs
+++ b/crates/cleatfold-control/src/pools/worker_authority.rs
@@ -9,7 +9,7 @@
 use crate::controller::Controller;
 use crate::effects::Response;
 use cleatfold_wire::worker::{Command, HeartbeatResponse};
-use cleatfold_wire::*;
+use cleatfold_wire::{FencingToken, PoolId};
 
 /// Preemption by `Controller::entitled` alone, and good for one answer at that moment.
 pub(crate) struct WorkerAuthority {
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -4,17 +4,17 @@
 //! add up to more than the limit, and what a pool uses never exceeds its part.
 
 use crate::controller::{Controller, EventNumber, Pending};
-use crate::effects::*;
+use crate::effects::{CallPriority, StoreReply, StoreRequest};
 use crate::scheduling::planning::PoolPlan;
 use crate::store::cache::CachedJob;
-use crate::store::records::*;
+use crate::store::records::{pool_key, slice_key, SliceRecord};
 use cleatfold_admission::long_work_limit::LongWorkLimit;
 use cleatfold_backfill::profile::FOREVER;
 use cleatfold_backfill::{AvailabilityProfile, Resources};
 use cleatfold_ingress::{Backoff, Need, PacerLimits, WritePacer};
 use cleatfold_wire::job::{JobSpec, Kind};
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::{ControllerId, FencingToken, MachineId, Ms, PoolId, TeamId, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub(crate) type Usage = BTreeMap<(TeamId, PoolId), Resources>;
--- a/crates/cleatfold-control/src/scheduling/evictions.rs
+++ b/crates/cleatfold-control/src/scheduling/evictions.rs
@@ -2,7 +2,7 @@
 
 use crate::store::cache::MachineClaims;
 use cleatfold_wire::worker::{Command, TaskReport};
-use cleatfold_wire::*;
+use cleatfold_wire::{Attempt, JobId, MachineId, Ms, PoolId, TaskIx};
 use std::collections::BTreeMap;
 
 /// How long a member may go on with its step when its place is wanted, in milliseconds.
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -13,7 +13,7 @@
 use cleatfold_priority::{believed, prompt_ms};
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::mesh::{Message, Promise};
-use cleatfold_wire::*;
+use cleatfold_wire::{FencingToken, JobId, MachineId, Ms, PoolId, TaskIx, ZoneId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Reservations per pool and planning. What lies beyond waits unreserved.
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -6,7 +6,7 @@
 
 use crate::config::AimKind;
 use crate::controller::Controller;
-use crate::effects::*;
+use crate::effects::Effect;
 use crate::machines::inventory::Machine;
 use crate::scheduling::evictions::{Eviction, YIELD_MS};
 use crate::scheduling::planning::PoolPlan;
@@ -15,7 +15,7 @@
 use cleatfold_priority::{PreemptionPlan, Victim};
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::worker::{Command, Exit, Heartbeat, Orders, TaskReport, TaskState};
-use cleatfold_wire::*;
+use cleatfold_wire::{Attempt, FencingToken, JobId, MachineId, Ms, PoolId, TaskId, TaskIx};
 use std::collections::HashSet;
 
 /// What waits for a member's place should start within this time of its acceptance.
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -8,7 +8,7 @@
 use cleatfold_priority::{lives, ListenerHealth, Owner, PreemptionPlan, Seen, StartBarrier};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::{FencingToken, JobId, MachineId, PoolId, Version};
 use std::collections::BTreeSet;
 
 /// So many jobs that have waited for long are planned for by every pool, the first of the queue.
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -2,7 +2,7 @@
 
 use cleatfold_priority::{considers, PreemptionPlan, PreemptionRecord, Sent, StartBarrier};
 use cleatfold_wire::job::Urgency;
-use cleatfold_wire::*;
+use cleatfold_wire::{FencingToken, JobId, MachineId, Ms, PoolId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Which pools plan, which lanes may start, and the room that stands or is being written down.
--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -7,7 +7,7 @@
 use cleatfold_backfill::order::{Guarantees, Place};
 use cleatfold_priority::acceptance_times;
 use cleatfold_wire::job::{Kind, Urgency};
-use cleatfold_wire::*;
+use cleatfold_wire::{ClassId, JobId, TeamId};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// What of a job waits for a place.
--- a/crates/cleatfold-control/src/scheduling/queue/tests.rs
+++ b/crates/cleatfold-control/src/scheduling/queue/tests.rs
@@ -4,6 +4,7 @@
 use crate::config::{Config, Team};
 use crate::store::records::JobRecord;
 use cleatfold_wire::job::{JobSpec, Kind};
+use cleatfold_wire::{ControllerId, ImageId, Version, ZoneId};
 use proptest::prelude::*;
 
 const URGENCIES: [Urgency; 4] =
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -4,13 +4,19 @@
 //! transactions. Each key's version only ever grows here, so a late or repeated piece of news
 //! cannot turn a key back.
 
-use crate::store::records::*;
+use crate::store::records::{
+    parse_key, ControllerRecord, HistoryHead, HolderRecord, JobRecord, Key, LossHead, OriginRecord,
+    PreemptionRecord, SliceRecord, SpreadRecord, Summary, Table,
+};
 use cleatfold_admission::OverloadQuota;
 use cleatfold_backfill::Resources;
 use cleatfold_elastic::{Part, PartRecord, Progress, Width};
 use cleatfold_roles::{Role, ScaleOutIntents};
 use cleatfold_wire::store::{Event, Item};
-use cleatfold_wire::*;
+use cleatfold_wire::{
+    Attempt, ControllerId, FencingToken, ImageId, JobId, MachineId, PoolId, TaskId, TaskIx, TeamId,
+    Version, ZoneId,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub type PartMap = BTreeMap<u32, (Version, Table)>;
--- a/crates/cleatfold-control/src/store/format.rs
+++ b/crates/cleatfold-control/src/store/format.rs
@@ -6,11 +6,11 @@
 //! an empty store at the same time can't both succeed, and one that is executed late meets its own or another's.
 
 use crate::controller::{Controller, Pending};
-use crate::effects::*;
+use crate::effects::{CallPriority, Effect, StoreReply, StoreRequest};
 use crate::store::format_check::Format;
 use crate::store::records::FORMAT_KEY;
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::Version;
 use serde::{Deserialize, Serialize};
 
 /// Changes when an earlier version would misread what we write, or we what it wrote.
--- a/crates/cleatfold-control/src/store/loss_records.rs
+++ b/crates/cleatfold-control/src/store/loss_records.rs
@@ -3,7 +3,7 @@
 use crate::config::Config;
 use cleatfold_fault_attribution::Failure;
 use cleatfold_wire::losses::{JobLosses, Loss, LossCause};
-use cleatfold_wire::*;
+use cleatfold_wire::{Attempt, JobId, MachineId, TaskId, TaskIx, TeamId};
 use serde::{Deserialize, Serialize};
 
 /// The teams' logs; outside of what nodes read at start and follow.
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -12,7 +12,9 @@
 pub use cleatfold_priority::{PreemptionPlan, PreemptionRecord};
 use cleatfold_roles::Role;
 use cleatfold_wire::job::{JobSpec, JobState, JobStatus};
-use cleatfold_wire::*;
+use cleatfold_wire::{
+    Attempt, ControllerId, FencingToken, ImageId, JobId, MachineId, PoolId, TaskIx, TeamId, ZoneId,
+};
 pub use cleatfold_workspace::{Entry, Group as HistoryGroup, HistoryHead, Summary};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -13,12 +13,12 @@
 //! slow for all is not asked twice; and only while changes are plenty, so what waits for its turn is not doubled.
 
 use crate::controller::{Controller, Pending, Submission, WaitReason};
-use crate::effects::*;
+use crate::effects::{CallPriority, Effect, Response, StoreRequest};
 use crate::jobs::state::JobTransaction;
-use crate::store::records::*;
+use crate::store::records::job_key;
 use crate::store::sent::{Sent, UnansweredAction, UNANSWERED_AFTER_MS};
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::Version;
 
 fn txn_of(pending: &Pending) -> Option<(&Txn, Sent)> {
     match pending {
--- a/crates/cleatfold-fakes/src/cloud.rs
+++ b/crates/cleatfold-fakes/src/cloud.rs
@@ -1,7 +1,7 @@
 //! The cloud: rents and deletes machines.
 
-use cleatfold_wire::cloud::*;
-use cleatfold_wire::*;
+use cleatfold_wire::cloud::{ListedMachine, MachineState, MachineType, ScaleOutRequest};
+use cleatfold_wire::{MachineId, Ms, TypeId, ZoneId};
 use std::collections::BTreeMap;
 
 pub struct Rented {
--- a/crates/cleatfold-fakes/src/images.rs
+++ b/crates/cleatfold-fakes/src/images.rs
@@ -4,7 +4,7 @@
 use cleatfold_image_distribution::{digest, Fetch, Next, Pieces};
 use cleatfold_wire::job::JobSpec;
 use cleatfold_wire::worker::HeldImage;
-use cleatfold_wire::*;
+use cleatfold_wire::{Attempt, ImageId, MachineId, Ms, TaskId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// As good as never.
--- a/crates/cleatfold-fakes/src/worker.rs
+++ b/crates/cleatfold-fakes/src/worker.rs
@@ -6,7 +6,9 @@
 use cleatfold_wire::worker::{
     Command, Exit, Heartbeat, HeartbeatResponse, Orders, TaskReport, TaskState,
 };
-use cleatfold_wire::*;
+use cleatfold_wire::{
+    AgentEpoch, Attempt, FencingToken, MachineId, Ms, Seq, TaskId, TypeId, ZoneId,
+};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
--- a/crates/cleatfold-testbed/src/capacity/hollow.rs
+++ b/crates/cleatfold-testbed/src/capacity/hollow.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use cleatfold_fakes::worker::{Happening, Worker};
 use cleatfold_wire::worker::{Exit, HeartbeatResponse, Orders, Redirect};
-use cleatfold_wire::*;
+use cleatfold_wire::{ControllerId, MachineId, Ms, TaskId, TypeId, ZoneId};
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::SendRequest;
 use hyper_util::rt::TokioIo;
--- a/crates/cleatfold-testbed/src/capacity/state_service.rs
+++ b/crates/cleatfold-testbed/src/capacity/state_service.rs
@@ -9,7 +9,7 @@
 use cleatfold_fakes::store::{Refusal, Store};
 use cleatfold_wire::cloud::{MachineList, MachineType, MachineTypes, Machines, ScaleOutRequest};
 use cleatfold_wire::store::{Grant, Granted, Revision, Txn};
-use cleatfold_wire::*;
+use cleatfold_wire::{LeaseId, Ms, TypeId, Version, ZoneId};
 use hyper::Method;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/crates/cleatfold-testbed/src/capacity/traffic.rs
+++ b/crates/cleatfold-testbed/src/capacity/traffic.rs
@@ -1,7 +1,7 @@
 //! The jobs of a capacity run: every part of the run works a job out from its number alone.
 
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
-use cleatfold_wire::*;
+use cleatfold_wire::{ClassId, ImageId, JobId, TaskId, TeamId};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/cleatfold-testbed/src/capacity/watch.rs
+++ b/crates/cleatfold-testbed/src/capacity/watch.rs
@@ -2,7 +2,7 @@
 
 use super::hollow::TaskEvent;
 use super::traffic::{is_urgent, Traffic};
-use cleatfold_wire::*;
+use cleatfold_wire::{JobId, MachineId, TaskId, TeamId};
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
--- a/crates/cleatfold-testbed/src/elastic.rs
+++ b/crates/cleatfold-testbed/src/elastic.rs
@@ -5,7 +5,7 @@
 use cleatfold_clients::http::Http;
 use cleatfold_wire::cloud::MachineType;
 use cleatfold_wire::job::{Elastic, JobSpec, JobState, JobStatus, Kind, Urgency};
-use cleatfold_wire::*;
+use cleatfold_wire::{ClassId, ImageId, JobId, Ms, TeamId, TypeId, ZoneId};
 use hdrhistogram::Histogram;
 use hyper::Method;
 use rand::rngs::SmallRng;
--- a/crates/cleatfold-testbed/src/history.rs
+++ b/crates/cleatfold-testbed/src/history.rs
@@ -5,7 +5,7 @@
 use cleatfold_fakes::member::Member;
 use cleatfold_fakes::store::Store;
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::*;
+use cleatfold_wire::{Attempt, JobId, TaskIx};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A step of a job.
--- a/crates/cleatfold-testbed/src/images.rs
+++ b/crates/cleatfold-testbed/src/images.rs
@@ -3,7 +3,7 @@
 
 use crate::world::{ImageSettings, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{Kind, Urgency};
-use cleatfold_wire::*;
+use cleatfold_wire::{ImageId, Ms, TeamId, TypeId, ZoneId};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
--- a/crates/cleatfold-testbed/src/region.rs
+++ b/crates/cleatfold-testbed/src/region.rs
@@ -11,7 +11,7 @@
 use cleatfold_wire::steps::{StepReply, StepReport};
 use cleatfold_wire::store::{Grant, Granted, Revision, Txn};
 use cleatfold_wire::worker::{Exit, Heartbeat, HeartbeatResponse, Orders, Redirect};
-use cleatfold_wire::*;
+use cleatfold_wire::{Attempt, ControllerId, JobId, LeaseId, MachineId, Ms, TaskId, Version};
 use hyper::Method;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/crates/cleatfold-testbed/src/team.rs
+++ b/crates/cleatfold-testbed/src/team.rs
@@ -1,7 +1,7 @@
 //! A team's jobs, queue or history as a table, asked of a running controller.
 
 use cleatfold_clients::http::Http;
-use cleatfold_wire::team::*;
+use cleatfold_wire::team::{EndedJob, LiveJob, TeamHistory, TeamJobs, TeamQueue, WaitingJob};
 use serde::de::DeserializeOwned;
 use std::io::{Error, Result};
 use std::time::Duration;
--- a/crates/cleatfold-testbed/src/world.rs
+++ b/crates/cleatfold-testbed/src/world.rs
@@ -40,7 +40,10 @@
 pub use written::{ChangeCounts, ChangeKind};
 
 use crate::history::StepWatch;
-use cleatfold_control::*;
+use cleatfold_control::{
+    records, CloudReply, CloudRequest, Config, Controller, Effect, Event, Request, Response,
+    StoreReply, StoreRequest, Team,
+};
 use cleatfold_fakes::cloud::Cloud;
 use cleatfold_fakes::store::{Refusal, Store};
 use cleatfold_fakes::worker::{Happening, Worker};
@@ -51,7 +54,10 @@
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::worker::{Exit, Heartbeat, Orders};
-use cleatfold_wire::*;
+use cleatfold_wire::{
+    Attempt, ClassId, ControllerId, ImageId, JobId, MachineId, Ms, PoolId, TaskId, TeamId, TypeId,
+    Version, ZoneId,
+};
 pub use images::ImageSettings;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/cleatfold-testbed/src/world/answers.rs
+++ b/crates/cleatfold-testbed/src/world/answers.rs
@@ -2,7 +2,10 @@
 //! service that are lost though their transactions were carried out, cancellations as a job ends, and odd requests;
 //! with what watches that nobody is told anything older than what somebody was told before.
 
-use super::*;
+use super::{
+    team_id, Asked, BTreeMap, Event, Fault, JobId, JobSpec, JobState, JobWatch, Kind, Ms, Request,
+    Response, Rng, SimulationEvent, StoreRequest, TaskId, TeamId, TypeId, World, ZoneId,
+};
 use cleatfold_control::records;
 
 /// What a user does about a job that has just changed.
--- a/crates/cleatfold-testbed/src/world/cancelled.rs
+++ b/crates/cleatfold-testbed/src/world/cancelled.rs
@@ -1,6 +1,6 @@
 //! Watches what cancelled jobs still do: starts after a user was told, and tasks that go on after their machine hung.
 
-use super::*;
+use super::{BTreeMap, MachineId, Ms, TaskId, World};
 
 /// What was seen of cancelled jobs.
 #[derive(Default)]
--- a/crates/cleatfold-testbed/src/world/commands.rs
+++ b/crates/cleatfold-testbed/src/world/commands.rs
@@ -2,7 +2,10 @@
 //! only after a change of leader, machines that reach no controller, and machines that hang while their jobs are
 //! cancelled.
 
-use super::*;
+use super::{
+    team_id, Asked, BTreeMap, BTreeSet, Event, Fault, Heartbeat, JobId, JobState, Kind, MachineId,
+    Ms, Orders, Request, Rng, SimulationEvent, TaskId, Urgency, Version, World,
+};
 use cleatfold_wire::job::Elastic;
 
 /// A controller's client gives a direct command up after so long.
--- a/crates/cleatfold-testbed/src/world/drawn.rs
+++ b/crates/cleatfold-testbed/src/world/drawn.rs
@@ -1,6 +1,6 @@
 //! FaultState drawn by the seed.
 
-use super::*;
+use super::{MachineId, Ms, Rng, SimulationEvent, World, ZoneId, LEASE_MS, ZONES};
 
 /// What can go wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
--- a/crates/cleatfold-testbed/src/world/fault_schedule.rs
+++ b/crates/cleatfold-testbed/src/world/fault_schedule.rs
@@ -1,6 +1,9 @@
 //! What tests need to bring two troubles together at a moment.
 
-use super::*;
+use super::{
+    Asked, Attempt, BTreeMap, BTreeSet, JobId, JobState, MachineId, Ms, Request, Response, Rng,
+    TaskId, Txn, World,
+};
 use cleatfold_control::records::{self, Key, Table};
 
 #[derive(Default)]
--- a/crates/cleatfold-testbed/src/world/faults.rs
+++ b/crates/cleatfold-testbed/src/world/faults.rs
@@ -1,6 +1,9 @@
 //! What befalls controllers, machines and what goes between them.
 
-use super::*;
+use super::{
+    BTreeMap, BTreeSet, Event, Fault, Heartbeat, JobId, MachineId, Ms, Rng, SimulationEvent,
+    TypeId, Worker, World, ZoneId,
+};
 
 #[derive(Default)]
 pub struct FaultState {
--- a/crates/cleatfold-testbed/src/world/images.rs
+++ b/crates/cleatfold-testbed/src/world/images.rs
@@ -1,6 +1,6 @@
 //! Large images on the machines, and what watches the seats at their origin.
 
-use super::*;
+use super::{records, Worker, World};
 use cleatfold_fakes::images::Net;
 use cleatfold_image_distribution::{OriginRecord, Settings};
 
--- a/crates/cleatfold-testbed/src/world/late.rs
+++ b/crates/cleatfold-testbed/src/world/late.rs
@@ -1,7 +1,7 @@
 //! Transactions of chosen kinds that get no answer and are carried out seconds later, after newer ones of the same
 //! controller; and what of all that was ever written would show one that should have failed.
 
-use super::*;
+use super::{BTreeMap, BTreeSet, JobId, Ms, Rng, StoreReply, StoreRequest, Txn, Version, World};
 use cleatfold_control::records::{self, HistoryGroup, Key, Table};
 use cleatfold_wire::store::Event as Written;
 
--- a/crates/cleatfold-testbed/src/world/leaders.rs
+++ b/crates/cleatfold-testbed/src/world/leaders.rs
@@ -1,6 +1,6 @@
 //! Leaders that end again and again, and controllers that are all away at the same time.
 
-use super::*;
+use super::{controller_id, BTreeMap, Fault, MachineId, Ms, Rng, SimulationEvent, Version, World};
 use cleatfold_control::records::HolderRecord;
 use cleatfold_roles::Role;
 
--- a/crates/cleatfold-testbed/src/world/load_generator.rs
+++ b/crates/cleatfold-testbed/src/world/load_generator.rs
@@ -1,6 +1,9 @@
 //! Users that keep a region busy and go on cancelling, whatever befalls it.
 
-use super::*;
+use super::{
+    Asked, BTreeMap, BTreeSet, Controller, JobId, JobSpec, JobState, JobWatch, Ms, Request, Rng,
+    SimulationEvent, World,
+};
 
 /// They hold on for so long after the last trouble.
 const AFTER_MS: u64 = 5_000;
--- a/crates/cleatfold-testbed/src/world/meetings.rs
+++ b/crates/cleatfold-testbed/src/world/meetings.rs
@@ -1,7 +1,10 @@
 //! FaultState that last over several moments of their own: what is carried out late, what is held
 //! up, and controllers that end more than once.
 
-use super::*;
+use super::{
+    BTreeMap, Event, Fault, MachineId, Ms, PoolId, Rng, SimulationEvent, StoreRequest, Version,
+    World,
+};
 use cleatfold_control::records;
 
 /// The clients of the controllers wait so long, for the state service and for a machine.
--- a/crates/cleatfold-testbed/src/world/polls.rs
+++ b/crates/cleatfold-testbed/src/world/polls.rs
@@ -1,6 +1,9 @@
 //! Users that ask about each job they know of until it ends, and what watches that they are told.
 
-use super::*;
+use super::{
+    Asked, BTreeMap, BTreeSet, Controller, JobId, JobState, Ms, Request, Rng, SimulationEvent,
+    World,
+};
 
 /// A job about which no question is answered for so long is forgotten, however others fare.
 const FORGOTTEN_MS: u64 = 75_000;
--- a/crates/cleatfold-testbed/src/world/priority_watch.rs
+++ b/crates/cleatfold-testbed/src/world/priority_watch.rs
@@ -1,7 +1,7 @@
 //! Watches the order of lanes: starts of a lower one while something of a higher one waited that would have
 //! fitted there.
 
-use super::*;
+use super::{records, BTreeMap, BTreeSet, JobId, Kind, MachineId, Ms, TaskId, World, ZoneId};
 use cleatfold_backfill::Resources;
 use cleatfold_priority::{inverts, Inversions, Start, Waiting};
 
--- a/crates/cleatfold-testbed/src/world/queries.rs
+++ b/crates/cleatfold-testbed/src/world/queries.rs
@@ -1,6 +1,6 @@
 //! What tests ask of the region's state.
 
-use super::*;
+use super::{controller_id, Attempt, BTreeMap, BTreeSet, MachineId, PoolId, TaskId, World};
 use cleatfold_control::records::{self, HolderRecord, JobRecord, Key};
 
 impl World {
--- a/crates/cleatfold-testbed/src/world/quick_restarts.rs
+++ b/crates/cleatfold-testbed/src/world/quick_restarts.rs
@@ -1,7 +1,10 @@
 //! A blink of each participant in each step: a process or machine that is back within a fraction
 //! of a second, right before or right after a step is executed.
 
-use super::*;
+use super::{
+    controller_id, BTreeMap, CloudRequest, MachineId, Ms, PoolId, SimulationEvent, StoreRequest,
+    Txn, World,
+};
 use cleatfold_control::records::{self, HolderRecord, JobRecord, Key};
 
 /// What a request to the state service or the cloud is a step of.
--- a/crates/cleatfold-testbed/src/world/services.rs
+++ b/crates/cleatfold-testbed/src/world/services.rs
@@ -1,6 +1,9 @@
 //! The state service and the cloud of the region.
 
-use super::*;
+use super::{
+    written, CloudReply, CloudRequest, Ms, Refusal, SimulationEvent, StoreReply, StoreRequest,
+    World,
+};
 use cleatfold_wire::cloud::ScaleOutRequest;
 
 impl World {
--- a/crates/cleatfold-testbed/src/world/size.rs
+++ b/crates/cleatfold-testbed/src/world/size.rs
@@ -1,6 +1,6 @@
 //! How large a simulated region is, and how it is set up.
 
-use super::*;
+use super::{Config, ControllerId, ImageSettings, MachineType, Team, TeamId, TypeId, ZoneId};
 
 /// Controllers of a usual region.
 pub const CONTROLLERS: usize = 3;
--- a/crates/cleatfold-testbed/src/world/sizes.rs
+++ b/crates/cleatfold-testbed/src/world/sizes.rs
@@ -1,6 +1,6 @@
 //! Who is served, by class, team and size.
 
-use super::*;
+use super::{BTreeMap, JobSpec, World};
 
 /// Jobs have to begin so soon.
 const BEGIN_MS: u64 = 240_000;
--- a/crates/cleatfold-testbed/src/world/small_jobs.rs
+++ b/crates/cleatfold-testbed/src/world/small_jobs.rs
@@ -1,6 +1,6 @@
 //! Users that submit one-task jobs four a second and cancel a quarter of them.
 
-use super::*;
+use super::{team_id, Asked, BTreeMap, JobId, JobState, Ms, Request, Rng, SimulationEvent, World};
 
 const EVERY_MS: u64 = 250;
 /// A user comes again after so long without an answer, and gives a submission up after a minute.
--- a/crates/cleatfold-testbed/src/world/starvation.rs
+++ b/crates/cleatfold-testbed/src/world/starvation.rs
@@ -4,7 +4,10 @@
 //! a team's limit or a binding that nobody gives back shows as a job that waits beside free machines. Room that is
 //! handed on to another job within seconds is no room that was left: what counts has been free for a while.
 
-use super::*;
+use super::{
+    team_id, BTreeMap, BTreeSet, JobId, JobSpec, JobState, JobWatch, Kind, MachineId, Ms, TaskId,
+    TeamId, TypeId, Worker, World, ZoneId,
+};
 use std::collections::VecDeque;
 
 /// A job may wait so long beside a machine that it fits.
--- a/crates/cleatfold-testbed/src/world/users.rs
+++ b/crates/cleatfold-testbed/src/world/users.rs
@@ -1,6 +1,9 @@
 //! What users do.
 
-use super::*;
+use super::{
+    polls, team_id, Asked, ClassId, Event, ImageId, JobId, JobSpec, JobWatch, Kind, Ms, Request,
+    Response, Rng, SimulationEvent, Size, TypeId, Urgency, World,
+};
 
 impl World {
     pub(super) fn on_reply(&mut self, controller: usize, rid: u64, response: Response) {
--- a/crates/cleatfold-testbed/src/world/watch.rs
+++ b/crates/cleatfold-testbed/src/world/watch.rs
@@ -1,6 +1,9 @@
 //! What watches for the rules.
 
-use super::*;
+use super::{
+    records, Asked, BTreeMap, Exit, Happening, JobId, JobState, MachineId, Ms, Response, TaskId,
+    Txn, World, ZoneId,
+};
 
 impl World {
     pub(super) fn watch(&mut self) {
--- a/crates/cleatfold-testbed/src/world/workers.rs
+++ b/crates/cleatfold-testbed/src/world/workers.rs
@@ -1,6 +1,9 @@
 //! Workers, their members, and how they reach the controllers.
 
-use super::*;
+use super::{
+    controller_id, Link, MachineId, MemberKey, Ms, Response, Rng, SimulationEvent, StepReport,
+    TaskId, TypeId, Worker, World, ZoneId,
+};
 
 impl World {
     /// A worker does what is due by itself, and so do its members.
--- a/crates/cleatfold-wire/src/cloud.rs
+++ b/crates/cleatfold-wire/src/cloud.rs
@@ -1,6 +1,6 @@
 //! The cloud's calls.
 
-use crate::ids::*;
+use crate::ids::{MachineId, TypeId, ZoneId};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/cleatfold-wire/src/job.rs
+++ b/crates/cleatfold-wire/src/job.rs
@@ -1,6 +1,6 @@
 //! What users send and receive.
 
-use crate::ids::*;
+use crate::ids::{ClassId, ImageId, JobId, TeamId, TypeId, ZoneId};
 use crate::losses::JobLosses;
 use serde::{Deserialize, Serialize};
 
--- a/crates/cleatfold-wire/src/losses.rs
+++ b/crates/cleatfold-wire/src/losses.rs
@@ -1,7 +1,7 @@
 //! What users are told of tasks whose machine was lost. Not part of the protocol
 //! (`docs/overload.md`, "Nothing vanishes").
 
-use crate::ids::*;
+use crate::ids::{Attempt, MachineId, TaskId};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/cleatfold-wire/src/steps.rs
+++ b/crates/cleatfold-wire/src/steps.rs
@@ -1,7 +1,7 @@
 //! What a member of an elastic job tells a controller and is told. Not part of the protocol
 //! between controllers and workers: a member is a process that runs as a task.
 
-use crate::ids::*;
+use crate::ids::{Attempt, JobId, TaskId};
 use crate::job::StepCount;
 use serde::{Deserialize, Serialize};
 
--- a/crates/cleatfold-wire/src/store.rs
+++ b/crates/cleatfold-wire/src/store.rs
@@ -1,7 +1,7 @@
 //! The state service's calls. Values stay raw JSON here; their shape belongs to whoever
 //! stores them.
 
-use crate::ids::*;
+use crate::ids::{LeaseId, Version};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
--- a/crates/cleatfold-wire/src/team.rs
+++ b/crates/cleatfold-wire/src/team.rs
@@ -2,7 +2,7 @@
 //!
 //! Three lists of one shape: the entries, what to ask with next, and whether there is more now.
 
-use crate::ids::*;
+use crate::ids::{ClassId, JobId, MachineId, TaskIx};
 use crate::job::{JobState, Urgency};
 use crate::losses::LossCause;
 use serde::{Deserialize, Serialize};
--- a/crates/cleatfold-wire/src/worker.rs
+++ b/crates/cleatfold-wire/src/worker.rs
@@ -1,6 +1,9 @@
 //! What workers report and are told.
 
-use crate::ids::*;
+use crate::ids::{
+    AgentEpoch, Attempt, ControllerId, FencingToken, ImageId, MachineId, Seq, TaskId, TypeId,
+    ZoneId,
+};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
