--- a/crates/cleatfold-control/src/jobs/mod.rs
+++ b/crates/cleatfold-control/src/jobs/mod.rs
@@ -4,6 +4,7 @@
 pub(crate) mod archive;
 pub(crate) mod cancellation_state;
 mod cancellations;
+mod draft;
 mod fault_attribution;
 pub(crate) mod requests;
 pub(crate) mod state;
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -5,57 +5,25 @@
 //! shows what stands. Until then nothing is built on it.
 
 use crate::controller::{Controller, Pending};
-use crate::effects::{CallPriority, Effect, Response, StoreReply};
-use crate::jobs::state::{part_of, ClaimEnd, JobTransaction, LocalJobState, Outcome};
-use crate::jobs::step_reports::{judge, JudgedReports};
-use crate::store::cache::PartMap;
-use crate::store::records::{
-    archive_key, job_key, part_key, pool_key, status, ArchiveRecord, JobRecord, Table, PART,
-};
+use crate::effects::{CallPriority, Response, StoreReply};
+use crate::jobs::draft::{ClaimBounds, Draft};
+use crate::jobs::state::{ClaimEnd, JobTransaction, LocalJobState, Outcome};
+use crate::jobs::step_reports::{judge, write, JudgedReports};
+use crate::store::cache::{CachedJob, ProgressMap, StateCache};
+use crate::store::records::{archive_key, job_key, status, ArchiveRecord};
 use crate::store::sent::Sent;
-use cleatfold_elastic::Verdict;
-use cleatfold_wire::job::{JobState, Kind};
+use cleatfold_elastic::{Progress, Verdict};
+use cleatfold_wire::job::{JobState, JobStatus};
 use cleatfold_wire::mesh::Message;
-use cleatfold_wire::store::Txn;
 use cleatfold_wire::worker::Exit;
-use cleatfold_wire::{Attempt, FencingToken, JobId, MachineId, PoolId, TaskIx, Version, ZoneId};
-use cleatfold_write_batching::{claim_order, Selection};
+use cleatfold_wire::{Attempt, JobId, MachineId, PoolId, TaskIx, Version, ZoneId};
+use cleatfold_write_batching::Selection;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Guards that the state service takes in one transaction, per change that it takes.
 const GUARDS_PER_CHANGE: usize = 4;
-
-fn guard_once(txn: &mut Txn, key: String, version: Version) {
-    if !txn.guards.iter().any(|g| g.key == key) {
-        txn.guard(key, version);
-    }
-}
-
-/// The transaction fails unless the pool is still ours.
-fn guard_pool(txn: &mut Txn, pool: &PoolId, token: FencingToken) {
-    guard_once(txn, pool_key(pool), Version(token.0));
-}
-
-fn version_of_part(parts: Option<&PartMap>, part: u32) -> Version {
-    parts.and_then(|p| p.get(&part)).map(|p| p.0).unwrap_or_default()
-}
-
-/// The transaction fails if any part of the job has changed: a claim in a part does not change the job's record, so
-/// one that we have not read would go unnoticed. False if that takes more guards than a transaction may have.
-fn guard_parts(txn: &mut Txn, record: &JobRecord, parts: Option<&PartMap>, most: usize) -> bool {
-    if !record.in_parts() {
-        return true;
-    }
-    let open: Vec<u32> =
-        (0..record.part_count()).filter(|part| !record.parts_done.contains(part)).collect();
-    if txn.guards.len() + open.len() > most {
-        return false;
-    }
-    for part in open {
-        guard_once(txn, part_key(&record.spec.id, part), version_of_part(parts, part));
-    }
-    true
-}
+/// Changes of a transaction that are kept for the head, the archive and the end of a part.
+const RESERVED_CHANGES: usize = 4;
 
 impl Controller {
     pub(crate) fn job_state(&mut self, job: &JobId) -> &mut LocalJobState {
@@ -96,308 +64,89 @@
         }
     }
 
+    /// Builds the transaction that records what waits of a job: ends, reports of steps, claims and a
+    /// cancellation. None if there is nothing to be written, whatever waits then being answered.
     pub(crate) fn build(
         &mut self,
         job: &JobId,
         selection: Option<Selection>,
     ) -> Option<JobTransaction> {
-        let (rank, of) = self.rank();
-        let (pausing, mut most) = match self.cache.jobs.get(job) {
-            Some(live) => self.claimable(job, live),
+        let rank = self.rank();
+        let (pausing, max_tasks) = match self.cache.jobs.get(job) {
+            Some(cached) => self.claimable(job, cached),
             None => Default::default(),
         };
+        let by_zone = self.spread_by_zone(job);
         let job_state = self.job_states.get_mut(job)?;
-        let placement_requests = std::mem::take(&mut job_state.placement_requests);
-        let Some(live) = self.cache.jobs.get(job) else {
+        let placements = std::mem::take(&mut job_state.placement_requests);
+        let Some(cached) = self.cache.jobs.get(job) else {
             // Gone meanwhile: what it still wanted is moot.
             job_state.ends.clear();
             job_state.abort = false;
             return None;
         };
-        let mut record = live.record.clone();
-        // From now on the record's version is another: its place in the queue stays.
-        record.place = Some(live.place());
-        let parts = self.cache.parts.get(job);
-        let mut touched: BTreeMap<u32, Table> = BTreeMap::new();
-        let mut txn = Txn::default();
-        txn.guard(job_key(job), live.version);
-        let mut head_changed = false;
-        let (mut done, mut claimed) = (live.done, live.claimed);
         // Each touched part is one change; the head, the archive and a part's end need some.
-        let room = self.cfg.txn_ops.saturating_sub(4).max(1).min(self.rate_limiter.affords());
-
-        fn table_of<'a>(
-            record: &'a mut JobRecord,
-            touched: &'a mut BTreeMap<u32, Table>,
-            parts: Option<&PartMap>,
-            part: Option<u32>,
-        ) -> &'a mut Table {
-            match part {
-                None => &mut record.table,
-                Some(part) => touched.entry(part).or_insert_with(|| {
-                    parts.and_then(|p| p.get(&part)).map(|p| p.1.clone()).unwrap_or_default()
-                }),
-            }
-        }
+        let max_parts = self.cfg.txn_ops.saturating_sub(RESERVED_CHANGES).max(1);
+        let max_parts = max_parts.min(self.rate_limiter.affords());
+        let parts = self.cache.parts.get(job);
+        let mut draft = Draft::new(job, cached, parts, max_parts, self.wall_ms);
+        let owned = &self.owned_since;
+        let owns = |pool: &PoolId, token| owned.get(pool).map(|o| o.0) == Some(token);
 
-        let mut ended = Vec::new();
-        let mut void = Vec::new();
-        // Ends of parts that are written anyway are told with the claims, further down.
-        let mut later = Vec::new();
-        for end in &job_state.ends {
-            if let Some((pool, token)) = &end.fence {
-                if self.owned_since.get(pool).map(|o| o.0) != Some(*token) {
-                    void.push(end.clone());
-                    continue;
-                }
-            }
-            let part = part_of(&record, end.ix);
-            if let Some(part) = part.filter(|p| !touched.contains_key(p)) {
-                let chosen = selection.as_ref().is_none_or(|s| s.contains(part));
-                if !chosen || touched.len() >= room {
-                    later.push(end.clone());
-                    continue;
-                }
-            }
-            let table = table_of(&mut record, &mut touched, parts, part);
-            if table.end(&end.machine, end.ix, end.attempt, end.done) {
-                head_changed |= part.is_none();
-                claimed -= 1;
-                table.ran_ms += end.ran_ms;
-                done += u32::from(end.done);
-                if let Some(cause) = end.loss() {
-                    let lost = (end.ix, end.attempt);
-                    table.losses.note(&end.machine, cause, self.wall_ms, lost);
-                }
-                if let Some((pool, token)) = &end.fence {
-                    guard_pool(&mut txn, pool, *token);
-                }
-                ended.push(end.clone());
-            } else {
-                void.push(end.clone());
-            }
-        }
-        let mut steps = JudgedReports::default();
-        let known = self.cache.progress.get(job);
-        if let Some(progress) = self.cache.progress_of(job) {
-            if record.aborted {
-                // What stays here would be looked at for ever.
-                let cancelled = Verdict::Lost("the job is cancelled");
-                steps.verdicts =
-                    job_state.member_reports.drain(..).map(|a| (a, cancelled.clone())).collect();
-                steps.finished = progress.finished();
-            } else if job_state.abort {
-                steps.finished = progress.finished();
-            } else {
-                steps = judge(progress, &record, &mut job_state.member_reports, room);
-                crate::jobs::step_reports::write(&mut txn, job, known, &steps);
-            }
-        }
+        let mut ends = draft.record_ends(&job_state.ends, selection.as_ref(), owns);
+        let mut steps =
+            self.cache.progress_of(job).map_or_else(JudgedReports::default, |progress| {
+                let known = self.cache.progress.get(job);
+                judge_steps(&mut draft, job_state, progress, known, max_parts)
+            });
         job_state.over = false;
-
         let mut claims = Vec::new();
-        if !record.aborted && !job_state.abort {
-            let tasks = record.spec.tasks;
-            let half = tasks.div_ceil(2);
+        if !draft.record.aborted && !job_state.abort {
             // A quarter is left for pools and whatever else claims are guarded by.
-            let most_guards = self.cfg.txn_ops * (GUARDS_PER_CHANGE - 1);
-            let mut by_zone: BTreeMap<ZoneId, u32> = BTreeMap::new();
-            if record.spec.spread {
-                for table in self.cache.tables(job) {
-                    for group in &table.claims {
-                        *by_zone.entry(group.pool.zone.clone()).or_default() +=
-                            group.tasks.len() as u32;
-                    }
-                }
-            }
-            let before = (record.clone(), touched.clone(), txn.guards.len(), head_changed);
-            let free_before = tasks - done - claimed;
-            for placement in placement_requests {
-                if self.owned_since.get(&placement.pool).map(|o| o.0) != Some(placement.token) {
-                    continue;
-                }
-                let zone = &placement.pool.zone;
-                if record.spec.one_zone {
-                    match &record.zone {
-                        Some(bound) if bound == zone => {}
-                        // Bound while any task of it may run; then it may go on elsewhere. (A job whose zone
-                        // had no machine left waited for ever beside free ones of other zones.)
-                        Some(_)
-                            if claimed > 0
-                                || !guard_parts(&mut txn, &record, parts, most_guards) =>
-                        {
-                            continue
-                        }
-                        _ => {
-                            record.zone = Some(zone.clone());
-                            head_changed = true;
-                        }
-                    }
-                }
-                let mut want = placement.tasks.min(most);
-                if record.spec.spread {
-                    let here = by_zone.entry(zone.clone()).or_default();
-                    want = want.min(half.saturating_sub(*here));
-                    *here += want;
-                }
-                let pool = placement.pool.clone();
-                let mut made = Vec::new();
-                if record.in_parts() {
-                    for part in claim_order(record.part_count(), rank, of) {
-                        if made.len() as u32 >= want {
-                            break;
-                        }
-                        if record.parts_done.contains(&part)
-                            || (!touched.contains_key(&part) && touched.len() >= room)
-                        {
-                            continue;
-                        }
-                        let (from, to) = record.part_range(part);
-                        let known = parts.and_then(|p| p.get(&part)).map(|p| &p.1);
-                        let current = touched.get(&part).or(known);
-                        let free = match current {
-                            Some(t) => t.free(from, to),
-                            None => (from..to).map(TaskIx).collect::<Vec<_>>(),
-                        };
-                        let free: Vec<TaskIx> =
-                            free.into_iter().filter(|ix| !pausing.contains(ix)).collect();
-                        if free.is_empty() {
-                            continue;
-                        }
-                        let table = table_of(&mut record, &mut touched, parts, Some(part));
-                        table.begun_ms.get_or_insert(self.wall_ms);
-                        for ix in free.into_iter().take((want as usize) - made.len()) {
-                            made.push((
-                                ix,
-                                table.claim(&placement.machine, placement.token, &pool, ix),
-                            ));
-                        }
-                    }
-                    // Guards of other claims of a spread or one-zone job must notice this one.
-                    head_changed |= record.spec.spread;
-                } else {
-                    let table = &mut record.table;
-                    let free = table.free(0, tasks).into_iter().filter(|ix| !pausing.contains(ix));
-                    for ix in free.take(want as usize) {
-                        made.push((
-                            ix,
-                            table.claim(&placement.machine, placement.token, &pool, ix),
-                        ));
-                    }
-                    if !made.is_empty() {
-                        table.begun_ms.get_or_insert(self.wall_ms);
-                    }
-                    head_changed |= !made.is_empty();
-                }
-                if !made.is_empty() {
-                    most = most.saturating_sub(made.len() as u32);
-                    claimed += made.len() as u32;
-                    guard_pool(&mut txn, &placement.pool, placement.token);
-                    claims.push((placement, made));
-                }
-            }
-            let made: u32 = claims.iter().map(|c| c.1.len() as u32).sum();
-            if record.spec.kind == Kind::Gang && made > 0 && made < free_before {
-                // A gang is claimed whole or not at all.
-                claims.clear();
-                claimed -= made;
-                (record, touched) = (before.0, before.1);
-                txn.guards.truncate(before.2);
-                head_changed = before.3;
-            }
-        }
-        for end in later.into_iter().filter(|e| e.done) {
-            let part = end.ix.0 / PART;
-            let Some(table) = touched.get_mut(&part) else { continue };
-            if table.end(&end.machine, end.ix, end.attempt, true) {
-                table.ran_ms += end.ran_ms;
-                claimed -= 1;
-                done += 1;
-                ended.push(end);
-            } else {
-                void.push(end);
-            }
+            let max_guards = self.cfg.txn_ops * (GUARDS_PER_CHANGE - 1);
+            let bounds = ClaimBounds { pausing, max_tasks, max_guards, rank, by_zone };
+            claims = draft.claim(placements, bounds, owns);
         }
+        draft.record_postponed(&mut ends);
         // What no longer stands in the record was settled by someone else.
-        job_state.ends.retain(|e| !void.contains(e));
-        if job_state.abort && !record.aborted && done < record.spec.tasks {
-            record.aborted = true;
-            head_changed = true;
+        job_state.ends.retain(|e| !ends.void.contains(e));
+        if job_state.abort && !draft.record.aborted && draft.done < draft.record.spec.tasks {
+            draft.record.aborted = true;
+            draft.head_changed = true;
         }
-        // Of an elastic job what has to be done are its steps; its members must be gone, for
-        // as long as one is on a machine it counts against its team's limit.
-        let all_done = match record.spec.elastic {
-            Some(_) => steps.complete && claimed == 0,
-            None => done >= record.spec.tasks,
-        };
-        let finished = all_done && !record.aborted;
-        // A claim in a part does not change the head. Whoever cancels may not have read one that was made
-        // before; once the cancelled head itself was read none is missing, and none can be added.
-        let all_read =
-            !record.in_parts() || (live.record.aborted && live.version <= self.cache.applied);
-        let over = finished || (record.aborted && claimed == 0 && all_read);
-        for (part, table) in touched {
-            let version = version_of_part(parts, part);
-            guard_once(&mut txn, part_key(job, part), version);
-            let (from, to) = record.part_range(part);
-            if table.done_count() == to - from {
-                // The part's record goes; what it lost stays with the job.
-                record.table.losses.take(table.losses);
-                record.table.ran_ms += table.ran_ms;
-                record.table.begun_ms =
-                    record.table.begun_ms.into_iter().chain(table.begun_ms).min();
-                record.parts_done.push(part);
-                head_changed = true;
-                if version > Version(0) {
-                    txn.delete(part_key(job, part));
-                }
-            } else {
-                txn.put(part_key(job, part), &table, None);
-            }
+        let end = final_state(&draft, cached, &steps, self.cache.applied);
+        draft.write_parts();
+
+        let mut withdrawals = Vec::new();
+        if job_state.abort {
+            withdrawals = std::mem::take(&mut job_state.withdrawals);
         }
-        let withdrawals =
-            if job_state.abort { std::mem::take(&mut job_state.withdrawals) } else { vec![] };
-        let result = if over {
-            let state = if finished { JobState::Done } else { JobState::Aborted };
-            let done = record.spec.elastic.as_ref().map_or(done, |_| steps.finished);
-            let mut losses = record.table.losses.clone();
-            for table in self.cache.parts.get(job).into_iter().flat_map(|p| p.values()) {
-                losses.take(table.1.losses.clone());
-            }
-            let team = record.spec.team.clone();
-            let summary = Some(self.cache.summary(job, &record, self.wall_ms));
-            let archive = ArchiveRecord { state, done, team, losses, summary };
-            txn.put(archive_key(job), &archive, None);
-            txn.delete(job_key(job));
+        let result = if let Some(state) = end {
+            let archive = archive_record(&draft, state, &steps, &self.cache, self.wall_ms);
+            draft.txn.put(archive_key(job), &archive, None);
+            draft.txn.delete(job_key(job));
             Outcome::Ended(archive)
+        } else if draft.is_empty() {
+            // Nothing left to say (an abort of an aborted job, an end that was settled).
+            job_state.abort = false;
+            let state = if draft.record.aborted { JobState::Aborted } else { JobState::Queued };
+            let status = status(job, state, draft.done, draft.claimed);
+            self.answer_withdrawals(withdrawals, &status);
+            // What these steps rest on was read from the state service: it is durable.
+            self.answer_steps(std::mem::take(&mut steps.verdicts));
+            return None;
         } else {
-            if !head_changed && txn.changes.is_empty() {
-                let verdicts = std::mem::take(&mut steps.verdicts);
-                // Nothing left to say (an abort of an aborted job, an end that was settled).
-                job_state.abort = false;
-                let state = if record.aborted { JobState::Aborted } else { JobState::Queued };
-                let body = status(job, state, done, claimed);
-                for rid in withdrawals {
-                    self.out.push(Effect::Reply {
-                        rid,
-                        response: Response::Status { code: 200, status: body.clone() },
-                    });
-                }
-                // What these steps rest on was read from the state service: it is durable.
-                self.answer_steps(verdicts);
-                return None;
-            }
-            if head_changed {
-                txn.put(job_key(job), &record, None);
+            if draft.head_changed {
+                draft.txn.put(job_key(job), &draft.record, None);
             }
-            Outcome::Active { aborted: record.aborted }
+            Outcome::Active { aborted: draft.record.aborted }
         };
         Some(JobTransaction {
             job: job.clone(),
-            txn,
+            txn: draft.txn,
             doubtful: false,
             sent: Sent::now(self.now),
-            ends: ended,
+            ends: ends.recorded,
             claims,
             withdrawals,
             result,
@@ -405,6 +154,23 @@
         })
     }
 
+    /// Of a spread job, how many of its tasks are claimed in each zone.
+    fn spread_by_zone(&self, job: &JobId) -> BTreeMap<ZoneId, u32> {
+        let mut by_zone: BTreeMap<ZoneId, u32> = BTreeMap::new();
+        if self.cache.jobs.get(job).is_some_and(|cached| cached.record.spec.spread) {
+            for group in self.cache.tables(job).flat_map(|table| &table.claims) {
+                *by_zone.entry(group.pool.zone.clone()).or_default() += group.tasks.len() as u32;
+            }
+        }
+        by_zone
+    }
+
+    fn answer_withdrawals(&mut self, rids: Vec<u64>, status: &JobStatus) {
+        for rid in rids {
+            self.reply(rid, Response::Status { code: 200, status: status.clone() });
+        }
+    }
+
     pub(crate) fn on_job_tx(&mut self, op: u64, mut tx: JobTransaction, reply: StoreReply) {
         match reply {
             StoreReply::Committed(version) => self.on_job_committed(tx, version),
@@ -508,10 +274,7 @@
         if state == JobState::Aborted {
             self.note_confirmed(&job);
         }
-        let body = status(&job, state, done, claimed);
-        for rid in tx.withdrawals {
-            self.reply(rid, Response::Status { code: 200, status: body.clone() });
-        }
+        self.answer_withdrawals(tx.withdrawals, &status(&job, state, done, claimed));
         let gone = !self.cache.jobs.contains_key(&job);
         let job_state = self.job_state(&job);
         job_state.busy = false;
@@ -553,3 +316,72 @@
         ClaimEnd { machine: machine.clone(), ix, attempt, done, why, ran_ms, fence: None }
     }
 }
+
+/// Judges the reports of an elastic job's members, and adds what they change to the draft.
+fn judge_steps(
+    draft: &mut Draft,
+    job_state: &mut LocalJobState,
+    progress: Progress,
+    known: Option<&ProgressMap>,
+    max_parts: usize,
+) -> JudgedReports {
+    let finished = progress.finished();
+    if draft.record.aborted {
+        // What stays here would be looked at for ever.
+        let cancelled = Verdict::Lost("the job is cancelled");
+        let reports = job_state.member_reports.drain(..);
+        let verdicts = reports.map(|report| (report, cancelled.clone())).collect();
+        return JudgedReports { verdicts, finished, ..JudgedReports::default() };
+    }
+    if job_state.abort {
+        return JudgedReports { finished, ..JudgedReports::default() };
+    }
+    let steps = judge(progress, &draft.record, &mut job_state.member_reports, max_parts);
+    write(&mut draft.txn, &draft.record.spec.id, known, &steps);
+    steps
+}
+
+/// How the job ends with this draft, if it does.
+fn final_state(
+    draft: &Draft,
+    cached: &CachedJob,
+    steps: &JudgedReports,
+    applied: Version,
+) -> Option<JobState> {
+    let record = &draft.record;
+    // Of an elastic job what has to be done are its steps; its members must be gone, for
+    // as long as one is on a machine it counts against its team's limit.
+    let all_done = match record.spec.elastic {
+        Some(_) => steps.complete && draft.claimed == 0,
+        None => draft.done >= record.spec.tasks,
+    };
+    if all_done && !record.aborted {
+        return Some(JobState::Done);
+    }
+    // A claim in a part does not change the head. Whoever cancels may not have read one that was made
+    // before; once the cancelled head itself was read none is missing, and none can be added.
+    let all_read = !record.in_parts() || (cached.record.aborted && cached.version <= applied);
+    (record.aborted && draft.claimed == 0 && all_read).then_some(JobState::Aborted)
+}
+
+fn archive_record(
+    draft: &Draft,
+    state: JobState,
+    steps: &JudgedReports,
+    cache: &StateCache,
+    wall_ms: u64,
+) -> ArchiveRecord {
+    let record = &draft.record;
+    let job = &record.spec.id;
+    let mut losses = record.table.losses.clone();
+    for (_, table) in cache.parts.get(job).into_iter().flat_map(|p| p.values()) {
+        losses.take(table.losses.clone());
+    }
+    ArchiveRecord {
+        state,
+        done: record.spec.elastic.as_ref().map_or(draft.done, |_| steps.finished),
+        team: record.spec.team.clone(),
+        losses,
+        summary: Some(cache.summary(job, record, wall_ms)),
+    }
+}
