--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -41,12 +41,12 @@
 
 impl Controller {
     /// What the agreement says of the job's group, if it is not served in time.
-    pub(crate) fn overload_entry(&self, live: &CachedJob) -> Option<&Entry> {
+    pub(crate) fn overload_entry(&self, cached: &CachedJob) -> Option<&Entry> {
         let overload_quota = &self.cache.overload_quota.1;
-        if overload_quota.is_empty() || live.width().is_some() || self.cfg.admission.is_none() {
+        if overload_quota.is_empty() || cached.width().is_some() || self.cfg.admission.is_none() {
             return None;
         }
-        overload_quota.entry(&live.record.spec.team, &live.record.spec.class)
+        overload_quota.entry(&cached.record.spec.team, &cached.record.spec.class)
     }
 
     /// Whether a job that is not known yet would only wait past its use, and then after how many
@@ -102,11 +102,11 @@
         }
         let mut jobs: BTreeMap<&TeamId, Vec<(bool, u64, &JobId, f64)>> = BTreeMap::new();
         let mut limits: BTreeMap<(&TeamId, Urgency), Option<LongWorkLimit>> = BTreeMap::new();
-        for (id, live) in &self.cache.jobs {
-            let spec = &live.record.spec;
+        for (id, cached) in &self.cache.jobs {
+            let spec = &cached.record.spec;
             let limited = self.cfg.team(&spec.team).is_none_or(|t| t.is_limited());
-            let waits = !live.record.aborted && live.unclaimed() > 0;
-            if limited || !waits || spec.kind != Kind::Array || live.width().is_some() {
+            let waits = !cached.record.aborted && cached.unclaimed() > 0;
+            if limited || !waits || spec.kind != Kind::Array || cached.width().is_some() {
                 continue;
             }
             let limit = limits.entry((&spec.team, spec.urgency));
@@ -120,11 +120,11 @@
             });
             let Some(mut limit) = known.filter(|r| r.is_long(spec.estimate_s)) else { continue };
             // What it is promised while it is not served in time, it has in any case.
-            let floor = self.overload_entry(live).map_or(0.0, |e| e.floor as f64 / 1000.0);
+            let floor = self.overload_entry(cached).map_or(0.0, |e| e.floor as f64 / 1000.0);
             limit.part = limit.part.max(floor / capacity.max(1.0)).min(1.0);
-            let rest = spec.cpus * f64::from(live.unfinished());
-            let begun = live.claimed + live.done > 0;
-            let job = (!begun, live.place(), id, rest);
+            let rest = spec.cpus * f64::from(cached.unfinished());
+            let begun = cached.claimed + cached.done > 0;
+            let job = (!begun, cached.place(), id, rest);
             jobs.entry(&spec.team).or_default().push(job);
             let known = long.limits.entry(spec.team.clone()).or_insert(limit);
             known.part = known.part.max(limit.part);
@@ -194,15 +194,15 @@
             })
             .collect();
         let mut sums: BTreeMap<Group, Sum> = BTreeMap::new();
-        for live in self.cache.jobs.values() {
-            let spec = &live.record.spec;
-            if live.record.aborted || live.width().is_some() || spec.kind == Kind::Service {
+        for cached in self.cache.jobs.values() {
+            let spec = &cached.record.spec;
+            if cached.record.aborted || cached.width().is_some() || spec.kind == Kind::Service {
                 continue;
             }
             let group = Group { team: spec.team.clone(), class: spec.class.clone() };
             let Some((must, should, largest)) = spreads.get(&group) else { continue };
             let urgency = spec.urgency;
-            let waits = work(spec, live.unclaimed());
+            let waits = work(spec, cached.unclaimed());
             let up_to = |most: f64| if work(spec, spec.tasks) <= most { waits } else { 0.0 };
             let sum = sums.entry(group).or_insert(Sum {
                 urgency,
@@ -221,15 +221,15 @@
             sum.should += up_to(should.most);
             let size_class = bounds(must, largest).size_class(work(spec, spec.tasks), spec.tasks);
             // What can no longer begin in time waits for what is left.
-            let begun = live.claimed + live.done > 0;
-            let late = size_classes::late(begin_ms, live.record.accepted_ms, self.wall_ms);
+            let begun = cached.claimed + cached.done > 0;
+            let late = size_classes::late(begin_ms, cached.record.accepted_ms, self.wall_ms);
             match size_class {
                 _ if late && !begun => {}
                 SizeClass::Small => {}
                 SizeClass::Middle => sum.middle += waits,
                 SizeClass::Large => sum.large += waits,
             }
-            sum.running += 0.5 * work(spec, live.claimed);
+            sum.running += 0.5 * work(spec, cached.claimed);
             sum.patience += self.patience_s(spec);
             sum.jobs += 1.0;
             sum.urgency = sum.urgency.min(urgency);
--- a/crates/cleatfold-control/src/admission/state.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -34,14 +34,14 @@
     /// Measures the jobs that have come since, at `wall_s` by the time of day.
     pub fn note_arrivals(&mut self, jobs: &BTreeMap<JobId, CachedJob>, wall_s: f64) {
         self.seen.retain(|id| jobs.contains_key(id));
-        for (id, live) in jobs {
+        for (id, cached) in jobs {
             if self.seen.contains(id) {
                 continue;
             }
             self.seen.insert(id.clone());
-            let spec = &live.record.spec;
+            let spec = &cached.record.spec;
             let group = Group { team: spec.team.clone(), class: spec.class.clone() };
-            let at_s = (live.record.accepted_ms as f64 / 1000.0).min(wall_s);
+            let at_s = (cached.record.accepted_ms as f64 / 1000.0).min(wall_s);
             let work = work(spec, spec.tasks);
             self.meter.arrived(&group, at_s, work, spec.tasks, spec.estimate_s);
             self.urgencies.insert(group, spec.urgency);
@@ -96,23 +96,23 @@
 pub(crate) fn size_class_demand(
     entry: &Entry,
     id: &JobId,
-    live: &CachedJob,
+    cached: &CachedJob,
     begin_ms: u64,
 ) -> size_classes::Waiting {
-    let spec = &live.record.spec;
-    let each = live.each.cpus;
+    let spec = &cached.record.spec;
+    let each = cached.each.cpus;
     let within_s = entry.patience_ms.max(begin_ms) as f64 / 1000.0;
     size_classes::Waiting {
-        accepted_ms: live.record.accepted_ms,
+        accepted_ms: cached.record.accepted_ms,
         turn: xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes()),
-        begun: live.claimed + live.done > 0,
-        has: live.each.times(live.claimed).cpus,
-        needs: live.each.times(live.unclaimed()).cpus,
+        begun: cached.claimed + cached.done > 0,
+        has: cached.each.times(cached.claimed).cpus,
+        needs: cached.each.times(cached.unclaimed()).cpus,
         each,
         work: work(spec, spec.tasks) as u64,
         // A gang is whole or nothing.
         width: match spec.kind {
-            Kind::Gang => live.each.times(spec.tasks).cpus,
+            Kind::Gang => cached.each.times(spec.tasks).cpus,
             _ => size_classes::width(spec.tasks, each, spec.estimate_s, within_s),
         },
     }
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -78,7 +78,7 @@
     pub(crate) list_at: Option<Ms>,
     pub(crate) list_acc: Vec<cleatfold_wire::cloud::ListedMachine>,
     pub(crate) owned_since: BTreeMap<PoolId, (FencingToken, Ms)>,
-    pub(crate) long_polls: BTreeMap<MachineId, crate::pools::heartbeats::LongPoll>,
+    pub(crate) long_polls: BTreeMap<MachineId, crate::pools::long_polls::LongPoll>,
     /// Who reaches whom.
     pub(crate) reachability: crate::membership::state::ReachabilityState,
     pub(crate) started: Option<Ms>,
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -78,10 +78,10 @@
         let mut wants: Vec<Want> = Vec::new();
         // Large images in use on a machine, for the cache holds only so much.
         let mut on: BTreeMap<&MachineId, BTreeMap<&ImageId, f64>> = BTreeMap::new();
-        for (id, live) in &self.cache.jobs {
-            let spec = &live.record.spec;
-            let over = live.record.aborted || live.is_complete();
-            if !settings.is_large(spec.image_gb) || live.claimed == 0 || over {
+        for (id, cached) in &self.cache.jobs {
+            let spec = &cached.record.spec;
+            let over = cached.record.aborted || cached.is_complete();
+            if !settings.is_large(spec.image_gb) || cached.claimed == 0 || over {
                 continue;
             }
             for group in self.cache.tables(id).flat_map(|t| &t.claims) {
@@ -92,14 +92,14 @@
                 let machine = self.inventory.machines.get(&group.machine);
                 on.entry(&group.machine).or_default().insert(&spec.image, spec.image_gb);
                 let kind = self.inventory.types.get(&group.pool.machine_type);
-                let images = machine.and_then(|m| m.report.as_ref()).map(|r| &r.images);
+                let images = machine.and_then(|m| m.heartbeat.as_ref()).map(|r| &r.images);
                 wants.push(Want {
                     machine: group.machine.clone(),
                     pool: group.pool.clone(),
                     image: spec.image.clone(),
                     urgency: spec.urgency as u8,
                     gang: spec.kind == Kind::Gang,
-                    place: live.place(),
+                    place: cached.place(),
                     mb_per_s: settings.slot(kind.map_or(1.0, |t| t.fetch_gb_per_s)),
                     // Of others' machines nothing is known: they decide themselves.
                     supports_peer_fetch: images.is_none_or(|i| i.is_some()),
@@ -127,17 +127,17 @@
         let mut seen = BTreeMap::new();
         for (id, machine) in &self.inventory.machines {
             let Some(token) = self.my_token(&machine.pool) else { continue };
-            let Some(report) = machine.report.as_ref().filter(|r| r.token == token) else {
+            let Some(heartbeat) = machine.heartbeat.as_ref().filter(|r| r.token == token) else {
                 continue;
             };
             if machine.expired {
                 continue;
             }
-            let held = || report.images.iter().flatten();
+            let held = || heartbeat.images.iter().flatten();
             let mut fetching = BTreeSet::new();
-            for task in report.tasks.iter().filter(|t| t.state == TaskState::Fetching) {
-                let live = self.cache.jobs.get(&task.task.job).map(|l| &l.record.spec);
-                match live {
+            for task in heartbeat.tasks.iter().filter(|t| t.state == TaskState::Fetching) {
+                let cached = self.cache.jobs.get(&task.task.job).map(|l| &l.record.spec);
+                match cached {
                     Some(spec) if settings.is_large(spec.image_gb) => {
                         fetching.insert(spec.image.clone());
                     }
@@ -152,11 +152,11 @@
                 id.clone(),
                 Seen {
                     pool: machine.pool.clone(),
-                    at: report.at,
-                    endpoint: machine.endpoint.clone().filter(|_| report.images.is_some()),
+                    at: heartbeat.at,
+                    endpoint: machine.endpoint.clone().filter(|_| heartbeat.images.is_some()),
                     images: self.image_distribution.images_there(id, machine),
                     fetching,
-                    stuck: Controller::is_stuck(&report.images),
+                    stuck: Controller::is_stuck(&heartbeat.images),
                     source: held().find_map(|i| i.source.clone()),
                     serves: held().map(|i| i.serves).sum(),
                     leaving: !machine.takes_work(),
@@ -174,8 +174,8 @@
     /// (nothing: from the origin). None: its turn has not come.
     pub(crate) fn fetch_turn(&self, id: &MachineId, job: &JobId) -> Option<Vec<String>> {
         let Some(settings) = &self.cfg.image_distribution else { return Some(vec![]) };
-        let Some(live) = self.cache.jobs.get(job) else { return Some(vec![]) };
-        let spec = &live.record.spec;
+        let Some(cached) = self.cache.jobs.get(job) else { return Some(vec![]) };
+        let spec = &cached.record.spec;
         if !settings.is_large(spec.image_gb) {
             return Some(vec![]);
         }
@@ -188,7 +188,7 @@
             // One that lists its images has just said that it is not: it came back with an empty cache
             // since turns were last looked at, and would have fetched without a slot.
             Turn::Here => {
-                let lists = machine.report.as_ref().is_some_and(|r| r.images.is_some());
+                let lists = machine.heartbeat.as_ref().is_some_and(|r| r.images.is_some());
                 (!lists).then(Vec::new)
             }
             Turn::From(sources) => Some(sources.clone()),
@@ -226,8 +226,8 @@
         let Some(settings) = &self.cfg.image_distribution else { return };
         let large = commands.iter().any(|c| {
             let Command::Start { task, .. } = c else { return false };
-            let live = self.cache.jobs.get(&task.job);
-            live.is_some_and(|l| settings.is_large(l.record.spec.image_gb))
+            let cached = self.cache.jobs.get(&task.job);
+            cached.is_some_and(|l| settings.is_large(l.record.spec.image_gb))
         });
         if large {
             self.image_distribution.distributor.ordered(id, self.now);
--- a/crates/cleatfold-control/src/images/state.rs
+++ b/crates/cleatfold-control/src/images/state.rs
@@ -33,11 +33,11 @@
     /// What is on a machine for certain. A worker that lists its images is believed; of another we
     /// know what runs, and what ran in this session and was not pushed out since.
     pub fn images_there(&self, id: &MachineId, machine: &Machine) -> BTreeMap<ImageId, f64> {
-        let Some(report) = &machine.report else { return BTreeMap::new() };
-        if let Some(held) = &report.images {
+        let Some(heartbeat) = &machine.heartbeat else { return BTreeMap::new() };
+        if let Some(held) = &heartbeat.images {
             return held.iter().map(|i| (i.image.clone(), i.part)).collect();
         }
-        let ran = self.ran.get(id).filter(|r| r.0 == report.agent_epoch);
+        let ran = self.ran.get(id).filter(|r| r.0 == heartbeat.agent_epoch);
         let kept = |i: &&ImageId| machine.images.iter().any(|m| m.0 == **i);
         let ran = ran.into_iter().flat_map(|r| r.1.iter()).filter(kept);
         ran.map(|image| (image.clone(), 1.0)).collect()
@@ -51,16 +51,16 @@
     ) {
         self.ran.retain(|id, _| machines.contains_key(id));
         for (id, machine) in machines {
-            let Some(report) = &machine.report else { continue };
-            let running = report.tasks.iter().filter(|t| t.state == TaskState::Running);
+            let Some(heartbeat) = &machine.heartbeat else { continue };
+            let running = heartbeat.tasks.iter().filter(|t| t.state == TaskState::Running);
             for task in running {
-                let Some(live) = jobs.get(&task.task.job) else { continue };
-                let fresh = || (report.agent_epoch, BTreeSet::new());
+                let Some(cached) = jobs.get(&task.task.job) else { continue };
+                let fresh = || (heartbeat.agent_epoch, BTreeSet::new());
                 let ran = self.ran.entry(id.clone()).or_insert_with(fresh);
-                if ran.0 != report.agent_epoch {
+                if ran.0 != heartbeat.agent_epoch {
                     *ran = fresh();
                 }
-                ran.1.insert(live.record.spec.image.clone());
+                ran.1.insert(cached.record.spec.image.clone());
             }
         }
     }
--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -23,8 +23,8 @@
 
     /// Our transaction has cancelled the job.
     pub(crate) fn note_confirmed(&mut self, job: &JobId) {
-        let live = self.cache.jobs.get(job);
-        let pools = live.into_iter().flat_map(|l| &l.by_pool).filter(|p| p.1 > 0);
+        let cached = self.cache.jobs.get(job);
+        let pools = cached.into_iter().flat_map(|l| &l.by_pool).filter(|p| p.1 > 0);
         let holders = pools.filter_map(|p| self.cache.pools.get(&p.0));
         let owners: Vec<ControllerId> = holders.map(|h| h.owner.clone()).collect();
         let mut broadcast = std::mem::take(&mut self.cancellations.broadcast);
--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -1,10 +1,11 @@
 //! Failed tasks: what the records and the machines' owners know of them, as `cleatfold_fault_attribution` judges.
 
 use crate::controller::Controller;
-use crate::jobs::state::LocalJobState;
+use crate::jobs::state::{EndReason, LocalJobState};
 use crate::store::cache::CachedJob;
 use cleatfold_fault_attribution::{pause_ms, verdict, Evidence, Failure, Verdict};
 use cleatfold_wire::job::{JobState, Kind};
+use cleatfold_wire::worker::Exit;
 use cleatfold_wire::{Attempt, JobId, MachineId, TaskId, TaskIx};
 use std::collections::BTreeSet;
 
@@ -16,7 +17,11 @@
         if self.cache.lossy.contains(id) {
             self.cache.tables(id).for_each(|t| failures.extend(t.losses.failures()));
         }
-        for end in job_state.iter().flat_map(|l| &l.ends).filter(|e| e.why == "error") {
+        for end in job_state
+            .iter()
+            .flat_map(|l| &l.ends)
+            .filter(|e| e.reason == EndReason::Exit(Exit::Error))
+        {
             let at_ms = job_state.map_or(0, |l| l.failed_ms);
             let (machine, task, attempt) = (end.machine.clone(), end.ix, end.attempt);
             failures.push(Failure { machine, task, attempt, at_ms });
@@ -28,38 +33,38 @@
     fn verdict(
         &self,
         id: &JobId,
-        live: &CachedJob,
+        cached: &CachedJob,
         job_state: Option<&LocalJobState>,
     ) -> Option<Verdict> {
         let failures = self.failures(id, job_state);
-        (!failures.is_empty()).then(|| self.judged(&failures, live, job_state))
+        (!failures.is_empty()).then(|| self.judged(&failures, cached, job_state))
     }
 
     fn judged(
         &self,
         failures: &[Failure],
-        live: &CachedJob,
+        cached: &CachedJob,
         job_state: Option<&LocalJobState>,
     ) -> Verdict {
         let done =
-            live.done + job_state.map_or(0, |l| l.ends.iter().filter(|e| e.done).count() as u32);
+            cached.done + job_state.map_or(0, |l| l.ends.iter().filter(|e| e.done).count() as u32);
         verdict(failures, done, |id| self.is_faulty(id), self.wall_ms)
     }
 
     /// How many of `tasks` that wait may be planned and rented for now. What pauses waits for its
     /// turn or its user: it holds no place, nothing is rented for it, and no idle machine kept.
-    pub(crate) fn may_start(&self, id: &JobId, live: &CachedJob, tasks: u32) -> u32 {
+    pub(crate) fn may_start(&self, id: &JobId, cached: &CachedJob, tasks: u32) -> u32 {
         if tasks == 0 {
             return 0;
         }
-        let verdict = self.verdict(id, live, self.job_states.get(id));
-        verdict.map_or(tasks, |s| self.startable(&s, live, tasks))
+        let verdict = self.verdict(id, cached, self.job_states.get(id));
+        verdict.map_or(tasks, |s| self.startable(&s, cached, tasks))
     }
 
-    fn startable(&self, verdict: &Verdict, live: &CachedJob, tasks: u32) -> u32 {
-        let may = verdict.may_start(tasks, live.claimed, self.wall_ms);
+    fn startable(&self, verdict: &Verdict, cached: &CachedJob, tasks: u32) -> u32 {
+        let may = verdict.may_start(tasks, cached.claimed, self.wall_ms);
         let pauses = matches!(verdict, Verdict::Sound { pausing } if !pausing.is_empty());
-        match live.record.spec.kind {
+        match cached.record.spec.kind {
             // Whole or not at all.
             Kind::Gang if may > 0 && !pauses => tasks,
             Kind::Gang => 0,
@@ -68,12 +73,12 @@
     }
 
     /// The tasks that must not be claimed now, and how many may be of the others.
-    pub(crate) fn claimable(&self, id: &JobId, live: &CachedJob) -> (BTreeSet<TaskIx>, u32) {
-        let tasks = live.record.spec.tasks;
-        let Some(verdict) = self.verdict(id, live, self.job_states.get(id)) else {
+    pub(crate) fn claimable(&self, id: &JobId, cached: &CachedJob) -> (BTreeSet<TaskIx>, u32) {
+        let tasks = cached.record.spec.tasks;
+        let Some(verdict) = self.verdict(id, cached, self.job_states.get(id)) else {
             return (BTreeSet::new(), tasks);
         };
-        let most = self.startable(&verdict, live, tasks);
+        let most = self.startable(&verdict, cached, tasks);
         match verdict {
             Verdict::Sound { pausing } => (pausing, most),
             Verdict::Suspect { .. } => (BTreeSet::new(), most),
@@ -81,9 +86,9 @@
     }
 
     /// It fails wherever it runs, and its record says so.
-    pub(crate) fn is_suspect(&self, id: &JobId, live: &CachedJob) -> bool {
+    pub(crate) fn is_suspect(&self, id: &JobId, cached: &CachedJob) -> bool {
         self.cache.lossy.contains(id)
-            && matches!(self.verdict(id, live, None), Some(Verdict::Suspect { .. }))
+            && matches!(self.verdict(id, cached, None), Some(Verdict::Suspect { .. }))
     }
 
     /// Machines of a plan (by index) that a job should not be tried on again: those that it failed
@@ -103,7 +108,7 @@
     }
 
     /// Why tasks of a job failed, since when, and what comes of it.
-    pub(crate) fn why(&self, id: &JobId, live: &CachedJob) -> Option<String> {
+    pub(crate) fn why(&self, id: &JobId, cached: &CachedJob) -> Option<String> {
         let job_state = self.job_states.get(id);
         let mut failures = self.failures(id, job_state);
         failures.sort_by_key(|f| f.at_ms);
@@ -117,7 +122,7 @@
             failures.len(),
             machines.len()
         );
-        if let Verdict::Suspect { until_ms } = self.judged(&failures, live, job_state) {
+        if let Verdict::Suspect { until_ms } = self.judged(&failures, cached, job_state) {
             let next = until_ms.saturating_sub(self.wall_ms) / 1000;
             why += &format!("; it fails wherever it runs, next try in {next} s");
         }
@@ -156,7 +161,7 @@
     }
 
     fn evidence(&self, machine: &MachineId, job: &JobId, task: TaskIx) -> Evidence {
-        let Some(live) = self.cache.jobs.get(job) else {
+        let Some(cached) = self.cache.jobs.get(job) else {
             let done = self.terminal_jobs.get(job).is_some_and(|s| s.state == JobState::Done);
             return if done { Evidence::WorksElsewhere } else { Evidence::NoEvidence };
         };
@@ -167,7 +172,7 @@
             return Evidence::NoEvidence;
         }
         let ends = job_state.iter().flat_map(|l| &l.ends);
-        if live.done > 0 || ends.into_iter().any(|e| e.done) {
+        if cached.done > 0 || ends.into_iter().any(|e| e.done) {
             return Evidence::WorksElsewhere;
         }
         Evidence::Open
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -153,19 +153,19 @@
     }
 
     pub(crate) fn live_status(&self, job: &JobId) -> Option<JobStatus> {
-        let live = self.cache.jobs.get(job)?;
-        let state = match (live.record.aborted, live.claimed) {
+        let cached = self.cache.jobs.get(job)?;
+        let state = match (cached.record.aborted, cached.claimed) {
             (true, _) => JobState::Aborted,
             (false, 0) => JobState::Queued,
             _ => JobState::Running,
         };
-        let mut status = status(job, state, live.done, live.claimed);
-        if let (Some(elastic), Some(left)) = (&live.record.spec.elastic, live.steps_left) {
+        let mut status = status(job, state, cached.done, cached.claimed);
+        if let (Some(elastic), Some(left)) = (&cached.record.spec.elastic, cached.steps_left) {
             let finished = elastic.steps.saturating_sub(left);
             status.done = finished;
             status.steps = Some(StepCount { finished, total: elastic.steps });
         }
-        status.why = self.why(job, live);
+        status.why = self.why(job, cached);
         if self.cache.lossy.contains(job) {
             let mut losses = LossList::default();
             self.cache.tables(job).for_each(|t| losses.take(t.losses.clone()));
--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -6,9 +6,43 @@
 use crate::store::sent::Sent;
 use cleatfold_wire::losses::LossCause;
 use cleatfold_wire::store::Txn;
+use cleatfold_wire::worker::Exit;
 use cleatfold_wire::{Attempt, FencingToken, JobId, MachineId, Ms, PoolId, TaskIx};
 use std::collections::BTreeMap;
 
+/// Why a claim is over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum EndReason {
+    /// The task exited.
+    Exit(Exit),
+    /// Its machine was deleted, or found to be gone.
+    MachineDeleted,
+    /// Its machine's lease has provably expired.
+    LeaseExpired,
+    /// A former owner's claim whose task the worker does not list.
+    AbsentAfterFailover,
+    /// Claimed, and given up before it was started.
+    NotStarted,
+}
+
+impl std::fmt::Display for EndReason {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            EndReason::Exit(Exit::Done) => "done",
+            EndReason::Exit(Exit::Stopped) => "stopped",
+            EndReason::Exit(Exit::Error) => "error",
+            EndReason::Exit(Exit::InsufficientResources) => "insufficient resources",
+            EndReason::Exit(Exit::Busy) => "busy",
+            EndReason::Exit(Exit::Unknown) => "unknown job",
+            EndReason::Exit(Exit::Other) => "other",
+            EndReason::MachineDeleted => "machine deleted",
+            EndReason::LeaseExpired => "lease expired",
+            EndReason::AbsentAfterFailover => "absent after failover",
+            EndReason::NotStarted => "not started",
+        })
+    }
+}
+
 /// A claim that is over, with proof.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ClaimEnd {
@@ -16,7 +50,7 @@
     pub ix: TaskIx,
     pub attempt: Attempt,
     pub done: bool,
-    pub why: &'static str,
+    pub reason: EndReason,
     /// How long it ran, as far as we saw.
     pub ran_ms: u64,
     /// The proof holds only while the pool is ours under this token. An exit and a deletion
@@ -29,14 +63,16 @@
 impl ClaimEnd {
     /// Whether a start was lost, and how: what a team wants to hear of.
     pub fn loss(&self) -> Option<LossCause> {
-        match self.why {
-            _ if self.done => None,
-            "machine deleted" => Some(LossCause::Machine),
-            "lease ran out" => Some(LossCause::Lease),
-            "not there after take-over" => Some(LossCause::Vanished),
-            "error" => Some(LossCause::Failed),
+        if self.done {
+            return None;
+        }
+        match self.reason {
+            EndReason::MachineDeleted => Some(LossCause::Machine),
+            EndReason::LeaseExpired => Some(LossCause::Lease),
+            EndReason::AbsentAfterFailover => Some(LossCause::Vanished),
+            EndReason::Exit(Exit::Error) => Some(LossCause::Failed),
             // Stopped on purpose, or never begun.
-            _ => None,
+            EndReason::Exit(_) | EndReason::NotStarted => None,
         }
     }
 }
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -25,8 +25,8 @@
         let rank = |controller: &ControllerId| {
             xxhash_rust::xxh3::xxh3_64(format!("{job}@{controller}").as_bytes())
         };
-        let live = self.cache.controllers.keys();
-        live.max_by_key(|n| rank(n)).cloned().unwrap_or_else(|| self.cfg.me.clone())
+        let cached = self.cache.controllers.keys();
+        cached.max_by_key(|n| rank(n)).cloned().unwrap_or_else(|| self.cfg.me.clone())
     }
 
     pub(crate) fn on_steps(&mut self, rid: u64, report: Box<StepReport>) {
@@ -43,22 +43,22 @@
     /// `read`: what stands was read after the report came.
     pub(crate) fn take_steps(&mut self, rid: u64, report: Box<StepReport>, read: bool) {
         let job = report.member.job.clone();
-        let live = self.cache.jobs.get(&job);
-        let claim = live.and_then(|live| {
-            let mut tasks = live.record.table.claims.iter().flat_map(|g| &g.tasks);
+        let cached = self.cache.jobs.get(&job);
+        let claim = cached.and_then(|cached| {
+            let mut tasks = cached.record.table.claims.iter().flat_map(|g| &g.tasks);
             tasks.find(|t| t.0 == report.member.ix).map(|t| t.1)
         });
         let stands = claim == Some(report.attempt)
-            && live.is_some_and(|l| !l.record.aborted && l.steps_left.is_some());
+            && cached.is_some_and(|l| !l.record.aborted && l.steps_left.is_some());
         if !stands && !read {
             // Its claim may be one that we have not read yet.
             return self.wait(rid, job, WaitReason::Steps(report));
         }
-        let why = match live {
+        let why = match cached {
             None if self.terminal_jobs.get(&job).is_some() => Some("the job has ended"),
             None => Some("no such job among those that run"),
-            Some(live) if live.record.aborted => Some("the job is cancelled"),
-            Some(live) if live.steps_left.is_none() => Some("the job is not elastic"),
+            Some(cached) if cached.record.aborted => Some("the job is cancelled"),
+            Some(cached) if cached.steps_left.is_none() => Some("the job is not elastic"),
             Some(_) if claim.is_none() => Some("the claim of this member is over"),
             Some(_) if claim > Some(report.attempt) => {
                 Some("a later attempt has this member's place")
@@ -124,10 +124,10 @@
             return;
         }
         self.completed_at = self.now;
-        let live = |id: &JobId| self.cache.jobs.get(id).filter(|l| l.claimed == 0);
+        let cached = |id: &JobId| self.cache.jobs.get(id).filter(|l| l.claimed == 0);
         let steps = self.cache.progress.keys();
         let steps =
-            steps.filter(|id| live(id).is_some_and(|l| l.is_complete() && !l.record.aborted));
+            steps.filter(|id| cached(id).is_some_and(|l| l.is_complete() && !l.record.aborted));
         // Whether any part of it has a record or not: cancelled before its first claim, it has none.
         let cancelled = |l: &CachedJob| l.record.aborted && l.record.in_parts() && l.claimed == 0;
         let parts = self.cache.jobs.iter().filter(|(_, l)| cancelled(l)).map(|(id, _)| id);
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -15,7 +15,6 @@
 use cleatfold_elastic::{Progress, Verdict};
 use cleatfold_wire::job::{JobState, JobStatus};
 use cleatfold_wire::mesh::Message;
-use cleatfold_wire::worker::Exit;
 use cleatfold_wire::{Attempt, JobId, MachineId, PoolId, TaskIx, Version, ZoneId};
 use cleatfold_write_batching::Selection;
 use std::collections::{BTreeMap, BTreeSet};
@@ -233,7 +232,7 @@
         for end in &tx.ends {
             tracing::info!(
                 job = %job, task = end.ix.0, attempt = end.attempt.0, machine = %end.machine,
-                why = end.why, "task ended"
+                why = %end.reason, "task ended"
             );
         }
         for (placement, tasks) in &tx.claims {
@@ -259,8 +258,8 @@
                 if !aborted {
                     state = JobState::Running;
                 }
-                if let Some(live) = self.cache.jobs.get(&job) {
-                    (done, claimed) = (live.done, live.claimed);
+                if let Some(cached) = self.cache.jobs.get(&job) {
+                    (done, claimed) = (cached.done, cached.claimed);
                 }
             }
             Outcome::Ended(archive) => {
@@ -294,27 +293,6 @@
         self.replan_needed = true;
         self.tell(None, Message::Changed);
     }
-
-    /// A worker's exit as an end of the claim.
-    pub(crate) fn exit_end(
-        machine: &MachineId,
-        ix: TaskIx,
-        attempt: Attempt,
-        exit: Exit,
-        ran_ms: u64,
-    ) -> ClaimEnd {
-        let why = match exit {
-            Exit::Done => "done",
-            Exit::Stopped => "stopped",
-            Exit::Error => "error",
-            Exit::InsufficientResources => "no room",
-            Exit::Busy => "busy",
-            Exit::Unknown => "unknown job",
-            Exit::Other => "other",
-        };
-        let done = exit == Exit::Done;
-        ClaimEnd { machine: machine.clone(), ix, attempt, done, why, ran_ms, fence: None }
-    }
 }
 
 /// Judges the reports of an elastic job's members, and adds what they change to the draft.
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -57,7 +57,7 @@
             let job_state = &self.job_states[id];
             // Gone meanwhile, or to be cancelled: at once.
             let pending_updates = match self.cache.jobs.get(id) {
-                Some(live) => self.pending_updates(id, job_state, live),
+                Some(cached) => self.pending_updates(id, job_state, cached),
                 None => PendingUpdates { abort: true, ..PendingUpdates::default() },
             };
             let pressing = pending_updates.presses(waited);
@@ -79,27 +79,27 @@
         &self,
         id: &JobId,
         job_state: &LocalJobState,
-        live: &CachedJob,
+        cached: &CachedJob,
     ) -> PendingUpdates {
-        let spec = &live.record.spec;
+        let spec = &cached.record.spec;
         let done = job_state.ends.iter().filter(|e| e.done).count() as u32;
         let starts = job_state.placement_requests.iter().map(|w| w.tasks).sum();
-        let mine: u32 = live
+        let mine: u32 = cached
             .by_pool
             .iter()
             .filter(|(p, _)| self.owned_since.contains_key(p))
             .map(|p| p.1)
             .sum();
-        let finishes = live.done + done >= spec.tasks;
-        let changes = match live.record.in_parts() {
-            true => self.touched(job_state, live) + u32::from(starts > 0),
+        let finishes = cached.done + done >= spec.tasks;
+        let changes = match cached.record.in_parts() {
+            true => self.touched(job_state, cached) + u32::from(starts > 0),
             // The archive's record and the end of its own.
             false => 1 + u32::from(finishes),
         };
         // Nothing of it may start before its pause is over: its failures can gather too.
         let lost = job_state.ends.len() as u32 - done;
         let (done, lost) =
-            if lost > 0 && self.is_suspect(id, live) { (done + lost, 0) } else { (done, lost) };
+            if lost > 0 && self.is_suspect(id, cached) { (done + lost, 0) } else { (done, lost) };
         let limited = self.cfg.team(&spec.team).is_some_and(|t| t.is_limited());
         let most = if limited { LEAST_WAIT_MS } else { MOST_WAIT_MS };
         PendingUpdates {
@@ -112,7 +112,7 @@
             over: job_state.over,
             finishes,
             mine_left: mine.saturating_sub(job_state.ends.len() as u32),
-            unclaimed: live.unclaimed(),
+            unclaimed: cached.unclaimed(),
             changes,
             urgency: match spec.urgency {
                 Urgency::Critical => 4,
@@ -125,9 +125,9 @@
         }
     }
 
-    fn touched(&self, job_state: &LocalJobState, live: &CachedJob) -> u32 {
+    fn touched(&self, job_state: &LocalJobState, cached: &CachedJob) -> u32 {
         let mut parts: Vec<u32> =
-            job_state.ends.iter().filter_map(|e| part_of(&live.record, e.ix)).collect();
+            job_state.ends.iter().filter_map(|e| part_of(&cached.record, e.ix)).collect();
         parts.sort_unstable();
         parts.dedup();
         parts.len() as u32
@@ -135,7 +135,7 @@
 
     /// Of a job in parts, whose ends are worth their changes now.
     fn select(&self, job: &JobId, job_state: &LocalJobState) -> Option<Selection> {
-        let live = self.cache.jobs.get(job).filter(|l| l.record.in_parts())?;
+        let cached = self.cache.jobs.get(job).filter(|l| l.record.in_parts())?;
         let mut parts: BTreeMap<u32, PendingPartUpdates> = BTreeMap::new();
         for end in &job_state.ends {
             let part = parts.entry(end.ix.0 / crate::store::records::PART).or_default();
@@ -149,14 +149,14 @@
                 let groups = groups.filter(|g| !mine || self.owned_since.contains_key(&g.pool));
                 groups.map(|g| g.tasks.len() as u32).sum()
             };
-            let (from, to) = live.record.part_range(*number);
+            let (from, to) = cached.record.part_range(*number);
             pending_updates.unclaimed =
                 (to - from).saturating_sub(table.done_count() + claims(false));
             pending_updates.mine_left =
                 claims(true).saturating_sub(pending_updates.done + pending_updates.lost);
         }
         let waited = job_state.unsent_since.map_or(0, |s| self.now.since(s));
-        let pending_updates = self.pending_updates(job, job_state, live);
+        let pending_updates = self.pending_updates(job, job_state, cached);
         let everything = pending_updates.is_all()
             || waited >= pending_updates.patience_ms
             || self.rate_limiter.ample();
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -39,7 +39,7 @@
     pub was_listed: bool,
     /// When it was rented, by the list's age.
     pub born: Ms,
-    pub report: Option<LastHeartbeat>,
+    pub heartbeat: Option<LastHeartbeat>,
     /// When a report last came that shows it alive: newer than all before, under the token that we have its pool
     /// under. A late copy shows neither.
     pub last_heartbeat: Option<Ms>,
@@ -78,7 +78,7 @@
             listed_at: now,
             was_listed: false,
             born: now,
-            report: None,
+            heartbeat: None,
             last_heartbeat: None,
             partition_detector: Default::default(),
             answered: None,
@@ -106,7 +106,7 @@
 
     /// By its last report.
     pub fn runs_something(&self) -> bool {
-        let listed = self.report.iter().flat_map(|r| &r.tasks);
+        let listed = self.heartbeat.iter().flat_map(|r| &r.tasks);
         listed.into_iter().any(|t| t.state != TaskState::Exited)
     }
 
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -180,7 +180,7 @@
     fn lacking(&self) -> Vec<((PoolId, bool), f64)> {
         let usual_wait_s = self.cfg.usual_wait_s;
         let stays = |spec: &JobSpec| (0.5 * spec.estimate_s / usual_wait_s).min(1.0);
-        let mut headroom = self.team_headroom(|live| stays(&live.record.spec));
+        let mut headroom = self.team_headroom(|cached| stays(&cached.record.spec));
         let mut supply: BTreeMap<(PoolId, bool), f64> = BTreeMap::new();
         for (id, m) in &self.inventory.machines {
             // One that another controller has returned is no supply. (It counted for 50 s more, and what could have
@@ -190,8 +190,8 @@
             }
             let mut free = self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
             for ((job, _), _) in self.cache.claims.get(id).into_iter().flatten() {
-                if let Some(live) = self.cache.jobs.get(job) {
-                    let spec = &live.record.spec;
+                if let Some(cached) = self.cache.jobs.get(job) {
+                    let spec = &cached.record.spec;
                     free -= spec.cpus * stays(spec);
                 }
             }
@@ -206,14 +206,14 @@
         let mut lacking: BTreeMap<(PoolId, bool), f64> = BTreeMap::new();
         let sizes = self.inventory.sizes();
         for Queued { job: id, tasks: unclaimed, growth, .. } in self.queue() {
-            let Some(live) = self.cache.jobs.get(&id) else { continue };
+            let Some(cached) = self.cache.jobs.get(&id) else { continue };
             // Nor is anything rented for another try of what fails wherever it runs.
-            let tries_here = |(pool, _): &(PoolId, bool)| self.may_use(live, pool);
-            if growth || (self.is_suspect(&id, live) && supply.keys().any(tries_here)) {
+            let tries_here = |(pool, _): &(PoolId, bool)| self.may_use(cached, pool);
+            if growth || (self.is_suspect(&id, cached) && supply.keys().any(tries_here)) {
                 continue;
             }
-            let spec = &live.record.spec;
-            let target = (self.slack_s(live) * 0.8).clamp(5.0, 120.0);
+            let spec = &cached.record.spec;
+            let target = (self.slack_s(cached) * 0.8).clamp(5.0, 120.0);
             let run = if spec.kind == Kind::Array { spec.estimate_s.max(1.0) } else { target };
             let all = f64::from(unclaimed) * spec.cpus;
             let mut lack = all.min(all * run / target).max(spec.cpus);
@@ -226,7 +226,7 @@
             let mut zones: BTreeMap<ZoneId, f64> = BTreeMap::new();
             let per_zone = if spec.spread { all / 2.0 + spec.cpus } else { f64::INFINITY };
             for ((pool, spot), free) in &mut supply {
-                if (*spot && !spec.spot) || !self.may_use(live, pool) {
+                if (*spot && !spec.spot) || !self.may_use(cached, pool) {
                     continue;
                 }
                 let zone = zones.entry(pool.zone.clone()).or_default();
@@ -236,7 +236,7 @@
                 lack -= take;
             }
             if lack > 1e-9 {
-                if let Some(offer) = self.best_offer(live, &lacking, &zones, per_zone, &sizes) {
+                if let Some(offer) = self.best_offer(cached, &lacking, &zones, per_zone, &sizes) {
                     *lacking.entry(offer).or_default() += lack;
                 }
             }
@@ -247,9 +247,9 @@
     }
 
     /// How long the tasks of a job may still wait if it is to meet what is expected of it.
-    fn slack_s(&self, live: &crate::store::cache::CachedJob) -> f64 {
-        let spec = &live.record.spec;
-        let elapsed = self.wall_ms.saturating_sub(live.record.accepted_ms) as f64 / 1000.0;
+    fn slack_s(&self, cached: &crate::store::cache::CachedJob) -> f64 {
+        let spec = &cached.record.spec;
+        let elapsed = self.wall_ms.saturating_sub(cached.record.accepted_ms) as f64 / 1000.0;
         let aims = self.cfg.aims.iter().filter(|a| a.class == spec.class);
         let waits = aims.filter_map(|a| match a.kind {
             AimKind::Finished(within) => Some(within - spec.estimate_s),
@@ -262,7 +262,7 @@
     /// Where to rent for a job: cheap per processor, soon up, and not all in one place.
     fn best_offer(
         &self,
-        live: &crate::store::cache::CachedJob,
+        cached: &crate::store::cache::CachedJob,
         lacking: &BTreeMap<(PoolId, bool), f64>,
         zones: &BTreeMap<ZoneId, f64>,
         per_zone: f64,
@@ -273,7 +273,7 @@
         for pool in self.inventory.pools() {
             let Some(kind) = self.inventory.types.get(&pool.machine_type) else { continue };
             let full = zones.get(&pool.zone).is_some_and(|z| *z >= per_zone);
-            if full || kind.cpus <= 0.0 || !self.may_use(live, &pool) {
+            if full || kind.cpus <= 0.0 || !self.may_use(cached, &pool) {
                 continue;
             }
             for spot in [true, false] {
@@ -281,7 +281,7 @@
                 let book = &self.cache.scale_out_intents.1;
                 let refused = book.is_refused(&pool, spot, self.wall_ms)
                     || self.scale_out.tracker.was_short(book, &pool, spot);
-                if (spot && !live.record.spec.spot) || refused {
+                if (spot && !cached.record.spec.spot) || refused {
                     continue;
                 }
                 let price = if spot { kind.spot_price } else { kind.price };
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -26,14 +26,14 @@
         // By zone: machines that are up, and how many of them report to us.
         let mut zones: BTreeMap<&ZoneId, (Vec<MachineId>, usize)> = BTreeMap::new();
         for (id, m) in &self.inventory.machines {
-            let up = m.report.is_some() || m.listed == Some(MachineState::Running);
+            let up = m.heartbeat.is_some() || m.listed == Some(MachineState::Running);
             if m.endpoint.is_none() || m.deleting || !up {
                 continue;
             }
             let zone = zones.entry(&m.pool.zone).or_default();
             zone.0.push(id.clone());
             let ours = self.owned_since.get(&m.pool).map(|o| o.0);
-            zone.1 += usize::from(ours.is_some() && m.report.as_ref().map(|r| r.token) == ours);
+            zone.1 += usize::from(ours.is_some() && m.heartbeat.as_ref().map(|r| r.token) == ours);
         }
         let zones = zones.iter().map(|(z, (machines, own))| (*z, machines.as_slice(), *own));
         for probe in self.reachability.view.probe(self.now, zones) {
@@ -100,14 +100,14 @@
     /// A worker came here that should be at the owner's: perhaps its pool should come after it.
     pub(crate) fn on_misdirected_worker(
         &mut self,
-        report: &RawHeartbeat,
+        heartbeat: &RawHeartbeat,
         pool: &PoolId,
         owner: &ControllerId,
     ) {
         let machines = self.inventory.machines.values().filter(|m| m.pool == *pool).count();
         let last_heartbeat = self.reachability.view.peers.last_message(owner);
         let lease_ms = self.cfg.controller_lease_ms;
-        let who = (&report.machine, (report.agent_epoch, report.seq));
+        let who = (&heartbeat.machine, (heartbeat.agent_epoch, heartbeat.seq));
         let misdirected_workers = &mut self.reachability.view.misdirected_workers;
         let came = misdirected_workers.came(
             who,
@@ -117,9 +117,9 @@
             lease_ms,
             self.now,
         );
-        let endpoint = report.endpoint.clone().filter(|_| came == Came::Ask);
+        let endpoint = heartbeat.endpoint.clone().filter(|_| came == Came::Ask);
         if let Some(endpoint) = endpoint {
-            self.out.push(Effect::Probe { machine: report.machine.clone(), endpoint });
+            self.out.push(Effect::Probe { machine: heartbeat.machine.clone(), endpoint });
         }
     }
 
@@ -127,7 +127,7 @@
     /// worker of ours go, so that it shows whether somebody else serves.
     pub(crate) fn release_worker(
         &mut self,
-        report: &RawHeartbeat,
+        heartbeat: &RawHeartbeat,
         pool: &PoolId,
     ) -> Option<Response> {
         // It was renewed no later than the state service was last read, or we would have read since.
@@ -139,9 +139,9 @@
             return None;
         }
         let peers: Vec<ControllerId> = self.cfg.peers.iter().map(|p| p.0.clone()).collect();
-        let idle = !report.lists_tasks();
+        let idle = !heartbeat.lists_tasks();
         let worker_release = &mut self.reachability.view.worker_release;
-        match worker_release.reports(pool, &report.machine, idle, &peers, self.now) {
+        match worker_release.reports(pool, &heartbeat.machine, idle, &peers, self.now) {
             Answer::Keep => None,
             Answer::Release(to) => Some(Response::Redirect(to)),
         }
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -52,8 +52,8 @@
         if now.since(self.losses.last_checked) >= LOSS_SCAN_INTERVAL_MS {
             self.losses.last_checked = now;
             for id in &self.cache.lossy {
-                let Some(live) = self.cache.jobs.get(id) else { continue };
-                let Some(log) = self.losses.log(&live.record.spec.team) else { continue };
+                let Some(cached) = self.cache.jobs.get(id) else { continue };
+                let Some(log) = self.losses.log(&cached.record.spec.team) else { continue };
                 for table in self.cache.tables(id) {
                     log.find(now, id, &table.losses);
                 }
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -96,9 +96,9 @@
     }
 
     fn team_jobs(&self, team: &TeamId, since: u64) -> TeamJobs {
-        let jobs = self.live_jobs(team, since).filter_map(|(place, id, live)| {
+        let jobs = self.live_jobs(team, since).filter_map(|(place, id, cached)| {
             let status = self.live_status(id)?;
-            let spec = &live.record.spec;
+            let spec = &cached.record.spec;
             let job = LiveJob {
                 place,
                 id: id.clone(),
@@ -108,7 +108,7 @@
                 tasks: spec.tasks,
                 done: status.done,
                 running: status.running,
-                accepted_ms: live.record.accepted_ms,
+                accepted_ms: cached.record.accepted_ms,
                 begun_ms: self.cache.tables(id).filter_map(|t| t.begun_ms).min(),
                 why: status.why,
             };
@@ -123,18 +123,18 @@
         let full = self.is_limit_full(team);
         let sizes = self.inventory.sizes();
         let up: BTreeSet<&PoolId> = sizes.iter().filter(|s| *s.1 > 0).map(|s| *s.0).collect();
-        let waits = |live: &CachedJob| !live.record.aborted && live.unclaimed() > 0;
-        let jobs = self.live_jobs(team, since).filter(|j| waits(j.2)).map(|(place, id, live)| {
-            let spec = &live.record.spec;
+        let waits = |cached: &CachedJob| !cached.record.aborted && cached.unclaimed() > 0;
+        let jobs = self.live_jobs(team, since).filter(|j| waits(j.2)).map(|(place, id, cached)| {
+            let spec = &cached.record.spec;
             let rank = self.teams.ranks.get(id);
-            let (holdup, why) = self.holdup(id, live, rank, full, &up);
+            let (holdup, why) = self.holdup(id, cached, rank, full, &up);
             let job = WaitingJob {
                 place,
                 id: id.clone(),
                 class: spec.class.clone(),
                 urgency: spec.urgency,
                 rank,
-                tasks: live.unclaimed(),
+                tasks: cached.unclaimed(),
                 holdup,
                 why: Some(why),
             };
@@ -148,19 +148,19 @@
     fn holdup(
         &self,
         id: &JobId,
-        live: &CachedJob,
+        cached: &CachedJob,
         rank: Option<u32>,
         limit_full: bool,
         up: &BTreeSet<&PoolId>,
     ) -> (Holdup, String) {
-        if self.may_start(id, live, live.unclaimed()) == 0 {
-            let why = self.why(id, live).unwrap_or_else(|| "its failed tasks pause".into());
+        if self.may_start(id, cached, cached.unclaimed()) == 0 {
+            let why = self.why(id, cached).unwrap_or_else(|| "its failed tasks pause".into());
             return (Holdup::Pause, why);
         }
         if limit_full {
             return (Holdup::Limit, "its team's limit is used up".into());
         }
-        if !up.iter().any(|pool| self.may_use(live, pool)) {
+        if !up.iter().any(|pool| self.may_use(cached, pool)) {
             return (Holdup::Machines, "no machine that it may run on is up yet".into());
         }
         let before = rank.map_or(0, |r| r.saturating_sub(1));
@@ -174,11 +174,11 @@
     fn is_limit_full(&self, team: &TeamId) -> bool {
         let Some(limit) = self.cfg.team(team).filter(|t| t.is_limited()) else { return false };
         let (mut cpus, mut gpus, mut least) = (0.0, 0.0, (f64::MAX, f64::MAX));
-        for (_, _, live) in self.live_jobs(team, 0) {
-            let spec = &live.record.spec;
-            cpus += spec.cpus * f64::from(live.claimed);
-            gpus += spec.gpus * f64::from(live.claimed);
-            if live.unclaimed() > 0 {
+        for (_, _, cached) in self.live_jobs(team, 0) {
+            let spec = &cached.record.spec;
+            cpus += spec.cpus * f64::from(cached.claimed);
+            gpus += spec.gpus * f64::from(cached.claimed);
+            if cached.unclaimed() > 0 {
                 least = (least.0.min(spec.cpus), least.1.min(spec.gpus));
             }
         }
@@ -193,8 +193,8 @@
         let queue = self.queue();
         let waiting = queue.iter().filter(|queued| !queued.growth);
         let teams = waiting.filter_map(|queued| {
-            let live = self.cache.jobs.get(&queued.job)?;
-            Some((&queued.job, &live.record.spec.team))
+            let cached = self.cache.jobs.get(&queued.job)?;
+            Some((&queued.job, &cached.record.spec.team))
         });
         self.teams.ranks = Ranks::of_queue(self.now, teams);
     }
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -92,7 +92,7 @@
             incarnation.filter(|_| self.in_contact() && self.rate_limiter.open())
         {
             self.workspaces.unsure = None;
-            let rank = |team: &TeamId, live: &_| owner::rank(team, &me, live);
+            let rank = |team: &TeamId, cached: &_| owner::rank(team, &me, cached);
             let former = |team: &TeamId| {
                 let holder = cache.workspaces.get(team).map(|w| &w.1);
                 holder.is_some_and(|h| h.owner == me && h.incarnation != incarnation)
--- a/crates/cleatfold-control/src/pools/mod.rs
+++ b/crates/cleatfold-control/src/pools/mod.rs
@@ -1,5 +1,7 @@
 //! Pools that this controller owns: ownership, heartbeats of their workers, and the authority to
 //! answer a worker.
 
-pub(crate) mod heartbeats;
+mod heartbeats;
+pub(crate) mod long_polls;
+mod tasks;
 mod worker_authority;
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -122,12 +122,12 @@
         let teams: Vec<&TeamId> =
             self.cfg.teams.iter().filter(|t| t.is_limited()).map(|t| &t.name).collect();
         let mut used = vec![Resources::default(); own.len() * teams.len()];
-        for (id, live) in &self.cache.jobs {
-            let team = teams.iter().position(|t| **t == live.record.spec.team);
-            let Some(team) = team.filter(|_| live.claimed > 0) else { continue };
+        for (id, cached) in &self.cache.jobs {
+            let team = teams.iter().position(|t| **t == cached.record.spec.team);
+            let Some(team) = team.filter(|_| cached.claimed > 0) else { continue };
             for group in self.cache.tables(id).flat_map(|t| &t.claims) {
                 if let Some(pool) = own.iter().position(|p| **p == group.pool) {
-                    used[team * own.len() + pool] += live.each.times(group.tasks.len() as u32);
+                    used[team * own.len() + pool] += cached.each.times(group.tasks.len() as u32);
                 }
             }
         }
@@ -137,20 +137,20 @@
         }
         for (id, job_state) in &self.job_states {
             for placement in &job_state.placement_requests {
-                if let Some(live) = self.cache.jobs.get(id) {
-                    let key = (live.record.spec.team.clone(), placement.pool.clone());
-                    *usage.entry(key).or_default() += live.each.times(placement.tasks);
+                if let Some(cached) = self.cache.jobs.get(id) {
+                    let key = (cached.record.spec.team.clone(), placement.pool.clone());
+                    *usage.entry(key).or_default() += cached.each.times(placement.tasks);
                 }
             }
         }
         for pending in self.ops.values() {
             let Pending::Job(tx) = pending else { continue };
-            let Some(live) = self.cache.jobs.get(&tx.job) else {
+            let Some(cached) = self.cache.jobs.get(&tx.job) else {
                 continue;
             };
             for (pool, tasks) in tx.claimed() {
-                let key = (live.record.spec.team.clone(), pool);
-                *usage.entry(key).or_default() += live.each.times(tasks);
+                let key = (cached.record.spec.team.clone(), pool);
+                *usage.entry(key).or_default() += cached.each.times(tasks);
             }
         }
         usage
@@ -190,25 +190,25 @@
 
     /// Thousandths of processors that a team's long work has in a pool, or is about to.
     fn long_usage(&self, team: &TeamId, room: &LongWorkLimit, pool: &PoolId) -> i64 {
-        let long = |live: &&CachedJob| {
-            let spec = &live.record.spec;
+        let long = |cached: &&CachedJob| {
+            let spec = &cached.record.spec;
             spec.team == *team && room.is_long(spec.estimate_s)
         };
         let mut used = 0;
-        for (id, live) in self.cache.jobs.iter().filter(|(_, l)| long(l)) {
-            let here = live.by_pool.iter().find(|(p, _)| p == pool).map_or(0, |p| p.1);
+        for (id, cached) in self.cache.jobs.iter().filter(|(_, l)| long(l)) {
+            let here = cached.by_pool.iter().find(|(p, _)| p == pool).map_or(0, |p| p.1);
             // What has ended holds nothing, whether that is recorded or not.
             let ends = self.job_states.get(id).into_iter().flat_map(|l| &l.ends);
             let in_pool =
                 |m: &MachineId| self.inventory.machines.get(m).is_some_and(|m| m.pool == *pool);
             let ended = ends.filter(|e| in_pool(&e.machine)).count() as u32;
-            used += live.each.times(here.saturating_sub(ended)).cpus;
+            used += cached.each.times(here.saturating_sub(ended)).cpus;
         }
         for pending in self.ops.values() {
             let Pending::Job(tx) = pending else { continue };
-            let Some(live) = self.cache.jobs.get(&tx.job).filter(long) else { continue };
+            let Some(cached) = self.cache.jobs.get(&tx.job).filter(long) else { continue };
             let claimed = tx.claimed().filter(|(p, _)| p == pool).map(|p| p.1);
-            used += live.each.times(claimed.sum()).cpus;
+            used += cached.each.times(claimed.sum()).cpus;
         }
         used
     }
@@ -237,11 +237,11 @@
         let until = self.now.plus(KEEP_MS);
         for plan in plans {
             for r in plan.reservations.iter().filter(|r| r.start > self.now && r.start <= until) {
-                let Some(live) = self.cache.jobs.get(&plan.jobs[r.request]) else { continue };
-                let team = &live.record.spec.team;
+                let Some(cached) = self.cache.jobs.get(&plan.jobs[r.request]) else { continue };
+                let team = &cached.record.spec.team;
                 if self.cfg.team(team).is_some_and(|t| t.is_limited()) {
                     let key = (team.clone(), plan.pool.clone());
-                    *soon.entry(key).or_default() += live.each.times(r.tasks);
+                    *soon.entry(key).or_default() += cached.each.times(r.tasks);
                 }
             }
         }
@@ -257,9 +257,9 @@
         let limited = self.cfg.teams.iter().filter(|t| t.cpus_max > 0.0);
         let mut rooms: BTreeMap<TeamId, f64> =
             limited.map(|t| (t.name.clone(), t.cpus_max)).collect();
-        for live in self.cache.jobs.values().filter(|l| l.claimed > 0) {
-            if let Some(room) = rooms.get_mut(&live.record.spec.team) {
-                *room -= live.record.spec.cpus * f64::from(live.claimed) * weight(live);
+        for cached in self.cache.jobs.values().filter(|l| l.claimed > 0) {
+            if let Some(room) = rooms.get_mut(&cached.record.spec.team) {
+                *room -= cached.record.spec.cpus * f64::from(cached.claimed) * weight(cached);
             }
         }
         rooms
@@ -380,11 +380,11 @@
     /// By team, the most that something of it needs at once to start at all.
     fn largest_needs(&self) -> BTreeMap<TeamId, Resources> {
         let mut needs: BTreeMap<TeamId, Resources> = BTreeMap::new();
-        for live in self.cache.jobs.values().filter(|l| l.unclaimed() > 0) {
-            let spec = &live.record.spec;
+        for cached in self.cache.jobs.values().filter(|l| l.unclaimed() > 0) {
+            let spec = &cached.record.spec;
             if self.cfg.team(&spec.team).is_some_and(|t| t.is_limited()) {
                 let at_once = if spec.kind == Kind::Gang { spec.tasks } else { 1 };
-                let each = live.each.times(at_once);
+                let each = cached.each.times(at_once);
                 let need = needs.entry(spec.team.clone()).or_default();
                 (need.cpus, need.gpus) = (need.cpus.max(each.cpus), need.gpus.max(each.gpus));
             }
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -148,7 +148,7 @@
             if !m.takes_work() {
                 continue;
             }
-            let mut profile = match &m.report {
+            let mut profile = match &m.heartbeat {
                 Some(r) => {
                     if now.since(r.at) > self.silent_ms() {
                         continue;
@@ -173,31 +173,33 @@
                 None;
             let mut noted: Option<&JobId> = None;
             for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
-                let (live, job_state, limit) = match known {
-                    Some((last, live, job_state, limit)) if last == job => (live, job_state, limit),
+                let (cached, job_state, limit) = match known {
+                    Some((last, cached, job_state, limit)) if last == job => {
+                        (cached, job_state, limit)
+                    }
                     _ => {
-                        let Some(live) = self.cache.jobs.get(job) else { continue };
-                        let limit = binding.iter().position(|b| b.binds(&live.record.spec));
-                        (live, self.job_states.get(job), limit)
+                        let Some(cached) = self.cache.jobs.get(job) else { continue };
+                        let limit = binding.iter().position(|b| b.binds(&cached.record.spec));
+                        (cached, self.job_states.get(job), limit)
                     }
                 };
-                known = Some((job, live, job_state, limit));
+                known = Some((job, cached, job_state, limit));
                 // Its room is free though its end is not recorded yet. (Waiting for the record
                 // left every place empty for seconds when changes run short.)
                 if job_state.is_some_and(|l| l.is_ending(*ix, claim.attempt)) {
                     if let Some(limit) = limit {
-                        binding[limit].ends(now, now.plus(1000), live.each);
+                        binding[limit].ends(now, now.plus(1000), cached.each);
                     }
                     continue;
                 }
-                let end = self.expected_end(id, m, (job, *ix), live, job_state);
+                let end = self.expected_end(id, m, (job, *ix), cached, job_state);
                 if let Some(limit) = limit {
-                    binding[limit].ends(now, end, live.each);
+                    binding[limit].ends(now, end, cached.each);
                 }
-                profile.carve(now, end, live.each);
-                let image = &live.record.spec.image;
+                profile.carve(now, end, cached.each);
+                let image = &cached.record.spec.image;
                 if noted != Some(job) && !profile.images.iter().any(|(i, _)| i == image) {
-                    let ready = now.plus_s(live.record.spec.image_gb / kind.fetch_gb_per_s);
+                    let ready = now.plus_s(cached.record.spec.image_gb / kind.fetch_gb_per_s);
                     profile.images.push((image.clone(), ready));
                 }
                 noted = Some(job);
@@ -208,14 +210,14 @@
         (ids, profiles)
     }
 
-    fn run_ms(&self, live: &CachedJob) -> u64 {
-        if live.record.spec.kind == Kind::Service {
+    fn run_ms(&self, cached: &CachedJob) -> u64 {
+        if cached.record.spec.kind == Kind::Service {
             return FOREVER;
         }
-        if let Some(width) = live.width() {
-            return width.rest_ms(live.claimed.max(width.base()));
+        if let Some(width) = cached.width() {
+            return width.rest_ms(cached.claimed.max(width.base()));
         }
-        (live.record.spec.estimate_s * 1000.0) as u64
+        (cached.record.spec.estimate_s * 1000.0) as u64
     }
 
     /// When a claimed task should be over. Past its estimate it gets a later end: a fifth of
@@ -225,20 +227,20 @@
         machine_id: &MachineId,
         machine: &crate::machines::inventory::Machine,
         (job, ix): (&JobId, TaskIx),
-        live: &CachedJob,
+        cached: &CachedJob,
         job_state: Option<&LocalJobState>,
     ) -> Ms {
-        let run = self.run_ms(live);
+        let run = self.run_ms(cached);
         if run >= FOREVER {
             return Ms(FOREVER);
         }
         if let Some(stop) = self.evictions.get(machine_id, job, ix) {
             return stop.until.max(self.now.plus(200));
         }
-        if let Some(width) = live.width() {
+        if let Some(width) = cached.width() {
             // Beyond the least width it gives way when somebody's reservation comes near, so
             // it delays none.
-            let beyond = ix >= live.beyond;
+            let beyond = ix >= cached.beyond;
             return self.now.plus(if beyond { width.yield_ms(YIELD_MS) } else { run });
         }
         let saved = job_state.and_then(|l| l.saved.get(&ix)).copied().unwrap_or(0);
@@ -257,12 +259,12 @@
         }
     }
 
-    pub(crate) fn may_use(&self, live: &CachedJob, pool: &PoolId) -> bool {
-        let spec = &live.record.spec;
+    pub(crate) fn may_use(&self, cached: &CachedJob, pool: &PoolId) -> bool {
+        let spec = &cached.record.spec;
         spec.types.as_ref().is_none_or(|t| t.contains(&pool.machine_type))
             && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
-            && live.bound_zone().is_none_or(|z| *z == pool.zone)
-            && live.each.within(&self.inventory.total(&pool.machine_type))
+            && cached.bound_zone().is_none_or(|z| *z == pool.zone)
+            && cached.each.within(&self.inventory.total(&pool.machine_type))
     }
 
     fn requests_for(
@@ -274,10 +276,10 @@
     ) {
         let pool = &plan.pool;
         for Queued { job: id, urgency, tasks: unclaimed, growth } in queue {
-            let Some(live) = self.cache.jobs.get(id) else {
+            let Some(cached) = self.cache.jobs.get(id) else {
                 continue;
             };
-            if !self.may_use(live, pool) || later.contains(id) {
+            if !self.may_use(cached, pool) || later.contains(id) {
                 continue;
             }
             let job_state = self.job_states.get(id);
@@ -289,23 +291,26 @@
             if !self.priority.considers(*urgency, id, sent, pool, self.now) {
                 continue;
             }
-            let spec = &live.record.spec;
+            let spec = &cached.record.spec;
             let mut tasks = *unclaimed;
             if spec.spread {
                 let here = self.claimed_in_zone(id, &pool.zone);
                 tasks = tasks.min(spec.tasks.div_ceil(2).saturating_sub(here));
             }
             // A gang whose tasks are not all free waits for those that are being given up.
-            if tasks == 0 || (spec.kind == Kind::Gang && live.claimed > 0) {
+            if tasks == 0 || (spec.kind == Kind::Gang && cached.claimed > 0) {
                 continue;
             }
             plan.jobs.push(id.clone());
             plan.growth.push(*growth);
             plan.requests.push(Request {
-                each: live.each,
+                each: cached.each,
                 tasks,
                 // A member beyond the base may leave at the end of any step.
-                run_ms: live.width().filter(|_| *growth).map_or(self.run_ms(live), |w| w.step_ms),
+                run_ms: cached
+                    .width()
+                    .filter(|_| *growth)
+                    .map_or(self.run_ms(cached), |w| w.step_ms),
                 image: spec.image.clone(),
                 image_gb: spec.image_gb,
                 spot: spec.spot,
@@ -384,23 +389,23 @@
             if elsewhere >= remaining {
                 continue;
             }
-            let Some(live) = self.cache.jobs.get(job) else {
+            let Some(cached) = self.cache.jobs.get(job) else {
                 continue;
             };
             // Something above its lane may be unread in a pool that has just come.
-            if live.record.spec.urgency > self.priority.lowest(&plan.pool) {
+            if cached.record.spec.urgency > self.priority.lowest(&plan.pool) {
                 self.replan_needed = true;
                 continue;
             }
             let mut tasks = r.tasks.min(remaining);
-            if live.record.spec.kind == Kind::Gang {
+            if cached.record.spec.kind == Kind::Gang {
                 let gang = due_tasks.get(&(p, r.request)).copied().unwrap_or(0);
-                if gang < live.unclaimed() || live.claimed > 0 {
+                if gang < cached.unclaimed() || cached.claimed > 0 {
                     continue;
                 }
             }
-            let team = live.record.spec.team.clone();
-            let each = live.each;
+            let team = cached.record.spec.team.clone();
+            let each = cached.each;
             let fits = self.within_slice(&team, &plan.pool, &mut usage, each, tasks);
             if fits < tasks {
                 let key = (team, plan.pool.clone());
@@ -443,8 +448,8 @@
             if current {
                 let (age_ms, lives) = (self.now.since(*at), self.priority.lives(pool));
                 for (job, finishes) in jobs {
-                    let live = self.cache.jobs.get(job);
-                    let urgency = live.map_or(Urgency::BestEffort, |l| l.record.spec.urgency);
+                    let cached = self.cache.jobs.get(job);
+                    let urgency = cached.map_or(Urgency::BestEffort, |l| l.record.spec.urgency);
                     if !believed(urgency, age_ms, lives) {
                         continue;
                     }
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -40,8 +40,8 @@
 
 impl Controller {
     /// Members that an elastic job could use beyond its base.
-    pub(crate) fn growth(&self, id: &JobId, live: &CachedJob) -> u32 {
-        let Some(width) = live.width() else { return 0 };
+    pub(crate) fn growth(&self, id: &JobId, cached: &CachedJob) -> u32 {
+        let Some(width) = cached.width() else { return 0 };
         let job_state = self.job_states.get(id);
         if job_state.is_some_and(|l| l.shrunk.is_some_and(|at| self.now.since(at) < GROW_AGAIN_MS))
         {
@@ -50,8 +50,8 @@
         let fetch = self.inventory.types.values().map(|t| t.fetch_gb_per_s).fold(0.001, f64::max);
         let start = self.cfg.heartbeat_interval_ms
             + 1000
-            + (live.record.spec.image_gb / fetch * 1e3) as u64;
-        width.growth(live.claimed, start)
+            + (cached.record.spec.image_gb / fetch * 1e3) as u64;
+        width.growth(cached.claimed, start)
     }
 
     /// Looks through the plan for what has to wait, in the queue's order, and makes room for it
@@ -112,22 +112,22 @@
     /// What may be done for a job that waits, and how long a victim may take to save.
     fn need(&self, plan: &PoolPlan, wait: &Wait, within: &HashSet<JobId>) -> Option<(Need, u64)> {
         let job = &plan.jobs[wait.request];
-        let live = self.cache.jobs.get(job)?;
-        let spec = &live.record.spec;
+        let cached = self.cache.jobs.get(job)?;
+        let spec = &cached.record.spec;
         let within_guarantee = within.contains(job);
-        let time = self.time_that_counts(live, within_guarantee, wait.start);
+        let time = self.time_that_counts(cached, within_guarantee, wait.start);
         // While more is asked for than can be done, every stop is work done twice and two changes
         // more, and saves nobody a wait that somebody else does not get.
         let preempts = self.cfg.preempt && time.is_some() && self.cache.overload_quota.1.is_empty();
         // Stopping what has run long costs more than a start that is in time gives: a whole run
         // time as the bound lost kerbrev's rough days 0.03, a quarter of it nothing.
         let worth = if preempts {
-            (spec.estimate_s * 250.0) as u64 * live.each.cpus.max(1) as u64 / 1000
+            (spec.estimate_s * 250.0) as u64 * cached.each.cpus.max(1) as u64 / 1000
         } else {
             u64::MAX
         };
         let need = Need {
-            each: live.each,
+            each: cached.each,
             urgency: spec.urgency,
             team: spec.team.clone(),
             within_guarantee,
@@ -139,9 +139,9 @@
 
     /// The time in milliseconds that is left for stopping somebody, where that would meet an aim
     /// that the reservation would miss. An aim that is lost anyway costs nobody its place.
-    fn time_that_counts(&self, live: &CachedJob, within: bool, start: Ms) -> Option<u64> {
-        let spec = &live.record.spec;
-        let elapsed = self.wall_ms.saturating_sub(live.record.accepted_ms) as f64;
+    fn time_that_counts(&self, cached: &CachedJob, within: bool, start: Ms) -> Option<u64> {
+        let spec = &cached.record.spec;
+        let elapsed = self.wall_ms.saturating_sub(cached.record.accepted_ms) as f64;
         let aims = self.cfg.aims.iter().filter(|a| a.class == spec.class);
         // Aims at an end are left to the queue's order: what they gained was lost again in the ends
         // of those that were stopped.
@@ -196,13 +196,13 @@
                 continue;
             };
             for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
-                let Some(live) = self.cache.jobs.get(job) else { continue };
+                let Some(cached) = self.cache.jobs.get(job) else { continue };
                 if self.is_ending(job, *ix, claim.attempt) {
                     continue;
                 }
-                seat.free -= live.each;
+                seat.free -= cached.each;
                 let task = Named { job: job.clone(), ix: *ix, attempt: claim.attempt };
-                let mut running = self.as_victim(id, machine, live, &task, save_ms);
+                let mut running = self.as_victim(id, machine, cached, &task, save_ms);
                 running.beyond_guarantee = !within.contains(job);
                 running.id = names.len();
                 names.push(task);
@@ -221,11 +221,11 @@
         &self,
         id: &MachineId,
         machine: &Machine,
-        live: &CachedJob,
+        cached: &CachedJob,
         task: &Named,
         save_ms: u64,
     ) -> Running {
-        let spec = &live.record.spec;
+        let spec = &cached.record.spec;
         let evictions = self
             .job_states
             .get(&task.job)
@@ -234,10 +234,10 @@
             .unwrap_or(0);
         let started = machine.started.get(&(task.job.clone(), task.ix));
         let ran = started.map_or(0, |s| self.now.since(*s));
-        let yields = live.width().is_some() && task.ix >= live.beyond;
+        let yields = cached.width().is_some() && task.ix >= cached.beyond;
         let gained = yields || evictions == 0 || ran >= GAIN_MS * u64::from(evictions + 1);
         let interval = (spec.checkpoint_s * 1000.0) as u64;
-        let lost_ms = match live.width() {
+        let lost_ms = match cached.width() {
             Some(width) if width.step_ms <= YIELD_MS => 0,
             Some(width) => width.step_ms / 2,
             None if interval > 0 && saves_in_time(spec.save_s, save_ms) => 0,
@@ -245,24 +245,24 @@
         };
         Running {
             id: 0,
-            each: live.each,
+            each: cached.each,
             urgency: spec.urgency,
             team: spec.team.clone(),
             beyond_guarantee: true,
             yields,
             stoppable: gained
                 && spec.kind == Kind::Array
-                && !live.record.aborted
+                && !cached.record.aborted
                 && self.evictions.get(id, &task.job, task.ix).is_none(),
-            loss: lost_ms * live.each.cpus.max(1) as u64 / 1000,
+            loss: lost_ms * cached.each.cpus.max(1) as u64 / 1000,
         }
     }
 
     /// How long members may still go on when their places are wanted for this job: the less the
     /// longer it has waited, say for an owner that was gone.
     fn patience_ms(&self, job: &JobId) -> u64 {
-        let live = self.cache.jobs.get(job);
-        let waited = live.map_or(0, |l| self.wall_ms.saturating_sub(l.record.accepted_ms));
+        let cached = self.cache.jobs.get(job);
+        let waited = cached.map_or(0, |l| self.wall_ms.saturating_sub(l.record.accepted_ms));
         START_MS.saturating_sub(waited + 3 * CHANGE_MS / 2).min(YIELD_MS)
     }
 
@@ -281,9 +281,9 @@
         let mut last = 0;
         let mut preempts = false;
         for task in choice.stop.iter().filter_map(|v| names.get(*v)) {
-            let Some(live) = self.cache.jobs.get(&task.job) else { continue };
-            let spec = &live.record.spec;
-            let grace_ms = match live.width() {
+            let Some(cached) = self.cache.jobs.get(&task.job) else { continue };
+            let spec = &cached.record.spec;
+            let grace_ms = match cached.width() {
                 Some(width) => width.yield_ms(patience),
                 None if spec.checkpoint_s > 0.0 && saves_in_time(spec.save_s, save_ms) => {
                     (spec.save_s * 1000.0) as u64 + 500
@@ -291,7 +291,7 @@
                 None => 0,
             };
             last = last.max(grace_ms + CHANGE_MS / 2);
-            preempts |= live.width().is_none();
+            preempts |= cached.width().is_none();
             leaving.push((Victim(task.job.clone(), task.ix, task.attempt), grace_ms));
         }
         let job = plan.jobs[wait.request].clone();
@@ -321,8 +321,8 @@
         let id = choice.machine;
         let mut commands = Vec::new();
         for Victim(job, ix, attempt) in choice.stop {
-            let Some(live) = self.cache.jobs.get(&job) else { continue };
-            let elastic = live.width().is_some();
+            let Some(cached) = self.cache.jobs.get(&job) else { continue };
+            let elastic = cached.width().is_some();
             let grace_s = choice.grace_ms as f64 / 1000.0;
             let until = self.now.plus(choice.grace_ms + CHANGE_MS / 2);
             let eviction = Eviction { attempt, until, grace_s };
@@ -340,11 +340,12 @@
             commands.push(Command::Stop { task: TaskId { job, ix }, attempt, grace_s });
         }
         let Some(machine) = self.inventory.machines.get(&id) else { return };
-        let (Some(endpoint), Some(report)) = (machine.endpoint.clone(), &machine.report) else {
+        let (Some(endpoint), Some(heartbeat)) = (machine.endpoint.clone(), &machine.heartbeat)
+        else {
             return;
         };
         // At the next report it would be as safe, but up to an interval later.
-        let orders = Orders { token, agent_epoch: report.agent_epoch, commands };
+        let orders = Orders { token, agent_epoch: heartbeat.agent_epoch, commands };
         self.out.push(Effect::Order { machine: id, endpoint, orders });
     }
 
@@ -357,25 +358,25 @@
     /// A worker has executed direct orders: the exits in its answer are facts. Nothing else is
     /// taken from it, for an answer to a report may be on its way to the worker: what this does
     /// not list may be about to start.
-    pub(crate) fn on_ordered(&mut self, id: MachineId, report: Option<Heartbeat>) {
-        let (Some(report), Some(machine)) = (report, self.inventory.machines.get(&id)) else {
+    pub(crate) fn on_ordered(&mut self, id: MachineId, heartbeat: Option<Heartbeat>) {
+        let (Some(heartbeat), Some(machine)) = (heartbeat, self.inventory.machines.get(&id)) else {
             return;
         };
-        let newer = machine.report.as_ref().is_some_and(|known| {
-            known.agent_epoch == report.agent_epoch
-                && known.seq < report.seq
-                && report.machine == id
+        let newer = machine.heartbeat.as_ref().is_some_and(|known| {
+            known.agent_epoch == heartbeat.agent_epoch
+                && known.seq < heartbeat.seq
+                && heartbeat.machine == id
         });
-        if !newer || self.my_token(&machine.pool).is_none_or(|t| t != report.token) {
+        if !newer || self.my_token(&machine.pool).is_none_or(|t| t != heartbeat.token) {
             return;
         }
-        let alive: HashSet<TaskId> = report
+        let alive: HashSet<TaskId> = heartbeat
             .tasks
             .iter()
             .filter(|t| t.state != TaskState::Exited)
             .map(|t| t.task.clone())
             .collect();
-        for t in report.tasks.iter().filter(|t| t.state == TaskState::Exited) {
+        for t in heartbeat.tasks.iter().filter(|t| t.state == TaskState::Exited) {
             let ours = self.cache.claim(&id, &t.task).is_some_and(|c| c.attempt == t.attempt);
             if ours && !alive.contains(&t.task) {
                 let exit = t.why.unwrap_or(Exit::Other);
--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -57,15 +57,15 @@
         let mut guaranteed = HashSet::new();
         let mut places: Vec<(Place, u32, bool)> = Vec::new();
         let mut pressed: BTreeMap<&ClassId, Pressed> = BTreeMap::new();
-        for ((id, live), moment) in arrivals.into_iter().zip(acceptance_times) {
-            let spec = &live.record.spec;
-            let unfinished = live.each.times(live.unfinished());
+        for ((id, cached), moment) in arrivals.into_iter().zip(acceptance_times) {
+            let spec = &cached.record.spec;
+            let unfinished = cached.each.times(cached.unfinished());
             let within = guarantees.admit(&spec.team, unfinished);
             if within {
                 guaranteed.insert(id.clone());
             }
-            let entry = self.overload_entry(live);
-            let waiting = self.may_start(id, live, live.unclaimed());
+            let entry = self.overload_entry(cached);
+            let waiting = self.may_start(id, cached, cached.unclaimed());
             let mut small = true;
             if let Some(entry) = entry {
                 let class = pressed.entry(&spec.class).or_default();
@@ -75,28 +75,28 @@
                 });
                 if let (Some(sizes), Some(upper)) = (&entry.sizes, class.larger_mut(size_class)) {
                     small = false;
-                    let mut job = size_class_demand(entry, id, live, sizes.begin_ms);
-                    job.needs = job.needs.min(live.each.times(waiting).cpus);
+                    let mut job = size_class_demand(entry, id, cached, sizes.begin_ms);
+                    job.needs = job.needs.min(cached.each.times(waiting).cpus);
                     upper.push((job, (waiting > 0).then_some(places.len())));
                 } else {
-                    class.has += live.each.times(live.claimed).cpus;
+                    class.has += cached.each.times(cached.claimed).cpus;
                 }
             }
             if waiting > 0 {
                 // A job that may shrink to nothing gives way to all of its urgency, or it would
                 // take the very place that it has just given to somebody else.
-                let gives_way = live.width().is_some_and(|w| w.least == 0);
+                let gives_way = cached.width().is_some_and(|w| w.least == 0);
                 let mut past_use = false;
                 let arrival = match entry {
                     _ if gives_way => u64::MAX,
                     None => moment,
                     Some(entry) => {
-                        let rest = f64::from(live.unclaimed()) * spec.cpus * spec.estimate_s;
-                        let begun = live.claimed + live.done > 0;
+                        let rest = f64::from(cached.unclaimed()) * spec.cpus * spec.estimate_s;
+                        let begun = cached.claimed + cached.done > 0;
                         let job = order::Waiting { accepted_ms: moment, rest, begun };
                         past_use = order::past_use(entry, job, self.wall_ms);
                         let place = order::place(entry, job, self.wall_ms);
-                        let needs = live.each.times(live.unclaimed()).cpus;
+                        let needs = cached.each.times(cached.unclaimed()).cpus;
                         if small {
                             let class = pressed.entry(&spec.class).or_default();
                             class.waiting.push((place, places.len(), needs));
@@ -110,12 +110,12 @@
                     urgency: spec.urgency,
                     beyond_guarantee: !within || gives_way,
                     arrival,
-                    turn: live.place(),
+                    turn: cached.place(),
                     id: id.clone(),
                 };
                 places.push((place, waiting, false));
             }
-            let growth = self.may_start(id, live, self.growth(id, live));
+            let growth = self.may_start(id, cached, self.growth(id, cached));
             if growth > 0 {
                 // Behind everything of its urgency: it takes only what nobody has reserved.
                 let place = Place {
@@ -124,7 +124,7 @@
                     urgency: spec.urgency,
                     beyond_guarantee: true,
                     arrival: u64::MAX,
-                    turn: live.place(),
+                    turn: cached.place(),
                     id: id.clone(),
                 };
                 places.push((place, growth, true));
@@ -173,8 +173,8 @@
             let first = Place { beyond_floor: false, past_use: false, ..places[i].0.clone() };
             let tasks = (promoted / job.each.max(1)).max(1) as u32;
             // Only an array's tasks come and go one by one.
-            let whole = self.cache.jobs.get(&first.id).is_none_or(|live| {
-                let spec = &live.record.spec;
+            let whole = self.cache.jobs.get(&first.id).is_none_or(|cached| {
+                let spec = &cached.record.spec;
                 spec.kind != Kind::Array || spec.spread
             });
             if whole || tasks >= places[i].1 {
--- a/crates/cleatfold-control/src/scheduling/queue/tests.rs
+++ b/crates/cleatfold-control/src/scheduling/queue/tests.rs
@@ -114,8 +114,8 @@
                 one.cache.install_job(r.spec.id.clone(), r.clone(), Version(later));
             }
         }
-        for (id, live) in one.cache.jobs.iter().rev() {
-            two.cache.install_job(id.clone(), live.record.clone(), live.version);
+        for (id, cached) in one.cache.jobs.iter().rev() {
+            two.cache.install_job(id.clone(), cached.record.clone(), cached.version);
         }
         let order = |n: &Controller| n.queue().into_iter().map(|q| q.job).collect::<Vec<_>>();
         prop_assert_eq!(order(&one), model(&jobs));
