--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -85,7 +85,10 @@
         self.admission.note_arrivals(&self.cache.jobs, wall_s);
         self.admission.note_capacity(self.now, self.processors());
         self.admission.note_asks(wall_s);
-        if self.holds(Role::OverloadQuota) && self.in_contact() && self.list_at.is_some() {
+        if self.holds(Role::OverloadQuota)
+            && self.in_contact()
+            && self.cloud_state.list_at.is_some()
+        {
             self.decide_overload_quota();
         }
     }
@@ -159,8 +162,8 @@
     /// whether we hear them says nothing. (A former owner went on counting by its own reports, wrote an allotment
     /// of no capacity one lease after its pools had left it, and jobs of limited teams waited beside free machines.)
     fn is_silent(&self, machine: &Machine) -> bool {
-        let Some((_, since)) = self.owned_since.get(&machine.pool) else { return false };
-        let reported = machine.last_heartbeat().map(|at| at.max(machine.known).max(*since));
+        let Some(owned) = self.pools.owned.get(&machine.pool) else { return false };
+        let reported = machine.last_heartbeat().map(|at| at.max(machine.known).max(owned.since));
         reported.is_some_and(|at| self.now.since(at) >= self.cfg.lease_ms)
     }
 
@@ -305,7 +308,7 @@
     /// Whatever came of it, the next reading tells.
     pub(crate) fn on_overload_quota_written(&mut self) {
         self.admission.inflight = false;
-        self.want_sync = true;
+        self.session.sync_wanted = true;
         self.tell(None, cleatfold_wire::mesh::Message::Changed);
     }
 }
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -6,6 +6,7 @@
 use crate::store::records::{image_holders_key, pool_key, OriginRecord, SpreadRecord, ORIGIN_KEY};
 use cleatfold_image_distribution::{Seen, Settings, Turn, View, Want};
 use cleatfold_wire::job::Kind;
+use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::worker::{Command, HeldImage, TaskReport, TaskState};
 use cleatfold_wire::{Attempt, ImageId, JobId, MachineId, Ms, PoolId, TaskIx, Version};
@@ -34,7 +35,7 @@
         let seen = self.seen(&settings);
         self.keep_holders(&wants, &seen);
         let pools: BTreeSet<PoolId> =
-            self.owned_since.keys().filter(|p| self.my_token(p).is_some()).cloned().collect();
+            self.pools.owned.keys().filter(|p| self.my_token(p).is_some()).cloned().collect();
         let spreads: BTreeMap<ImageId, SpreadRecord> =
             self.cache.image_holders.iter().map(|(i, r)| (i.clone(), r.1.clone())).collect();
         let mut distributor = std::mem::take(&mut self.image_distribution.distributor);
@@ -67,8 +68,9 @@
             None => {
                 let known = self.cfg.list_lag_ms + self.cfg.lease_ms + self.cfg.given_up_ms();
                 let slot = self.cache.origin.1.slots.get(id);
-                let owned = slot.and_then(|s| self.owned_since.get(&s.pool));
-                self.inventory.is_deleted(id) || owned.is_some_and(|o| self.now.since(o.1) > known)
+                let owned = slot.and_then(|s| self.pools.owned.get(&s.pool));
+                self.inventory.is_deleted(id)
+                    || owned.is_some_and(|o| self.now.since(o.since) > known)
             }
         }
     }
@@ -289,7 +291,7 @@
             // Somebody else was first.
             _ => {
                 self.image_distribution.slots_at = Ms(self.now.0.saturating_sub(SLOTS_MS - 300));
-                self.want_sync = true;
+                self.session.sync_wanted = true;
             }
         }
         self.image_distribution.slots_inflight = false;
@@ -308,7 +310,7 @@
             let mut ours = seen.iter().filter(|(_, s)| s.has(image)).map(|(m, _)| m);
             let elsewhere =
                 self.cache.image_holders.get(*image).into_iter().flat_map(|r| &r.1.holders);
-            let mut elsewhere = elsewhere.filter(|(p, _)| !self.owned_since.contains_key(*p));
+            let mut elsewhere = elsewhere.filter(|(p, _)| !self.pools.owned.contains_key(*p));
             if let (Some(only), None, None) = (ours.next(), ours.next(), elsewhere.next()) {
                 last.insert(only.clone());
             }
@@ -331,7 +333,7 @@
                 txn.delete(image_holders_key(image));
             } else if old.is_some() || many {
                 let mut new = old.map(|o| o.1.clone()).unwrap_or_default();
-                for pool in self.owned_since.keys() {
+                for pool in self.pools.owned.keys() {
                     let Some(token) = self.my_token(pool) else { continue };
                     let here = seen.iter().filter(|(_, s)| {
                         s.pool == *pool && s.endpoint.is_some() && !s.leaving && s.has(image)
@@ -365,6 +367,21 @@
     /// Whatever came of it, the next reading tells.
     pub(crate) fn on_spread(&mut self) {
         self.image_distribution.holders_inflight = false;
-        self.want_sync = true;
+        self.session.sync_wanted = true;
+    }
+
+    /// Tells the others what images our machines hold, a machine when that has changed.
+    pub(crate) fn tell_images(&mut self) {
+        let mut machines = Vec::new();
+        for (id, m) in &mut self.inventory.machines {
+            if self.pools.owned.contains_key(&m.pool) && m.images_changed {
+                m.images_changed = false;
+                let images = m.images.iter().map(|(i, gb)| (i.to_string(), *gb)).collect();
+                machines.push((id.to_string(), images));
+            }
+        }
+        if !machines.is_empty() {
+            self.tell(None, Message::Images { machines });
+        }
     }
 }
--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -144,7 +144,7 @@
     pub(crate) fn judge_machines(&mut self) {
         let mut suspects = Vec::new();
         for (id, m) in &mut self.inventory.machines {
-            if !m.suspicion.is_empty() && !m.faulty && self.owned_since.contains_key(&m.pool) {
+            if !m.suspicion.is_empty() && !m.faulty && self.pools.owned.contains_key(&m.pool) {
                 suspects.push((id.clone(), std::mem::take(&mut m.suspicion)));
             }
         }
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -80,7 +80,7 @@
     /// The state service has just failed and not answered since: requests that need it are
     /// told so at once, with the time to come back.
     pub(crate) fn store_away(&self) -> bool {
-        match (self.store_failed, self.fresh) {
+        match (self.session.last_failure, self.session.last_read) {
             (Some(failed), Some(fresh)) => failed > fresh && self.now.since(fresh) > 1500,
             (failed, None) => failed.is_some(),
             _ => false,
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -250,7 +250,7 @@
                 for submission in &batch {
                     self.reply(submission.rid, Response::later("the outcome is not known yet"));
                 }
-                self.want_sync = true;
+                self.session.sync_wanted = true;
             }
             StoreReply::Bad(why) => {
                 for submission in batch {
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -89,8 +89,8 @@
         let max_parts = max_parts.min(self.rate_limiter.affords());
         let parts = self.cache.parts.get(job);
         let mut draft = Draft::new(job, cached, parts, max_parts, self.wall_ms);
-        let owned = &self.owned_since;
-        let owns = |pool: &PoolId, token| owned.get(pool).map(|o| o.0) == Some(token);
+        let pools = &self.pools;
+        let owns = |pool: &PoolId, token| pools.owns(pool, token);
 
         let mut ends = draft.record_ends(&job_state.ends, selection.as_ref(), owns);
         let mut steps =
@@ -188,11 +188,11 @@
                 let (now, event) = (self.now, self.event);
                 if conflict {
                     tracing::debug!(job = %tx.job, "conflict");
-                    self.want_sync = true;
+                    self.session.sync_wanted = true;
                     if tx.doubtful {
                         // It may have been executed after all: its claims count against the
                         // team's limit, but only the next reading shows them.
-                        self.limits.blind = Some(event);
+                        self.quota.blind = Some(event);
                     }
                 }
                 let contact = self.in_contact();
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -22,7 +22,7 @@
         let controllers = if controllers == 0 { self.cfg.peers.len() + 1 } else { controllers };
         self.rate_limiter.fill(self.now, self.cfg.changes_per_s, controllers);
         while self.rate_limiter.open() {
-            let due = if self.loaded { self.weightiest() } else { None };
+            let due = if self.session.is_loaded { self.weightiest() } else { None };
             // Submissions first, but a flood of them leaves the jobs every other change.
             if self.submitting.ahead == 0 || due.is_none() {
                 let sent = self.flush_submissions();
@@ -87,7 +87,7 @@
         let mine: u32 = cached
             .by_pool
             .iter()
-            .filter(|(p, _)| self.owned_since.contains_key(p))
+            .filter(|(p, _)| self.pools.owned.contains_key(p))
             .map(|p| p.1)
             .sum();
         let finishes = cached.done + done >= spec.tasks;
@@ -146,7 +146,7 @@
             let Some((_, table)) = tables.and_then(|t| t.get(number)) else { continue };
             let claims = |mine: bool| -> u32 {
                 let groups = table.claims.iter();
-                let groups = groups.filter(|g| !mine || self.owned_since.contains_key(&g.pool));
+                let groups = groups.filter(|g| !mine || self.pools.owned.contains_key(&g.pool));
                 groups.map(|g| g.tasks.len() as u32).sum()
             };
             let (from, to) = cached.record.part_range(*number);
--- a/crates/cleatfold-control/src/leadership/mod.rs
+++ b/crates/cleatfold-control/src/leadership/mod.rs
@@ -3,3 +3,4 @@
 
 mod pool_assignment;
 mod roles;
+pub(crate) mod state;
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -4,7 +4,7 @@
 //! version of the key they change.
 
 use crate::controller::{Controller, Pending};
-use crate::effects::{CallPriority, StoreRequest};
+use crate::effects::{CallPriority, StoreReply, StoreRequest};
 use crate::scheduling::queue::Queued;
 use crate::store::records::{pool_key, HolderRecord};
 use cleatfold_backfill::pools::{choose, Load};
@@ -25,17 +25,17 @@
     /// Deals pools and sends jobs to them, for as long as that is ours to do.
     pub(crate) fn lead(&mut self) {
         if !self.holds(Role::PoolAssignment) {
-            self.leader_since = None;
+            self.leadership.leader_since = None;
             return;
         }
-        let since = *self.leader_since.get_or_insert_with(|| {
+        let since = *self.leadership.leader_since.get_or_insert_with(|| {
             tracing::info!("leading");
             self.now
         });
         if self.in_contact() {
             self.assign_pools(since);
         }
-        if self.now.since(self.assigned_at) >= 500 * self.backpressure {
+        if self.now.since(self.leadership.jobs_assigned_at) >= 500 * self.backpressure {
             self.assign();
         }
     }
@@ -48,20 +48,24 @@
 
     fn assign_pools(&mut self, since: Ms) {
         // What was dealt last must have been read before anything more is dealt.
-        let read = self.fresh.is_some_and(|f| f >= self.assignment_confirmed_at);
-        if self.pending_assignment.is_some() || !read || self.cache.controllers.is_empty() {
+        let read =
+            self.session.last_read.is_some_and(|f| f >= self.leadership.assignment_confirmed_at);
+        if self.leadership.pending_assignment.is_some()
+            || !read
+            || self.cache.controllers.is_empty()
+        {
             return;
         }
         // Every pool and every machine is looked at: at each tick this alone took a tenth of a
         // leader's processor time in a large fleet.
-        if self.now.since(self.assignment_checked_at) < ASSIGNMENT_INTERVAL_MS {
+        if self.now.since(self.leadership.assignment_checked_at) < ASSIGNMENT_INTERVAL_MS {
             return;
         }
-        self.assignment_checked_at = self.now;
+        self.leadership.assignment_checked_at = self.now;
         // At a start of all, wait a little for the others rather than deal twice: whoever was
         // first back once had every pool, and hundreds of workers, for the rest of the day.
         let everyone = self.cfg.peers.len() < self.cache.controllers.len();
-        let new = self.started.is_some_and(|s| self.now.since(s) < JUST_STARTED_MS);
+        let new = self.started().is_some_and(|s| self.now.since(s) < JUST_STARTED_MS);
         if !everyone && (self.cache.pools.is_empty() || new) && self.now.since(since) < 1500 {
             return;
         }
@@ -151,7 +155,12 @@
         let most = held.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
         let average = held.values().sum::<f64>() / held.len() as f64;
         // Every move costs its workers a change of node: only clear unevenness is worth one.
-        if self.pool_assigned_at.values().any(|at| self.now.since(*at) < REASSIGNMENT_PAUSE_MS) {
+        if self
+            .leadership
+            .pool_assigned_at
+            .values()
+            .any(|at| self.now.since(*at) < REASSIGNMENT_PAUSE_MS)
+        {
             return None;
         }
         // Not to a controller that its workers do not reach, though that has fewest.
@@ -185,22 +194,33 @@
             txn.guard(pool_key(&pool), version);
             self.reachability.note_assignment(&pool, &controller);
             txn.put(pool_key(&pool), &HolderRecord { owner: controller, incarnation }, None);
-            self.pool_assigned_at.insert(pool, self.now);
+            self.leadership.pool_assigned_at.insert(pool, self.now);
         }
         if txn.changes.is_empty() {
             return;
         }
         let op = self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::PoolAssignment);
-        self.pending_assignment = Some(op);
+        self.leadership.pending_assignment = Some(op);
+    }
+
+    /// Whatever came of it, the next reading tells.
+    pub(crate) fn on_assignment_written(&mut self, reply: StoreReply) {
+        self.leadership.pending_assignment = None;
+        self.leadership.assignment_confirmed_at = self.now;
+        self.session.sync_wanted = true;
+        if matches!(reply, StoreReply::Committed(_)) {
+            self.tell(None, Message::Changed);
+        }
     }
 
     /// Workers of a pool come here since they cannot reach its owner: take it.
     pub(crate) fn take_over(&mut self, pool: PoolId, owner: &ControllerId) {
         let recent = self
+            .leadership
             .pool_assigned_at
             .get(&pool)
             .is_some_and(|at| self.now.since(*at) < REASSIGNMENT_PAUSE_MS);
-        if recent || self.pending_assignment.is_some() || !self.in_contact() {
+        if recent || self.leadership.pending_assignment.is_some() || !self.in_contact() {
             return;
         }
         let me = self.cfg.me.clone();
@@ -213,7 +233,7 @@
 
     /// Sends each job of the queue to the K least loaded pools that can hold it.
     fn assign(&mut self) {
-        self.assigned_at = self.now;
+        self.leadership.jobs_assigned_at = self.now;
         let pools = self.inventory.pools();
         let index: BTreeMap<&PoolId, usize> =
             pools.iter().enumerate().map(|(i, p)| (p, i)).collect();
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -18,7 +18,8 @@
     /// The version of a duty's key while it is ours: every transaction of the duty is guarded by it.
     pub(crate) fn epoch(&self, role: Role) -> Option<Version> {
         let (holder, version) = self.cache.roles.get(&role)?;
-        let ours = holder.owner == self.cfg.me && Some(holder.incarnation) == self.incarnation;
+        let ours =
+            holder.owner == self.cfg.me && Some(holder.incarnation) == self.session.incarnation;
         ours.then_some(*version)
     }
 
@@ -26,7 +27,8 @@
     /// under it is not known here, so it is taken anew, under a new epoch, rather than gone on with.
     fn former_life(&self, role: Role) -> Option<Version> {
         let (holder, version) = self.cache.roles.get(&role)?;
-        let former = holder.owner == self.cfg.me && Some(holder.incarnation) != self.incarnation;
+        let former =
+            holder.owner == self.cfg.me && Some(holder.incarnation) != self.session.incarnation;
         former.then_some(*version)
     }
 
@@ -36,12 +38,13 @@
             Role::ALL.iter().filter_map(|d| Some((*d, self.former_life(*d)?))).collect();
         let roles = &self.cache.roles;
         let controllers = self.cache.controllers.keys();
-        self.role_assignment.see(now, &self.cfg.me, controllers, |d| roles.contains_key(&d));
+        self.leadership.roles.see(now, &self.cfg.me, controllers, |d| roles.contains_key(&d));
         if self.in_contact() {
-            if let (Some(lease), Some(incarnation)) = (self.lease, self.incarnation) {
+            if let (Some(lease), Some(incarnation)) = (self.session.lease, self.session.incarnation)
+            {
                 let former_of = |d: Role| former.iter().find(|f| f.0 == d).map(|f| f.1);
                 let mine_before = |d: Role| former_of(d).is_some();
-                if let Some(role) = self.role_assignment.take(now, &self.cfg.me, mine_before) {
+                if let Some(role) = self.leadership.roles.take(now, &self.cfg.me, mine_before) {
                     let holder = HolderRecord { owner: self.cfg.me.clone(), incarnation };
                     let mut txn = Txn::default();
                     txn.guard(role.key(), former_of(role).unwrap_or_default());
@@ -50,7 +53,7 @@
                 }
             }
             let mine: Vec<Role> = Role::ALL.into_iter().filter(|d| self.holds(*d)).collect();
-            if let Some(role) = self.role_assignment.give(now, &self.cfg.me, |d| mine.contains(&d))
+            if let Some(role) = self.leadership.roles.give(now, &self.cfg.me, |d| mine.contains(&d))
             {
                 self.give_back(role);
             }
@@ -75,8 +78,8 @@
 
     /// Whatever came of it, the next reading tells.
     pub(crate) fn on_role_written(&mut self, role: Role, reply: StoreReply) {
-        self.role_assignment.settled(role);
-        self.want_sync = true;
+        self.leadership.roles.settled(role);
+        self.session.sync_wanted = true;
         if matches!(reply, StoreReply::Committed(_)) {
             self.tell(None, cleatfold_wire::mesh::Message::Changed);
         }
@@ -85,7 +88,7 @@
     /// Parts whose job is gone are removed a few at a time. That it is gone is guarded: what is there of a
     /// job that we have only not read yet holds its claims.
     fn collect_garbage(&mut self) {
-        if self.garbage_collection_inflight || !self.in_contact() {
+        if self.leadership.garbage_collection_inflight || !self.in_contact() {
             return;
         }
         let parts = self.cache.parts.iter().flat_map(|(id, parts)| {
@@ -107,8 +110,14 @@
         if !txn.changes.is_empty() {
             let Some(epoch) = self.epoch(Role::GarbageCollection) else { return };
             txn.guard(Role::GarbageCollection.key(), epoch);
-            self.garbage_collection_inflight = true;
+            self.leadership.garbage_collection_inflight = true;
             self.store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::GarbageCollection);
         }
     }
+
+    /// Whatever came of it, the next reading tells.
+    pub(crate) fn on_garbage_collected(&mut self) {
+        self.leadership.garbage_collection_inflight = false;
+        self.session.sync_wanted = true;
+    }
 }
--- a/crates/cleatfold-control/src/machines/cloud.rs
+++ b/crates/cleatfold-control/src/machines/cloud.rs
@@ -8,6 +8,19 @@
 use cleatfold_wire::cloud::{ListedMachine, MachineState};
 use cleatfold_wire::{Ms, PoolId};
 
+/// The last answers of the cloud, and the calls for them that are under way.
+#[derive(Debug, Default)]
+pub(crate) struct CloudState {
+    /// When machine types and prices were last known to be current.
+    pub types_at: Option<Ms>,
+    types_requested: bool,
+    /// When the list of machines last came whole.
+    pub list_at: Option<Ms>,
+    list_requested: bool,
+    /// Pages of a list that has not come whole yet.
+    listed: Vec<ListedMachine>,
+}
+
 impl Controller {
     /// Half of the cloud's rate is for whoever rents, the others share the rest.
     pub(crate) fn cloud_spacing_ms(&self) -> u64 {
@@ -27,52 +40,56 @@
     }
 
     pub(crate) fn keep_cloud(&mut self) {
-        let types_due = self.types_at.is_none_or(|at| self.now.since(at) > 60_000);
-        if types_due && !self.types_asked {
-            self.types_asked = true;
+        let types_due = self.cloud_state.types_at.is_none_or(|at| self.now.since(at) > 60_000);
+        if types_due && !self.cloud_state.types_requested {
+            self.cloud_state.types_requested = true;
             self.cloud(CloudRequest::Types, Pending::Types);
         }
-        let list_due = self.list_at.is_none_or(|at| self.now.since(at) > self.list_ms());
-        if list_due && !self.list_asked && self.types_at.is_some() {
-            self.list_asked = true;
+        let list_due =
+            self.cloud_state.list_at.is_none_or(|at| self.now.since(at) > self.list_ms());
+        if list_due && !self.cloud_state.list_requested && self.cloud_state.types_at.is_some() {
+            self.cloud_state.list_requested = true;
             let sent = self.now;
-            self.list_acc.clear();
+            self.cloud_state.listed.clear();
             self.cloud(CloudRequest::List { from: None }, Pending::List { sent });
         }
     }
 
     pub(crate) fn on_cloud(&mut self, op: u64, reply: CloudReply) {
-        match (self.ops.remove(&op), reply) {
+        match (self.calls.pending.remove(&op), reply) {
             (Some(Pending::Types), reply) => {
-                self.types_asked = false;
+                self.cloud_state.types_requested = false;
                 match reply {
                     // A list of none says nothing: whoever went by it would refuse every job for good.
                     CloudReply::Types(types) if !types.is_empty() => {
                         self.inventory.types =
                             types.into_iter().map(|t| (t.name.clone(), t)).collect();
-                        self.types_at = Some(self.now);
+                        self.cloud_state.types_at = Some(self.now);
+                    }
+                    _ if self.cloud_state.types_at.is_some() => {
+                        self.cloud_state.types_at = Some(self.now)
                     }
-                    _ if self.types_at.is_some() => self.types_at = Some(self.now),
                     _ => {}
                 }
             }
             (Some(Pending::List { sent }), CloudReply::List { machines, more }) => {
-                self.list_acc.extend(machines);
-                match self.list_acc.last().map(|m| m.id.clone()) {
+                self.cloud_state.listed.extend(machines);
+                match self.cloud_state.listed.last().map(|m| m.id.clone()) {
                     Some(last) if more => {
                         self.cloud(CloudRequest::List { from: Some(last) }, Pending::List { sent })
                     }
                     _ => {
-                        self.list_asked = false;
-                        self.list_at = Some(self.now);
-                        let list = std::mem::take(&mut self.list_acc);
+                        self.cloud_state.list_requested = false;
+                        self.cloud_state.list_at = Some(self.now);
+                        let list = std::mem::take(&mut self.cloud_state.listed);
                         self.on_list(list);
                     }
                 }
             }
             (Some(Pending::List { .. }), _) => {
-                self.list_asked = false;
-                self.list_at = self.list_at.map(|_| Ms(self.now.0.saturating_sub(2500)));
+                self.cloud_state.list_requested = false;
+                self.cloud_state.list_at =
+                    self.cloud_state.list_at.map(|_| Ms(self.now.0.saturating_sub(2500)));
             }
             (Some(Pending::ScaleOut { request, tries }), reply) => {
                 self.on_scale_out(request, tries, reply)
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -40,11 +40,16 @@
     pub(crate) fn maintain_scale_out(&mut self) {
         let due = self.now.since(self.scale_out.last_checked)
             >= SCALE_OUT_INTERVAL_MS * self.backpressure;
-        if !due || !self.holds(Role::ScaleOut) || !self.in_contact() || self.list_at.is_none() {
+        if !due
+            || !self.holds(Role::ScaleOut)
+            || !self.in_contact()
+            || self.cloud_state.list_at.is_none()
+        {
             return;
         }
         self.scale_out.last_checked = self.now;
-        let read = self.scale_out.stale.is_none_or(|s| self.fresh.is_some_and(|f| f > s));
+        let read =
+            self.scale_out.stale.is_none_or(|s| self.session.last_read.is_some_and(|f| f > s));
         if self.scale_out.writing || !read {
             return;
         }
@@ -70,7 +75,7 @@
     }
 
     fn new_scale_out_intents(&mut self) -> Vec<ScaleOutIntent> {
-        let Some(incarnation) = self.incarnation else { return vec![] };
+        let Some(incarnation) = self.session.incarnation else { return vec![] };
         // What is answered and only not yet out of the record holds nobody up.
         let coming = self.scale_out.tracker.coming(&self.cache.scale_out_intents.1);
         let open: Vec<(PoolId, bool)> = coming.map(|i| (i.pool(), i.spot)).collect();
@@ -121,7 +126,7 @@
             // Perhaps it is durable: then the intents stand, and are met like a former holder's.
             _ => {
                 self.scale_out.stale = Some(self.now);
-                self.want_sync = true;
+                self.session.sync_wanted = true;
             }
         }
     }
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -246,12 +246,12 @@
             .filter(|(id, job)| self.may_start(id, job, 1) > 0)
             .map(|(_, job)| job)
             .collect();
-        let watched = self.owned_since.iter().map(|(pool, &(token, since))| {
+        let watched = self.pools.owned.iter().map(|(pool, owned)| {
             let kind = self.inventory.types.get(&pool.machine_type);
             let useful = |spot| self.useful_cpus(pool, spot, &waiting, &headroom);
             let watched = WatchedPool {
-                token,
-                since,
+                token: owned.token,
+                since: owned.since,
                 boot_ms: kind.map_or(60_000.0, |t| t.boot_s * 1000.0) as u64,
                 cpus: kind.map_or(1.0, |t| t.cpus),
                 useful: [useful(false), useful(true)],
@@ -306,7 +306,7 @@
     fn delete(&mut self, ids: Vec<MachineId>) {
         // One call at a time, up to a hundred machines each: a call a machine kept the cloud's
         // rate busy for a minute after a wave of losses, and proofs came late.
-        if self.ops.values().any(|p| matches!(p, Pending::Delete { .. })) {
+        if self.calls.pending.values().any(|p| matches!(p, Pending::Delete { .. })) {
             return;
         }
         let mut batch = Vec::new();
@@ -315,7 +315,11 @@
                 .job_states
                 .values()
                 .any(|l| l.placement_requests.iter().any(|w| w.machine == id))
-                || self.ops.values().any(|p| matches!(p, Pending::Job(tx) if tx.names(&id)));
+                || self
+                    .calls
+                    .pending
+                    .values()
+                    .any(|p| matches!(p, Pending::Job(tx) if tx.names(&id)));
             if promised || batch.len() >= MAX_DELETED_PER_CALL {
                 continue;
             }
--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -13,14 +13,14 @@
                 self.reachability.view.peers.read(&from, contact);
             }
             Message::Changed => {
-                self.want_sync = true;
+                self.session.sync_wanted = true;
                 self.sync_if_due();
             }
             Message::Images { machines } => {
                 for (id, images) in machines {
                     let id = MachineId::new(id);
                     let Some(m) = self.inventory.machines.get_mut(&id) else { continue };
-                    if !self.owned_since.contains_key(&m.pool) {
+                    if !self.pools.owned.contains_key(&m.pool) {
                         m.images = images
                             .into_iter()
                             .map(|(image, gb)| (ImageId::new(image), gb))
@@ -45,8 +45,8 @@
                 let token = FencingToken(token);
                 let known = self.cache.pools.get(&pool).map(|h| h.token).unwrap_or_default();
                 if token > known {
-                    self.hinted.insert(pool.clone(), (from, token));
-                    self.want_sync = true;
+                    self.pools.hinted.insert(pool.clone(), (from, token));
+                    self.session.sync_wanted = true;
                 }
                 if token >= known {
                     self.plans.remote(pool, token, self.now, promises);
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -32,7 +32,7 @@
             }
             let zone = zones.entry(&m.pool.zone).or_default();
             zone.0.push(id.clone());
-            let ours = self.owned_since.get(&m.pool).map(|o| o.0);
+            let ours = self.pools.owned.get(&m.pool).map(|owned| owned.token);
             zone.1 += usize::from(ours.is_some() && m.heartbeat.as_ref().map(|r| r.token) == ours);
         }
         let zones = zones.iter().map(|(z, (machines, own))| (*z, machines.as_slice(), *own));
@@ -91,7 +91,7 @@
             misdirected_workers.answered(&machine, answer, owner_has_contact, now)
         {
             let owned = self.cache.pools.get(&pool).is_some_and(|h| h.owner == owner);
-            if owned && !self.hinted.contains_key(&pool) {
+            if owned && !self.pools.hinted.contains_key(&pool) {
                 self.take_over(pool, &owner);
             }
         }
@@ -132,7 +132,7 @@
     ) -> Option<Response> {
         // It was renewed no later than the state service was last read, or we would have read since.
         let lease_ms = self.cfg.controller_lease_ms + LEASE_OVER_MS;
-        let over = self.fresh.is_none_or(|f| self.now.since(f) > lease_ms);
+        let over = self.session.last_read.is_none_or(|f| self.now.since(f) > lease_ms);
         // Peers that say nothing better than we know are in the same outage.
         let alone = !self.reachability.view.peers.hears_any_peer(self.now, SILENT_MS);
         if !over || !(alone || self.reachability.view.worker_release.others_serve()) {
@@ -161,7 +161,7 @@
                 if !ours && self.cache.controllers.contains_key(before) {
                     self.reachability.view.left(before, &pool.zone, self.now);
                     // And it has only just moved.
-                    self.pool_assigned_at.insert(pool.clone(), self.now);
+                    self.leadership.pool_assigned_at.insert(pool.clone(), self.now);
                 }
             }
             self.reachability.holders.insert(pool.clone(), holding.owner.clone());
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -133,7 +133,7 @@
             _ => {}
         }
         log.writing = false;
-        self.want_sync = true;
+        self.session.sync_wanted = true;
     }
 
     // ---- what a team asks ----
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -40,7 +40,7 @@
         let (arrived, arrived_at) = (self.now, self.event);
         let question = Question { rid, team, what, since, arrived, arrived_at, upto: None };
         self.teams.waiting.push(question);
-        self.want_sync = true;
+        self.session.sync_wanted = true;
         self.sync_if_due();
     }
 
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -61,7 +61,8 @@
     /// Our token for a workspace, by what was read last.
     pub(crate) fn workspace(&self, team: &TeamId) -> Option<Version> {
         let (version, holder) = self.cache.workspaces.get(team)?;
-        let ours = holder.owner == self.cfg.me && Some(holder.incarnation) == self.incarnation;
+        let ours =
+            holder.owner == self.cfg.me && Some(holder.incarnation) == self.session.incarnation;
         (ours && self.readable(&workspace_key(team))).then_some(*version)
     }
 
@@ -86,8 +87,9 @@
         };
         vacancies.see(now, &me, cache.controllers.keys(), teams.iter(), held);
         let known = cache.controllers.get(&me).map(|n| n.0);
-        let unsure = self.workspaces.unsure.is_some_and(|t| self.fresh.is_none_or(|f| f < t));
-        let incarnation = self.incarnation.filter(|i| known == Some(*i) && !unsure);
+        let unsure =
+            self.workspaces.unsure.is_some_and(|t| self.session.last_read.is_none_or(|f| f < t));
+        let incarnation = self.session.incarnation.filter(|i| known == Some(*i) && !unsure);
         if let Some(incarnation) =
             incarnation.filter(|_| self.in_contact() && self.rate_limiter.open())
         {
@@ -162,7 +164,7 @@
                 self.cache.workspaces.insert(team, (version, holder.clone()));
             }
         }
-        self.want_sync = true;
+        self.session.sync_wanted = true;
         if committed.is_some() {
             self.tell(None, cleatfold_wire::mesh::Message::Changed);
         }
@@ -313,7 +315,7 @@
                 continue;
             }
             let (version, head) = self.head(&team);
-            let fresh = self.fresh;
+            let fresh = self.session.last_read;
             let Some(kept) = self.workspaces.kept.get_mut(&team) else { continue };
             if kept.writing || kept.unsure.is_some_and(|t| fresh.is_none_or(|f| f < t)) {
                 continue;
@@ -379,7 +381,7 @@
                 if let Some(kept) = self.workspaces.kept.get_mut(&write.team) {
                     kept.unsure = Some(now);
                 }
-                self.want_sync = true;
+                self.session.sync_wanted = true;
             }
         }
         if let Some(kept) = self.workspaces.kept.get_mut(&write.team) {
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -41,7 +41,8 @@
     Extend {
         sent: Ms,
     },
-    Enlist,
+    /// Writing our own key.
+    Registration,
     /// Reading the marker of the records' version, and writing it.
     Format,
     FormatWritten,
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -85,7 +85,7 @@
         };
         if heartbeat.token > token {
             // Someone was dealt the pool after us and we have not read it yet.
-            self.want_sync = true;
+            self.session.sync_wanted = true;
             self.reachability.view.worker_release.is_served(&pool, self.now);
             return self.reply(rid, Response::Redirect(None));
         }
@@ -129,7 +129,7 @@
         let hold = if commands.is_empty() { self.long_poll_ms(&id) } else { 0 };
         if hold > 0 {
             let until = self.now.plus(hold);
-            self.long_polls.insert(id, LongPoll { rid, pool, token, until });
+            self.pools.long_polls.insert(id, LongPoll { rid, pool, token, until });
         } else {
             self.reply(rid, worker_authority.answer(commands));
         }
@@ -141,7 +141,7 @@
     }
 
     fn redirect(&mut self, rid: u64, heartbeat: &RawHeartbeat, pool: &PoolId) {
-        let owner = match (self.hinted.get(pool), self.cache.pools.get(pool)) {
+        let owner = match (self.pools.hinted.get(pool), self.cache.pools.get(pool)) {
             (Some((controller, _)), _) => Some(controller.clone()),
             (None, Some(h)) if h.owner != self.cfg.me => Some(h.owner.clone()),
             _ => None,
--- a/crates/cleatfold-control/src/pools/long_polls.rs
+++ b/crates/cleatfold-control/src/pools/long_polls.rs
@@ -48,13 +48,14 @@
     /// Answers held reports whose time is up, or whose machine got a claim.
     pub(crate) fn answer_long_polls(&mut self, claimed: &[MachineId]) {
         let due: Vec<MachineId> = self
+            .pools
             .long_polls
             .iter()
             .filter(|(id, h)| h.until <= self.now || claimed.contains(id))
             .map(|(id, _)| id.clone())
             .collect();
         for id in due {
-            let Some(poll) = self.long_polls.remove(&id) else { continue };
+            let Some(poll) = self.pools.long_polls.remove(&id) else { continue };
             let response = match self.worker_authority(&poll.pool) {
                 Err(response) => response,
                 Ok(authority) if authority.token() != poll.token => Response::Redirect(None),
@@ -73,7 +74,7 @@
 
     /// A newer heartbeat came: its worker gave up on the answer to the one before.
     pub(super) fn abandon_long_poll(&mut self, id: &MachineId) {
-        if let Some(old) = self.long_polls.remove(id) {
+        if let Some(old) = self.pools.long_polls.remove(id) {
             self.reply(old.rid, Response::later("a newer report came"));
         }
     }
--- a/crates/cleatfold-control/src/pools/mod.rs
+++ b/crates/cleatfold-control/src/pools/mod.rs
@@ -3,5 +3,6 @@
 
 mod heartbeats;
 pub(crate) mod long_polls;
+pub(crate) mod ownership;
 mod tasks;
 mod worker_authority;
--- a/crates/cleatfold-control/src/pools/worker_authority.rs
+++ b/crates/cleatfold-control/src/pools/worker_authority.rs
@@ -33,7 +33,7 @@
         let Some(token) = self.my_token(pool) else {
             return Err(Response::Redirect(None));
         };
-        let unread_ms = self.fresh.map_or(u64::MAX, |sent| self.now.since(sent));
+        let unread_ms = self.session.last_read.map_or(u64::MAX, |sent| self.now.since(sent));
         if unread_ms > self.cfg.stale_read_limit_ms() {
             return Err(Response::later("cut off from the state service"));
         }
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -57,7 +57,7 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct Limits {
+pub(crate) struct QuotaState {
     /// When slices may be written.
     pacer: WritePacer<TeamId>,
     pub inflight: BTreeSet<TeamId>,
@@ -70,7 +70,7 @@
     pub blind: Option<EventNumber>,
 }
 
-impl Limits {
+impl QuotaState {
     pub fn new(me: &ControllerId) -> Self {
         let seed = xxhash_rust::xxh3::xxh3_64(me.as_str().as_bytes());
         Self {
@@ -118,7 +118,7 @@
     pub(crate) fn limited_usage(&self) -> Usage {
         let mut usage = Usage::new();
         // Only our own pools' parts are ours to spend, and others hold most of the claims.
-        let own: Vec<&PoolId> = self.owned_since.keys().collect();
+        let own: Vec<&PoolId> = self.pools.owned.keys().collect();
         let teams: Vec<&TeamId> =
             self.cfg.teams.iter().filter(|t| t.is_limited()).map(|t| &t.name).collect();
         let mut used = vec![Resources::default(); own.len() * teams.len()];
@@ -143,7 +143,7 @@
                 }
             }
         }
-        for pending in self.ops.values() {
+        for pending in self.calls.pending.values() {
             let Pending::Job(tx) = pending else { continue };
             let Some(cached) = self.cache.jobs.get(&tx.job) else {
                 continue;
@@ -204,7 +204,7 @@
             let ended = ends.filter(|e| in_pool(&e.machine)).count() as u32;
             used += cached.each.times(here.saturating_sub(ended)).cpus;
         }
-        for pending in self.ops.values() {
+        for pending in self.calls.pending.values() {
             let Pending::Job(tx) = pending else { continue };
             let Some(cached) = self.cache.jobs.get(&tx.job).filter(long) else { continue };
             let claimed = tx.claimed().filter(|(p, _)| p == pool).map(|p| p.1);
@@ -245,7 +245,7 @@
                 }
             }
         }
-        self.limits.soon = soon;
+        self.quota.soon = soon;
     }
 
     /// What each limited team could still use in the whole region, `weight` being how much of a
@@ -280,7 +280,7 @@
         if !limit.is_limited() {
             return tasks;
         }
-        if self.limits.blind.is_some() || self.limits.inflight.contains(team) {
+        if self.quota.blind.is_some() || self.quota.inflight.contains(team) {
             return 0;
         }
         let slice = self.cache.slices.get(team).and_then(|s| s.1.pools.get(pool)).copied();
@@ -303,22 +303,22 @@
     /// start right now: asking for all that waits let a pool whose machines the waiting jobs
     /// could not use keep the whole limit, and the team stood still.
     pub(crate) fn keep_slices(&mut self) {
-        if self.now.since(self.limits.last_checked) < SLICE_INTERVAL_MS || !self.in_contact() {
+        if self.now.since(self.quota.last_checked) < SLICE_INTERVAL_MS || !self.in_contact() {
             return;
         }
-        self.limits.last_checked = self.now;
-        if self.limits.blind.is_some() {
+        self.quota.last_checked = self.now;
+        if self.quota.blind.is_some() {
             return;
         }
         let moves = self.slice_moves();
         let wanted: Vec<(TeamId, Need)> = moves.iter().map(|m| (m.team.clone(), m.need)).collect();
-        self.limits.pacer.refill(self.now.0, self.rate_limiter.rate());
-        let admitted = self.limits.pacer.admit(self.now.0, &wanted, self.rate_limiter.spare());
+        self.quota.pacer.refill(self.now.0, self.rate_limiter.rate());
+        let admitted = self.quota.pacer.admit(self.now.0, &wanted, self.rate_limiter.spare());
         let mut moves: BTreeMap<TeamId, SliceMove> =
             moves.into_iter().map(|m| (m.team.clone(), m)).collect();
         for team in admitted {
             let Some(SliceMove { team, txn, record, .. }) = moves.remove(&team) else { continue };
-            self.limits.inflight.insert(team.clone());
+            self.quota.inflight.insert(team.clone());
             let request = StoreRequest::Txn(txn.clone());
             let sent = SentSlice { team, txn, record, doubtful: false };
             self.store(CallPriority::Claim, request, Pending::Slice(Box::new(sent)));
@@ -330,18 +330,17 @@
         let usage = self.limited_usage();
         let sizes = self.inventory.sizes();
         let own: Vec<(PoolId, FencingToken, Resources)> = self
-            .owned_since
-            .iter()
-            .filter(|(p, _)| !self.hinted.contains_key(p))
-            .map(|(p, o)| {
+            .pools
+            .undisputed()
+            .map(|(p, token)| {
                 let n = sizes.get(p).copied().unwrap_or(0) as u32;
-                (p.clone(), o.0, self.inventory.total(&p.machine_type).times(n))
+                (p.clone(), token, self.inventory.total(&p.machine_type).times(n))
             })
             .collect();
         let needs = self.largest_needs();
         let mut moves = Vec::new();
         let limited = self.cfg.teams.iter().filter(|t| t.is_limited());
-        for team in limited.filter(|t| !self.limits.inflight.contains(&t.name)) {
+        for team in limited.filter(|t| !self.quota.inflight.contains(&t.name)) {
             let (version, record) = self.cache.slices.get(&team.name).cloned().unwrap_or_default();
             let max = Resources::new(team.cpus_max, team.gpus_max, 0.0);
             let taken = record.pools.values().fold((0, 0), |a, s| (a.0 + s.0, a.1 + s.1));
@@ -353,7 +352,7 @@
             for (pool, token, capacity) in &own {
                 let key = (team.name.clone(), pool.clone());
                 let of = |amounts: &Usage| amounts.get(&key).copied().unwrap_or_default();
-                let wants = (of(&usage), of(&self.limits.short), of(&self.limits.soon));
+                let wants = (of(&usage), of(&self.quota.short), of(&self.quota.soon));
                 let old = record.pools.get(pool).copied().unwrap_or_default();
                 let part = (
                     resize(old.0, wants, *capacity, &mut free.0, (max, need), |r| r.cpus),
@@ -396,8 +395,8 @@
         match reply {
             StoreReply::Committed(version) => {
                 let SentSlice { team, record, .. } = sent;
-                self.limits.inflight.remove(&team);
-                self.limits.pacer.succeeded(&team);
+                self.quota.inflight.remove(&team);
+                self.quota.pacer.succeeded(&team);
                 let current = self.cache.slices.get(&team).map(|s| s.0).unwrap_or_default();
                 if current < version {
                     self.cache.slices.insert(team, (version, record));
@@ -413,23 +412,23 @@
             StoreReply::Refused if sent.doubtful => self.resend_slice(op, sent),
             // Certainly not executed: what is wanted then is found out by a later look.
             StoreReply::Refused => {
-                self.limits.inflight.remove(&sent.team);
-                self.limits.pacer.failed(self.now.0, &sent.team);
+                self.quota.inflight.remove(&sent.team);
+                self.quota.pacer.failed(self.now.0, &sent.team);
                 self.replan_needed = true;
             }
             _ => {
                 // What stands is known after the next reading; until then it counts as blind.
-                self.limits.inflight.remove(&sent.team);
-                self.limits.pacer.failed(self.now.0, &sent.team);
-                self.limits.blind = Some(self.event);
-                self.want_sync = true;
+                self.quota.inflight.remove(&sent.team);
+                self.quota.pacer.failed(self.now.0, &sent.team);
+                self.quota.blind = Some(self.event);
+                self.session.sync_wanted = true;
             }
         }
     }
 
     /// Sends it once more: the same guards decide.
     fn resend_slice(&mut self, op: u64, sent: SentSlice) {
-        let pause_ms = self.limits.pacer.resend(&sent.team);
+        let pause_ms = self.quota.pacer.resend(&sent.team);
         let txn = sent.txn.clone();
         self.again(op, CallPriority::Claim, txn, Pending::Slice(Box::new(sent)), pause_ms);
     }
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -75,7 +75,7 @@
                 job_state.placement_requests.clear();
             }
         }
-        if self.owned_since.is_empty() {
+        if self.pools.owned.is_empty() {
             return;
         }
         let (queue, guaranteed) = self.queue_and_guaranteed();
@@ -88,19 +88,13 @@
     }
 
     fn plan_pools(&self, queue: &[Queued], usage: &Usage) -> Vec<PoolPlan> {
-        let pools: Vec<(PoolId, FencingToken)> = self
-            .owned_since
-            .iter()
-            .filter(|(p, _)| !self.hinted.contains_key(p))
-            .map(|(p, o)| (p.clone(), o.0))
-            .collect();
         let mut plans = Vec::new();
         let by_pool = self.inventory.by_pool();
         let long = self.long_work();
-        for (pool, token) in pools {
-            let members = by_pool.get(&pool).map(Vec::as_slice).unwrap_or_default();
-            let mut binding = self.binding_limits(&pool, members.len(), usage, &long.limits);
-            let (machines, mut profiles) = self.profiles(&pool, token, members, &mut binding);
+        for (pool, token) in self.pools.undisputed() {
+            let members = by_pool.get(pool).map(Vec::as_slice).unwrap_or_default();
+            let mut binding = self.binding_limits(pool, members.len(), usage, &long.limits);
+            let (machines, mut profiles) = self.profiles(pool, token, members, &mut binding);
             if machines.is_empty() {
                 continue;
             }
@@ -108,7 +102,7 @@
                 binding.iter().map(|b| b.over_time(self.now)).collect();
             let open = profiles.iter().map(|c| c.open).collect();
             let mut plan = PoolPlan {
-                pool,
+                pool: pool.clone(),
                 token,
                 machines,
                 open,
@@ -360,7 +354,7 @@
             *due_tasks.entry((*p, r.request)).or_default() += r.tasks;
         }
         due.sort_by_key(|(p, r)| (r.finish, *p, r.request, r.machine));
-        self.limits.short.clear();
+        self.quota.short.clear();
         self.note_soon(plans);
         let elsewhere: Vec<u32> = {
             let promises = self.promises(plans);
@@ -409,7 +403,7 @@
             let fits = self.within_slice(&team, &plan.pool, &mut usage, each, tasks);
             if fits < tasks {
                 let key = (team, plan.pool.clone());
-                *self.limits.short.entry(key).or_default() += each.times(tasks - fits);
+                *self.quota.short.entry(key).or_default() += each.times(tasks - fits);
             }
             tasks = fits;
             if tasks == 0 {
@@ -444,7 +438,7 @@
         }
         for (pool, (token, at, jobs)) in &self.plans.remote {
             let current = self.cache.pools.get(pool).is_some_and(|h| h.token <= *token)
-                && !self.owned_since.contains_key(pool);
+                && !self.pools.owned.contains_key(pool);
             if current {
                 let (age_ms, lives) = (self.now.since(*at), self.priority.lives(pool));
                 for (job, finishes) in jobs {
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -32,7 +32,7 @@
         }
         let closed = |g: &StartBarrier| g.lowest() < Urgency::BestEffort;
         if self.priority.start_barriers.values().any(closed) {
-            self.want_sync = true;
+            self.session.sync_wanted = true;
             self.sync_if_due();
         }
     }
@@ -40,10 +40,10 @@
     /// Before each planning: what we know of the others, of pools that have just come, and of what waits.
     pub(crate) fn refresh_priority(&mut self, queue: &[Queued]) {
         self.priority.fallen = self.fallen();
-        let (read, assigned) = (self.fresh, self.priority.assigned);
+        let (read, assigned) = (self.session.last_read, self.priority.assigned);
         let gate = |taken| StartBarrier { taken, read, assigned };
         self.priority.start_barriers =
-            self.owned_since.iter().map(|(p, o)| (p.clone(), gate(o.1))).collect();
+            self.pools.owned.iter().map(|(p, o)| (p.clone(), gate(o.since))).collect();
         self.refresh_waiting(queue);
         self.adopt_preemptions();
     }
@@ -51,9 +51,9 @@
     /// Which rooms stand in our pools; those that a former owner was making we go on making.
     fn adopt_preemptions(&mut self) {
         let owned: Vec<(PoolId, FencingToken)> =
-            self.owned_since.iter().map(|(p, o)| (p.clone(), o.0)).collect();
+            self.pools.owned.iter().map(|(p, o)| (p.clone(), o.token)).collect();
         self.priority.preemptions.clear();
-        self.priority.adopted.retain(|p, _| self.owned_since.contains_key(p));
+        self.priority.adopted.retain(|p, _| self.pools.owned.contains_key(p));
         for (pool, token) in owned {
             let Some((_, record)) = self.cache.preemptions.get(&pool) else { continue };
             let standing = record.plans.iter().filter(|r| self.is_preemption_active(r));
@@ -136,7 +136,7 @@
                 // It may stand: then it is ours to finish.
                 self.priority.adopted.remove(&uncommitted.pool);
             }
-            self.want_sync = true;
+            self.session.sync_wanted = true;
             return;
         };
         let key = preemption_key(&uncommitted.pool);
@@ -202,6 +202,6 @@
             lost_workers: peers.of_zone(controller, &pool.zone, now).is_some_and(|h| h.lost),
         };
         // One that was told us over the mesh, and not read yet, is its teller's.
-        self.hinted.contains_key(pool) || lives(owner, listener_health)
+        self.pools.hinted.contains_key(pool) || lives(owner, listener_health)
     }
 }
--- a/crates/cleatfold-control/src/store/mod.rs
+++ b/crates/cleatfold-control/src/store/mod.rs
@@ -2,10 +2,12 @@
 //! cache current, the records' forms, and what is done about transactions without an answer.
 
 pub(crate) mod cache;
+pub(crate) mod calls;
 pub(crate) mod format;
 pub(crate) mod format_check;
 mod loss_records;
 pub(crate) mod rate_limiter;
 pub mod records;
 pub(crate) mod sent;
+pub(crate) mod session;
 mod unknown_outcomes;
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -36,16 +36,16 @@
 
     /// At each tick and after each reading: takes care of transactions that have no answer yet.
     pub(crate) fn resolve_unanswered(&mut self) {
-        if !self.loaded {
+        if !self.session.is_loaded {
             return;
         }
         let mut steps = Vec::new();
-        for (op, pending) in &self.ops {
+        for (op, pending) in &self.calls.pending {
             let Some((txn, sent)) = txn_of(pending) else { continue };
             if self.now.since(sent.at) < UNANSWERED_AFTER_MS {
                 continue;
             }
-            let step = sent.step(self.now, self.fresh, self.is_decided(txn));
+            let step = sent.step(self.now, self.session.last_read, self.is_decided(txn));
             if step != UnansweredAction::Wait {
                 steps.push((*op, step));
             }
@@ -53,7 +53,7 @@
         for (op, step) in steps {
             match step {
                 UnansweredAction::Read => {
-                    self.want_sync = true;
+                    self.session.sync_wanted = true;
                     self.mark(op, |sent| sent.queried = true);
                 }
                 UnansweredAction::Resend if self.rate_limiter.ample() => self.send_once_more(op),
@@ -64,7 +64,7 @@
     }
 
     fn mark(&mut self, op: u64, change: impl FnOnce(&mut Sent)) {
-        match self.ops.get_mut(&op) {
+        match self.calls.pending.get_mut(&op) {
             Some(Pending::Submit { sent, .. }) => change(sent),
             Some(Pending::Job(tx)) => change(&mut tx.sent),
             _ => {}
@@ -74,7 +74,7 @@
     /// The same transaction under the same number: whichever answer comes first counts.
     fn send_once_more(&mut self, op: u64) {
         self.mark(op, |sent| sent.resent = true);
-        let (priority, txn) = match self.ops.get_mut(&op) {
+        let (priority, txn) = match self.calls.pending.get_mut(&op) {
             Some(Pending::Submit { txn, .. }) => (CallPriority::Submission, txn.clone()),
             Some(Pending::Job(tx)) => {
                 tx.doubtful = true;
@@ -82,7 +82,7 @@
             }
             _ => return,
         };
-        if self.resend.iter().any(|r| r.1 == op) {
+        if self.calls.is_resent_later(op) {
             return;
         }
         self.rate_limiter.spend(txn.changes.len());
@@ -91,8 +91,8 @@
 
     /// What became of it was read. An answer that still comes finds nobody who waits for it.
     fn resolve_by_reading(&mut self, op: u64) {
-        self.resend.retain(|r| r.1 != op);
-        match self.ops.remove(&op) {
+        self.calls.forget_resend(op);
+        match self.calls.pending.remove(&op) {
             Some(Pending::Submit { batch, .. }) => self.resolve_submissions(batch),
             Some(Pending::Job(tx)) => self.resolve_job(*tx),
             _ => {}
