--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -16,7 +16,7 @@
 use cleatfold_admission::meter::{Largest, Spread};
 use cleatfold_admission::size_classes;
 use cleatfold_admission::{
-    decide, Bounds, Demand, Entry, Group, OverloadQuota, SizeClass, Small, View,
+    decide, Bounds, Demand, Entry, Group, OverloadQuota, Rules, SizeClass, Small, View,
 };
 use cleatfold_roles::Role;
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
@@ -35,8 +35,70 @@
     (&e.team, &e.class, e.floor / 1000, upper)
 }
 
-fn bounds(must: &Spread, largest: &Largest) -> Bounds {
-    Bounds { small: must.most, work: largest.work, tasks: largest.tasks }
+/// How the work of a group's jobs is distributed, as it was measured.
+struct Distribution {
+    /// The jobs that must be served, the smallest first.
+    must: Spread,
+    /// Those that should be.
+    should: Spread,
+    /// The largest of their class.
+    largest: Largest,
+}
+
+impl Distribution {
+    fn bounds(&self) -> Bounds {
+        let Largest { work, tasks, .. } = self.largest;
+        Bounds { small: self.must.most, work, tasks }
+    }
+}
+
+/// What the jobs of one group have and ask for, in processor-seconds.
+#[derive(Default)]
+struct GroupDemand {
+    /// Of its most urgent job.
+    urgency: Option<Urgency>,
+    waiting: f64,
+    /// What waits of the jobs that must, and of those that should be served.
+    must: f64,
+    should: f64,
+    /// What waits of the middle and of the largest jobs.
+    middle: f64,
+    large: f64,
+    running: f64,
+    /// The sum over its jobs.
+    patience_s: f64,
+    jobs: f64,
+}
+
+impl GroupDemand {
+    fn add(
+        &mut self,
+        cached: &CachedJob,
+        distribution: &Distribution,
+        is_late: bool,
+        patience_s: f64,
+    ) {
+        let spec = &cached.record.spec;
+        let all = work(spec, spec.tasks);
+        let waits = work(spec, cached.unclaimed());
+        let up_to = |most: f64| if all <= most { waits } else { 0.0 };
+        self.waiting += waits;
+        self.must += up_to(distribution.must.most);
+        self.should += up_to(distribution.should.most);
+        // What can no longer begin in time waits for what is left.
+        let has_begun = cached.claimed + cached.done > 0;
+        match distribution.bounds().size_class(all, spec.tasks) {
+            _ if is_late && !has_begun => {}
+            SizeClass::Small => {}
+            SizeClass::Middle => self.middle += waits,
+            SizeClass::Large => self.large += waits,
+        }
+        // Of what runs about half is done, where nothing better is known.
+        self.running += 0.5 * work(spec, cached.claimed);
+        self.patience_s += patience_s;
+        self.jobs += 1.0;
+        self.urgency = Some(self.urgency.map_or(spec.urgency, |u| u.min(spec.urgency)));
+    }
 }
 
 impl Controller {
@@ -167,110 +229,89 @@
         reported.is_some_and(|at| self.now.since(at) >= self.cfg.lease_ms)
     }
 
+    /// What all groups ask for, as the decision on the quota needs it.
     fn view(&self) -> View {
         let Some(rules) = &self.cfg.admission else { return View::default() };
         let history = &self.admission.capacity;
         let (oldest, before) = history.front().copied().unwrap_or_default();
         let capacity = history.back().map_or(0.0, |h| h.1);
         let least = history.iter().map(|h| h.1).fold(before, f64::min);
-        let begin_ms = (rules.begin_s * 1000.0) as u64;
         let settled = self.now.since(oldest) >= SETTLED_MS && capacity <= least * 1.03;
-        let wall_s = self.wall_ms as f64 / 1000.0;
-        struct Sum {
-            urgency: Urgency,
-            waiting: f64,
-            must: f64,
-            should: f64,
-            middle: f64,
-            large: f64,
-            running: f64,
-            patience: f64,
-            jobs: f64,
-        }
+        let distributions = self.distributions(rules);
+        let demands = self.group_demands(rules, &distributions).into_iter();
+        let groups = demands.filter_map(|(group, demand)| {
+            let distribution = distributions.get(&group)?;
+            Some(self.demand_of(rules, group, demand, distribution))
+        });
+        View { capacity, settled, groups: groups.collect() }
+    }
+
+    /// How the work of each group is distributed over its jobs, as far as that was measured.
+    fn distributions(&self, rules: &Rules) -> BTreeMap<&Group, Distribution> {
         let meter = &self.admission.meter;
-        let spreads: BTreeMap<&Group, (Spread, Spread, Largest)> = meter
-            .groups()
-            .filter_map(|g| {
-                let must = meter.spread(g, rules.must)?;
-                let largest = meter.largest(&g.class, rules.largest, must.most)?;
-                Some((g, (must, meter.spread(g, rules.should)?, largest)))
-            })
-            .collect();
-        let mut sums: BTreeMap<Group, Sum> = BTreeMap::new();
+        let measured = meter.groups().filter_map(|group| {
+            let must = meter.spread(group, rules.must)?;
+            let largest = meter.largest(&group.class, rules.largest, must.most)?;
+            let should = meter.spread(group, rules.should)?;
+            Some((group, Distribution { must, should, largest }))
+        });
+        measured.collect()
+    }
+
+    /// Adds up what the jobs of each group have and ask for.
+    fn group_demands(
+        &self,
+        rules: &Rules,
+        distributions: &BTreeMap<&Group, Distribution>,
+    ) -> BTreeMap<Group, GroupDemand> {
+        let begin_ms = (rules.begin_s * 1000.0) as u64;
+        let mut demands: BTreeMap<Group, GroupDemand> = BTreeMap::new();
         for cached in self.cache.jobs.values() {
             let spec = &cached.record.spec;
             if cached.record.aborted || cached.width().is_some() || spec.kind == Kind::Service {
                 continue;
             }
             let group = Group { team: spec.team.clone(), class: spec.class.clone() };
-            let Some((must, should, largest)) = spreads.get(&group) else { continue };
-            let urgency = spec.urgency;
-            let waits = work(spec, cached.unclaimed());
-            let up_to = |most: f64| if work(spec, spec.tasks) <= most { waits } else { 0.0 };
-            let sum = sums.entry(group).or_insert(Sum {
-                urgency,
-                waiting: 0.0,
-                must: 0.0,
-                should: 0.0,
-                middle: 0.0,
-                large: 0.0,
-                running: 0.0,
-                patience: 0.0,
-                jobs: 0.0,
-            });
-            // Of what runs about half is done, where nothing better is known.
-            sum.waiting += waits;
-            sum.must += up_to(must.most);
-            sum.should += up_to(should.most);
-            let size_class = bounds(must, largest).size_class(work(spec, spec.tasks), spec.tasks);
-            // What can no longer begin in time waits for what is left.
-            let begun = cached.claimed + cached.done > 0;
-            let late = size_classes::late(begin_ms, cached.record.accepted_ms, self.wall_ms);
-            match size_class {
-                _ if late && !begun => {}
-                SizeClass::Small => {}
-                SizeClass::Middle => sum.middle += waits,
-                SizeClass::Large => sum.large += waits,
-            }
-            sum.running += 0.5 * work(spec, cached.claimed);
-            sum.patience += self.patience_s(spec);
-            sum.jobs += 1.0;
-            sum.urgency = sum.urgency.min(urgency);
+            let Some(distribution) = distributions.get(&group) else { continue };
+            let is_late = size_classes::late(begin_ms, cached.record.accepted_ms, self.wall_ms);
+            let demand = demands.entry(group).or_default();
+            demand.add(cached, distribution, is_late, self.patience_s(spec));
+        }
+        demands
+    }
+
+    fn demand_of(
+        &self,
+        rules: &Rules,
+        group: Group,
+        demand: GroupDemand,
+        distribution: &Distribution,
+    ) -> Demand {
+        let Distribution { must, should, largest } = distribution;
+        let small = |s: &Spread, waiting| Small { most: s.most, part: s.part, waiting };
+        // Half of what waits of the larger ones is not going to be served.
+        let larger = |most, part, waiting| Small {
+            most,
+            part: rules.of_each * part,
+            waiting: rules.of_each * waiting,
+        };
+        let team = self.cfg.team(&group.team);
+        Demand {
+            urgency: demand.urgency.unwrap_or(Urgency::BestEffort),
+            waiting: demand.waiting,
+            running: demand.running,
+            rate: self.admission.meter.rate(&group, self.wall_ms as f64 / 1000.0),
+            patience_s: demand.patience_s / demand.jobs,
+            must: small(must, demand.must),
+            should: small(should, demand.should),
+            middle: larger(largest.work, largest.between, demand.middle),
+            large: larger(f64::INFINITY, largest.part, demand.large),
+            bounds: distribution.bounds(),
+            typical: must.typical,
+            guarantee: team.map_or(0.0, |t| t.cpus),
+            limit: team.map_or(0.0, |t| t.cpus_max),
+            group,
         }
-        let groups = sums
-            .into_iter()
-            .filter_map(|(group, sum)| {
-                let (must, should, largest) = spreads.get(&group)?;
-                let small = |s: &Spread, waiting| Small { most: s.most, part: s.part, waiting };
-                let team = self.cfg.team(&group.team);
-                Some(Demand {
-                    urgency: sum.urgency,
-                    waiting: sum.waiting,
-                    running: sum.running,
-                    rate: self.admission.meter.rate(&group, wall_s),
-                    patience_s: sum.patience / sum.jobs,
-                    must: small(must, sum.must),
-                    should: small(should, sum.should),
-                    // Half of what waits of these is not going to be served.
-                    middle: Small {
-                        most: largest.work,
-                        part: rules.of_each * largest.between,
-                        waiting: rules.of_each * sum.middle,
-                    },
-                    large: Small {
-                        most: f64::INFINITY,
-                        part: rules.of_each * largest.part,
-                        waiting: rules.of_each * sum.large,
-                    },
-                    bounds: bounds(must, largest),
-                    typical: must.typical,
-                    guarantee: team.map_or(0.0, |t| t.cpus),
-                    limit: team.map_or(0.0, |t| t.cpus_max),
-                    group,
-                })
-            })
-            .collect();
-        View { capacity, settled, groups }
     }
 
     /// The holder's part: decides, and writes what has changed.
@@ -293,7 +334,7 @@
             groups = entries.len(),
             capacity = view.capacity,
             entries = ?entries.iter().map(quota_for_log).collect::<Vec<_>>(),
-            "allotting"
+            "overload quota decided"
         );
         let next = OverloadQuota { generation: known.generation + 1, epoch, entries };
         let mut txn = Txn::default();
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -11,15 +11,21 @@
 use cleatfold_backfill::profile::FOREVER;
 use cleatfold_backfill::{AvailabilityProfile, MachineProfile, Request, Reservation};
 use cleatfold_priority::{believed, prompt_ms};
+use cleatfold_wire::cloud::MachineType;
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::mesh::{Message, Promise};
 use cleatfold_wire::{FencingToken, JobId, MachineId, Ms, PoolId, TaskIx, ZoneId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Reservations per pool and planning. What lies beyond waits unreserved.
-const CHUNKS: usize = 400;
-const PLAN_MS: u64 = 100;
-const PROMISE_MS: u64 = 500;
+/// Reservations per pool and planning. What lies beyond waits unreserved until the next one.
+const MAX_RESERVATIONS: usize = 400;
+/// Between two plannings, at least.
+const PLAN_INTERVAL_MS: u64 = 100;
+/// Between two messages that tell the peers what our pools promise.
+const PROMISE_INTERVAL_MS: u64 = 500;
+/// Jobs that one such message names, and finishes that it names of each.
+const MAX_PROMISED_JOBS: usize = 200;
+const MAX_PROMISED_FINISHES: usize = 6;
 
 type Finishes = Vec<(Ms, u32)>;
 type Promises<'a> = HashMap<&'a JobId, Vec<(Option<usize>, Ms, u32)>>;
@@ -58,11 +64,29 @@
     pub reservations: Vec<Reservation>,
 }
 
+/// A reservation that starts now.
+struct DueStart<'a> {
+    /// Its pool's plan, by number.
+    pool: usize,
+    plan: &'a PoolPlan,
+    reservation: &'a Reservation,
+    /// Tasks of its request that start now in this pool.
+    due_tasks: u32,
+    /// Tasks of the job that other pools promise to finish clearly earlier.
+    elsewhere: u32,
+}
+
+impl DueStart<'_> {
+    fn job(&self) -> &JobId {
+        &self.plan.jobs[self.reservation.request]
+    }
+}
+
 impl Controller {
     pub(crate) fn plan_if_due(&mut self) {
         // Deciding faster than decisions can be recorded only costs.
         // Nor is there much to decide between the reports that tell of what has ended.
-        let least = PLAN_MS.max(self.cfg.heartbeat_interval_ms / 15);
+        let least = PLAN_INTERVAL_MS.max(self.cfg.heartbeat_interval_ms / 15);
         let interval = least.max(2 * self.rate_limiter.ms_per_change()) * self.backpressure;
         if !self.replan_needed || self.now.since(self.plans.planned) < interval {
             return;
@@ -112,8 +136,12 @@
                 reservations: Vec::new(),
             };
             self.requests_for(&mut plan, queue, &binding, &long.later);
-            plan.reservations =
-                cleatfold_backfill::plan(&mut profiles, &mut limits, &plan.requests, CHUNKS);
+            plan.reservations = cleatfold_backfill::plan(
+                &mut profiles,
+                &mut limits,
+                &plan.requests,
+                MAX_RESERVATIONS,
+            );
             plans.push(plan);
         }
         plans
@@ -124,6 +152,8 @@
         self.cfg.heartbeat_interval_ms * 5 / 2 + 500
     }
 
+    /// The machines of a pool that may get work, and what is free on each over time. What comes back
+    /// to the limits in `binding` as their tasks end is noted there.
     fn profiles(
         &self,
         pool: &PoolId,
@@ -131,77 +161,92 @@
         members: &[(&MachineId, &Machine)],
         binding: &mut [Binding],
     ) -> (Vec<MachineId>, Vec<MachineProfile>) {
-        let now = self.now;
-        let total = self.inventory.total(&pool.machine_type);
         let Some(kind) = self.inventory.types.get(&pool.machine_type) else {
             return (vec![], vec![]);
         };
         let mut ids = Vec::new();
         let mut profiles = Vec::new();
-        for &(id, m) in members {
-            if !m.takes_work() {
-                continue;
-            }
-            let mut profile = match &m.heartbeat {
-                Some(r) => {
-                    if now.since(r.at) > self.silent_ms() {
-                        continue;
-                    }
-                    // The gate: this worker has seen our token, so nobody else commands it.
-                    MachineProfile::new(now, total, m.spot, r.token == token)
+        for &(id, machine) in members.iter().filter(|(_, machine)| machine.takes_work()) {
+            let Some(mut profile) = self.empty_profile(machine, kind, token) else { continue };
+            self.carve_claims(id, machine, kind, &mut profile, binding);
+            ids.push(id.clone());
+            profiles.push(profile);
+        }
+        (ids, profiles)
+    }
+
+    /// A machine without its tasks; none for one that is silent.
+    fn empty_profile(
+        &self,
+        machine: &Machine,
+        kind: &MachineType,
+        token: FencingToken,
+    ) -> Option<MachineProfile> {
+        let now = self.now;
+        let total = self.inventory.total(&kind.name);
+        let mut profile = match &machine.heartbeat {
+            Some(last) if now.since(last.at) > self.silent_ms() => return None,
+            // This worker has seen our token, so nobody else commands it.
+            Some(last) => MachineProfile::new(now, total, machine.spot, last.token == token),
+            None => {
+                let overdue_ms = (kind.boot_s * 3000.0) as u64 + 10_000;
+                if now.since(machine.born) > overdue_ms {
+                    return None;
                 }
-                None => {
-                    let booted = m.born.plus_s(kind.boot_s * 1.2);
-                    if now.since(m.born) > (kind.boot_s * 3000.0) as u64 + 10_000 {
-                        continue;
-                    }
-                    MachineProfile::new(booted.max(now.plus(2000)), total, m.spot, false)
+                let booted = machine.born.plus_s(kind.boot_s * 1.2).max(now.plus(2000));
+                MachineProfile::new(booted, total, machine.spot, false)
+            }
+        };
+        profile.fetch_gb_per_s = kind.fetch_gb_per_s;
+        let price = if machine.spot { kind.spot_price } else { kind.price };
+        profile.cost = (price / kind.cpus.max(0.001) * 1e6) as u64;
+        profile.images = machine.images.iter().map(|(image, _)| (image.clone(), now)).collect();
+        Some(profile)
+    }
+
+    /// Takes what the claims on a machine use out of its profile.
+    fn carve_claims(
+        &self,
+        id: &MachineId,
+        machine: &Machine,
+        kind: &MachineType,
+        profile: &mut MachineProfile,
+        binding: &mut [Binding],
+    ) {
+        let now = self.now;
+        // Claims come sorted by job: one look-up serves all of a job's.
+        let mut known: Option<(&JobId, &CachedJob, Option<&LocalJobState>, Option<usize>)> = None;
+        let mut noted: Option<&JobId> = None;
+        for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
+            let (cached, job_state, limit) = match known {
+                Some((last, cached, job_state, limit)) if last == job => (cached, job_state, limit),
+                _ => {
+                    let Some(cached) = self.cache.jobs.get(job) else { continue };
+                    let limit = binding.iter().position(|b| b.binds(&cached.record.spec));
+                    (cached, self.job_states.get(job), limit)
                 }
             };
-            profile.fetch_gb_per_s = kind.fetch_gb_per_s;
-            let price = if m.spot { kind.spot_price } else { kind.price };
-            profile.cost = (price / kind.cpus.max(0.001) * 1e6) as u64;
-            profile.images = m.images.iter().map(|(image, _)| (image.clone(), now)).collect();
-            // Claims come sorted by job: one look-up serves all of a job's.
-            let mut known: Option<(&JobId, &CachedJob, Option<&LocalJobState>, Option<usize>)> =
-                None;
-            let mut noted: Option<&JobId> = None;
-            for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
-                let (cached, job_state, limit) = match known {
-                    Some((last, cached, job_state, limit)) if last == job => {
-                        (cached, job_state, limit)
-                    }
-                    _ => {
-                        let Some(cached) = self.cache.jobs.get(job) else { continue };
-                        let limit = binding.iter().position(|b| b.binds(&cached.record.spec));
-                        (cached, self.job_states.get(job), limit)
-                    }
-                };
-                known = Some((job, cached, job_state, limit));
-                // Its room is free though its end is not recorded yet. (Waiting for the record
-                // left every place empty for seconds when changes run short.)
-                if job_state.is_some_and(|l| l.is_ending(*ix, claim.attempt)) {
-                    if let Some(limit) = limit {
-                        binding[limit].ends(now, now.plus(1000), cached.each);
-                    }
-                    continue;
-                }
-                let end = self.expected_end(id, m, (job, *ix), cached, job_state);
+            known = Some((job, cached, job_state, limit));
+            // Its room is free though its end is not recorded yet. (Waiting for the record
+            // left every place empty for seconds when changes run short.)
+            if job_state.is_some_and(|l| l.is_ending(*ix, claim.attempt)) {
                 if let Some(limit) = limit {
-                    binding[limit].ends(now, end, cached.each);
-                }
-                profile.carve(now, end, cached.each);
-                let image = &cached.record.spec.image;
-                if noted != Some(job) && !profile.images.iter().any(|(i, _)| i == image) {
-                    let ready = now.plus_s(cached.record.spec.image_gb / kind.fetch_gb_per_s);
-                    profile.images.push((image.clone(), ready));
+                    binding[limit].ends(now, now.plus(1000), cached.each);
                 }
-                noted = Some(job);
+                continue;
             }
-            ids.push((*id).clone());
-            profiles.push(profile);
+            let end = self.expected_end(id, machine, (job, *ix), cached, job_state);
+            if let Some(limit) = limit {
+                binding[limit].ends(now, end, cached.each);
+            }
+            profile.carve(now, end, cached.each);
+            let image = &cached.record.spec.image;
+            if noted != Some(job) && !profile.images.iter().any(|(i, _)| i == image) {
+                let ready = now.plus_s(cached.record.spec.image_gb / kind.fetch_gb_per_s);
+                profile.images.push((image.clone(), ready));
+            }
+            noted = Some(job);
         }
-        (ids, profiles)
     }
 
     fn run_ms(&self, cached: &CachedJob) -> u64 {
@@ -332,97 +377,104 @@
             .sum()
     }
 
-    /// Turns reservations that start now into wishes to claim, soonest finish first, unless
+    /// Turns reservations that start now into placement requests, soonest finish first, unless
     /// the other pools promise to have all that is left of the job done earlier.
     fn start_what_is_due(&mut self, queue: &[Queued], plans: &[PoolPlan], mut usage: Usage) {
-        let mut left: BTreeMap<&JobId, u32> = BTreeMap::new();
-        for q in queue {
-            *left.entry(&q.job).or_default() += q.tasks;
-        }
-        let mut due: Vec<(usize, &Reservation)> = Vec::new();
-        for (p, plan) in plans.iter().enumerate() {
-            due.extend(
-                plan.reservations
-                    .iter()
-                    .filter(|r| r.start <= self.now && plan.open[r.machine])
-                    .map(|r| (p, r)),
-            );
-        }
-        // Of a gang, all starts are due or none is.
-        let mut due_tasks: BTreeMap<(usize, usize), u32> = BTreeMap::new();
-        for (p, r) in &due {
-            *due_tasks.entry((*p, r.request)).or_default() += r.tasks;
+        let mut left: BTreeMap<JobId, u32> = BTreeMap::new();
+        for queued in queue {
+            *left.entry(queued.job.clone()).or_default() += queued.tasks;
         }
-        due.sort_by_key(|(p, r)| (r.finish, *p, r.request, r.machine));
         self.quota.short.clear();
         self.note_soon(plans);
-        let elsewhere: Vec<u32> = {
-            let promises = self.promises(plans);
-            due.iter()
-                .map(|(p, r)| {
-                    let job = &plans[*p].jobs[r.request];
-                    self.promised_elsewhere(&promises, *p, job, r.finish)
-                })
-                .collect()
-        };
-        for ((p, r), elsewhere) in due.into_iter().zip(elsewhere) {
-            let plan = &plans[p];
-            let job = &plan.jobs[r.request];
-            let remaining = left.get(job).copied().unwrap_or(0);
-            if remaining == 0 {
+        for start in self.due_starts(plans) {
+            let remaining = left.get(start.job()).copied().unwrap_or(0);
+            if remaining == 0 || !self.may_start_now(&start, remaining) {
                 continue;
             }
-            let job_state = self.job_states.get(job);
-            if job_state
-                .is_some_and(|l| l.busy || l.stale_since.is_some() || l.not_before > self.now)
-            {
-                // One transaction per job at a time; the plan comes round again.
-                self.replan_needed = true;
-                continue;
-            }
-            if elsewhere >= remaining {
-                continue;
-            }
-            let Some(cached) = self.cache.jobs.get(job) else {
-                continue;
-            };
-            // Something above its lane may be unread in a pool that has just come.
-            if cached.record.spec.urgency > self.priority.lowest(&plan.pool) {
-                self.replan_needed = true;
-                continue;
+            let tasks = self.request_placement(&start, remaining, &mut usage);
+            left.insert(start.job().clone(), remaining - tasks);
+        }
+    }
+
+    /// The reservations that start now, soonest finish first.
+    fn due_starts<'a>(&self, plans: &'a [PoolPlan]) -> Vec<DueStart<'a>> {
+        let promises = self.promises(plans);
+        let mut starts = Vec::new();
+        for (pool, plan) in plans.iter().enumerate() {
+            let is_due = |r: &&Reservation| r.start <= self.now && plan.open[r.machine];
+            let due: Vec<&Reservation> = plan.reservations.iter().filter(is_due).collect();
+            let mut due_tasks: BTreeMap<usize, u32> = BTreeMap::new();
+            for reservation in &due {
+                *due_tasks.entry(reservation.request).or_default() += reservation.tasks;
             }
-            let mut tasks = r.tasks.min(remaining);
-            if cached.record.spec.kind == Kind::Gang {
-                let gang = due_tasks.get(&(p, r.request)).copied().unwrap_or(0);
-                if gang < cached.unclaimed() || cached.claimed > 0 {
-                    continue;
+            starts.extend(due.into_iter().map(|reservation| {
+                let job = &plan.jobs[reservation.request];
+                DueStart {
+                    pool,
+                    plan,
+                    reservation,
+                    due_tasks: due_tasks[&reservation.request],
+                    elsewhere: self.promised_elsewhere(&promises, pool, job, reservation.finish),
                 }
-            }
-            let team = cached.record.spec.team.clone();
-            let each = cached.each;
-            let fits = self.within_slice(&team, &plan.pool, &mut usage, each, tasks);
-            if fits < tasks {
-                let key = (team, plan.pool.clone());
-                *self.quota.short.entry(key).or_default() += each.times(tasks - fits);
-            }
-            tasks = fits;
-            if tasks == 0 {
-                continue;
-            }
-            left.insert(job, remaining - tasks);
-            let placement = PlacementRequest {
-                machine: plan.machines[r.machine].clone(),
-                pool: plan.pool.clone(),
-                token: plan.token,
-                tasks,
-            };
-            let job = job.clone();
-            if plan.growth[r.request] {
-                tracing::debug!(job = %job, tasks = placement.tasks, pool = %placement.pool, "growing");
-            }
-            self.job_state(&job).placement_requests.push(placement);
-            self.note_unsent(&job);
+            }));
+        }
+        starts.sort_by_key(|start| {
+            let r = start.reservation;
+            (r.finish, start.pool, r.request, r.machine)
+        });
+        starts
+    }
+
+    /// Whether tasks of the job may be requested now, of `remaining` that are left of it.
+    fn may_start_now(&mut self, start: &DueStart, remaining: u32) -> bool {
+        let is_blocked = |state: &LocalJobState| {
+            state.busy || state.stale_since.is_some() || state.not_before > self.now
+        };
+        if self.job_states.get(start.job()).is_some_and(is_blocked) {
+            // One transaction per job at a time; the plan comes round again.
+            self.replan_needed = true;
+            return false;
         }
+        if start.elsewhere >= remaining {
+            return false;
+        }
+        let Some(cached) = self.cache.jobs.get(start.job()) else { return false };
+        // Something more urgent may be unread in a pool that has just come.
+        if cached.record.spec.urgency > self.priority.lowest(&start.plan.pool) {
+            self.replan_needed = true;
+            return false;
+        }
+        // Of a gang, all starts are due or none is.
+        let is_gang = cached.record.spec.kind == Kind::Gang;
+        !is_gang || (start.due_tasks >= cached.unclaimed() && cached.claimed == 0)
+    }
+
+    /// Requests placement of as many tasks as the team's quota holds. Returns how many.
+    fn request_placement(&mut self, start: &DueStart, remaining: u32, usage: &mut Usage) -> u32 {
+        let (plan, job) = (start.plan, start.job().clone());
+        let Some(cached) = self.cache.jobs.get(&job) else { return 0 };
+        let wanted = start.reservation.tasks.min(remaining);
+        let (team, each) = (cached.record.spec.team.clone(), cached.each);
+        let tasks = self.within_slice(&team, &plan.pool, usage, each, wanted);
+        if tasks < wanted {
+            let short = self.quota.short.entry((team, plan.pool.clone())).or_default();
+            *short += each.times(wanted - tasks);
+        }
+        if tasks == 0 {
+            return 0;
+        }
+        if plan.growth[start.reservation.request] {
+            tracing::debug!(%job, tasks, pool = %plan.pool, "elastic job grows");
+        }
+        let placement = PlacementRequest {
+            machine: plan.machines[start.reservation.machine].clone(),
+            pool: plan.pool.clone(),
+            token: plan.token,
+            tasks,
+        };
+        self.job_state(&job).placement_requests.push(placement);
+        self.note_unsent(&job);
+        tasks
     }
 
     /// What every pool promises, by job: the number of an own pool (none for others' pools),
@@ -465,7 +517,7 @@
     }
 
     fn tell_promises(&mut self, plans: &[PoolPlan]) {
-        if self.now.since(self.plans.sent_at) < PROMISE_MS * self.backpressure.min(4) {
+        if self.now.since(self.plans.sent_at) < PROMISE_INTERVAL_MS * self.backpressure.min(4) {
             return;
         }
         self.plans.sent_at = self.now;
@@ -476,13 +528,13 @@
                     continue;
                 }
                 let finishes = jobs.entry(&plan.jobs[r.request]).or_default();
-                if finishes.len() < 6 {
+                if finishes.len() < MAX_PROMISED_FINISHES {
                     finishes.push((r.finish.since(self.now), r.tasks));
                 }
             }
             let promises = jobs
                 .into_iter()
-                .take(200)
+                .take(MAX_PROMISED_JOBS)
                 .map(|(job, finishes)| Promise { job: job.to_string(), finishes })
                 .collect();
             let message =
