--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -21,6 +21,74 @@
 const JUST_STARTED_MS: u64 = 5000;
 const ASSIGNMENT_INTERVAL_MS: u64 = 200;
 
+/// A controller that has just taken the role waits so long for others that start too.
+const START_WAIT_MS: u64 = 1_500;
+/// A former owner that is back gets its pool again below so many times the average load, and the
+/// controller of the pool's own zone below so many.
+const MAX_FORMER_LOAD: f64 = 2.0;
+const MAX_HOME_LOAD: f64 = 1.3;
+
+/// A pool that needs another owner.
+struct Orphan<'a> {
+    pool: &'a PoolId,
+    /// Who reaches its workers where its live owner does not; empty if it has no live owner.
+    takers: BTreeSet<ControllerId>,
+}
+
+/// How much the pools weigh on the live controllers: one for each pool and each machine.
+struct PoolLoads<'a> {
+    sizes: BTreeMap<&'a PoolId, usize>,
+    by_controller: BTreeMap<ControllerId, f64>,
+    /// Of all pools, for each live controller.
+    average: f64,
+}
+
+impl<'a> PoolLoads<'a> {
+    fn new(
+        pools: &[PoolId],
+        sizes: BTreeMap<&'a PoolId, usize>,
+        controllers: &BTreeMap<ControllerId, (u64, Version)>,
+    ) -> Self {
+        let by_controller = controllers.keys().map(|n| (n.clone(), 0.0)).collect();
+        let mut loads = Self { sizes, by_controller, average: 0.0 };
+        let all: f64 = pools.iter().map(|pool| loads.weight(pool)).sum();
+        loads.average = all / controllers.len() as f64;
+        loads
+    }
+
+    fn weight(&self, pool: &PoolId) -> f64 {
+        1.0 + self.sizes.get(pool).copied().unwrap_or(0) as f64
+    }
+
+    fn add(&mut self, controller: &ControllerId, pool: &PoolId) {
+        let weight = self.weight(pool);
+        *self.by_controller.entry(controller.clone()).or_default() += weight;
+    }
+
+    fn remove(&mut self, controller: &ControllerId, pool: &PoolId) {
+        let weight = self.weight(pool);
+        *self.by_controller.entry(controller.clone()).or_default() -= weight;
+    }
+
+    /// Whether a controller would have at most so many times the average with this pool. One pool,
+    /// however large, has to be with someone.
+    fn is_light(&self, controller: &ControllerId, pool: &PoolId, most: f64) -> bool {
+        let fits = |load: f64| load == 0.0 || load + self.weight(pool) <= self.average * most + 1.0;
+        self.by_controller.get(controller).is_some_and(|load| fits(*load))
+    }
+
+    /// The controller with the least load among some.
+    fn least(&self, can: impl Fn(&ControllerId) -> bool) -> Option<&ControllerId> {
+        let able = self.by_controller.iter().filter(|(controller, _)| can(controller));
+        able.min_by(|a, b| a.1.total_cmp(b.1)).map(|(controller, _)| controller)
+    }
+
+    /// The mean load of all that have any part in it.
+    fn mean(&self) -> f64 {
+        self.by_controller.values().sum::<f64>() / self.by_controller.len() as f64
+    }
+}
+
 impl Controller {
     /// Deals pools and sends jobs to them, for as long as that is ours to do.
     pub(crate) fn lead(&mut self) {
@@ -29,11 +97,13 @@
             return;
         }
         let since = *self.leadership.leader_since.get_or_insert_with(|| {
-            tracing::info!("leading");
+            tracing::info!("pool assignment role acquired");
             self.now
         });
         if self.in_contact() {
-            self.assign_pools(since);
+            if self.may_assign_pools(since) {
+                self.assign_pools();
+            }
         }
         if self.now.since(self.leadership.jobs_assigned_at) >= 500 * self.backpressure {
             self.assign();
@@ -46,97 +116,101 @@
         self.cache.controllers.get(&holding.owner).is_some_and(|n| n.0 == holding.incarnation)
     }
 
-    fn assign_pools(&mut self, since: Ms) {
-        // What was dealt last must have been read before anything more is dealt.
-        let read =
-            self.session.last_read.is_some_and(|f| f >= self.leadership.assignment_confirmed_at);
-        if self.leadership.pending_assignment.is_some()
-            || !read
-            || self.cache.controllers.is_empty()
-        {
-            return;
+    /// Whether pools may be assigned now; `since` is when that became ours to do.
+    fn may_assign_pools(&mut self, since: Ms) -> bool {
+        // What was assigned last must have been read before anything more is.
+        let confirmed_at = self.leadership.assignment_confirmed_at;
+        let is_read = self.session.last_read.is_some_and(|read| read >= confirmed_at);
+        let is_pending = self.leadership.pending_assignment.is_some();
+        if is_pending || !is_read || self.cache.controllers.is_empty() {
+            return false;
         }
         // Every pool and every machine is looked at: at each tick this alone took a tenth of a
         // leader's processor time in a large fleet.
         if self.now.since(self.leadership.assignment_checked_at) < ASSIGNMENT_INTERVAL_MS {
-            return;
+            return false;
         }
         self.leadership.assignment_checked_at = self.now;
-        // At a start of all, wait a little for the others rather than deal twice: whoever was
+        // At a start of all, wait a little for the others rather than assign twice: whoever was
         // first back once had every pool, and hundreds of workers, for the rest of the day.
         let everyone = self.cfg.peers.len() < self.cache.controllers.len();
-        let new = self.started().is_some_and(|s| self.now.since(s) < JUST_STARTED_MS);
-        if !everyone && (self.cache.pools.is_empty() || new) && self.now.since(since) < 1500 {
-            return;
-        }
+        let is_new = self.started().is_some_and(|s| self.now.since(s) < JUST_STARTED_MS);
+        let waits = !everyone && (self.cache.pools.is_empty() || is_new);
+        !waits || self.now.since(since) >= START_WAIT_MS
+    }
+
+    /// Assigns pools that have no live owner, or whose owner does not reach their workers; where there
+    /// are none, evens the controllers out.
+    fn assign_pools(&mut self) {
         let pools = self.inventory.pools();
-        let sizes = self.inventory.sizes();
-        let weight = |pool: &PoolId| 1.0 + sizes.get(pool).copied().unwrap_or(0) as f64;
-        let mut held: BTreeMap<ControllerId, f64> =
-            self.cache.controllers.keys().map(|n| (n.clone(), 0.0)).collect();
-        let mut orphans = Vec::new();
-        // Pools that have to leave owners that live, and who could have them.
-        let mut leaving: BTreeMap<PoolId, BTreeSet<ControllerId>> = BTreeMap::new();
+        let mut loads = PoolLoads::new(&pools, self.inventory.sizes(), &self.cache.controllers);
+        let mut orphans: Vec<Orphan> = Vec::new();
         for pool in &pools {
-            match self.cache.pools.get(pool) {
-                Some(h) if self.live(h) => {
-                    let takers = self.takers(&h.owner, pool);
-                    if takers.is_empty() {
-                        *held.entry(h.owner.clone()).or_default() += weight(pool);
-                    } else {
-                        leaving.insert(pool.clone(), takers);
-                        orphans.push(pool.clone());
-                    }
-                }
-                _ => orphans.push(pool.clone()),
+            let owner = self.cache.pools.get(pool).filter(|ownership| self.live(ownership));
+            let takers = owner.map(|o| self.takers(&o.owner, pool)).unwrap_or_default();
+            match owner {
+                Some(ownership) if takers.is_empty() => loads.add(&ownership.owner, pool),
+                _ => orphans.push(Orphan { pool, takers }),
             }
         }
+        let weight = |orphan: &Orphan| loads.weight(orphan.pool);
+        orphans.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.pool.cmp(b.pool)));
         let mut moves: Vec<(PoolId, ControllerId)> = Vec::new();
-        orphans.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.cmp(b)));
-        let average = pools.iter().map(&weight).sum::<f64>() / held.len() as f64;
-        for pool in orphans {
-            // Where nobody reaches the zone, one is as good as another.
-            let anyone = self.cache.controllers.keys().any(|n| self.may_hold(n, &pool.zone));
-            let can = |n: &ControllerId| match leaving.get(&pool) {
-                Some(takers) => takers.contains(n),
-                None => !anyone || self.may_hold(n, &pool.zone),
-            };
-            // One pool, however large, has to be with someone.
-            let light = |n: &ControllerId, most: f64| {
-                can(n)
-                    && held
-                        .get(n)
-                        .is_some_and(|h| *h == 0.0 || *h + weight(&pool) <= average * most + 1.0)
-            };
-            // A former owner that is back after a restart: its workers are looking for it, and
-            // hundreds of them moving elsewhere cost both nodes seconds of processor time.
-            let former = self.cache.pools.get(&pool).map(|h| h.owner.clone());
-            let least = held.iter().filter(|(n, _)| can(n)).min_by(|a, b| a.1.total_cmp(b.1));
-            let to = former
-                .filter(|n| light(n, 2.0))
-                .or_else(|| self.home_of(&pool.zone).filter(|n| light(n, 1.3)))
-                .or_else(|| least.map(|(n, _)| n.clone()));
-            if let Some(to) = to {
-                *held.entry(to.clone()).or_default() += weight(&pool);
-                moves.push((pool, to));
+        for orphan in orphans {
+            if let Some(to) = self.new_owner(&orphan, &loads) {
+                loads.add(&to, orphan.pool);
+                moves.push((orphan.pool.clone(), to));
             }
         }
         if moves.is_empty() {
-            moves.extend(self.balance(&pools, &held, &weight));
-            // One node with nearly all is worth more than one move at a time.
-            if let Some((pool, to)) = moves.first().cloned() {
-                if let Some(h) = self.cache.pools.get(&pool) {
-                    *held.entry(h.owner.clone()).or_default() -= weight(&pool);
-                    *held.entry(to).or_default() += weight(&pool);
-                }
-                let rest: Vec<PoolId> = pools.iter().filter(|p| **p != pool).cloned().collect();
-                moves.extend(self.balance(&rest, &held, &weight));
-            }
+            moves = self.balancing_moves(&pools, &mut loads);
         }
         moves.truncate(self.cfg.txn_ops);
         self.write_assignments(moves);
     }
 
+    /// Whom to give a pool that has to change hands.
+    fn new_owner(&self, orphan: &Orphan, loads: &PoolLoads) -> Option<ControllerId> {
+        let pool = orphan.pool;
+        // Where nobody reaches the zone, one is as good as another.
+        let anyone = self.cache.controllers.keys().any(|n| self.may_hold(n, &pool.zone));
+        let can = |controller: &ControllerId| {
+            if orphan.takers.is_empty() {
+                !anyone || self.may_hold(controller, &pool.zone)
+            } else {
+                orphan.takers.contains(controller)
+            }
+        };
+        let is_light = |controller: &ControllerId, most| {
+            can(controller) && loads.is_light(controller, pool, most)
+        };
+        // A former owner that is back after a restart: its workers are looking for it, and
+        // hundreds of them moving elsewhere cost both controllers seconds of processor time.
+        let former = self.cache.pools.get(pool).map(|ownership| ownership.owner.clone());
+        let home = || self.home_of(&pool.zone).filter(|n| is_light(n, MAX_HOME_LOAD));
+        former
+            .filter(|n| is_light(n, MAX_FORMER_LOAD))
+            .or_else(home)
+            .or_else(|| loads.least(can).cloned())
+    }
+
+    /// Up to two moves that even the controllers out.
+    fn balancing_moves(
+        &self,
+        pools: &[PoolId],
+        loads: &mut PoolLoads,
+    ) -> Vec<(PoolId, ControllerId)> {
+        let Some((pool, to)) = self.balance(pools, loads) else { return vec![] };
+        // One controller with nearly all is worth more than one move at a time.
+        if let Some(ownership) = self.cache.pools.get(&pool) {
+            loads.remove(&ownership.owner, &pool);
+            loads.add(&to, &pool);
+        }
+        let rest: Vec<PoolId> = pools.iter().filter(|p| **p != pool).cloned().collect();
+        let second = self.balance(&rest, loads);
+        std::iter::once((pool, to)).chain(second).collect()
+    }
+
     /// The live node of a zone.
     fn home_of(&self, zone: &ZoneId) -> Option<ControllerId> {
         std::iter::once((&self.cfg.me, &self.cfg.zone))
@@ -146,14 +220,9 @@
     }
 
     /// One pool from the fullest node to the emptiest, where that evens them out.
-    fn balance(
-        &self,
-        pools: &[PoolId],
-        held: &BTreeMap<ControllerId, f64>,
-        weight: &impl Fn(&PoolId) -> f64,
-    ) -> Option<(PoolId, ControllerId)> {
-        let most = held.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
-        let average = held.values().sum::<f64>() / held.len() as f64;
+    fn balance(&self, pools: &[PoolId], loads: &PoolLoads) -> Option<(PoolId, ControllerId)> {
+        let most = loads.by_controller.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
+        let average = loads.mean();
         // Every move costs its workers a change of node: only clear unevenness is worth one.
         if self
             .leadership
@@ -165,7 +234,7 @@
         }
         // Not to a controller that its workers do not reach, though that has fewest.
         let least_for = |pool: &PoolId| {
-            let can = held.iter().filter(|(n, _)| self.may_hold(n, &pool.zone));
+            let can = loads.by_controller.iter().filter(|(n, _)| self.may_hold(n, &pool.zone));
             can.min_by(|a, b| a.1.total_cmp(b.1))
         };
         pools
@@ -173,10 +242,11 @@
             .filter(|p| self.cache.pools.get(*p).is_some_and(|h| h.owner == *most.0))
             .filter_map(|p| Some((p, least_for(p)?)))
             .map(|(p, (controller, held))| (p, controller, most.1 - held))
-            .filter(|(p, _, gap)| *gap >= average * 0.6 && weight(p) < gap * 0.8)
+            .filter(|(p, _, gap)| *gap >= average * 0.6 && loads.weight(p) < gap * 0.8)
             .min_by(|a, b| {
-                let left =
-                    |(p, _, gap): &(&PoolId, &ControllerId, f64)| (gap - 2.0 * weight(p)).abs();
+                let left = |(p, _, gap): &(&PoolId, &ControllerId, f64)| {
+                    (gap - 2.0 * loads.weight(p)).abs()
+                };
                 left(a).total_cmp(&left(b)).then(a.0.cmp(b.0))
             })
             .map(|(p, controller, _)| (p.clone(), controller.clone()))
@@ -190,7 +260,7 @@
             };
             let version =
                 self.cache.pools.get(&pool).map(|h| Version(h.token.0)).unwrap_or_default();
-            tracing::info!(%pool, %controller, "dealing");
+            tracing::info!(%pool, %controller, "assigning pool");
             txn.guard(pool_key(&pool), version);
             self.reachability.note_assignment(&pool, &controller);
             txn.put(pool_key(&pool), &HolderRecord { owner: controller, incarnation }, None);
@@ -225,7 +295,7 @@
         }
         let me = self.cfg.me.clone();
         self.reachability.view.left(owner, &pool.zone, self.now);
-        tracing::info!(%pool, %owner, "its workers come here: taking the pool over");
+        tracing::info!(%pool, %owner, "taking pool over: its workers do not reach its owner");
         self.write_assignments(vec![(pool, me)]);
     }
 
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -19,6 +19,9 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// Keys whose removal is remembered.
+const MAX_REMOVED_KEYS: usize = 500;
+
 pub type PartMap = BTreeMap<u32, (Version, Table)>;
 pub type ProgressMap = BTreeMap<u32, (Version, Part)>;
 
@@ -240,59 +243,7 @@
         if version <= self.version_of(key, &parsed) {
             return;
         }
-        let result = match parsed {
-            Key::Job(id) => serde_json::from_str(value).map(|r| self.install_job(id, r, version)),
-            Key::Part(id, part) => {
-                serde_json::from_str(value).map(|t| self.install_part(id, part, t, version))
-            }
-            Key::Progress(id, part) => {
-                serde_json::from_str(value).map(|r: PartRecord| match Part::from_record(&r) {
-                    Ok(progress) => self.install_progress(id, part, progress, version),
-                    Err(error) => tracing::error!(key, %error, "unreadable record"),
-                })
-            }
-            Key::Pool(id) => serde_json::from_str(value).map(|r: HolderRecord| {
-                let token = FencingToken(version.0);
-                self.pools.insert(
-                    id,
-                    PoolOwnership { owner: r.owner, incarnation: r.incarnation, token },
-                );
-            }),
-            Key::Controller(id) => serde_json::from_str(value).map(|r: ControllerRecord| {
-                self.controllers.insert(id, (r.incarnation, version));
-            }),
-            Key::Slice(team) => serde_json::from_str(value).map(|r| {
-                self.slices.insert(team, (version, r));
-            }),
-            Key::LossHead(team) => serde_json::from_str(value).map(|r| {
-                self.loss_heads.insert(team, (version, r));
-            }),
-            Key::OverloadQuota => serde_json::from_str(value).map(|overload_quota| {
-                self.overload_quota = (version, overload_quota);
-            }),
-            Key::Role(role) => serde_json::from_str(value).map(|holder| {
-                self.roles.insert(role, (holder, version));
-            }),
-            Key::Workspace(team) => serde_json::from_str(value).map(|r| {
-                self.workspaces.insert(team, (version, r));
-            }),
-            Key::History(team) => serde_json::from_str(value).map(|r| {
-                self.histories.insert(team, (version, r));
-            }),
-            Key::Preemption(pool) => serde_json::from_str(value).map(|r| {
-                self.preemptions.insert(pool, (version, r));
-            }),
-            Key::ImageHolders(image) => serde_json::from_str(value).map(|r| {
-                self.image_holders.insert(image, (version, r));
-            }),
-            Key::ScaleOutIntents => serde_json::from_str(value).map(|book| {
-                self.scale_out_intents = (version, book);
-            }),
-            Key::Origin => serde_json::from_str(value).map(|record| {
-                self.origin = (version, record);
-            }),
-        };
-        match result {
+        match self.install(parsed, value, version) {
             Err(error) => {
                 if self.unreadable.insert(key.to_string()) {
                     tracing::error!(key, %error, "unreadable record");
@@ -303,85 +254,116 @@
         }
     }
 
-    pub fn remove(&mut self, key: &str, version: Version) {
-        let Some(parsed) = parse_key(key) else { return };
-        if !self.is_newer(version) || version <= self.version_of(key, &parsed) {
-            return;
-        }
-        self.unreadable.remove(key);
-        match parsed {
-            Key::Job(id) => {
-                // What is left of it in parts is over.
-                self.restamp(&id);
-                if let Some(live) = self.jobs.remove(&id) {
-                    self.leave_team(&id, &live);
-                    self.elastic -= usize::from(live.record.spec.elastic.is_some());
-                    self.unindex(&id, &live.record.table);
-                    self.lossy.remove(&id);
-                    self.gone.push(id);
-                }
-            }
-            Key::Part(id, part) => {
-                if let Some(parts) = self.parts.get_mut(&id) {
-                    if let Some((_, table)) = parts.remove(&part) {
-                        self.unindex(&id, &table);
-                    }
-                }
-                if self.parts.get(&id).is_some_and(|p| p.is_empty()) {
-                    self.parts.remove(&id);
-                }
-                self.recount(&id);
-            }
+    fn install(&mut self, key: Key, value: &str, version: Version) -> serde_json::Result<()> {
+        use serde_json::from_str;
+        match key {
+            Key::Job(id) => self.install_job(id, from_str(value)?, version),
+            Key::Part(id, part) => self.install_part(id, part, from_str(value)?, version),
             Key::Progress(id, part) => {
-                if let Some(parts) = self.progress.get_mut(&id) {
-                    parts.remove(&part);
-                    if parts.is_empty() {
-                        self.progress.remove(&id);
-                    }
+                let record: PartRecord = from_str(value)?;
+                match Part::from_record(&record) {
+                    Ok(progress) => self.install_progress(id, part, progress, version),
+                    Err(error) => tracing::error!(job = %id, part, %error, "unreadable progress"),
                 }
-                self.recount(&id);
             }
             Key::Pool(id) => {
-                self.pools.remove(&id);
+                let HolderRecord { owner, incarnation } = from_str(value)?;
+                let token = FencingToken(version.0);
+                self.pools.insert(id, PoolOwnership { owner, incarnation, token });
             }
             Key::Controller(id) => {
-                self.controllers.remove(&id);
-            }
-            Key::Slice(team) => {
-                self.slices.remove(&team);
-            }
-            Key::LossHead(team) => {
-                self.loss_heads.remove(&team);
-            }
-            Key::Role(role) => {
-                self.roles.remove(&role);
-            }
-            Key::Workspace(team) => {
-                self.workspaces.remove(&team);
-            }
-            Key::History(team) => {
-                self.histories.remove(&team);
+                let record: ControllerRecord = from_str(value)?;
+                self.controllers.insert(id, (record.incarnation, version));
             }
+            Key::Role(role) => drop(self.roles.insert(role, (from_str(value)?, version))),
+            Key::Slice(team) => drop(self.slices.insert(team, (version, from_str(value)?))),
+            Key::LossHead(team) => drop(self.loss_heads.insert(team, (version, from_str(value)?))),
+            Key::Workspace(team) => drop(self.workspaces.insert(team, (version, from_str(value)?))),
+            Key::History(team) => drop(self.histories.insert(team, (version, from_str(value)?))),
             Key::Preemption(pool) => {
-                self.preemptions.remove(&pool);
+                self.preemptions.insert(pool, (version, from_str(value)?));
             }
             Key::ImageHolders(image) => {
-                self.image_holders.remove(&image);
+                self.image_holders.insert(image, (version, from_str(value)?));
             }
+            Key::ScaleOutIntents => self.scale_out_intents = (version, from_str(value)?),
+            Key::OverloadQuota => self.overload_quota = (version, from_str(value)?),
+            Key::Origin => self.origin = (version, from_str(value)?),
+        }
+        Ok(())
+    }
+
+    pub fn remove(&mut self, key: &str, version: Version) {
+        let Some(parsed) = parse_key(key) else { return };
+        if !self.is_newer(version) || version <= self.version_of(key, &parsed) {
+            return;
+        }
+        self.unreadable.remove(key);
+        match parsed {
+            Key::Job(id) => self.remove_job(id),
+            Key::Part(id, part) => self.remove_part(&id, part),
+            Key::Progress(id, part) => self.remove_progress(&id, part),
+            Key::Pool(id) => drop(self.pools.remove(&id)),
+            Key::Controller(id) => drop(self.controllers.remove(&id)),
+            Key::Slice(team) => drop(self.slices.remove(&team)),
+            Key::LossHead(team) => drop(self.loss_heads.remove(&team)),
+            Key::Role(role) => drop(self.roles.remove(&role)),
+            Key::Workspace(team) => drop(self.workspaces.remove(&team)),
+            Key::History(team) => drop(self.histories.remove(&team)),
+            Key::Preemption(pool) => drop(self.preemptions.remove(&pool)),
+            Key::ImageHolders(image) => drop(self.image_holders.remove(&image)),
             Key::ScaleOutIntents => self.scale_out_intents = Default::default(),
             Key::OverloadQuota => self.overload_quota = Default::default(),
             Key::Origin => self.origin = Default::default(),
         }
+        self.note_removed(key, version);
+    }
+
+    /// Remembers at which version a key went, against late news about it.
+    fn note_removed(&mut self, key: &str, version: Version) {
         if self.removed.insert(key.to_string(), version).is_none() {
             self.removed_order.push_back(key.to_string());
         }
-        while self.removed_order.len() > 500 {
+        while self.removed_order.len() > MAX_REMOVED_KEYS {
             if let Some(old) = self.removed_order.pop_front() {
                 self.removed.remove(&old);
             }
         }
     }
 
+    fn remove_job(&mut self, id: JobId) {
+        // What is left of it in parts is over.
+        self.restamp(&id);
+        if let Some(cached) = self.jobs.remove(&id) {
+            self.leave_team(&id, &cached);
+            self.elastic -= usize::from(cached.record.spec.elastic.is_some());
+            self.unindex(&id, &cached.record.table);
+            self.lossy.remove(&id);
+            self.gone.push(id);
+        }
+    }
+
+    fn remove_part(&mut self, id: &JobId, part: u32) {
+        let known = self.parts.get_mut(id).and_then(|parts| parts.remove(&part));
+        if let Some((_, table)) = known {
+            self.unindex(id, &table);
+        }
+        if self.parts.get(id).is_some_and(|parts| parts.is_empty()) {
+            self.parts.remove(id);
+        }
+        self.recount(id);
+    }
+
+    fn remove_progress(&mut self, id: &JobId, part: u32) {
+        if let Some(parts) = self.progress.get_mut(id) {
+            parts.remove(&part);
+            if parts.is_empty() {
+                self.progress.remove(id);
+            }
+        }
+        self.recount(id);
+    }
+
     pub fn install_job(&mut self, id: JobId, record: JobRecord, version: Version) {
         let mut aborted = false;
         if let Some(old) = self.jobs.remove(&id) {
