--- a/crates/cleatfold-admission/tests/decide.rs
+++ b/crates/cleatfold-admission/tests/decide.rs
@@ -230,7 +230,7 @@
 
 /// One team's flood delays that team, not the others of its class.
 #[test]
-fn a_team_that_sends_far_more_goes_later() {
+fn a_team_that_sends_much_more_goes_later() {
     let mut groups: Vec<Demand> = (0..6)
         .map(|i| {
             demand(&format!("team-{i}"), Urgency::Normal, 200_000.0, 100.0 + 10.0 * f64::from(i))
--- a/crates/cleatfold-admission/tests/long_work_limit.rs
+++ b/crates/cleatfold-admission/tests/long_work_limit.rs
@@ -37,7 +37,7 @@
     /// Nobody is left less than an even part, nobody gets more than there is, and
     /// the more the others ask for the less is had.
     #[test]
-    fn rooms_are_bounded_and_fall_as_others_ask(
+    fn long_work_limits_are_bounded_and_fall_as_others_ask(
         rates in prop::collection::vec(0.0f64..5_000.0, 1..10),
         more in 0.0f64..5_000.0,
     ) {
--- a/crates/cleatfold-backfill/tests/model.rs
+++ b/crates/cleatfold-backfill/tests/model.rs
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn the_chart_reserves_as_the_plain_model_does() {
+fn the_profile_reserves_as_the_plain_model_does() {
     for seed in 0..300 {
         let mut case = some_case(seed);
         let fast = plan(&mut case.profiles, &mut case.limits, &case.requests, 10_000);
@@ -218,7 +218,7 @@
 /// A team at its limit once held its places in every pool all the same, and those behind it found
 /// full charts beside idle machines.
 #[test]
-fn a_team_at_its_limit_takes_no_room_from_others() {
+fn a_team_at_its_limit_takes_no_resources_from_others() {
     let total = Resources::new(8.0, 0.0, 100.0);
     let mut profiles: Vec<MachineProfile> =
         (0..4).map(|_| MachineProfile::new(Ms(0), total, false, true)).collect();
--- a/crates/cleatfold-cancellation-broadcast/tests/broadcast.rs
+++ b/crates/cleatfold-cancellation-broadcast/tests/broadcast.rs
@@ -50,7 +50,7 @@
     /// Whoever can be reached by some way over peers knows after a few seconds, nobody else does, and nobody
     /// is told of anything that no one confirmed.
     #[test]
-    fn whoever_is_reached_over_peers_hears(
+    fn whoever_is_reached_over_peers_is_notified(
         links in proptest::collection::btree_set((0..CONTROLLERS, 0..CONTROLLERS), 0..12),
         confirmed in proptest::collection::vec((0..CONTROLLERS, 0u8..6), 1..6),
     ) {
@@ -105,7 +105,7 @@
 
 /// Twice as many as are kept, and most of them never acknowledged.
 #[test]
-fn what_is_kept_and_said_at_once_is_bounded() {
+fn what_is_kept_and_sent_at_once_is_bounded() {
     let mut broadcast = CancellationBroadcast::default();
     let peer = controller(1);
     for n in 0..16_000 {
--- a/crates/cleatfold-clients/src/store.rs
+++ b/crates/cleatfold-clients/src/store.rs
@@ -73,7 +73,7 @@
     let mut requests = Bucket { level: budget.requests_per_s * 0.5, rate: budget.requests_per_s };
     let mut changes = Bucket { level: budget.writes_per_s * 0.5, rate: budget.writes_per_s };
     let mut filled = Instant::now();
-    let (tell, mut told) = mpsc::unbounded_channel::<Outcome>();
+    let (outcomes_out, mut outcomes_in) = mpsc::unbounded_channel::<Outcome>();
     let mut retries = RetryBudget::new(0.1, 10.0);
     let mut breaker = Breaker::new(GONE_AFTER, GONE);
     let start = Instant::now();
@@ -86,10 +86,10 @@
                     Some(job) => new.push((job, 0)),
                     None => return,
                 },
-                outcome = told.recv() => outcomes.extend(outcome),
+                outcome = outcomes_in.recv() => outcomes.extend(outcome),
             }
         }
-        while let Ok(outcome) = told.try_recv() {
+        while let Ok(outcome) = outcomes_in.try_recv() {
             outcomes.push(outcome);
         }
         let now_ms = start.elapsed().as_millis() as u64;
@@ -147,7 +147,7 @@
         requests.level -= 1.0;
         changes.level -= cost;
         retries.note_call();
-        let (http, answer, tell) = (http.clone(), answer.clone(), tell.clone());
+        let (http, answer, outcomes_out) = (http.clone(), answer.clone(), outcomes_out.clone());
         tokio::task::spawn_local(async move {
             let Job { op, priority, request } = job;
             let call = execute(&http, &request).await;
@@ -155,11 +155,11 @@
                 let pause = BUSY.pause_ms(tries, &mut rand::rng());
                 tokio::time::sleep(Duration::from_millis(pause)).await;
                 let again = Some((Job { op, priority, request }, tries + 1));
-                let _ = tell.send(Outcome { answered: true, again });
+                let _ = outcomes_out.send(Outcome { answered: true, again });
                 return;
             }
             let answered = !matches!(call, Called::Away | Called::Unknown);
-            let _ = tell.send(Outcome { answered, again: None });
+            let _ = outcomes_out.send(Outcome { answered, again: None });
             answer(
                 op,
                 match call {
--- a/crates/cleatfold-clients/src/workers.rs
+++ b/crates/cleatfold-clients/src/workers.rs
@@ -40,7 +40,7 @@
                 let url = format!("http://{}{path}", job.endpoint);
                 http.call(method, &url, body, Duration::from_secs(1)).await
             };
-            let told = match &job.what {
+            let result = match &job.what {
                 Call::Orders(orders) => {
                     let body = serde_json::to_vec(orders).ok();
                     CallResult::Ordered(match call(Method::POST, "/orders", body).await {
@@ -59,7 +59,7 @@
                     })
                 }
             };
-            answer(job.machine, told);
+            answer(job.machine, result);
         });
     }
 }
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -86,7 +86,7 @@
         };
         // Each touched part is one change; the head, the archive and a part's end need some.
         let max_parts = self.cfg.txn_ops.saturating_sub(RESERVED_CHANGES).max(1);
-        let max_parts = max_parts.min(self.rate_limiter.affords());
+        let max_parts = max_parts.min(self.rate_limiter.max_changes());
         let parts = self.cache.parts.get(job);
         let mut draft = Draft::new(job, cached, parts, max_parts, self.wall_ms);
         let pools = &self.pools;
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -20,8 +20,8 @@
     pub(crate) fn flush(&mut self) {
         let controllers = if self.in_contact() { self.cache.controllers.len() } else { 0 };
         let controllers = if controllers == 0 { self.cfg.peers.len() + 1 } else { controllers };
-        self.rate_limiter.fill(self.now, self.cfg.changes_per_s, controllers);
-        while self.rate_limiter.open() {
+        self.rate_limiter.refill(self.now.0, self.cfg.changes_per_s, controllers);
+        while self.rate_limiter.is_open() {
             let due = if self.session.is_loaded { self.weightiest() } else { None };
             // Submissions first, but a flood of them leaves the jobs every other change.
             if self.submitting.ahead == 0 || due.is_none() {
@@ -44,7 +44,7 @@
     /// starves.
     fn weightiest(&mut self) -> Option<JobId> {
         let now = self.now;
-        let ample = self.rate_limiter.ample();
+        let ample = self.rate_limiter.is_ample();
         let mut best: Option<((bool, u64), JobId)> = None;
         let mut unsent = std::mem::take(&mut self.unsent);
         unsent.retain(|id| self.job_states.get(id).is_some_and(|l| l.busy || l.has_updates()));
@@ -159,8 +159,8 @@
         let pending_updates = self.pending_updates(job, job_state, cached);
         let everything = pending_updates.is_all()
             || waited >= pending_updates.patience_ms
-            || self.rate_limiter.ample();
-        Some(Selection::new(&parts, everything, self.rate_limiter.affords()))
+            || self.rate_limiter.is_ample();
+        Some(Selection::new(&parts, everything, self.rate_limiter.max_changes()))
     }
 
     /// Our place among the live controllers, and how many there are.
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -134,7 +134,7 @@
         let lease_ms = self.cfg.controller_lease_ms + LEASE_OVER_MS;
         let over = self.session.last_read.is_none_or(|f| self.now.since(f) > lease_ms);
         // Peers that say nothing better than we know are in the same outage.
-        let alone = !self.reachability.view.peers.hears_any_peer(self.now, SILENT_MS);
+        let alone = !self.reachability.view.peers.receives_from_any_peer(self.now, SILENT_MS);
         if !over || !(alone || self.reachability.view.worker_release.others_serve()) {
             return None;
         }
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -71,7 +71,7 @@
     }
 
     fn write_losses(&mut self) {
-        if !self.rate_limiter.open() {
+        if !self.rate_limiter.is_open() {
             return;
         }
         let now = self.now;
@@ -83,7 +83,7 @@
         });
         let Some((team, log)) = logs.max_by_key(|(_, l)| l.waited(now)) else { return };
         let pressing = log.waited(now) >= WAIT_MS;
-        if !pressing && (!self.rate_limiter.ample() || self.losses.last_checked != now) {
+        if !pressing && (!self.rate_limiter.is_ample() || self.losses.last_checked != now) {
             return;
         }
         let (team, token) = (team.clone(), log.token);
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -91,7 +91,7 @@
             self.workspaces.unsure.is_some_and(|t| self.session.last_read.is_none_or(|f| f < t));
         let incarnation = self.session.incarnation.filter(|i| known == Some(*i) && !unsure);
         if let Some(incarnation) =
-            incarnation.filter(|_| self.in_contact() && self.rate_limiter.open())
+            incarnation.filter(|_| self.in_contact() && self.rate_limiter.is_open())
         {
             self.workspaces.unsure = None;
             let rank = |team: &TeamId, cached: &_| owner::rank(team, &me, cached);
@@ -100,7 +100,7 @@
                 holder.is_some_and(|h| h.owner == me && h.incarnation != incarnation)
                     && self.readable(&workspace_key(team))
             };
-            let most = self.cfg.txn_ops.min(self.rate_limiter.affords());
+            let most = self.cfg.txn_ops.min(self.rate_limiter.max_changes());
             let taken = vacancies.take(now, most, teams.iter(), rank, former);
             if !taken.is_empty() {
                 let holder = HolderRecord { owner: me.clone(), incarnation };
@@ -334,7 +334,7 @@
     fn write_history(&mut self, team: TeamId, version: Version, head: HistoryHead) {
         let piece = self.workspaces.ended.piece(&team, &head, self.cfg.value_bytes);
         let pressing = piece.as_ref().is_some_and(|p| p.pressing);
-        if !self.rate_limiter.open() || !(pressing || self.rate_limiter.ample()) {
+        if !self.rate_limiter.is_open() || !(pressing || self.rate_limiter.is_ample()) {
             return;
         }
         let Some(kept) = self.workspaces.kept.get_mut(&team) else { return };
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -10,7 +10,7 @@
 use crate::store::records::{pool_key, slice_key, SliceRecord};
 use cleatfold_admission::long_work_limit::LongWorkLimit;
 use cleatfold_backfill::profile::FOREVER;
-use cleatfold_backfill::{AvailabilityProfile, Resources};
+use cleatfold_backfill::{AvailabilityProfile, Resources, SliceDemand};
 use cleatfold_ingress::{Backoff, Need, PacerLimits, WritePacer};
 use cleatfold_wire::job::{JobSpec, Kind};
 use cleatfold_wire::store::Txn;
@@ -163,7 +163,7 @@
         pool: &PoolId,
         machines: usize,
         usage: &Usage,
-        rooms: &BTreeMap<TeamId, LongWorkLimit>,
+        long_work: &BTreeMap<TeamId, LongWorkLimit>,
     ) -> Vec<Binding> {
         let capacity = self.inventory.total(&pool.machine_type).times(machines as u32);
         let mut binding = Vec::new();
@@ -178,7 +178,7 @@
             let (team, back) = (team.name.clone(), BTreeMap::new());
             binding.push(Binding { team, longer_than_s: -1.0, left, back });
         }
-        for (team, room) in rooms {
+        for (team, room) in long_work {
             let mut left = Resources { memory: UNLIMITED, gpus: UNLIMITED, ..capacity };
             left.cpus =
                 (capacity.cpus as f64 * room.part) as i64 - self.long_usage(team, room, pool);
@@ -255,14 +255,14 @@
         weight: impl Fn(&CachedJob) -> f64,
     ) -> BTreeMap<TeamId, f64> {
         let limited = self.cfg.teams.iter().filter(|t| t.cpus_max > 0.0);
-        let mut rooms: BTreeMap<TeamId, f64> =
+        let mut long_work: BTreeMap<TeamId, f64> =
             limited.map(|t| (t.name.clone(), t.cpus_max)).collect();
         for cached in self.cache.jobs.values().filter(|l| l.claimed > 0) {
-            if let Some(room) = rooms.get_mut(&cached.record.spec.team) {
+            if let Some(room) = long_work.get_mut(&cached.record.spec.team) {
                 *room -= cached.record.spec.cpus * f64::from(cached.claimed) * weight(cached);
             }
         }
-        rooms
+        long_work
     }
 
     /// How many of `tasks` the pool's slice of the team's limit still holds; books them.
@@ -352,11 +352,19 @@
             for (pool, token, capacity) in &own {
                 let key = (team.name.clone(), pool.clone());
                 let of = |amounts: &Usage| amounts.get(&key).copied().unwrap_or_default();
-                let wants = (of(&usage), of(&self.quota.short), of(&self.quota.soon));
+                let (used, short, soon) = (of(&usage), of(&self.quota.short), of(&self.quota.soon));
+                let demand = |amount: fn(&Resources) -> i64| SliceDemand {
+                    used: amount(&used),
+                    short: amount(&short),
+                    soon: amount(&soon),
+                    capacity: amount(capacity),
+                    limit: amount(&max),
+                    largest_need: amount(&need),
+                };
                 let old = record.pools.get(pool).copied().unwrap_or_default();
                 let part = (
-                    resize(old.0, wants, *capacity, &mut free.0, (max, need), |r| r.cpus),
-                    resize(old.1, wants, *capacity, &mut free.1, (max, need), |r| r.gpus),
+                    demand(|r| r.cpus).resize(old.0, &mut free.0),
+                    demand(|r| r.gpus).resize(old.1, &mut free.1),
                 );
                 if part != old {
                     grows |= part.0 > old.0 || part.1 > old.1;
@@ -433,56 +441,3 @@
         self.again(op, CallPriority::Claim, txn, Pending::Slice(Box::new(sent)), pause_ms);
     }
 }
-
-/// A pool's new part of a limit (`max` 0: there is none). `need` is what somebody may need at once.
-fn resize(
-    old: i64,
-    (used, asked, soon): (Resources, Resources, Resources),
-    capacity: Resources,
-    free: &mut i64,
-    (max, need): (Resources, Resources),
-    of: impl Fn(Resources) -> i64,
-) -> i64 {
-    let (used, capacity, max, need) = (of(used), of(capacity), of(max), of(need));
-    if max == 0 {
-        return 0;
-    }
-    let want = (used + of(asked)).min(capacity.max(used));
-    if want > old && *free > 0 {
-        // All that the pool can hold at once, so that it need not ask again.
-        let grow = (capacity.max(want) - old).min(*free).max(0);
-        *free -= grow;
-        return old + grow;
-    }
-    // Others are short: give back what is not used or asked for, nor will be in a moment. (Given
-    // back between two tasks, a part at its limit was asked for again at every task's end.)
-    let keep = (want + of(soon)).min(capacity.max(used));
-    // Short is also who could not start a single task with what is free: an eighth of a small limit was less
-    // than that, and a pool without machines kept the rest for ever.
-    if old > keep && *free < (max / 8).max(need) {
-        *free += old - keep;
-        return keep;
-    }
-    old
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A pool that had no machines any more kept 21 of a limit of 24, an eighth was free, and tasks of 4 in
-    /// another pool waited for ever.
-    #[test]
-    fn a_part_that_nobody_uses_goes_to_whoever_cannot_start_a_task() {
-        let cpus = |n: f64| Resources::new(n, 0.0, 0.0);
-        let nothing = Resources::default();
-        let resize = |free: &mut i64, need: f64| {
-            let wants = (nothing, nothing, nothing);
-            resize(21_000, wants, nothing, free, (cpus(24.0), cpus(need)), |r| r.cpus)
-        };
-        assert_eq!(resize(&mut 3_000, 2.0), 21_000, "enough is free");
-        let mut free = 3_000;
-        assert_eq!(resize(&mut free, 4.0), 0);
-        assert_eq!(free, 24_000);
-    }
-}
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -173,11 +173,11 @@
     fn listener_health(&self) -> ListenerHealth {
         ListenerHealth {
             listening_ms: self.now.since(self.priority.listening),
-            hears_any_peer: self
+            receives_from_any_peer: self
                 .reachability
                 .view
                 .peers
-                .hears_any_peer(self.now, ListenerHealth::silence_ms(self.backpressure)),
+                .receives_from_any_peer(self.now, ListenerHealth::silence_ms(self.backpressure)),
             backpressure: self.backpressure,
         }
     }
--- a/crates/cleatfold-control/src/store/loss_records.rs
+++ b/crates/cleatfold-control/src/store/loss_records.rs
@@ -47,7 +47,7 @@
 
 impl LossList {
     /// Starts that are kept by name; a record that is full of claims still has room for them.
-    const KEPT: usize = 96;
+    pub const MAX_KEPT: usize = 96;
 
     pub fn is_empty(&self) -> bool {
         self.total == 0
@@ -85,7 +85,7 @@
 
     fn trim(&mut self) {
         let mut kept: usize = self.groups.iter().map(|g| g.tasks.len()).sum();
-        while kept > Self::KEPT {
+        while kept > Self::MAX_KEPT {
             let Some(oldest) = self.groups.first_mut() else { return };
             oldest.tasks.remove(0);
             kept -= 1;
@@ -130,36 +130,3 @@
         })
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn all_losses_are_counted_and_the_latest_kept() {
-        let mut list = LossList::default();
-        let job = JobId::new("run-000001");
-        for i in 0..300u32 {
-            let machine = MachineId::new(format!("vm-{:06}", i / 10));
-            list.note(
-                &machine,
-                LossCause::Machine,
-                1000 + u64::from(i / 10),
-                (TaskIx(i), Attempt(1)),
-            );
-        }
-        assert_eq!(list.total, 300);
-        let entries: Vec<Loss> = list.entries(&job).collect();
-        assert_eq!(entries.len(), LossList::KEPT);
-        assert_eq!(entries.last().unwrap().task.ix, TaskIx(299));
-        assert_eq!(entries.last().unwrap().machine, MachineId::new("vm-000029"));
-        // Grouped by machine they are small: a record of 16 KiB holds them beside its claims.
-        assert!(serde_json::to_string(&list).unwrap().len() < 2048);
-        let mut other = LossList::default();
-        other.note(&MachineId::new("vm-1"), LossCause::Lease, 5, (TaskIx(7), Attempt(3)));
-        list.take(other);
-        assert_eq!(list.total, 301);
-        assert_eq!(list.answer(&job, true).unwrap().recent.len(), Config::MAX_REPORTED_LOSSES);
-        assert!(LossList::default().answer(&job, true).is_none());
-    }
-}
--- a/crates/cleatfold-control/src/store/mod.rs
+++ b/crates/cleatfold-control/src/store/mod.rs
@@ -6,7 +6,6 @@
 pub(crate) mod format;
 pub(crate) mod format_check;
 mod loss_records;
-pub(crate) mod rate_limiter;
 pub mod records;
 pub(crate) mod sent;
 pub(crate) mod session;
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -372,35 +372,3 @@
 pub fn status(id: &JobId, state: JobState, done: u32, running: u32) -> JobStatus {
     JobStatus { id: id.clone(), state, done, running, why: None, steps: None, losses: None }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn done_ranges_stay_merged() {
-        let mut t = Table::default();
-        for ix in [5, 3, 4, 0, 9, 1, 2, 8, 7, 6] {
-            assert!(!t.is_done(TaskIx(ix)));
-            t.mark_done(TaskIx(ix));
-            t.mark_done(TaskIx(ix));
-            assert!(t.is_done(TaskIx(ix)));
-        }
-        assert_eq!(t.done, vec![(0, 10)]);
-    }
-
-    #[test]
-    fn attempts_only_grow_and_only_an_exact_claim_ends() {
-        let (m, n) = (MachineId::new("vm-1"), MachineId::new("vm-2"));
-        let pool = PoolId::parse("a/b").unwrap();
-        let mut t = Table::default();
-        assert_eq!(t.claim(&m, FencingToken(1), &pool, TaskIx(0)), Attempt(1));
-        assert!(t.free(0, 1).is_empty());
-        assert!(!t.end(&n, TaskIx(0), Attempt(1), true));
-        assert!(!t.end(&m, TaskIx(0), Attempt(2), true));
-        assert!(t.end(&m, TaskIx(0), Attempt(1), false));
-        assert_eq!(t.claim(&n, FencingToken(2), &pool, TaskIx(0)), Attempt(2));
-        assert!(t.end(&n, TaskIx(0), Attempt(2), true));
-        assert!(t.free(0, 1).is_empty() && t.claims.is_empty());
-    }
-}
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -56,7 +56,7 @@
                     self.session.sync_wanted = true;
                     self.mark(op, |sent| sent.queried = true);
                 }
-                UnansweredAction::Resend if self.rate_limiter.ample() => self.send_once_more(op),
+                UnansweredAction::Resend if self.rate_limiter.is_ample() => self.send_once_more(op),
                 UnansweredAction::Resolve => self.resolve_by_reading(op),
                 UnansweredAction::Resend | UnansweredAction::Wait => {}
             }
--- a/crates/cleatfold-control/tests/answer_order.rs
+++ b/crates/cleatfold-control/tests/answer_order.rs
@@ -182,7 +182,7 @@
 /// The answer to an acceptance is long on its way, and users have heard meanwhile, of others, that the job was cancelled:
 /// whoever submitted is not told that it waits.
 #[test]
-fn an_acceptance_that_is_told_late_tells_what_has_become_of_the_job() {
+fn an_acceptance_that_is_confirmed_late_says_what_has_become_of_the_job() {
     let mut world = ready(2);
     let spec = plain(&mut world, 1, 60.0);
     let job = world.submit(1, spec);
--- a/crates/cleatfold-control/tests/cancellations.rs
+++ b/crates/cleatfold-control/tests/cancellations.rs
@@ -36,7 +36,7 @@
 /// The head of a job in parts says that it is cancelled, and none of its parts changes by that: a machine whose
 /// reports repeat was never looked at again, and its tasks ran on for ever.
 #[test]
-fn a_cancelled_job_in_parts_stops_on_machines_whose_reports_repeat() {
+fn a_cancelled_job_in_parts_ends_on_machines_whose_reports_repeat() {
     let mut world = region(1);
     world.run(Ms(4000));
     let spec = long(&mut world, 300);
--- a/crates/cleatfold-control/tests/elastic.rs
+++ b/crates/cleatfold-control/tests/elastic.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn every_step_once_under_all_troubles_together() {
+fn every_step_once_under_all_faults_together() {
     let mut redone = 0;
     for seed in 500..506 {
         let mut world = World::new(seed, true);
@@ -85,7 +85,7 @@
 /// The keeper ends between recording steps and answering: members say the same to another node,
 /// and it counts for them and counts once.
 #[test]
-fn the_keeper_ends_between_recording_and_answering() {
+fn the_coordinator_ends_between_recording_and_answering() {
     let (mut world, job) = begun(21, 120, 2, 6, 1.0);
     for _ in 0..4 {
         let (before, mut waited) = (world.steps.changes, 0);
@@ -169,7 +169,7 @@
 
 /// Two controllers restart while members are being stopped for somebody else.
 #[test]
-fn two_controllers_restart_while_a_shrink_is_under_way() {
+fn two_controllers_restart_while_an_elastic_job_narrows() {
     let (mut world, job) = begun(26, 120, 0, 8, 2.0);
     for round in 0..3 {
         let stopped = world.stopped;
@@ -216,8 +216,8 @@
         world.jobs.get_mut(&job).expect("known").cancel_asked = true;
         world.ask(2, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
         world.run(world.now.plus(5000));
-        let told = world.jobs[&job].cancel_confirmed.is_some();
-        assert!(told, "after {after}: not told");
+        let on_reply = world.jobs[&job].cancel_confirmed.is_some();
+        assert!(on_reply, "after {after}: not told");
         let finished = world.steps.finished(&job);
         world.run(world.now.plus(60_000));
         assert!(world.broken.is_empty(), "after {after}: {:#?}", world.broken);
--- a/crates/cleatfold-control/tests/handovers.rs
+++ b/crates/cleatfold-control/tests/handovers.rs
@@ -27,7 +27,7 @@
 /// Of two or three tasks one ends in seconds and the last after minutes, and the owner of the first one's
 /// machine changes once, twice or three times right around that end.
 #[test]
-fn small_jobs_with_ends_far_apart_are_done_once_and_known_throughout() {
+fn small_jobs_whose_ends_lie_apart_are_done_once_and_known_throughout() {
     let mut seed = 0;
     for losses in 1..4usize {
         for (n, loss) in Loss::ALL.into_iter().enumerate() {
@@ -154,7 +154,7 @@
 /// Stops that are held for seconds, their answers lost, executed by a machine that goes on, ordered by an
 /// owner that is none any more.
 #[test]
-fn held_stops_and_lost_answers_start_nothing_again() {
+fn held_kills_and_lost_answers_start_nothing_again() {
     let mut late = 0;
     for seed in 200..216u64 {
         let mut world = region(seed, 9);
@@ -244,7 +244,7 @@
 /// A controller without the state service and its peers but with its workers and users: it tells nothing
 /// older than others have told, and jobs cancelled at others stop on its machines in time.
 #[test]
-fn a_controller_apart_tells_nothing_older_and_stops_what_is_cancelled_elsewhere() {
+fn an_isolated_controller_answers_nothing_older_and_kills_what_is_cancelled_elsewhere() {
     for seed in 400..412u64 {
         let mut world = long_tasks(seed);
         let apart = world.most().expect("somebody holds workers");
--- a/crates/cleatfold-control/tests/image_distribution.rs
+++ b/crates/cleatfold-control/tests/image_distribution.rs
@@ -83,7 +83,7 @@
 /// while workers of both sorts fetch: no seat too many, nothing is left unfetched, and nothing comes from the
 /// origin twice to machines that stay.
 #[test]
-fn whoever_falls_no_seat_is_given_twice_and_all_get_it() {
+fn whoever_fails_no_slot_is_given_twice_and_all_get_it() {
     for seed in 10..18 {
         let mut world = region(seed, 24, ImageSettings { hear: 70, ..ImageSettings::SMALL });
         submit(&mut world, 24, "m1", 20.0);
@@ -116,7 +116,7 @@
 /// pieces; their owner falls as well. Seen to stand still for ever when a machine that is stuck was told
 /// anew only for claims under its present owner's token.
 #[test]
-fn a_source_that_dies_hears_nothing_is_slow_or_lies_costs_little() {
+fn a_source_that_dies_is_partitioned_is_slow_or_lies_costs_little() {
     for (case, seed) in [(0, 20), (1, 21), (2, 22), (3, 23), (4, 24)] {
         let mut world = region(seed, 30, ImageSettings::SMALL);
         submit(&mut world, 30, "m1", 400.0);
--- a/crates/cleatfold-control/tests/late_transactions.rs
+++ b/crates/cleatfold-control/tests/late_transactions.rs
@@ -130,7 +130,7 @@
 
 /// With large images: seats at the origin, and who holds what; claims end in the middle of fetches.
 #[test]
-fn seats_and_holders_may_be_late() {
+fn slots_and_holders_may_be_late() {
     let (mut seats, mut holders) = (0, 0);
     for (seed, hear) in [(40, 0), (41, 0), (42, 100), (43, 50)] {
         let images = Some(ImageSettings { hear, ..ImageSettings::SMALL });
--- a/crates/cleatfold-control/tests/leaders.rs
+++ b/crates/cleatfold-control/tests/leaders.rs
@@ -58,7 +58,7 @@
 
 /// Jobs of two or three tasks: one ends in seconds, the last after minutes, and several leaders come and go in between.
 #[test]
-fn small_jobs_with_ends_far_apart_outlast_several_leaders() {
+fn small_jobs_whose_ends_lie_apart_outlast_several_leaders() {
     let mut world = region(15, 18);
     world.run(Ms(4_000));
     for n in 0..12u32 {
--- a/crates/cleatfold-control/tests/quick_restarts.rs
+++ b/crates/cleatfold-control/tests/quick_restarts.rs
@@ -115,12 +115,12 @@
 const SEED: u64 = 3;
 
 #[test]
-fn while_a_duty_is_taken() {
+fn while_a_role_is_taken() {
     play(SEED, Step::Elect, 4);
 }
 
 #[test]
-fn while_a_pool_is_dealt() {
+fn while_a_pool_is_assigned() {
     play(SEED, Step::PoolAssignment, 4);
 }
 
--- a/crates/cleatfold-control/tests/quota.rs
+++ b/crates/cleatfold-control/tests/quota.rs
@@ -221,7 +221,7 @@
 
 /// The watcher sees a job that waits beside room: here no controller comes back.
 #[test]
-fn a_job_left_waiting_beside_room_is_found() {
+fn a_job_left_waiting_beside_free_machines_is_found() {
     let mut world = scarce(80);
     run_for(&mut world, 4_000);
     let keeper = plain(&mut world, 4, 20.0);
--- a/crates/cleatfold-control/tests/roles.rs
+++ b/crates/cleatfold-control/tests/roles.rs
@@ -131,7 +131,7 @@
 
 /// Duties are spread, and none stands empty for long after its holder's end.
 #[test]
-fn a_duty_is_taken_soon_after_its_holder_fell() {
+fn a_role_is_taken_soon_after_its_holder_failed() {
     let mut world = region(20);
     world.run(Ms(180_000));
     let held: BTreeSet<Option<usize>> = Role::ALL.iter().map(|d| holder(&world, *d)).collect();
--- a/crates/cleatfold-control/tests/slices.rs
+++ b/crates/cleatfold-control/tests/slices.rs
@@ -31,7 +31,7 @@
 }
 
 impl Spent {
-    fn so_far(world: &World) -> Self {
+    fn until_now(world: &World) -> Self {
         Self {
             slices: world.written.of(ChangeKind::Slice),
             conflicts: world.written.of(ChangeKind::Conflict),
@@ -77,9 +77,9 @@
 fn slices_of_many_teams_leave_the_changes_to_the_work() {
     for seed in 1..4 {
         let mut world = crowded(seed);
-        let before = Spent::so_far(&world);
+        let before = Spent::until_now(&world);
         run_for(&mut world, MEASURED_S * 1_000);
-        let spent = Spent::so_far(&world).since(before);
+        let spent = Spent::until_now(&world).since(before);
         println!("seed {seed}, {MEASURED_S} s: {spent:?}");
         assert!(spent.started >= 600, "seed {seed}: {spent:?}");
         assert!(spent.slices * 2 <= spent.changes, "seed {seed}: {spent:?}");
--- a/crates/cleatfold-control/tests/small_jobs.rs
+++ b/crates/cleatfold-control/tests/small_jobs.rs
@@ -30,7 +30,7 @@
 }
 
 /// Each user was told how it ended, and rightly: done what was done, aborted what was cancelled before that.
-fn all_were_told(world: &World) {
+fn all_got_answers(world: &World) {
     let accepted = world.jobs.values().filter(|j| j.accepted);
     let (mut done, mut aborted) = (0, 0);
     for job in accepted {
@@ -57,25 +57,25 @@
 }
 
 #[test]
-fn small_jobs_are_told_rightly() {
+fn small_jobs_get_correct_answers() {
     for seed in 1..3 {
         let world = day(seed, CHANGES_PER_S, |_| {});
-        all_were_told(&world);
+        all_got_answers(&world);
     }
 }
 
 #[test]
-fn small_jobs_are_told_rightly_while_leaders_end() {
+fn small_jobs_get_correct_answers_while_leaders_end() {
     for seed in 11..13 {
         let world = day(seed, CHANGES_PER_S, |world| world.ten_leaders(Ms(150_000)));
         assert_eq!(world.leaders.ended.len(), 10);
-        all_were_told(&world);
+        all_got_answers(&world);
     }
 }
 
 /// Fewer changes a second are allowed than these jobs need: they wait, and their users still hear of each.
 #[test]
-fn small_jobs_are_told_rightly_where_few_changes_are_allowed() {
+fn small_jobs_get_correct_answers_with_a_low_change_rate() {
     let world = day(22, 15.0, |world| world.ten_leaders(Ms(150_000)));
-    all_were_told(&world);
+    all_got_answers(&world);
 }
--- a/crates/cleatfold-control/tests/two_faults.rs
+++ b/crates/cleatfold-control/tests/two_faults.rs
@@ -8,7 +8,7 @@
 /// A cancelled job in parts: its claims stand in other records than the cancellation, so machines'
 /// claims did not change, their reports repeated the last ones, and nobody told them to stop.
 #[test]
-fn a_cancelled_job_in_parts_stops_on_machines_whose_reports_repeat() {
+fn a_cancelled_job_in_parts_ends_on_machines_whose_reports_repeat() {
     for seed in 1..4 {
         let mut world = region(seed, 24);
         world.run(Ms(4000));
--- a/crates/cleatfold-control/tests/unannounced_faults.rs
+++ b/crates/cleatfold-control/tests/unannounced_faults.rs
@@ -56,7 +56,7 @@
 /// The leader gave a pool back to the controller that its workers had just left, since that had
 /// fewest, and so on for as long as the cut lasted. Seen to fail without `may_hold`.
 #[test]
-fn pools_leave_a_controller_that_workers_do_not_reach_and_do_not_wander() {
+fn pools_leave_an_unreachable_controller_and_do_not_wander() {
     for seed in 1..5 {
         let (mut world, cut) = busy(seed);
         let until = world.now.plus(60_000);
@@ -124,7 +124,7 @@
 /// One job in a few fails on every machine. Good machines were returned for it by the dozen, and
 /// each of its owners tried it at its own pace.
 #[test]
-fn jobs_that_fail_everywhere_cost_no_machine_and_few_starts() {
+fn jobs_that_fail_everywhere_cost_no_machine_and_a_bounded_number_of_starts() {
     let mut world = region(20);
     world.run(Ms(4000));
     let mut broken = Vec::new();
--- a/crates/cleatfold-control/tests/urgency_order.rs
+++ b/crates/cleatfold-control/tests/urgency_order.rs
@@ -191,7 +191,7 @@
 /// The owner dies as soon as its decision to make room is written: whoever has the pool next finishes it, and
 /// nothing below goes first.
 #[test]
-fn room_is_made_by_the_next_owner() {
+fn preemption_goes_on_under_the_next_owner() {
     let mut rooms = 0;
     for seed in 1..10 {
         let size = Size { machines: 9, most_jobs: 0, admission: false, ..Size::SMALL };
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -414,7 +414,7 @@
 /// Workspaces are spread over the controllers, none stands empty for long, and each goes back to its
 /// first controller when all is quiet.
 #[test]
-fn a_workspace_is_taken_soon_after_its_keeper_fell() {
+fn a_workspace_is_taken_soon_after_its_owner_failed() {
     let mut world = World::sized(61, false, Size { most_jobs: 0, ..Size::SMALL });
     world.run(Ms(200_000));
     let first = |team: &str, world: &World| {
--- a/crates/cleatfold-elastic/tests/model.rs
+++ b/crates/cleatfold-elastic/tests/model.rs
@@ -61,9 +61,9 @@
                 says.push((s, s + 1));
             }
             let mut accounts = StepAccounts::new(progress.clone(), &members, members.len() as u32);
-            let told = accounts.report(&report(by, says.clone(), rng.random_range(0..4)));
+            let on_reply = accounts.report(&report(by, says.clone(), rng.random_range(0..4)));
             let (changes, _) = accounts.into_changes();
-            match told {
+            match on_reply {
                 Verdict::Lost(_) => {
                     assert!(stale, "seed {seed}: a member whose claim stands was sent away");
                     assert!(changes.is_empty());
--- a/crates/cleatfold-fakes/src/images.rs
+++ b/crates/cleatfold-fakes/src/images.rs
@@ -35,7 +35,7 @@
         self.min_gb > 0.0 && gb >= self.min_gb
     }
 
-    pub fn told(&mut self, image: Option<(ImageId, f64)>, sources: &[String]) {
+    pub fn take_sources(&mut self, image: Option<(ImageId, f64)>, sources: &[String]) {
         let Some((image, gb)) = image.filter(|i| self.is_large(i.1)) else { return };
         // The protocol's workers do not read the field.
         let sources = if self.supports_peer_fetch { sources.to_vec() } else { vec![] };
@@ -141,7 +141,7 @@
         let pieces = self.pieces(image, gb);
         let Some(holder) = self.holders.get_mut(id) else { return };
         match holder.images.get_mut(image) {
-            Some((_, fetch)) => fetch.told(sources),
+            Some((_, fetch)) => fetch.take_sources(sources),
             None => {
                 // What was used least is given up; names stand for ages here.
                 let room =
--- a/crates/cleatfold-fakes/src/member.rs
+++ b/crates/cleatfold-fakes/src/member.rs
@@ -116,7 +116,7 @@
         })
     }
 
-    pub fn told(&mut self, now: Ms, reply: &StepReply) {
+    pub fn on_reply(&mut self, now: Ms, reply: &StepReply) {
         self.astray = false;
         let refused = |s: &u32| reply.refused.iter().any(|r| r.0 <= *s && s < &r.1);
         for step in self.saying.take().unwrap_or_default() {
--- a/crates/cleatfold-fakes/src/worker.rs
+++ b/crates/cleatfold-fakes/src/worker.rs
@@ -149,7 +149,7 @@
             match command {
                 Command::Start { task, attempt, sources } => {
                     let image = job(task).map(|j| (j.0.image, j.0.image_gb));
-                    self.images.told(image, sources);
+                    self.images.take_sources(image, sources);
                     if let Some(h) = self.launch(now, task, *attempt, &job) {
                         out.push(h);
                     }
--- a/crates/cleatfold-image-distribution/src/distributor.rs
+++ b/crates/cleatfold-image-distribution/src/distributor.rs
@@ -168,13 +168,15 @@
             }
             // Not heard of under our token: it may be fetching for whoever was before us.
             let Some(seen) = view.seen.get(*machine) else { return false };
-            let told = self.ordered.get(*machine).is_some_and(|at| *at >= seen.at);
+            let ordered_since = self.ordered.get(*machine).is_some_and(|at| *at >= seen.at);
             let wanted = || {
                 let same = |w: &&Want| w.machine == **machine && w.image == slot.image;
                 view.wants.iter().any(|w| same(&w))
             };
             seen.has(&slot.image)
-                || !(told || seen.fetching.contains(&slot.image) || (!seen.leaving && wanted()))
+                || !(ordered_since
+                    || seen.fetching.contains(&slot.image)
+                    || (!seen.leaving && wanted()))
         });
         over.map(|(machine, _)| machine.clone()).collect()
     }
@@ -186,8 +188,8 @@
         let ordered = &self.ordered;
         self.links.retain(|sink, link| {
             let Some(seen) = view.seen.get(sink) else { return false };
-            let told = ordered.get(sink).is_some_and(|at| *at >= seen.at);
-            if seen.stuck && !told && !seen.has(&link.image) {
+            let ordered_since = ordered.get(sink).is_some_and(|at| *at >= seen.at);
+            if seen.stuck && !ordered_since && !seen.has(&link.image) {
                 doubted.extend(link.from.first().cloned());
                 return false;
             }
@@ -195,7 +197,7 @@
                 seen.fetching.contains(&link.image) || waiting.contains(&(sink, &link.image));
             let slot = view.origin.slots.contains_key(sink);
             let source = link.from.first().is_some_and(|s| !(view.gone)(s));
-            (waits || told) && source && !slot && !seen.has(&link.image)
+            (waits || ordered_since) && source && !slot && !seen.has(&link.image)
         });
         for machine in doubted {
             self.doubted.insert(machine, view.now);
@@ -211,9 +213,9 @@
         let at: BTreeMap<&String, &MachineId> =
             view.seen.iter().filter_map(|(m, s)| Some((s.endpoint.as_ref()?, m))).collect();
         for (sink, seen) in &view.seen {
-            let told = self.ordered.contains_key(sink);
+            let ordered_since = self.ordered.contains_key(sink);
             let source = seen.source.as_ref().and_then(|s| at.get(s)).copied();
-            let (Some(source), false) = (source, told) else { continue };
+            let (Some(source), false) = (source, ordered_since) else { continue };
             let Some(image) = seen.fetching.iter().find(|i| !seen.has(i)) else { continue };
             let link = self.links.entry(sink.clone());
             let link = link.or_insert_with(|| Link { image: image.clone(), from: vec![] });
--- a/crates/cleatfold-image-distribution/src/pieces.rs
+++ b/crates/cleatfold-image-distribution/src/pieces.rs
@@ -56,12 +56,12 @@
 impl Fetch {
     pub fn new(pieces: Pieces, sources: &[String]) -> Self {
         let mut fetch = Fetch { pieces, have: 0, sources: None, failed: BTreeMap::new(), wrong: 0 };
-        fetch.told(sources);
+        fetch.take_sources(sources);
         fetch
     }
 
     /// Sources as in the command: none means the origin. What is there stays.
-    pub fn told(&mut self, sources: &[String]) {
+    pub fn take_sources(&mut self, sources: &[String]) {
         self.sources = (!sources.is_empty()).then(|| sources.to_vec());
         self.failed.clear();
     }
--- a/crates/cleatfold-image-distribution/tests/slot_assignment.rs
+++ b/crates/cleatfold-image-distribution/tests/slot_assignment.rs
@@ -34,7 +34,7 @@
     /// Whatever is wanted: within the bound, one seat a machine, nobody passed over who could have had
     /// it and comes before somebody of the same zone, image and kind.
     #[test]
-    fn seats_stay_within_the_bound_and_go_in_order(
+    fn slots_stay_within_the_bound_and_go_in_order(
         wants in prop::collection::vec((0usize..40, 0usize..3, 0u8..4, 200u32..3000, any::<bool>(), any::<bool>()), 0..60),
         taken in 0usize..6,
         origin in 1.0f64..20.0,
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn records_at_their_limit_are_cut_and_seats_too() {
+fn records_at_their_limit_are_cut_and_slots_too() {
     let settings = settings(100_000.0, false);
     let wants: Vec<Want> = (0..2000).map(|n| Want { mb_per_s: 1, ..want(n, "a", 2) }).collect();
     let given =
@@ -150,7 +150,7 @@
     fetch.fails(now, Some("b"));
     // Never to the origin of itself.
     assert_eq!(fetch.next(now), Next::Stuck);
-    fetch.told(&[]);
+    fetch.take_sources(&[]);
     assert_eq!(fetch.next(now), Next::Origin(1));
     assert!(fetch.came(now, None, 1, &1u32.to_le_bytes()));
     assert!(fetch.came(now, None, 2, &2u32.to_le_bytes()));
@@ -225,7 +225,7 @@
 /// A seat is kept until its fetch is proven over: not while nothing is heard under our token, nor while an
 /// order may be on its way; then it is given back.
 #[test]
-fn a_seat_is_given_back_on_proof_alone() {
+fn a_slot_is_given_back_on_proof_alone() {
     let settings = settings(1.25, false);
     let pools = BTreeSet::from([pool("a")]);
     let spreads = BTreeMap::new();
--- a/crates/cleatfold-ingress/src/lib.rs
+++ b/crates/cleatfold-ingress/src/lib.rs
@@ -3,6 +3,7 @@
 //! Pure decisions, no I/O and no clock of their own: times are milliseconds on the caller's
 //! steady clock. `docs/overload.md` says why they are what they are.
 
+mod change_rate_limiter;
 mod class;
 mod connections;
 mod outgoing_queue;
@@ -13,6 +14,7 @@
 mod submission_queue;
 mod write_pacer;
 
+pub use change_rate_limiter::{ChangeRateLimiter, MAX_DEBT_S};
 pub use class::Class;
 pub use connections::{Connection, ConnectionId, ConnectionTable};
 pub use outgoing_queue::OutgoingQueue;
--- a/crates/cleatfold-ingress/src/poll_schedule.rs
+++ b/crates/cleatfold-ingress/src/poll_schedule.rs
@@ -18,7 +18,7 @@
 pub struct PollSchedule {
     number: u64,
     /// Jobs that were told about in this turn.
-    told: HashSet<u64>,
+    answered_jobs: HashSet<u64>,
 }
 
 /// How many of a round's turns a job has.
@@ -56,13 +56,13 @@
         let number = wall_ms / TURN_MS;
         if number != self.number {
             self.number = number;
-            self.told.clear();
+            self.answered_jobs.clear();
         }
-        level < Level::Strained || self.told.insert(xxh3_64(job.as_bytes()))
+        level < Level::Strained || self.answered_jobs.insert(xxh3_64(job.as_bytes()))
     }
 
     /// The answer did not come about: whoever asks next has the turn.
     pub fn give_back(&mut self, job: &str) {
-        self.told.remove(&xxh3_64(job.as_bytes()));
+        self.answered_jobs.remove(&xxh3_64(job.as_bytes()));
     }
 }
--- a/crates/cleatfold-ingress/tests/poll_schedule.rs
+++ b/crates/cleatfold-ingress/tests/poll_schedule.rs
@@ -51,7 +51,7 @@
     /// Against a plain reading: the first lane's first that may go, but one in four from the last lane once it
     /// has waited long.
     #[test]
-    fn the_outlet_goes_by_its_rule(steps in prop::collection::vec((0usize..4, 0u32..3, 0u64..200, any::<bool>(), any::<bool>()), 1..200)) {
+    fn the_outgoing_queue_goes_by_its_rule(steps in prop::collection::vec((0usize..4, 0u32..3, 0u64..200, any::<bool>(), any::<bool>()), 1..200)) {
         let mut outgoing_queue = OutgoingQueue::new(4);
         let mut plain: Vec<(usize, u64, f64, usize)> = Vec::new();
         let (mut now, mut sent) = (0, 0);
--- a/crates/cleatfold-ingress/tests/request_queue.rs
+++ b/crates/cleatfold-ingress/tests/request_queue.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_desk_does_as_the_plain_model() {
+fn the_request_queue_does_as_the_plain_model() {
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let (mut request_queue, mut model) = (RequestQueue::default(), Model::default());
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn nobody_starves_and_a_full_queue_turns_the_oldest_away() {
+fn nobody_starves_and_a_full_queue_rejects_the_oldest() {
     let mut request_queue = RequestQueue::default();
     for at in 0..Class::Poll.bound() as u64 {
         assert!(request_queue.push(Class::Poll, at, (Class::Poll, at)).is_none());
--- a/crates/cleatfold-ingress/tests/submission_queue.rs
+++ b/crates/cleatfold-ingress/tests/submission_queue.rs
@@ -7,7 +7,7 @@
 /// A guest sends fifteen a second where eleven can be accepted, and the residents two. As found, in
 /// one queue, three of four of all were refused.
 #[test]
-fn a_swarm_of_one_team_delays_itself() {
+fn many_small_jobs_of_one_team_delay_itself() {
     let mut submission_queue: SubmissionQueue<&str, u64> = SubmissionQueue::new(4500);
     let (mut worst, mut refused) = (BTreeMap::new(), BTreeMap::new());
     for ms in (0..60_000u64).step_by(10) {
@@ -41,7 +41,7 @@
     /// Nothing is lost or told twice, turns go round, and while nobody is late each team's go in
     /// the order of arrival.
     #[test]
-    fn turns_go_round(ops in prop::collection::vec((0u8..4, any::<bool>()), 1..200)) {
+    fn teams_are_served_in_turn(ops in prop::collection::vec((0u8..4, any::<bool>()), 1..200)) {
         let mut submission_queue: SubmissionQueue<u8, usize> = SubmissionQueue::new(1_000_000);
         let mut plain: BTreeMap<u8, Vec<usize>> = BTreeMap::new();
         let mut last = None;
--- a/crates/cleatfold-priority/src/live.rs
+++ b/crates/cleatfold-priority/src/live.rs
@@ -30,7 +30,7 @@
     /// For how long we have been listening: since our start, or since we stood still.
     pub listening_ms: u64,
     /// Some other controller was heard of within the time in which every one should be.
-    pub hears_any_peer: bool,
+    pub receives_from_any_peer: bool,
     /// How much less often than usual things are said, under pressure.
     pub backpressure: u64,
 }
@@ -43,7 +43,7 @@
 
     /// Silence says something of the others: we have listened for long enough, and do hear some.
     fn tell(&self) -> bool {
-        self.hears_any_peer && self.listening_ms >= Self::silence_ms(self.backpressure)
+        self.receives_from_any_peer && self.listening_ms >= Self::silence_ms(self.backpressure)
     }
 }
 
--- a/crates/cleatfold-priority/tests/model.rs
+++ b/crates/cleatfold-priority/tests/model.rs
@@ -41,7 +41,7 @@
 
 /// One clock is an hour ahead, once: what comes later keeps its age against what comes after.
 #[test]
-fn a_clock_far_ahead_does_not_stop_time() {
+fn a_clock_that_is_ahead_does_not_stop_time() {
     let told = (0..400u64).map(|s| 1_000_000 + s * 1000 + if s == 5 { 3_600_000 } else { 0 });
     let known = acceptance_times(told);
     assert!(known[399] < 1_000_000 + 400_000);
@@ -58,7 +58,7 @@
 #[test]
 fn an_owner_counts_as_gone_for_what_it_shows_not_for_our_own_deafness() {
     let listener_health =
-        ListenerHealth { listening_ms: 60_000, hears_any_peer: true, backpressure: 1 };
+        ListenerHealth { listening_ms: 60_000, receives_from_any_peer: true, backpressure: 1 };
     let well =
         Owner { stands: true, silence_ms: Some(900), read_ms: Some(400), lost_workers: false };
     assert!(lives(well, listener_health));
@@ -72,11 +72,11 @@
     assert!(!lives(Owner { lost_workers: true, ..well }, listener_health));
     // Who hears nobody (the mesh is refused), or has only begun to listen, goes by the leases.
     let silent = Owner { silence_ms: None, read_ms: None, ..well };
-    assert!(lives(silent, ListenerHealth { hears_any_peer: false, ..listener_health }));
+    assert!(lives(silent, ListenerHealth { receives_from_any_peer: false, ..listener_health }));
     assert!(lives(silent, ListenerHealth { listening_ms: 700, ..listener_health }));
     assert!(!lives(
         Owner { stands: false, ..silent },
-        ListenerHealth { hears_any_peer: false, ..listener_health }
+        ListenerHealth { receives_from_any_peer: false, ..listener_health }
     ));
     // Under pressure things are said less often.
     assert!(lives(
@@ -87,7 +87,7 @@
 
 /// A dead owner's promise holds nothing urgent back, and background believes it for as long as ever.
 #[test]
-fn promises_are_believed_by_lane() {
+fn promises_are_believed_by_urgency() {
     for urgency in URGENCIES {
         assert!(believed(urgency, 2900, true));
         assert!(!believed(urgency, 3000, true));
--- a/crates/cleatfold-reachability/src/peers.rs
+++ b/crates/cleatfold-reachability/src/peers.rs
@@ -65,7 +65,7 @@
     }
 
     /// Some peer was heard of within the last `ms`.
-    pub fn hears_any_peer(&self, now: Ms, ms: u64) -> bool {
+    pub fn receives_from_any_peer(&self, now: Ms, ms: u64) -> bool {
         self.peers.values().any(|p| p.last_message.is_some_and(|at| now.since(at) <= ms))
     }
 
--- a/crates/cleatfold-reachability/tests/one_way_partition.rs
+++ b/crates/cleatfold-reachability/tests/one_way_partition.rs
@@ -59,7 +59,7 @@
     /// A machine that hears is never taken for deaf: its reports come at its interval, or as soon as something
     /// changes, what it was ordered shows, and now and then one answer is lost on the way.
     #[test]
-    fn a_machine_that_hears_is_believed(
+    fn a_machine_that_receives_answers_is_believed(
         heartbeat_interval_ms in prop::sample::select(vec![1000u64, 3000, 8000]),
         reports in prop::collection::vec((any::<bool>(), any::<bool>(), any::<bool>(), 75u64..125, 0u8..8), 1..200),
     ) {
--- a/crates/cleatfold-roles/src/scale_out.rs
+++ b/crates/cleatfold-roles/src/scale_out.rs
@@ -192,8 +192,8 @@
         &'a self,
         known: &'a ScaleOutIntents,
     ) -> impl Iterator<Item = &'a ScaleOutIntent> + 'a {
-        let told = |i: &&ScaleOutIntent| !matches!(self.answered.get(&i.name), Some((a, _)) if *a != Answer::Unknown);
-        known.open.iter().filter(told)
+        let is_coming = |i: &&ScaleOutIntent| !matches!(self.answered.get(&i.name), Some((a, _)) if *a != Answer::Unknown);
+        known.open.iter().filter(is_coming)
     }
 }
 
--- a/crates/cleatfold-testbed/src/region.rs
+++ b/crates/cleatfold-testbed/src/region.rs
@@ -359,7 +359,7 @@
         let target = self.member_targets.entry(key).or_default();
         match answer {
             Some((200, body)) => match serde_json::from_slice::<StepReply>(&body) {
-                Ok(reply) => member.told(now, &reply),
+                Ok(reply) => member.on_reply(now, &reply),
                 Err(_) => member.unanswered(now),
             },
             Some((409, _)) => member.lost(),
--- a/crates/cleatfold-testbed/src/team.rs
+++ b/crates/cleatfold-testbed/src/team.rs
@@ -87,7 +87,7 @@
     value.map_or("-".into(), |v| v.to_string())
 }
 
-fn jobs(told: TeamJobs) -> Rows {
+fn jobs(answer: TeamJobs) -> Rows {
     let row = |j: LiveJob| {
         let (urgency, state) = (word(&j.urgency), word(&j.state));
         let (done, running, tasks) =
@@ -95,19 +95,19 @@
         let (place, why) = (j.place.to_string(), or_dash(j.why));
         vec![place, word(&j.id), word(&j.class), urgency, state, done, running, tasks, why]
     };
-    (told.jobs.into_iter().map(row).collect(), told.next, told.more)
+    (answer.jobs.into_iter().map(row).collect(), answer.next, answer.more)
 }
 
-fn queue(told: TeamQueue) -> Rows {
+fn queue(answer: TeamQueue) -> Rows {
     let row = |j: WaitingJob| {
         let (urgency, holdup) = (word(&j.urgency), word(&j.holdup));
         let (place, rank, tasks) = (j.place.to_string(), or_dash(j.rank), j.tasks.to_string());
         vec![place, word(&j.id), word(&j.class), urgency, rank, tasks, holdup, or_dash(j.why)]
     };
-    (told.waiting.into_iter().map(row).collect(), told.next, told.more)
+    (answer.waiting.into_iter().map(row).collect(), answer.next, answer.more)
 }
 
-fn history(told: TeamHistory) -> Rows {
+fn history(answer: TeamHistory) -> Rows {
     let seconds = |from: Option<u64>, to: Option<u64>| {
         let between = from.zip(to).map(|(from, to)| to.saturating_sub(from) as f64 / 1000.0);
         or_dash(between.map(|s| format!("{s:.1}")))
@@ -119,7 +119,7 @@
         let (number, state, done) = (j.number.to_string(), word(&j.state), j.done.to_string());
         vec![number, word(&j.id), class, state, done, tasks, waited, ran, cpu, j.losses.to_string()]
     };
-    (told.ended.into_iter().map(row).collect(), told.next, told.more)
+    (answer.ended.into_iter().map(row).collect(), answer.next, answer.more)
 }
 
 fn print(heads: &[&str], rows: &[Vec<String>]) {
--- a/crates/cleatfold-testbed/src/world/answers.rs
+++ b/crates/cleatfold-testbed/src/world/answers.rs
@@ -65,7 +65,7 @@
     pub malformed: u32,
 }
 
-fn told(response: &Response) -> (u16, Option<JobState>) {
+fn status_of(response: &Response) -> (u16, Option<JobState>) {
     match response {
         Response::Status { code, status } => (*code, Some(status.state)),
         Response::Refusal { code, .. } => (*code, None),
@@ -143,7 +143,7 @@
     pub(super) fn judge_order(&mut self, rid: u64, asked: &Asked, response: &Response) {
         let Some(known) = self.answers.known.remove(&rid) else { return };
         let (Asked::Submit(id) | Asked::Poll(id, ..) | Asked::Withdraw(id)) = asked else { return };
-        let (code, state) = told(response);
+        let (code, state) = status_of(response);
         let withdraws = matches!(asked, Asked::Withdraw(_));
         let wrong = match state {
             Some(state) if known.end.is_some_and(|end| end != state) => "told something older",
@@ -293,7 +293,7 @@
 
     pub(super) fn judge_odd(&mut self, rid: u64, response: &Response) {
         let Some(id) = self.answers.odd_asked.remove(&rid) else { return };
-        let (code, _) = told(response);
+        let (code, _) = status_of(response);
         *self.answers.odd_answers.entry(code).or_default() += 1;
         self.answers.last.insert(id.clone(), (code, None));
         let written = self.store.get(&records::job_key(&id)).is_some();
--- a/crates/cleatfold-testbed/src/world/cancelled.rs
+++ b/crates/cleatfold-testbed/src/world/cancelled.rs
@@ -18,8 +18,10 @@
 impl World {
     /// A task has started: one that starts later than a cancellation may take breaks a rule, however short it is.
     pub(super) fn see_cancelled_start(&mut self, task: &TaskId) {
-        let Some(told) = self.jobs.get(&task.job).and_then(|w| w.cancel_confirmed) else { return };
-        let after_ms = self.now.since(told);
+        let Some(confirmed) = self.jobs.get(&task.job).and_then(|w| w.cancel_confirmed) else {
+            return;
+        };
+        let after_ms = self.now.since(confirmed);
         self.cancel_watch.starts_after.push((task.clone(), after_ms));
         if after_ms > self.size.cancel_ms {
             let now = self.now;
@@ -37,8 +39,8 @@
         let ended: BTreeMap<MachineId, Ms> =
             ended.map(|(id, until)| (id.clone(), *until)).collect();
         for (task, machine) in &self.running {
-            let told = self.jobs.get(&task.job).is_some_and(|w| w.cancel_confirmed.is_some());
-            if let Some(until) = ended.get(machine).filter(|_| told) {
+            let confirmed = self.jobs.get(&task.job).is_some_and(|w| w.cancel_confirmed.is_some());
+            if let Some(until) = ended.get(machine).filter(|_| confirmed) {
                 self.cancel_watch.went_on_count += 1;
                 self.cancel_watch.went_on.insert(task.clone(), (machine.clone(), *until));
             }
@@ -47,8 +49,9 @@
         watch.went_on.retain(|task, (machine, _)| self.running.get(task) == Some(machine));
         for (task, (machine, until)) in &watch.went_on {
             watch.longest_after_hang_ms = watch.longest_after_hang_ms.max(now.since(*until));
-            let told = self.jobs.get(&task.job).and_then(|w| w.cancel_confirmed).unwrap_or(now);
-            if now.since(told) > self.size.cancel_ms {
+            let confirmed =
+                self.jobs.get(&task.job).and_then(|w| w.cancel_confirmed).unwrap_or(now);
+            if now.since(confirmed) > self.size.cancel_ms {
                 self.broken
                     .push(format!("{now:?} ran_cancelled {task} went on after {machine} hung"));
             }
--- a/crates/cleatfold-testbed/src/world/fault_schedule.rs
+++ b/crates/cleatfold-testbed/src/world/fault_schedule.rs
@@ -21,7 +21,7 @@
     /// What was launched, and where: an attempt that is forgotten must not be launched again.
     launched: BTreeSet<(MachineId, u64, TaskId, Attempt)>,
     /// Completed tasks that users were told of, and that they knew of when they asked.
-    told: BTreeMap<JobId, u32>,
+    answered_done: BTreeMap<JobId, u32>,
     counted: BTreeMap<u64, (JobId, u32)>,
 }
 
@@ -67,7 +67,7 @@
     /// A user asks: what it knows by now must not be taken back.
     pub(super) fn note_count(&mut self, rid: u64, asked: &Asked) {
         if let Asked::Poll(id, ..) | Asked::Submit(id) = asked {
-            let known = self.fault_schedule.told.get(id).copied().unwrap_or_default();
+            let known = self.fault_schedule.answered_done.get(id).copied().unwrap_or_default();
             self.fault_schedule.counted.insert(rid, (id.clone(), known));
         }
     }
@@ -78,8 +78,8 @@
         if status.done < before && status.state != JobState::Aborted {
             self.broken.push(format!("{:?} {id}: {} done after {before}", self.now, status.done));
         }
-        let told = self.fault_schedule.told.entry(id).or_default();
-        *told = (*told).max(status.done);
+        let answered_done = self.fault_schedule.answered_done.entry(id).or_default();
+        *answered_done = (*answered_done).max(status.done);
     }
 
     /// A user submits a job once more.
@@ -94,9 +94,13 @@
     pub fn ask_all_at(&mut self, controller: usize) {
         let known = self.jobs.iter().filter(|j| j.1.accepted);
         let known: Vec<_> = known.map(|(id, w)| (id.clone(), w.answered_state)).collect();
-        for (id, told) in known {
+        for (id, answered_done) in known {
             if self.controllers[controller].is_some() && self.cut[controller] <= self.now {
-                self.ask(controller, Asked::Poll(id.clone(), told, true), Request::Poll(id));
+                self.ask(
+                    controller,
+                    Asked::Poll(id.clone(), answered_done, true),
+                    Request::Poll(id),
+                );
             }
         }
     }
--- a/crates/cleatfold-testbed/src/world/meetings.rs
+++ b/crates/cleatfold-testbed/src/world/meetings.rs
@@ -110,8 +110,8 @@
         let (controller, life, machine, orders) =
             (*controller, *life, machine.clone(), orders.clone());
         self.meetings.held_orders += 1;
-        let told = Box::new(Event::Ordered { machine: machine.clone(), report: None });
-        self.at(ORDER_MS, SimulationEvent::Controller(controller, life, told));
+        let answer = Box::new(Event::Ordered { machine: machine.clone(), report: None });
+        self.at(ORDER_MS, SimulationEvent::Controller(controller, life, answer));
         let ms = until.since(self.now) + 1;
         self.at(ms, SimulationEvent::Orders { controller, life, machine, orders, answered: false });
         true
--- a/crates/cleatfold-testbed/src/world/polls.rs
+++ b/crates/cleatfold-testbed/src/world/polls.rs
@@ -46,7 +46,7 @@
             return;
         }
         let pause = self.rng.random_range(EVERY_MS * 3 / 4..EVERY_MS * 5 / 4);
-        let (told, accepted) = (watch.answered_state, watch.accepted);
+        let (answered_state, accepted) = (watch.answered_state, watch.accepted);
         self.at(pause, SimulationEvent::Asks(id.clone()));
         let ready = |i: &usize| {
             let there = self.cut[*i] <= self.now && !self.faults.stands_still(*i, self.now);
@@ -64,7 +64,7 @@
             return;
         }
         self.polls.sent.insert(self.next_rid + 1, self.now);
-        self.ask(controller, Asked::Poll(id.clone(), told, accepted), Request::Poll(id));
+        self.ask(controller, Asked::Poll(id.clone(), answered_state, accepted), Request::Poll(id));
     }
 
     /// Once all troubles are over, each job that is asked about is told of.
--- a/crates/cleatfold-testbed/src/world/priority_watch.rs
+++ b/crates/cleatfold-testbed/src/world/priority_watch.rs
@@ -123,9 +123,9 @@
         // known to be free then.
         let each = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
         let decided = self.priority_watch.claimed.get(task).copied().unwrap_or(self.now);
-        let told = Ms(decided.0.saturating_sub(self.size.heartbeat_interval_ms * 2));
+        let known_by = Ms(decided.0.saturating_sub(self.size.heartbeat_interval_ms * 2));
         for (at, each) in self.priority_watch.ended.get(machine).into_iter().flatten() {
-            if *at > told {
+            if *at > known_by {
                 free -= *each;
             }
         }
--- a/crates/cleatfold-testbed/src/world/users.rs
+++ b/crates/cleatfold-testbed/src/world/users.rs
@@ -24,8 +24,8 @@
                 self.at(delay, SimulationEvent::MemberAnswered { machine, key, number, response });
             }
             Some(Asked::TeamLosses) => {
-                if let Response::Losses(told) = response {
-                    self.team_losses = Some(told);
+                if let Response::Losses(answer) = response {
+                    self.team_losses = Some(answer);
                 }
             }
             Some(Asked::Team) => self.team_answer = Some(response),
--- a/crates/cleatfold-testbed/src/world/watch.rs
+++ b/crates/cleatfold-testbed/src/world/watch.rs
@@ -16,8 +16,8 @@
             self.watch_cancelled();
             self.watch_starvation();
             for task in self.running.keys() {
-                let told = self.jobs.get(&task.job).and_then(|w| w.cancel_confirmed);
-                if told.is_some_and(|t| self.now.since(t) > self.size.cancel_ms) {
+                let confirmed = self.jobs.get(&task.job).and_then(|w| w.cancel_confirmed);
+                if confirmed.is_some_and(|t| self.now.since(t) > self.size.cancel_ms) {
                     self.broken.push(format!("{:?} ran_cancelled {task}", self.now));
                 }
             }
@@ -152,9 +152,9 @@
             Asked::Heartbeat(..) | Asked::Steps(..) | Asked::TeamLosses | Asked::Team => return,
         };
         let Some(watch) = self.jobs.get_mut(&id) else { return };
-        let told =
+        let confirmed =
             matches!(response, Response::Status { .. } | Response::Refusal { code: 404, .. });
-        if told && is_poll {
+        if confirmed && is_poll {
             watch.answered = Some(now);
         }
         let mut wrong = None;
--- a/crates/cleatfold-testbed/src/world/workers.rs
+++ b/crates/cleatfold-testbed/src/world/workers.rs
@@ -93,7 +93,7 @@
         match response {
             Some(Response::Steps(reply)) => {
                 self.refused += reply.refused.iter().map(|r| r.1 - r.0).sum::<u32>();
-                member.told(now, &reply);
+                member.on_reply(now, &reply);
             }
             Some(Response::Refusal { code: 409, .. }) => member.lost(),
             Some(Response::Redirect(Some(to))) => {
--- a/crates/cleatfold-testbed/tests/days.rs
+++ b/crates/cleatfold-testbed/tests/days.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_added_troubles_alone() {
+fn the_added_faults_alone() {
     days(&Plan { only: Fault::ADDED.to_vec(), faults: 24, ..Plan::default() }, 20..23);
 }
 
--- a/crates/cleatfold-testbed/tests/pairs.rs
+++ b/crates/cleatfold-testbed/tests/pairs.rs
@@ -182,7 +182,7 @@
 
 /// Every kind makes a mark of its own on the world.
 #[test]
-fn the_troubles_do_what_they_say() {
+fn the_faults_do_what_they_say() {
     let busy = || {
         let mut world = World::sized(4, false, Size { machines: 24, ..Size::SMALL });
         world.keep_busy(Ms(60_000));
--- /dev/null
+++ b/crates/cleatfold-wire/tests/name.rs
@@ -0,0 +1,33 @@
+//! Names against a plain model.
+
+use cleatfold_wire::name::Name;
+use std::hash::{BuildHasher, RandomState};
+
+/// Against the plain model: the text itself.
+#[test]
+fn names_are_ordered_and_equal_as_their_texts() {
+    let parts = ["", "a", "b", "\0", "run-", "000412", "é", "0123456789", "zz"];
+    let mut texts: Vec<String> = Vec::new();
+    for x in parts {
+        for y in parts {
+            for z in parts {
+                texts.push(format!("{x}{y}{z}"));
+            }
+        }
+    }
+    let hasher = RandomState::new();
+    for a in &texts {
+        let name = Name::new(a);
+        assert_eq!(name.as_str(), a);
+        for b in &texts {
+            let other = Name::new(b);
+            assert_eq!(name.cmp(&other), a.cmp(b), "{a:?} {b:?}");
+            assert_eq!(name == other, a == b, "{a:?} {b:?}");
+            if a == b {
+                assert_eq!(hasher.hash_one(&name), hasher.hash_one(&other));
+            }
+        }
+    }
+    let text = "\"run-\\u0030\"";
+    assert_eq!(serde_json::from_str::<Name>(text).unwrap(), Name::new("run-0"));
+}
--- a/crates/cleatfold-workspace/src/lib.rs
+++ b/crates/cleatfold-workspace/src/lib.rs
@@ -7,10 +7,8 @@
 mod history;
 pub mod owner;
 pub mod page;
-mod turns;
 mod unwritten;
 
 pub use entry::{Entry, Group};
 pub use history::{HistoryHead, Keep, Summary};
-pub use turns::Turns;
 pub use unwritten::{Ended, JobEnd, Piece, GROUP, GROUP_MOST, LAG};
--- a/crates/cleatfold-workspace/tests/ended.rs
+++ b/crates/cleatfold-workspace/tests/ended.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_head_never_lags_far_even_without_jobs() {
+fn a_head_lags_by_a_bound_even_without_jobs() {
     let mut ended = Ended::default();
     ended.read(0, LAG - 1, []);
     let head = HistoryHead::default();
