--- a/crates/cleatfold-admission/src/decide.rs
+++ b/crates/cleatfold-admission/src/decide.rs
@@ -10,25 +10,33 @@
 /// What one group asks for, in processors and processor-seconds.
 #[derive(Clone, Debug)]
 pub struct Demand {
+    /// Whose jobs these are.
     pub group: Group,
+    /// Of the most urgent of them.
     pub urgency: Urgency,
     /// Work that waits, and work that runs and is not done.
     pub waiting: f64,
+    /// Work that runs, by its estimates, in processor-seconds.
     pub running: f64,
     /// Work that comes, per second.
     pub rate: f64,
+    /// How long its jobs are of use to their users, in the mean.
     pub patience_s: f64,
     /// Its smallest jobs: those that have to be served, and those that should be.
     pub must: Small,
+    /// The jobs that should be served.
     pub should: Small,
     /// Of its middle and of its largest jobs those that have to be served.
     pub middle: Small,
+    /// The largest jobs.
     pub large: Small,
+    /// Where its size classes begin.
     pub bounds: Bounds,
     /// Its middle job, in processor-seconds.
     pub typical: f64,
     /// Of its team: what it is guaranteed and its limit (0: none).
     pub guarantee: f64,
+    /// Its team's limit in processors; 0: none.
     pub limit: f64,
 }
 
@@ -47,12 +55,16 @@
 /// it is one of the largest.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
+    /// Work up to which a job is small, in processor-seconds.
     pub small: f64,
+    /// Work from which on a job is one of the largest, in processor-seconds.
     pub work: f64,
+    /// Tasks from which on a job is one of the largest.
     pub tasks: u32,
 }
 
 impl Bounds {
+    /// The size class of a job.
     pub fn size_class(&self, work: f64, tasks: u32) -> SizeClass {
         if work >= self.work || tasks >= self.tasks {
             SizeClass::Large
@@ -83,12 +95,14 @@
     }
 }
 
+/// What one decision is made from.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Processors of all machines there are, booting ones included.
     pub capacity: f64,
     /// The number of machines no longer grows: what there is, is what there will be.
     pub settled: bool,
+    /// What each group asks for.
     pub groups: Vec<Demand>,
 }
 
@@ -97,10 +111,12 @@
 pub struct Rules {
     /// A group counts as not served in time when its jobs will wait so many patiences, for so long.
     pub enter: f64,
+    /// A group that waits for longer than its patience for so many seconds comes under the quota.
     pub enter_s: f64,
     /// And as served again below this many, for so long. Far apart, or it would swing: under an
     /// allotment the queue is shorter than without.
     pub leave: f64,
+    /// It leaves it again after so many seconds in which it is served in time.
     pub leave_s: f64,
     /// So large a part of a group's jobs has to be served, whoever else waits: a little over half.
     pub must: f64,
--- a/crates/cleatfold-admission/src/fill.rs
+++ b/crates/cleatfold-admission/src/fill.rs
@@ -3,7 +3,9 @@
 /// What one asker wants, and how it is weighed against the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Need {
+    /// What it can use at most.
     pub amount: f64,
+    /// Its share against the others' weights.
     pub weight: f64,
 }
 
--- a/crates/cleatfold-admission/src/lib.rs
+++ b/crates/cleatfold-admission/src/lib.rs
@@ -4,6 +4,14 @@
 //! read in the state service and writes an `OverloadQuota` there; every node orders its queue by the
 //! one it has read. Pure: no I/O and no clock. `docs/admission.md` weighs and argues.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 pub mod decide;
 pub mod fill;
 pub mod long_work_limit;
--- a/crates/cleatfold-admission/src/long_work_limit.rs
+++ b/crates/cleatfold-admission/src/long_work_limit.rs
@@ -16,6 +16,7 @@
 /// What one team asks for at one urgency, all of its classes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Asks<U> {
+    /// The urgency of this work.
     pub urgency: U,
     /// Work that comes, per second: processors.
     pub rate: f64,
@@ -33,6 +34,7 @@
 }
 
 impl LongWorkLimit {
+    /// Whether a task of this run time is long.
     pub fn is_long(&self, run_s: f64) -> bool {
         run_s > self.longer_than_s
     }
--- a/crates/cleatfold-admission/src/meter.rs
+++ b/crates/cleatfold-admission/src/meter.rs
@@ -19,6 +19,7 @@
 impl Default for Sizes {
     fn default() -> Self {
         // Two digits: far better than estimates are.
+        #[expect(clippy::expect_used, reason = "two digits are allowed")]
         let new = || Histogram::new(2).expect("two significant digits are allowed");
         Self { now: new(), before: new() }
     }
@@ -56,6 +57,7 @@
     sizes: Sizes,
 }
 
+/// Measures the work that groups submit.
 #[derive(Debug, Default)]
 pub struct Meter {
     groups: BTreeMap<Group, Asked>,
@@ -66,9 +68,13 @@
 /// Where a class's largest jobs begin, and which part of its work they and those in between are.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Largest {
+    /// Work from which on a job is one of the largest, in processor-seconds.
     pub work: f64,
+    /// Tasks from which on a job is one of the largest.
     pub tasks: u32,
+    /// The part of the class's work that these are.
     pub part: f64,
+    /// The part of the class's work that lies between them and the small ones.
     pub between: f64,
 }
 
@@ -165,6 +171,7 @@
         Some(Spread { typical, most, part: small / work })
     }
 
+    /// All groups that have submitted anything.
     pub fn groups(&self) -> impl Iterator<Item = &Group> {
         self.groups.keys()
     }
--- a/crates/cleatfold-admission/src/order.rs
+++ b/crates/cleatfold-admission/src/order.rs
@@ -15,6 +15,7 @@
 /// What of a job decides its place.
 #[derive(Clone, Copy, Debug)]
 pub struct Waiting {
+    /// Time of day of its acceptance, in milliseconds.
     pub accepted_ms: u64,
     /// What it still needs started, in processor-seconds.
     pub rest: f64,
--- a/crates/cleatfold-admission/src/overload_quota.rs
+++ b/crates/cleatfold-admission/src/overload_quota.rs
@@ -8,15 +8,19 @@
 /// A team's jobs of one class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Group {
+    /// The team.
     pub team: TeamId,
+    /// The class of its jobs.
     pub class: ClassId,
 }
 
 /// One group that is not served in time by the ordinary order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
+    /// The team.
     #[serde(rename = "q")]
     pub team: TeamId,
+    /// The class of its jobs.
     #[serde(rename = "c")]
     pub class: ClassId,
     /// Processors in thousandths by which its class goes before everybody else.
@@ -50,20 +54,24 @@
 /// What is done about overload, under a number that only grows. Empty while there is none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OverloadQuota {
+    /// Grows with every decision.
     #[serde(rename = "g")]
     pub generation: u64,
     /// Under which version of the leader's key it was decided.
     #[serde(rename = "h", default)]
     pub epoch: Version,
+    /// One for each group that is not served in time.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub entries: Vec<Entry>,
 }
 
 impl OverloadQuota {
+    /// The entry of a group.
     pub fn entry(&self, team: &TeamId, class: &ClassId) -> Option<&Entry> {
         self.entries.iter().find(|e| e.team == *team && e.class == *class)
     }
 
+    /// Whether there is no overload.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/cleatfold-admission/src/size_classes.rs
+++ b/crates/cleatfold-admission/src/size_classes.rs
@@ -19,10 +19,14 @@
 /// A job that waited for longer than this part of the time in which it should begin, is late.
 const SOON: f64 = 0.85;
 
+/// How large a job is among those of its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SizeClass {
+    /// One of the many small ones.
     Small,
+    /// Between the small ones and the largest.
     Middle,
+    /// One of the largest tenth.
     Large,
 }
 
@@ -36,10 +40,13 @@
     /// And of the largest from so much work on, or from so many tasks on.
     #[serde(rename = "w")]
     pub work: u64,
+    /// A job of so many tasks is one of the largest, whatever its work.
     #[serde(rename = "n")]
     pub tasks: u32,
+    /// Guaranteed minimum of the middle ones.
     #[serde(rename = "m")]
     pub middle: i64,
+    /// Guaranteed minimum of the largest.
     #[serde(rename = "l")]
     pub large: i64,
     /// Within so many milliseconds of its acceptance a job should begin.
@@ -51,11 +58,13 @@
 }
 
 impl Sizes {
+    /// The size class of a job.
     pub fn size_class(&self, work: f64, tasks: u32) -> SizeClass {
         let (small, most) = (self.small as f64, self.work as f64);
         Bounds { small, work: most, tasks: self.tasks }.size_class(work, tasks)
     }
 
+    /// The guaranteed minimum of a size class.
     pub fn floor(&self, size_class: SizeClass) -> i64 {
         match size_class {
             SizeClass::Small => 0,
@@ -68,6 +77,7 @@
 /// A job of an upper band that is not done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waiting {
+    /// Time of day of its acceptance, in milliseconds.
     pub accepted_ms: u64,
     /// Spread evenly, the same for this job at every node: of its id.
     pub turn: u64,
@@ -75,6 +85,7 @@
     pub begun: bool,
     /// What it has, and what it could still use, in thousandths of processors.
     pub has: i64,
+    /// What it could still use, in thousandths of processors.
     pub needs: i64,
     /// One task's processors.
     pub each: i64,
@@ -87,8 +98,11 @@
 /// What holds for all jobs of a band.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
+    /// The guaranteed minimum of a size class.
     pub floor: i64,
+    /// Within so many milliseconds of its acceptance a job should begin.
     pub begin_ms: u64,
+    /// Whether the machines do not allow half of them.
     pub short: bool,
 }
 
--- a/crates/cleatfold-backfill/src/availability.rs
+++ b/crates/cleatfold-backfill/src/availability.rs
@@ -5,6 +5,7 @@
 use crate::resources::Resources;
 use cleatfold_wire::Ms;
 
+/// What is free of a machine or of a limit, as steps over time.
 #[derive(Clone, Debug)]
 pub struct AvailabilityProfile {
     steps: Vec<(Ms, Resources)>,
@@ -119,6 +120,7 @@
         self.steps[0].0
     }
 
+    /// The moments at which what is free changes.
     pub fn starts(&self) -> impl Iterator<Item = Ms> + '_ {
         self.steps.iter().map(|s| s.0)
     }
--- a/crates/cleatfold-backfill/src/lib.rs
+++ b/crates/cleatfold-backfill/src/lib.rs
@@ -1,5 +1,13 @@
 //! Profiles of free resources, reservations, pool choice and queue order. Pure: no I/O and no clock.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 pub mod availability;
 pub mod order;
 pub mod pools;
--- a/crates/cleatfold-backfill/src/order.rs
+++ b/crates/cleatfold-backfill/src/order.rs
@@ -5,18 +5,22 @@
 use cleatfold_wire::{JobId, TeamId};
 use std::collections::HashMap;
 
+/// A place in the queue; the least goes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
     /// False for what a group that is not served in time gets before everybody else.
     pub beyond_floor: bool,
     /// Of such a group, and past its use: it goes behind all that can still be of some.
     pub past_use: bool,
+    /// More urgent jobs go first.
     pub urgency: Urgency,
+    /// Work within its team's guarantee goes first.
     pub beyond_guarantee: bool,
     /// The moment that its place stands for, perhaps moved.
     pub arrival: u64,
     /// Its durable place: of two with one moment the earlier goes first.
     pub turn: u64,
+    /// Decides between jobs that are equal otherwise.
     pub id: JobId,
 }
 
@@ -28,6 +32,7 @@
 }
 
 impl Guarantees {
+    /// Guarantees of teams, in processors and GPUs.
     pub fn new(teams: impl IntoIterator<Item = (TeamId, f64, f64)>) -> Self {
         let left = teams
             .into_iter()
--- a/crates/cleatfold-backfill/src/pools.rs
+++ b/crates/cleatfold-backfill/src/pools.rs
@@ -3,11 +3,14 @@
 /// A pool's load in seconds: remaining processor-time per processor.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
+    /// Processor-seconds that its tasks still take.
     pub work: f64,
+    /// Processors of its machines.
     pub processors: f64,
 }
 
 impl Load {
+    /// Remaining processor-time per processor.
     pub fn seconds(&self) -> f64 {
         if self.processors > 0.0 {
             self.work / self.processors
--- a/crates/cleatfold-backfill/src/preemption.rs
+++ b/crates/cleatfold-backfill/src/preemption.rs
@@ -15,8 +15,11 @@
 pub struct Running {
     /// The caller's name for it.
     pub id: usize,
+    /// What one task takes.
     pub each: Resources,
+    /// The urgency of the job.
     pub urgency: Urgency,
+    /// The job's team.
     pub team: TeamId,
     /// Its job lies beyond its team's guarantee.
     pub beyond_guarantee: bool,
@@ -32,9 +35,13 @@
 /// Who needs places.
 #[derive(Clone, Debug)]
 pub struct Need {
+    /// What one task takes.
     pub each: Resources,
+    /// The urgency of the job.
     pub urgency: Urgency,
+    /// The job's team.
     pub team: TeamId,
+    /// The job lies within its team's guarantee.
     pub within_guarantee: bool,
     /// Preempts ordinary work where the rules allow it; else only takes what yields.
     pub preempts: bool,
@@ -45,7 +52,9 @@
 /// A machine.
 #[derive(Clone, Debug)]
 pub struct MachineLoad {
+    /// What no task holds.
     pub free: Resources,
+    /// The tasks that hold the rest.
     pub running: Vec<Running>,
 }
 
@@ -54,12 +63,15 @@
 pub struct Preemption {
     /// Index of the machine.
     pub machine: usize,
+    /// How many tasks fit there then.
     pub tasks: u32,
     /// Whom to stop, by the caller's names.
     pub stop: Vec<usize>,
+    /// Work that is lost, in processor-milliseconds.
     pub loss: u64,
 }
 
+/// Whether the protocol lets a task be stopped for this need.
 pub fn may_stop(need: &Need, r: &Running) -> bool {
     if !r.stoppable {
         return false;
@@ -111,7 +123,7 @@
 /// Makes room for up to `tasks`, one place after the other, each where the least is lost; never
 /// stops more than that takes. Takes the places out of `loads`.
 pub fn choose_preemptions(need: &Need, loads: &mut [MachineLoad], tasks: u32) -> Vec<Preemption> {
-    let mut rooms: Vec<Preemption> = Vec::new();
+    let mut preemptions: Vec<Preemption> = Vec::new();
     let mut offers: Vec<Option<(Vec<usize>, u64)>> =
         loads.iter().map(|s| one_place(need, s)).collect();
     for _ in 0..tasks {
@@ -121,7 +133,7 @@
             .filter_map(|(i, o)| o.as_ref().map(|o| (o.1, o.0.len(), i)))
             .min();
         let Some((loss, _, i)) = best else { break };
-        let (stop, _) = offers[i].take().expect("chosen above");
+        let Some((stop, _)) = offers[i].take() else { break };
         let machine = &mut loads[i];
         machine.running.retain(|r| {
             let gone = stop.contains(&r.id);
@@ -131,15 +143,15 @@
             !gone
         });
         machine.free -= need.each;
-        match rooms.iter_mut().find(|r| r.machine == i) {
-            Some(room) => {
-                room.tasks += 1;
-                room.loss += loss;
-                room.stop.extend(stop);
+        match preemptions.iter_mut().find(|r| r.machine == i) {
+            Some(known) => {
+                known.tasks += 1;
+                known.loss += loss;
+                known.stop.extend(stop);
             }
-            None => rooms.push(Preemption { machine: i, tasks: 1, stop, loss }),
+            None => preemptions.push(Preemption { machine: i, tasks: 1, stop, loss }),
         }
         offers[i] = one_place(need, &loads[i]);
     }
-    rooms
+    preemptions
 }
--- a/crates/cleatfold-backfill/src/profile.rs
+++ b/crates/cleatfold-backfill/src/profile.rs
@@ -17,11 +17,13 @@
 #[derive(Clone, Debug)]
 pub struct MachineProfile {
     free: AvailabilityProfile,
+    /// A spot machine, or a job that may run on one.
     pub spot: bool,
     /// May start tasks at once. A machine that is still booting has a chart but is not open.
     pub open: bool,
     /// Images here, and when each is (or is expected to be) ready.
     pub images: Vec<(ImageId, Ms)>,
+    /// How fast it fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
     /// What a processor costs here, in any unit: of two machines that finish within the same
     /// second the cheaper one is taken, so that the dearer ones come free to be returned.
@@ -31,6 +33,7 @@
 }
 
 impl MachineProfile {
+    /// A machine that has nothing to do from `ready` on.
     pub fn new(ready: Ms, total: Resources, spot: bool, open: bool) -> Self {
         Self {
             free: AvailabilityProfile::new(ready, total),
@@ -88,12 +91,17 @@
 /// A job's unclaimed tasks.
 #[derive(Clone, Debug)]
 pub struct Request {
+    /// What one task takes.
     pub each: Resources,
+    /// How many tasks there are.
     pub tasks: u32,
     /// Expected run time left of one task; `FOREVER` for replicas.
     pub run_ms: u64,
+    /// The image that they need.
     pub image: ImageId,
+    /// Its size in GB.
     pub image_gb: f64,
+    /// A spot machine, or a job that may run on one.
     pub spot: bool,
     /// All tasks start at the same time, over as many machines as it takes.
     pub gang: bool,
@@ -106,14 +114,18 @@
     pub avoid: Vec<usize>,
 }
 
+/// A place for some of a request's tasks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reservation {
     /// Index of the request.
     pub request: usize,
     /// Index of the machine.
     pub machine: usize,
+    /// When they start.
     pub start: Ms,
+    /// When they should be done.
     pub finish: Ms,
+    /// How many tasks there are.
     pub tasks: u32,
 }
 
@@ -167,101 +179,142 @@
 /// beside idle machines.
 const LIMITED_AHEAD: usize = 48;
 
-/// Reserves every request in order, with at most `chunks` reservations in all. What has none
+/// Reserves every request in order, with at most `max_reservations` in all. What has none
 /// left simply waits unreserved behind all the others. A request's limit is a resource like a
-/// machine's: what it does not hold is reserved when it does, and takes no room until then.
+/// machine's: what it does not hold is reserved when it does, and takes no machine until then.
 pub fn plan(
     machines: &mut [MachineProfile],
     limits: &mut [AvailabilityProfile],
     requests: &[Request],
-    mut chunks: usize,
+    max_reservations: usize,
 ) -> Vec<Reservation> {
-    let mut out = Vec::new();
-    let mut ahead = vec![0; limits.len()];
     let now = machines.iter().map(|m| m.free.first()).min().unwrap_or(Ms(0));
-    for (r, request) in requests.iter().enumerate() {
-        if request.limit.is_some_and(|l| ahead[l] >= LIMITED_AHEAD) {
+    let ahead = vec![0; limits.len()];
+    let out = Vec::new();
+    let mut planner = Planner { machines, limits, now, ahead, left: max_reservations, out };
+    for (number, request) in requests.iter().enumerate() {
+        if planner.left == 0 {
+            break;
+        }
+        if request.limit.is_some_and(|l| planner.ahead[l] >= LIMITED_AHEAD) {
             continue;
         }
-        let usable =
-            |i: usize, m: &MachineProfile| (request.spot || !m.spot) && !request.avoid.contains(&i);
         if request.gang {
-            let usable: Vec<usize> =
-                (0..machines.len()).filter(|&i| usable(i, &machines[i])).collect();
-            let limit = request.limit.map(|l| &mut limits[l]);
-            plan_gang(machines, &usable, r, request, limit, &mut out);
-            chunks = chunks.saturating_sub(1);
-            if chunks == 0 {
-                break;
-            }
-            continue;
+            planner.reserve_gang(number, request);
+        } else {
+            planner.reserve_tasks(number, request);
         }
-        let mut left = request.tasks;
+    }
+    planner.out
+}
+
+/// One planning of a pool under way.
+struct Planner<'a> {
+    machines: &'a mut [MachineProfile],
+    limits: &'a mut [AvailabilityProfile],
+    now: Ms,
+    /// Reservations of each limit that lie ahead.
+    ahead: Vec<usize>,
+    /// Reservations that may still be made.
+    left: usize,
+    out: Vec<Reservation>,
+}
+
+/// What ranks a machine for some tasks: the least is taken. When they end (the second, cost and then
+/// exactly), when they start, what is free at first, and the machine's number.
+type Rank = (u64, u64, Ms, Ms, i64, usize);
+
+/// A machine that could take some tasks, with how many.
+type Offer = Reverse<(Rank, u32)>;
+
+impl Planner<'_> {
+    fn reserve_gang(&mut self, number: usize, request: &Request) {
+        let usable: Vec<usize> =
+            (0..self.machines.len()).filter(|&i| self.is_usable(i, request)).collect();
+        let limit = request.limit.map(|l| &mut self.limits[l]);
+        plan_gang(self.machines, &usable, number, request, limit, &mut self.out);
+        self.left -= 1;
+    }
+
+    fn is_usable(&self, i: usize, request: &Request) -> bool {
+        (request.spot || !self.machines[i].spot) && !request.avoid.contains(&i)
+    }
+
+    /// When some of the tasks could run on a machine, not before `from`.
+    fn offer(&self, i: usize, request: &Request, tasks: u32, from: Ms) -> Option<Offer> {
+        let machine = &self.machines[i];
+        let (start, finish, count) = machine.earliest(request, tasks, from)?;
+        let sooner = if start <= self.now { request.prompt_ms } else { 0 };
+        let by = finish.0.saturating_sub(sooner) / 1000;
+        let rank = (by, machine.cost, finish, start, machine.free_at_first(), i);
+        Some(Reverse((rank, count)))
+    }
+
+    /// Reserves the tasks of an array in chunks, each where it finishes first.
+    fn reserve_tasks(&mut self, number: usize, request: &Request) {
+        let mut tasks = request.tasks;
         let from = match request.limit {
             // Nothing is reserved before the limit holds a task; mostly it does at once.
-            Some(l) => match limits[l].earliest(now, &request.each, 1, |s| s.plus(1)) {
+            Some(l) => match self.limits[l].earliest(self.now, &request.each, 1, |s| s.plus(1)) {
                 Some((from, ..)) => from,
-                None => continue,
+                None => return,
             },
             None => Ms(0),
         };
-        let candidate = |i: usize, m: &MachineProfile, tasks: u32, from: Ms| {
-            let (start, finish, count) = m.earliest(request, tasks, from)?;
-            let sooner = if start <= now { request.prompt_ms } else { 0 };
-            let by = finish.0.saturating_sub(sooner) / 1000;
-            let rank = (by, m.cost, finish, start, m.free_at_first(), i);
-            Some(Reverse((rank, count)))
-        };
         // Only the machine that was chosen changes. (Looking through all of them for each chunk
         // was the larger part of planning in a pool of hundreds of machines.)
-        let mut candidates: BinaryHeap<_> = machines
-            .iter()
-            .enumerate()
-            .filter(|(i, m)| usable(*i, m))
-            .filter_map(|(i, m)| candidate(i, m, left, from))
-            .collect();
+        let usable = (0..self.machines.len()).filter(|&i| self.is_usable(i, request));
+        let mut offers: BinaryHeap<Offer> =
+            usable.filter_map(|i| self.offer(i, request, tasks, from)).collect();
         // Every machine may have to be looked at again for a later start, but not for ever.
-        let mut put_off = 4 * machines.len() + 64;
-        while left > 0 && chunks > 0 {
-            let Some(Reverse(((_, _, finish, start, _, i), count))) = candidates.pop() else {
-                break;
-            };
-            let mut count = count.min(left);
-            let m = &mut machines[i];
+        let mut put_off = 4 * self.machines.len() + 64;
+        while tasks > 0 && self.left > 0 {
+            let Some(Reverse(((_, _, finish, start, _, i), count))) = offers.pop() else { break };
+            let mut count = count.min(tasks);
             if let Some(l) = request.limit {
-                let limit = &mut limits[l];
-                count = limit.free_capacity(start, finish, &request.each, count);
+                count = self.limits[l].free_capacity(start, finish, &request.each, count);
                 if count == 0 {
                     // It may start there as soon as the limit holds a task for as long as it runs.
-                    let image = m.image_ready(request);
-                    let until = |s| m.finish(request, image, s);
-                    let later = limit.earliest(start, &request.each, 1, until);
-                    let later = later.map(|l| l.0).filter(|at| *at > start && put_off > 0);
+                    let later = self.limit_opens(l, i, request, start).filter(|_| put_off > 0);
                     put_off = put_off.saturating_sub(1);
-                    candidates.extend(later.and_then(|at| candidate(i, m, left, at)));
+                    offers.extend(later.and_then(|at| self.offer(i, request, tasks, at)));
                     continue;
                 }
-                limit.carve(start, finish, request.each.times(count));
-                ahead[l] += usize::from(start > now);
-                if ahead[l] >= LIMITED_AHEAD {
-                    left = count;
+                self.limits[l].carve(start, finish, request.each.times(count));
+                self.ahead[l] += usize::from(start > self.now);
+                if self.ahead[l] >= LIMITED_AHEAD {
+                    tasks = count;
                 }
             }
-            m.carve(start, finish, request.each.times(count));
-            if !m.images.iter().any(|(image, _)| *image == request.image) {
-                let ready = start.plus_s(request.image_gb / m.fetch_gb_per_s.max(0.001));
-                m.images.push((request.image.clone(), ready));
-            }
-            out.push(Reservation { request: r, machine: i, start, finish, tasks: count });
-            left -= count;
-            chunks -= 1;
-            if left > 0 {
-                candidates.extend(candidate(i, m, left, from));
+            self.reserve(
+                Reservation { request: number, machine: i, start, finish, tasks: count },
+                request,
+            );
+            tasks -= count;
+            if tasks > 0 {
+                offers.extend(self.offer(i, request, tasks, from));
             }
         }
-        if chunks == 0 {
-            break;
+    }
+
+    /// When a limit next holds one task for as long as it runs on a machine, if that is later.
+    fn limit_opens(&self, limit: usize, i: usize, request: &Request, start: Ms) -> Option<Ms> {
+        let machine = &self.machines[i];
+        let image = machine.image_ready(request);
+        let until = |s| machine.finish(request, image, s);
+        let (at, ..) = self.limits[limit].earliest(start, &request.each, 1, until)?;
+        (at > start).then_some(at)
+    }
+
+    fn reserve(&mut self, reservation: Reservation, request: &Request) {
+        let Reservation { machine, start, finish, tasks, .. } = reservation;
+        let machine = &mut self.machines[machine];
+        machine.carve(start, finish, request.each.times(tasks));
+        if !machine.images.iter().any(|(image, _)| *image == request.image) {
+            let ready = start.plus_s(request.image_gb / machine.fetch_gb_per_s.max(0.001));
+            machine.images.push((request.image.clone(), ready));
         }
+        self.out.push(reservation);
+        self.left -= 1;
     }
-    out
 }
--- a/crates/cleatfold-backfill/src/resources.rs
+++ b/crates/cleatfold-backfill/src/resources.rs
@@ -2,10 +2,14 @@
 
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
+/// Amounts of what machines have and tasks take.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Resources {
+    /// Thousandths of processors.
     pub cpus: i64,
+    /// Thousandths of GPUs.
     pub gpus: i64,
+    /// Memory, in thousandths of GB.
     pub memory: i64,
 }
 
@@ -14,6 +18,7 @@
 }
 
 impl Resources {
+    /// From amounts in whole units.
     pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         Self { cpus: thousandths(cpus), gpus: thousandths(gpus), memory: thousandths(memory_gb) }
     }
@@ -39,11 +44,13 @@
         self.cpus >= each.cpus && self.gpus >= each.gpus && self.memory >= each.memory
     }
 
+    /// So many times as much.
     pub fn times(&self, n: u32) -> Resources {
         let n = i64::from(n);
         Resources { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
     }
 
+    /// Whether no amount exceeds the limit's.
     pub fn within(&self, limit: &Resources) -> bool {
         self.cpus <= limit.cpus && self.gpus <= limit.gpus && self.memory <= limit.memory
     }
--- a/crates/cleatfold-cancellation-broadcast/src/lib.rs
+++ b/crates/cleatfold-cancellation-broadcast/src/lib.rs
@@ -8,6 +8,14 @@
 //!
 //! Pure: no I/O and no clock.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 use cleatfold_wire::{ControllerId, JobId, Ms};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/cleatfold-clients/src/cloud.rs
+++ b/crates/cleatfold-clients/src/cloud.rs
@@ -11,13 +11,17 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
+/// One call.
 pub struct Job {
+    /// Its number; the answer carries it.
     pub op: u64,
+    /// What is asked for.
     pub request: CloudRequest,
     /// The least time from the start of one call to the next.
     pub spacing: Duration,
 }
 
+/// Runs until the queue's senders are gone. `answer` gets every reply.
 pub async fn run(
     endpoint: String,
     mut queue: mpsc::UnboundedReceiver<Job>,
--- a/crates/cleatfold-clients/src/http.rs
+++ b/crates/cleatfold-clients/src/http.rs
@@ -7,6 +7,7 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use std::time::Duration;
 
+/// A client with its own pool of connections.
 #[derive(Clone)]
 pub struct Http {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -30,6 +31,7 @@
 }
 
 impl Http {
+    /// A client of one endpoint.
     pub fn new(endpoint: &str) -> Self {
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
@@ -49,6 +51,7 @@
         Self { client, base: String::new() }
     }
 
+    /// Makes one call. Returns the status and the body, or why there is none.
     pub async fn call(
         &self,
         method: Method,
--- a/crates/cleatfold-clients/src/lib.rs
+++ b/crates/cleatfold-clients/src/lib.rs
@@ -1,5 +1,13 @@
 //! Clients of the state service and the cloud, and the mesh between controllers.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 pub mod cloud;
 pub mod http;
 pub mod mesh;
--- a/crates/cleatfold-clients/src/mesh.rs
+++ b/crates/cleatfold-clients/src/mesh.rs
@@ -46,6 +46,7 @@
     }
 }
 
+/// A message as the payload of one frame.
 pub fn encode(message: &Message) -> Bytes {
     Bytes::from(bitcode::encode(message))
 }
--- a/crates/cleatfold-clients/src/store.rs
+++ b/crates/cleatfold-clients/src/store.rs
@@ -15,16 +15,22 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
+/// One call.
 pub struct Job {
+    /// Its number; the answer carries it.
     pub op: u64,
+    /// Which calls go first when the rate is short.
     pub priority: CallPriority,
+    /// What is asked for.
     pub request: StoreRequest,
 }
 
 /// What this process may use of the service's limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
+    /// Calls a second.
     pub requests_per_s: f64,
+    /// Changes a second.
     pub writes_per_s: f64,
 }
 
@@ -39,16 +45,25 @@
     }
 }
 
+/// A call that waits for its turn, with how often it was tried.
+struct Waiting {
+    job: Job,
+    tries: u32,
+}
+
 /// What became of a call.
 struct Outcome {
     answered: bool,
-    /// It was refused for the rate; with the number of tries so far.
-    again: Option<(Job, u32)>,
+    /// It was refused for the rate.
+    again: Option<Waiting>,
 }
 
 /// Failures in a row after which the service is taken for gone.
 const GONE_AFTER: u32 = 4;
 const GONE: Backoff = Backoff { first_ms: 200, most_ms: 1000 };
+/// Retries that each call adds to the budget, and how many may be saved up.
+const RETRIES_PER_CALL: f64 = 0.1;
+const MAX_RETRIES_SAVED: f64 = 10.0;
 /// Tries of a call that the rate refuses.
 const TRIES: u32 = 3;
 const BUSY: Backoff = Backoff { first_ms: 150, most_ms: 600 };
@@ -67,114 +82,167 @@
     mut queue: mpsc::UnboundedReceiver<Job>,
     answer: impl Fn(u64, StoreReply) + Clone + 'static,
 ) {
-    let http = Http::new(&endpoint);
-    let mut waiting: OutgoingQueue<(Job, u32)> =
-        OutgoingQueue::new(CallPriority::Poll as usize + 1);
-    let mut requests = Bucket { level: budget.requests_per_s * 0.5, rate: budget.requests_per_s };
-    let mut changes = Bucket { level: budget.writes_per_s * 0.5, rate: budget.writes_per_s };
-    let mut filled = Instant::now();
     let (outcomes_out, mut outcomes_in) = mpsc::unbounded_channel::<Outcome>();
-    let mut retries = RetryBudget::new(0.1, 10.0);
-    let mut breaker = Breaker::new(GONE_AFTER, GONE);
-    let start = Instant::now();
+    let mut client = StoreClient::new(Http::new(&endpoint), budget, answer, outcomes_out);
     loop {
-        let mut new: Vec<(Job, u32)> = Vec::new();
-        let mut outcomes: Vec<Outcome> = Vec::new();
-        if waiting.is_empty() {
+        if client.waiting.is_empty() {
             tokio::select! {
                 job = queue.recv() => match job {
-                    Some(job) => new.push((job, 0)),
+                    Some(job) => client.enqueue(job),
                     None => return,
                 },
-                outcome = outcomes_in.recv() => outcomes.extend(outcome),
+                Some(outcome) = outcomes_in.recv() => client.note(outcome),
             }
         }
         while let Ok(outcome) = outcomes_in.try_recv() {
-            outcomes.push(outcome);
-        }
-        let now_ms = start.elapsed().as_millis() as u64;
-        for outcome in outcomes {
-            breaker.note(now_ms, outcome.answered, &mut rand::rng());
-            match outcome.again {
-                Some((job, tries)) if tries <= TRIES && retries.take() => new.push((job, tries)),
-                Some((job, _)) => answer(job.op, StoreReply::Refused),
-                None => {}
-            }
+            client.note(outcome);
         }
         while let Ok(job) = queue.try_recv() {
-            new.push((job, 0));
+            client.enqueue(job);
+        }
+        client.refill();
+        if client.send_next() || client.waiting.is_empty() {
+            continue;
         }
-        for (job, tries) in new {
-            let changes = writes(&job.request);
-            waiting.push(job.priority as usize, now_ms, changes, (job, tries));
+        tokio::select! {
+            _ = tokio::time::sleep(client.pause()) => {}
+            job = queue.recv() => match job {
+                Some(job) => client.enqueue(job),
+                None => return,
+            },
+        }
+    }
+}
+
+/// The state of the client: calls that wait, and what of the rates is left.
+struct StoreClient<A> {
+    http: Http,
+    answer: A,
+    outcomes: mpsc::UnboundedSender<Outcome>,
+    waiting: OutgoingQueue<Waiting>,
+    requests: Bucket,
+    changes: Bucket,
+    filled: Instant,
+    retries: RetryBudget,
+    breaker: Breaker,
+    start: Instant,
+}
+
+impl<A: Fn(u64, StoreReply) + Clone + 'static> StoreClient<A> {
+    fn new(
+        http: Http,
+        budget: Budget,
+        answer: A,
+        outcomes: mpsc::UnboundedSender<Outcome>,
+    ) -> Self {
+        let bucket = |rate: f64| Bucket { level: rate * 0.5, rate };
+        Self {
+            http,
+            answer,
+            outcomes,
+            waiting: OutgoingQueue::new(CallPriority::Poll as usize + 1),
+            requests: bucket(budget.requests_per_s),
+            changes: bucket(budget.writes_per_s),
+            filled: Instant::now(),
+            retries: RetryBudget::new(RETRIES_PER_CALL, MAX_RETRIES_SAVED),
+            breaker: Breaker::new(GONE_AFTER, GONE),
+            start: Instant::now(),
         }
+    }
+
+    fn now_ms(&self) -> u64 {
+        self.start.elapsed().as_millis() as u64
+    }
+
+    fn enqueue(&mut self, job: Job) {
+        self.wait(Waiting { job, tries: 0 });
+    }
+
+    fn wait(&mut self, call: Waiting) {
+        let changes = writes(&call.job.request);
+        self.waiting.push(call.job.priority as usize, self.now_ms(), changes, call);
+    }
+
+    /// Notes what became of a call; one that the rate refused is tried again within the budget.
+    fn note(&mut self, outcome: Outcome) {
+        self.breaker.note(self.now_ms(), outcome.answered, &mut rand::rng());
+        match outcome.again {
+            Some(call) if call.tries <= TRIES && self.retries.take() => self.wait(call),
+            Some(call) => (self.answer)(call.job.op, StoreReply::Refused),
+            None => {}
+        }
+    }
+
+    fn refill(&mut self) {
         let now = Instant::now();
-        let passed = now.duration_since(filled).as_secs_f64();
-        filled = now;
-        requests.fill(passed);
-        changes.fill(passed);
+        let passed = now.duration_since(self.filled).as_secs_f64();
+        self.filled = now;
+        self.requests.fill(passed);
+        self.changes.fill(passed);
+    }
+
+    /// Sends the next call that the rates allow, if there is one.
+    fn send_next(&mut self) -> bool {
+        if self.requests.level < 1.0 {
+            return false;
+        }
         // A large transaction may overdraw the budget; it is paid back before the next one.
-        let next = match requests.level >= 1.0 {
-            true => waiting.pop(now_ms, changes.level >= 1.0),
-            false => None,
-        };
-        let Some((cost, (job, tries))) = next else {
-            if waiting.is_empty() {
-                continue;
-            }
-            let short = match requests.level >= 1.0 {
-                true => (1.0 - changes.level) / changes.rate,
-                false => (1.0 - requests.level) / requests.rate,
-            };
-            let pause = Duration::from_secs_f64(short.clamp(0.005, 0.1));
-            tokio::select! {
-                _ = tokio::time::sleep(pause) => {}
-                job = queue.recv() => match job {
-                    Some(job) => {
-                        let changes = writes(&job.request);
-                        waiting.push(job.priority as usize, now_ms, changes, (job, 0));
-                    }
-                    None => return,
-                },
-            }
-            continue;
+        let now_ms = self.now_ms();
+        let Some((changes, call)) = self.waiting.pop(now_ms, self.changes.level >= 1.0) else {
+            return false;
         };
-        if job.priority > CallPriority::Renewal && breaker.is_open() && !breaker.admits(now_ms) {
+        let is_renewal = call.job.priority == CallPriority::Renewal;
+        if !is_renewal && self.breaker.is_open() && !self.breaker.admits(now_ms) {
             // Certainly not executed; whoever asked knows when to come back.
-            answer(job.op, StoreReply::Refused);
-            continue;
+            (self.answer)(call.job.op, StoreReply::Refused);
+            return true;
         }
-        requests.level -= 1.0;
-        changes.level -= cost;
-        retries.note_call();
-        let (http, answer, outcomes_out) = (http.clone(), answer.clone(), outcomes_out.clone());
-        tokio::task::spawn_local(async move {
-            let Job { op, priority, request } = job;
-            let call = execute(&http, &request).await;
-            if matches!(call, Called::Busy) {
-                let pause = BUSY.pause_ms(tries, &mut rand::rng());
-                tokio::time::sleep(Duration::from_millis(pause)).await;
-                let again = Some((Job { op, priority, request }, tries + 1));
-                let _ = outcomes_out.send(Outcome { answered: true, again });
-                return;
-            }
-            let answered = !matches!(call, Called::Away | Called::Unknown);
-            let _ = outcomes_out.send(Outcome { answered, again: None });
-            answer(
-                op,
-                match call {
-                    Called::Answered(reply) => reply,
-                    Called::Busy | Called::Away => StoreReply::Refused,
-                    Called::Unknown if matches!(request, StoreRequest::Txn(_)) => {
-                        StoreReply::Unknown
-                    }
-                    Called::Unknown => StoreReply::Refused,
-                },
-            );
-        });
+        self.requests.level -= 1.0;
+        self.changes.level -= changes;
+        self.retries.note_call();
+        let (http, answer, outcomes) =
+            (self.http.clone(), self.answer.clone(), self.outcomes.clone());
+        tokio::task::spawn_local(make_call(http, call, answer, outcomes));
+        true
+    }
+
+    /// How long it takes until the next call may go.
+    fn pause(&self) -> Duration {
+        let short = match self.requests.level >= 1.0 {
+            true => (1.0 - self.changes.level) / self.changes.rate,
+            false => (1.0 - self.requests.level) / self.requests.rate,
+        };
+        Duration::from_secs_f64(short.clamp(0.005, 0.1))
     }
 }
 
+/// Makes one call, and reports what became of it.
+async fn make_call(
+    http: Http,
+    call: Waiting,
+    answer: impl Fn(u64, StoreReply),
+    outcomes: mpsc::UnboundedSender<Outcome>,
+) {
+    let Waiting { job, tries } = call;
+    let called = execute(&http, &job.request).await;
+    if matches!(called, Called::Busy) {
+        let pause_ms = BUSY.pause_ms(tries, &mut rand::rng());
+        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+        let again = Some(Waiting { job, tries: tries + 1 });
+        let _ = outcomes.send(Outcome { answered: true, again });
+        return;
+    }
+    let answered = !matches!(called, Called::Away | Called::Unknown);
+    let _ = outcomes.send(Outcome { answered, again: None });
+    let is_transaction = matches!(job.request, StoreRequest::Txn(_));
+    let reply = match called {
+        Called::Answered(reply) => reply,
+        Called::Unknown if is_transaction => StoreReply::Unknown,
+        Called::Busy | Called::Away | Called::Unknown => StoreReply::Refused,
+    };
+    answer(job.op, reply);
+}
+
 enum Called {
     Answered(StoreReply),
     /// Refused for the rate.
--- a/crates/cleatfold-clients/src/workers.rs
+++ b/crates/cleatfold-clients/src/workers.rs
@@ -8,18 +8,25 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
+/// One call to a worker.
 pub struct Job {
+    /// The worker's machine.
     pub machine: MachineId,
+    /// Where the worker takes it.
     pub endpoint: String,
+    /// What it is asked or told.
     pub what: Call,
 }
 
+/// What a worker is asked or told.
 pub enum Call {
+    /// Commands to be executed.
     Orders(Orders),
     /// Is it reached at all?
     Inspect,
 }
 
+/// What came of a call.
 pub enum CallResult {
     /// The worker's report after the orders; none where they were not executed or nothing is known of it.
     Ordered(Option<Heartbeat>),
--- a/crates/cleatfold-control/src/admission/state.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -32,7 +32,7 @@
 
 impl Admission {
     /// Measures the jobs that have come since, at `wall_s` by the time of day.
-    pub fn note_arrivals(&mut self, jobs: &BTreeMap<JobId, CachedJob>, wall_s: f64) {
+    pub(crate) fn note_arrivals(&mut self, jobs: &BTreeMap<JobId, CachedJob>, wall_s: f64) {
         self.seen.retain(|id| jobs.contains_key(id));
         for (id, cached) in jobs {
             if self.seen.contains(id) {
@@ -49,7 +49,7 @@
     }
 
     /// So many processors are there now.
-    pub fn note_capacity(&mut self, now: Ms, processors: f64) {
+    pub(crate) fn note_capacity(&mut self, now: Ms, processors: f64) {
         let history = &mut self.capacity;
         history.push_back((now, processors));
         while history.front().is_some_and(|h| now.since(h.0) > SETTLED_MS + MEASUREMENT_INTERVAL_MS)
@@ -59,7 +59,7 @@
     }
 
     /// Works out what each team asks for by what was measured.
-    pub fn note_asks(&mut self, wall_s: f64) {
+    pub(crate) fn note_asks(&mut self, wall_s: f64) {
         self.asks.clear();
         for (group, urgency) in &self.urgencies {
             let rate = self.meter.rate(group, wall_s);
@@ -81,7 +81,7 @@
 
 impl LongWork {
     /// Whether a job is long beside what others of its team ask for.
-    pub fn is_long(&self, spec: &JobSpec) -> bool {
+    pub(crate) fn is_long(&self, spec: &JobSpec) -> bool {
         self.limits.get(&spec.team).is_some_and(|r| r.is_long(spec.estimate_s))
     }
 }
--- a/crates/cleatfold-control/src/config.rs
+++ b/crates/cleatfold-control/src/config.rs
@@ -6,12 +6,15 @@
 /// A team that submits jobs, with its guarantee and its limit.
 #[derive(Clone, Debug)]
 pub struct Team {
+    /// The team's name.
     pub name: TeamId,
     /// Guaranteed; 0: none.
     pub cpus: f64,
+    /// Guaranteed GPUs; 0: none.
     pub gpus: f64,
     /// Never more than this; 0: no limit.
     pub cpus_max: f64,
+    /// Never more GPUs than this; 0: no limit.
     pub gpus_max: f64,
 }
 
@@ -25,7 +28,9 @@
 /// What the operators expect of a class of jobs, as far as it bears on decisions.
 #[derive(Clone, Debug)]
 pub struct Aim {
+    /// The class of jobs.
     pub class: ClassId,
+    /// What is expected of it.
     pub kind: AimKind,
 }
 
@@ -45,9 +50,11 @@
 pub struct Config {
     /// This controller, and the zone that it is in.
     pub me: ControllerId,
+    /// The zone that this controller is in.
     pub zone: ZoneId,
     /// The other controllers.
     pub peers: Vec<(ControllerId, ZoneId)>,
+    /// All teams that may submit jobs.
     pub teams: Vec<Team>,
     /// Time between two reports of a worker.
     pub heartbeat_interval_ms: u64,
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -255,6 +255,7 @@
             && self.cloud_state.types_at.is_some()
     }
 
+    /// Whether this controller can serve users.
     pub fn is_ready(&self) -> bool {
         if !self.serving() {
             return false;
--- a/crates/cleatfold-control/src/effects.rs
+++ b/crates/cleatfold-control/src/effects.rs
@@ -24,10 +24,22 @@
     Withdraw(JobId),
     /// Say whether this controller can serve users.
     Ready,
-    /// What a team has lost, from a place in its log on.
-    TeamLosses { team: TeamId, since: u64 },
-    /// What a team's workspace holds, from a place or a number on.
-    Team { team: TeamId, what: TeamAsk, since: u64 },
+    /// What a team has lost.
+    TeamLosses {
+        /// The team that asks.
+        team: TeamId,
+        /// From which group of its log on.
+        since: u64,
+    },
+    /// What a team's workspace holds.
+    Team {
+        /// The team that asks.
+        team: TeamId,
+        /// Which part of its workspace.
+        what: TeamAsk,
+        /// From which place or number on.
+        since: u64,
+    },
     /// A member of an elastic job reports.
     Steps(Box<StepReport>),
 }
@@ -47,43 +59,66 @@
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 #[serde(untagged)]
 pub enum TeamAnswer {
+    /// Its live jobs.
     Jobs(TeamJobs),
+    /// Those of its jobs that wait, and what for.
     Queue(TeamQueue),
+    /// Its ended jobs.
     History(TeamHistory),
 }
 
+/// Something that a controller is told.
 #[derive(Debug)]
 pub enum Event {
+    /// Time has passed.
     Tick,
+    /// A user asks; the answer is a [`Effect::Reply`] with the same `rid`.
     Request {
+        /// The number of the request.
         rid: u64,
+        /// What is asked.
         request: Request,
     },
+    /// A worker reports; the answer is a [`Effect::Reply`] with the same `rid`.
     Heartbeat {
+        /// The number of the request.
         rid: u64,
+        /// What it reports.
         report: RawHeartbeat,
     },
+    /// The state service has answered, or not in time.
     Store {
+        /// The number of the call.
         op: u64,
+        /// The answer.
         reply: StoreReply,
     },
+    /// The cloud has answered, or not in time.
     Cloud {
+        /// The number of the call.
         op: u64,
+        /// The answer.
         reply: CloudReply,
     },
+    /// A peer has sent a message.
     Mesh {
+        /// The peer.
         from: ControllerId,
+        /// The message.
         message: Message,
     },
-    /// A worker's report after it executed direct orders; none: no answer, or not executed.
+    /// A worker has executed direct orders, or has not.
     Ordered {
+        /// The worker's machine.
         machine: MachineId,
+        /// Its heartbeat after the orders; none: no answer, or not executed.
         report: Option<Heartbeat>,
     },
-    /// A worker answered a question that only asked whether it is reached, with the number of its newest
-    /// message; none: no answer.
+    /// A worker answered a question that only asked whether it is reached, or did not.
     Probed {
+        /// The worker's machine.
         machine: MachineId,
+        /// The number of its newest message; none: no answer.
         answer: Option<(AgentEpoch, Seq)>,
     },
 }
@@ -91,21 +126,31 @@
 /// What a user or a worker is answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// A job's state, with the code that says what came of the request.
+    /// A job's state.
     Status {
+        /// The HTTP status that says what came of the request.
         code: u16,
+        /// The job's state.
         status: JobStatus,
     },
-    /// An error code, why, and after how many seconds to ask again, if that makes sense.
+    /// The request was not carried out.
     Refusal {
+        /// The HTTP status.
         code: u16,
+        /// Why, in words.
         why: String,
+        /// After how many seconds to ask again, if that makes sense.
         retry_after_s: Option<u32>,
     },
+    /// This controller can serve users.
     Ready,
+    /// What a member of an elastic job should do.
     Steps(StepReply),
+    /// What a team has lost.
     Losses(TeamLosses),
+    /// What a team's workspace holds.
     Team(TeamAnswer),
+    /// Commands for a worker, under the fencing token that renews its lease.
     Worker(HeartbeatResponse),
     /// 421; the worker should report there, or just elsewhere.
     Redirect(Option<ControllerId>),
@@ -146,31 +191,51 @@
 pub enum StoreRequest {
     /// One key.
     Get(String),
-    /// A page of the keys after `from`; none: as many as the service gives.
-    List { prefix: String, from: Option<String>, most: Option<u32> },
+    /// A page of the keys.
+    List {
+        /// What the keys begin with.
+        prefix: String,
+        /// The key after which the page begins; none: the first.
+        from: Option<String>,
+        /// How many keys at most; none: as many as the service gives.
+        most: Option<u32>,
+    },
     /// Changes that are made all or not at all, if the guards hold.
     Txn(Txn),
     /// A new lease.
-    Grant { ttl_ms: u64 },
+    Grant {
+        /// How long it lasts without renewal, in milliseconds.
+        ttl_ms: u64,
+    },
     /// Renewal of a lease.
     Extend(LeaseId),
-    /// Everything since `from`, at once.
-    Changes { prefix: String, from: Version },
+    /// Everything that has changed, at once.
+    Changes {
+        /// What the keys begin with.
+        prefix: String,
+        /// The revision after which changes are wanted.
+        from: Version,
+    },
 }
 
 /// What came of a call to the state service.
 #[derive(Debug)]
 pub enum StoreReply {
+    /// The key that was asked for.
     Item(Item),
     /// No such key, or no such lease.
     Missing,
+    /// A page of keys.
     Page(Page),
     /// The transaction is durable, at this version.
     Committed(Version),
     /// Not executed: the guards on these keys did not hold.
     Conflict(Vec<String>),
+    /// The new lease.
     Granted(LeaseId),
+    /// The lease was renewed.
     Extended,
+    /// What has changed.
     Events(Events),
     /// The watch's start is too old.
     TooOld,
@@ -185,22 +250,36 @@
 /// A call to the cloud that machines are rented from.
 #[derive(Clone, Debug)]
 pub enum CloudRequest {
+    /// Machine types with their prices.
     Types,
-    List { from: Option<MachineId> },
+    /// A page of the list of machines.
+    List {
+        /// The machine after which the page begins; none: the first.
+        from: Option<MachineId>,
+    },
+    /// New machines.
     ScaleOut(ScaleOutRequest),
+    /// These machines are to be deleted.
     Delete(Vec<MachineId>),
 }
 
 /// What came of a call to the cloud.
 #[derive(Debug)]
 pub enum CloudReply {
+    /// Machine types with their prices.
     Types(Vec<MachineType>),
+    /// A page of the list of machines.
     List {
+        /// The machines, in the order of their names.
         machines: Vec<ListedMachine>,
+        /// Whether there are more after them.
         more: bool,
     },
+    /// The machines that were rented.
     Rented(Vec<MachineId>),
+    /// None of this kind is to be had now.
     NoCapacity,
+    /// The machines and all on them are gone.
     Deleted,
     /// Outage, too many requests, or no answer.
     Failed,
@@ -209,23 +288,57 @@
 /// Something that a controller asks to be done.
 #[derive(Debug)]
 pub enum Effect {
-    /// The answer to a request or a report.
-    Reply { rid: u64, response: Response },
+    /// The answer to a request or a heartbeat.
+    Reply {
+        /// The number of the request.
+        rid: u64,
+        /// The answer.
+        response: Response,
+    },
     /// A call to the state service; its reply comes as an event with the same `op`.
-    Store { op: u64, priority: CallPriority, request: StoreRequest },
+    Store {
+        /// The number of the call.
+        op: u64,
+        /// Which calls go first when the rate is short.
+        priority: CallPriority,
+        /// What is asked for.
+        request: StoreRequest,
+    },
     /// A call to the cloud; its reply comes as an event with the same `op`.
     Cloud {
+        /// The number of the call.
         op: u64,
+        /// What is asked for.
         request: CloudRequest,
-        /// At least so long after the call before, so that the nodes together keep the rate.
+        /// At least so long after the call before, so that the controllers together keep the rate.
         spacing_ms: u64,
     },
     /// Straight to a worker. Only ever to stop tasks: it may be executed minutes late.
-    Order { machine: MachineId, endpoint: String, orders: Orders },
+    Order {
+        /// The worker's machine.
+        machine: MachineId,
+        /// Where the worker takes orders.
+        endpoint: String,
+        /// What it is to do.
+        orders: Orders,
+    },
     /// A question to a worker that only asks whether it is reached.
-    Probe { machine: MachineId, endpoint: String },
+    Probe {
+        /// The worker's machine.
+        machine: MachineId,
+        /// Where the worker answers.
+        endpoint: String,
+    },
     /// This program cannot work with what it found; it ends.
-    Refuse { why: String },
+    Refuse {
+        /// What it found.
+        why: String,
+    },
     /// To one peer, or to all.
-    Mesh { to: Option<ControllerId>, message: Message },
+    Mesh {
+        /// The peer; none: all of them.
+        to: Option<ControllerId>,
+        /// The message.
+        message: Message,
+    },
 }
--- a/crates/cleatfold-control/src/images/state.rs
+++ b/crates/cleatfold-control/src/images/state.rs
@@ -26,13 +26,13 @@
 
 impl ImageDistribution {
     /// Not to be returned for idleness: others fetch from it, or nobody else has what it has.
-    pub fn needs(&self, id: &MachineId) -> bool {
+    pub(crate) fn needs(&self, id: &MachineId) -> bool {
         self.distributor.serves(id) || self.last.contains(id)
     }
 
     /// What is on a machine for certain. A worker that lists its images is believed; of another we
     /// know what runs, and what ran in this session and was not pushed out since.
-    pub fn images_there(&self, id: &MachineId, machine: &Machine) -> BTreeMap<ImageId, f64> {
+    pub(crate) fn images_there(&self, id: &MachineId, machine: &Machine) -> BTreeMap<ImageId, f64> {
         let Some(heartbeat) = &machine.heartbeat else { return BTreeMap::new() };
         if let Some(held) = &heartbeat.images {
             return held.iter().map(|i| (i.image.clone(), i.part)).collect();
@@ -44,7 +44,7 @@
     }
 
     /// Notes the images of what runs by the machines' newest reports.
-    pub fn note_ran(
+    pub(crate) fn note_ran(
         &mut self,
         machines: &BTreeMap<MachineId, Machine>,
         jobs: &BTreeMap<JobId, CachedJob>,
--- a/crates/cleatfold-control/src/jobs/archive.rs
+++ b/crates/cleatfold-control/src/jobs/archive.rs
@@ -35,7 +35,12 @@
 }
 
 impl ArchiveLookups {
-    pub fn join(&mut self, job: &JobId, waiting: Vec<WaitingRequest>, now: EventNumber) -> Joined {
+    pub(crate) fn join(
+        &mut self,
+        job: &JobId,
+        waiting: Vec<WaitingRequest>,
+        now: EventNumber,
+    ) -> Joined {
         if let Some((_, known)) = self.asked.get_mut(job) {
             known.extend(waiting);
             return Joined::UnderWay;
@@ -48,12 +53,12 @@
     }
 
     /// The answer is here: when its question was sent, and who waits for it.
-    pub fn leave(&mut self, job: &JobId) -> (EventNumber, Vec<WaitingRequest>) {
+    pub(crate) fn leave(&mut self, job: &JobId) -> (EventNumber, Vec<WaitingRequest>) {
         self.asked.remove(job).unwrap_or_default()
     }
 
     /// Takes out whoever has waited too long.
-    pub fn give_up(&mut self, mut late: impl FnMut(&WaitingRequest) -> bool) -> Vec<u64> {
+    pub(crate) fn give_up(&mut self, mut late: impl FnMut(&WaitingRequest) -> bool) -> Vec<u64> {
         let mut gone = Vec::new();
         for (_, waiting) in self.asked.values_mut() {
             waiting.retain(|w| {
@@ -68,7 +73,7 @@
     }
 
     /// Whether to read now how jobs ended; then that is under way.
-    pub fn follow(&mut self, applied: &Version) -> bool {
+    pub(crate) fn follow(&mut self, applied: &Version) -> bool {
         let due = self.stale && !self.following && self.read_to < *applied;
         if due {
             (self.stale, self.following) = (false, true);
--- a/crates/cleatfold-control/src/jobs/draft.rs
+++ b/crates/cleatfold-control/src/jobs/draft.rs
@@ -77,7 +77,7 @@
 
 impl<'a> Draft<'a> {
     /// An empty draft, guarded by the version of the job's record.
-    pub fn new(
+    pub(super) fn new(
         job: &'a JobId,
         cached: &CachedJob,
         parts: Option<&'a PartMap>,
@@ -109,7 +109,7 @@
 
     /// Records the ends whose proof still holds, as far as their parts may be changed: those in
     /// `selection`, all without one.
-    pub fn record_ends(
+    pub(super) fn record_ends(
         &mut self,
         ends: &[ClaimEnd],
         selection: Option<&Selection>,
@@ -130,7 +130,7 @@
     }
 
     /// Records completed tasks of parts that are changed in any case.
-    pub fn record_postponed(&mut self, outcome: &mut RecordedEnds) {
+    pub(super) fn record_postponed(&mut self, outcome: &mut RecordedEnds) {
         for end in std::mem::take(&mut outcome.postponed).into_iter().filter(|e| e.done) {
             let part = part_of(&self.record, end.ix);
             if part.is_some_and(|part| self.touched.contains_key(&part)) {
@@ -177,7 +177,7 @@
 
     /// Makes the claims that the placement requests ask for, in their order, within the bounds.
     /// A gang is claimed whole or not at all.
-    pub fn claim(
+    pub(super) fn claim(
         &mut self,
         placements: Vec<PlacementRequest>,
         mut bounds: ClaimBounds,
@@ -343,7 +343,7 @@
 
     /// Writes the changed parts. A part whose tasks are all done goes; what it lost and how long it
     /// ran stays with the job.
-    pub fn write_parts(&mut self) {
+    pub(super) fn write_parts(&mut self) {
         for (part, table) in std::mem::take(&mut self.touched) {
             let key = part_key(self.job, part);
             let version = version_of_part(self.parts, part);
@@ -366,7 +366,7 @@
     }
 
     /// Whether there is nothing to be written.
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         !self.head_changed && self.txn.changes.is_empty()
     }
 }
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -19,7 +19,7 @@
 impl TerminalJobCache {
     const KEPT: usize = 4000;
 
-    pub fn insert(&mut self, job: JobId, archive: ArchiveRecord) {
+    pub(crate) fn insert(&mut self, job: JobId, archive: ArchiveRecord) {
         if self.states.insert(job.clone(), archive).is_none() {
             self.order.push_back(job);
         }
@@ -30,11 +30,11 @@
         }
     }
 
-    pub fn record(&self, job: &JobId) -> Option<&ArchiveRecord> {
+    pub(crate) fn record(&self, job: &JobId) -> Option<&ArchiveRecord> {
         self.states.get(job)
     }
 
-    pub fn get(&self, job: &JobId) -> Option<JobStatus> {
+    pub(crate) fn get(&self, job: &JobId) -> Option<JobStatus> {
         self.states.get(job).map(|archive| {
             let mut status = status(job, archive.state, archive.done, 0);
             status.losses = archive.losses.answer(job, archive.state == JobState::Done);
--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -62,7 +62,7 @@
 
 impl ClaimEnd {
     /// Whether a start was lost, and how: what a team wants to hear of.
-    pub fn loss(&self) -> Option<LossCause> {
+    pub(crate) fn loss(&self) -> Option<LossCause> {
         if self.done {
             return None;
         }
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -33,11 +33,11 @@
 }
 
 impl Submitting {
-    pub fn push(&mut self, submission: Submission) {
+    pub(crate) fn push(&mut self, submission: Submission) {
         self.submission_queue.push(submission.spec.team.clone(), submission.arrived.0, submission);
     }
 
-    pub fn put_back(&mut self, submission: Submission) {
+    pub(crate) fn put_back(&mut self, submission: Submission) {
         self.submission_queue.put_back(
             submission.spec.team.clone(),
             submission.arrived.0,
@@ -46,7 +46,7 @@
     }
 
     /// The last batch is decided; the next may go.
-    pub fn settled(&mut self) {
+    pub(crate) fn settled(&mut self) {
         self.inflight = false;
     }
 
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -70,12 +70,10 @@
         job: &JobId,
         selection: Option<Selection>,
     ) -> Option<JobTransaction> {
-        let rank = self.rank();
-        let (pausing, max_tasks) = match self.cache.jobs.get(job) {
-            Some(cached) => self.claimable(job, cached),
-            None => Default::default(),
-        };
-        let by_zone = self.spread_by_zone(job);
+        let bounds = self.claim_bounds(job);
+        // Each touched part is one change; the head, the archive and a part's end need some.
+        let max_parts = self.cfg.txn_ops.saturating_sub(RESERVED_CHANGES).max(1);
+        let max_parts = max_parts.min(self.rate_limiter.max_changes());
         let job_state = self.job_states.get_mut(job)?;
         let placements = std::mem::take(&mut job_state.placement_requests);
         let Some(cached) = self.cache.jobs.get(job) else {
@@ -84,9 +82,6 @@
             job_state.abort = false;
             return None;
         };
-        // Each touched part is one change; the head, the archive and a part's end need some.
-        let max_parts = self.cfg.txn_ops.saturating_sub(RESERVED_CHANGES).max(1);
-        let max_parts = max_parts.min(self.rate_limiter.max_changes());
         let parts = self.cache.parts.get(job);
         let mut draft = Draft::new(job, cached, parts, max_parts, self.wall_ms);
         let pools = &self.pools;
@@ -101,9 +96,6 @@
         job_state.over = false;
         let mut claims = Vec::new();
         if !draft.record.aborted && !job_state.abort {
-            // A quarter is left for pools and whatever else claims are guarded by.
-            let max_guards = self.cfg.txn_ops * (GUARDS_PER_CHANGE - 1);
-            let bounds = ClaimBounds { pausing, max_tasks, max_guards, rank, by_zone };
             claims = draft.claim(placements, bounds, owns);
         }
         draft.record_postponed(&mut ends);
@@ -120,12 +112,7 @@
         if job_state.abort {
             withdrawals = std::mem::take(&mut job_state.withdrawals);
         }
-        let result = if let Some(state) = end {
-            let archive = archive_record(&draft, state, &steps, &self.cache, self.wall_ms);
-            draft.txn.put(archive_key(job), &archive, None);
-            draft.txn.delete(job_key(job));
-            Outcome::Ended(archive)
-        } else if draft.is_empty() {
+        if end.is_none() && draft.is_empty() {
             // Nothing left to say (an abort of an aborted job, an end that was settled).
             job_state.abort = false;
             let state = if draft.record.aborted { JobState::Aborted } else { JobState::Queued };
@@ -134,12 +121,8 @@
             // What these steps rest on was read from the state service: it is durable.
             self.answer_steps(std::mem::take(&mut steps.verdicts));
             return None;
-        } else {
-            if draft.head_changed {
-                draft.txn.put(job_key(job), &draft.record, None);
-            }
-            Outcome::Active { aborted: draft.record.aborted }
-        };
+        }
+        let result = finish(&mut draft, end, &steps, &self.cache, self.wall_ms);
         Some(JobTransaction {
             job: job.clone(),
             txn: draft.txn,
@@ -153,6 +136,21 @@
         })
     }
 
+    /// What bounds the claims of the job's next transaction.
+    fn claim_bounds(&self, job: &JobId) -> ClaimBounds {
+        let cached = self.cache.jobs.get(job);
+        let (pausing, max_tasks) =
+            cached.map_or_else(Default::default, |cached| self.claimable(job, cached));
+        ClaimBounds {
+            pausing,
+            max_tasks,
+            // A quarter is left for pools and whatever else claims are guarded by.
+            max_guards: self.cfg.txn_ops * (GUARDS_PER_CHANGE - 1),
+            rank: self.rank(),
+            by_zone: self.spread_by_zone(job),
+        }
+    }
+
     /// Of a spread job, how many of its tasks are claimed in each zone.
     fn spread_by_zone(&self, job: &JobId) -> BTreeMap<ZoneId, u32> {
         let mut by_zone: BTreeMap<ZoneId, u32> = BTreeMap::new();
@@ -228,19 +226,8 @@
     }
 
     fn on_job_committed(&mut self, tx: JobTransaction, version: Version) {
+        log_committed(&tx);
         let job = tx.job;
-        for end in &tx.ends {
-            tracing::info!(
-                job = %job, task = end.ix.0, attempt = end.attempt.0, machine = %end.machine,
-                why = %end.reason, "task ended"
-            );
-        }
-        for (placement, tasks) in &tx.claims {
-            tracing::info!(
-                job = %job, tasks = tasks.len(), machine = %placement.machine, pool = %placement.pool,
-                token = placement.token.0, "claimed"
-            );
-        }
         // Each key by its version, like any news: a reading may have shown what others made of it since, also
         // that it is gone. (A part that came back so counted its completed tasks twice.)
         for change in &tx.txn.changes {
@@ -251,38 +238,21 @@
             }
         }
         self.answer_steps(tx.steps.verdicts);
-        let mut state = JobState::Aborted;
-        let (mut done, mut claimed) = (0, 0);
-        match tx.result {
-            Outcome::Active { aborted } => {
-                if !aborted {
-                    state = JobState::Running;
-                }
-                if let Some(cached) = self.cache.jobs.get(&job) {
-                    (done, claimed) = (cached.done, cached.claimed);
-                }
-            }
-            Outcome::Ended(archive) => {
-                tracing::info!(job = %job, state = ?archive.state, "job ended");
-                state = archive.state;
-                done = archive.done;
-                self.find_ended_losses(&job, &archive);
-                self.terminal_jobs.insert(job.clone(), archive);
-            }
-        }
-        if state == JobState::Aborted {
+        let status = self.note_outcome(&job, tx.result);
+        if status.state == JobState::Aborted {
             self.note_confirmed(&job);
         }
-        self.answer_withdrawals(tx.withdrawals, &status(&job, state, done, claimed));
-        let gone = !self.cache.jobs.contains_key(&job);
+        self.answer_withdrawals(tx.withdrawals, &status);
+        let is_gone = !self.cache.jobs.contains_key(&job);
         let job_state = self.job_state(&job);
         job_state.busy = false;
-        let over: BTreeSet<(TaskIx, Attempt)> = tx.ends.iter().map(|e| (e.ix, e.attempt)).collect();
-        job_state.ends.retain(|e| !over.contains(&(e.ix, e.attempt)));
-        if state == JobState::Aborted {
+        let recorded: BTreeSet<(TaskIx, Attempt)> =
+            tx.ends.iter().map(|e| (e.ix, e.attempt)).collect();
+        job_state.ends.retain(|e| !recorded.contains(&(e.ix, e.attempt)));
+        if status.state == JobState::Aborted {
             job_state.abort = false;
         }
-        if gone {
+        if is_gone {
             self.discard_job_state(&job);
         }
         for other in std::mem::take(&mut self.cache.gone) {
@@ -293,6 +263,40 @@
         self.replan_needed = true;
         self.tell(None, Message::Changed);
     }
+
+    /// What the job's user is told after a transaction.
+    fn note_outcome(&mut self, job: &JobId, outcome: Outcome) -> JobStatus {
+        match outcome {
+            Outcome::Active { aborted } => {
+                let state = if aborted { JobState::Aborted } else { JobState::Running };
+                let cached = self.cache.jobs.get(job);
+                let (done, claimed) = cached.map_or((0, 0), |cached| (cached.done, cached.claimed));
+                status(job, state, done, claimed)
+            }
+            Outcome::Ended(archive) => {
+                tracing::info!(%job, state = ?archive.state, "job ended");
+                let status = status(job, archive.state, archive.done, 0);
+                self.find_ended_losses(job, &archive);
+                self.terminal_jobs.insert(job.clone(), archive);
+                status
+            }
+        }
+    }
+}
+
+fn log_committed(tx: &JobTransaction) {
+    for end in &tx.ends {
+        tracing::info!(
+            job = %tx.job, task = end.ix.0, attempt = end.attempt.0, machine = %end.machine,
+            why = %end.reason, "task ended"
+        );
+    }
+    for (placement, tasks) in &tx.claims {
+        tracing::info!(
+            job = %tx.job, tasks = tasks.len(), machine = %placement.machine,
+            pool = %placement.pool, fencing_token = placement.token.0, "claimed"
+        );
+    }
 }
 
 /// Judges the reports of an elastic job's members, and adds what they change to the draft.
@@ -319,6 +323,27 @@
     steps
 }
 
+/// Writes how the job stands, or how it has ended.
+fn finish(
+    draft: &mut Draft,
+    end: Option<JobState>,
+    steps: &JudgedReports,
+    cache: &StateCache,
+    wall_ms: u64,
+) -> Outcome {
+    let key = job_key(&draft.record.spec.id);
+    let Some(state) = end else {
+        if draft.head_changed {
+            draft.txn.put(key, &draft.record, None);
+        }
+        return Outcome::Active { aborted: draft.record.aborted };
+    };
+    let archive = archive_record(draft, state, steps, cache, wall_ms);
+    draft.txn.put(archive_key(&draft.record.spec.id), &archive, None);
+    draft.txn.delete(key);
+    Outcome::Ended(archive)
+}
+
 /// How the job ends with this draft, if it does.
 fn final_state(
     draft: &Draft,
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -100,10 +100,8 @@
             tracing::info!("pool assignment role acquired");
             self.now
         });
-        if self.in_contact() {
-            if self.may_assign_pools(since) {
-                self.assign_pools();
-            }
+        if self.in_contact() && self.may_assign_pools(since) {
+            self.assign_pools();
         }
         if self.now.since(self.leadership.jobs_assigned_at) >= 500 * self.backpressure {
             self.assign();
--- a/crates/cleatfold-control/src/lib.rs
+++ b/crates/cleatfold-control/src/lib.rs
@@ -14,6 +14,14 @@
 //! Safety rests on the state service alone: every claim is one transaction guarded by the job's and
 //! the pool's version (`docs/safety.md`).
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 mod admission;
 pub mod config;
 mod controller;
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Clone, Debug)]
-pub struct LastHeartbeat {
+pub(crate) struct LastHeartbeat {
     pub agent_epoch: AgentEpoch,
     pub seq: Seq,
     /// The highest token the worker had seen when it sent it.
@@ -28,7 +28,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub(crate) struct Machine {
     pub pool: PoolId,
     pub spot: bool,
     /// Where it takes direct orders.
@@ -69,7 +69,7 @@
 }
 
 impl Machine {
-    pub fn new(pool: PoolId, spot: bool, now: Ms) -> Self {
+    pub(crate) fn new(pool: PoolId, spot: bool, now: Ms) -> Self {
         Self {
             pool,
             spot,
@@ -97,7 +97,7 @@
     }
 
     /// May be given new tasks, as far as its own state goes.
-    pub fn takes_work(&self) -> bool {
+    pub(crate) fn takes_work(&self) -> bool {
         !self.draining
             && !self.deleting
             && self.notice.is_none()
@@ -105,17 +105,17 @@
     }
 
     /// By its last report.
-    pub fn runs_something(&self) -> bool {
+    pub(crate) fn runs_something(&self) -> bool {
         let listed = self.heartbeat.iter().flat_map(|r| &r.tasks);
         listed.into_iter().any(|t| t.state != TaskState::Exited)
     }
 
-    pub fn last_heartbeat(&self) -> Option<Ms> {
+    pub(crate) fn last_heartbeat(&self) -> Option<Ms> {
         self.last_heartbeat
     }
 
     /// Notes the use of an image and forgets the least recently used beyond the cache.
-    pub fn use_image(&mut self, image: &ImageId, gb: f64, cache_gb: f64) {
+    pub(crate) fn use_image(&mut self, image: &ImageId, gb: f64, cache_gb: f64) {
         if self.images.back().is_some_and(|i| i.0 == *image) {
             return;
         }
@@ -130,7 +130,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Inventory {
+pub(crate) struct Inventory {
     pub types: BTreeMap<TypeId, MachineType>,
     pub machines: BTreeMap<MachineId, Machine>,
     /// When the cloud's list last came whole.
@@ -140,14 +140,14 @@
 }
 
 impl Inventory {
-    pub fn total(&self, machine_type: &TypeId) -> Resources {
+    pub(crate) fn total(&self, machine_type: &TypeId) -> Resources {
         self.types
             .get(machine_type)
             .map(|t| Resources::new(t.cpus, t.gpus, t.memory_gb))
             .unwrap_or_default()
     }
 
-    pub fn pools(&self) -> Vec<PoolId> {
+    pub(crate) fn pools(&self) -> Vec<PoolId> {
         self.types
             .values()
             .flat_map(|t| {
@@ -156,17 +156,17 @@
             .collect()
     }
 
-    pub fn is_deleted(&self, id: &MachineId) -> bool {
+    pub(crate) fn is_deleted(&self, id: &MachineId) -> bool {
         self.deleted.contains(id)
     }
 
-    pub fn note_deleted(&mut self, id: &MachineId) {
+    pub(crate) fn note_deleted(&mut self, id: &MachineId) {
         self.machines.remove(id);
         self.deleted.insert(id);
     }
 
     /// Machines per pool.
-    pub fn sizes(&self) -> BTreeMap<&PoolId, usize> {
+    pub(crate) fn sizes(&self) -> BTreeMap<&PoolId, usize> {
         let mut sizes = BTreeMap::new();
         for m in self.machines.values() {
             *sizes.entry(&m.pool).or_default() += 1;
@@ -175,7 +175,7 @@
     }
 
     /// The machines of each pool, found in one pass: a pass per pool is dear in a large fleet.
-    pub fn by_pool(&self) -> BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> {
+    pub(crate) fn by_pool(&self) -> BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> {
         let mut pools: BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> = BTreeMap::new();
         for (id, m) in &self.machines {
             pools.entry(&m.pool).or_default().push((id, m));
--- a/crates/cleatfold-control/src/membership/state.rs
+++ b/crates/cleatfold-control/src/membership/state.rs
@@ -19,7 +19,7 @@
 }
 
 impl ReachabilityState {
-    pub fn new(cfg: &Config) -> Self {
+    pub(crate) fn new(cfg: &Config) -> Self {
         Self {
             view: Reachability::new(Timing { heartbeat_interval_ms: cfg.heartbeat_interval_ms }),
             last_checked: Ms(0),
@@ -31,7 +31,7 @@
     }
 
     /// We gave a pool to a node.
-    pub fn note_assignment(&mut self, pool: &PoolId, controller: &ControllerId) {
+    pub(crate) fn note_assignment(&mut self, pool: &PoolId, controller: &ControllerId) {
         self.assigned_to.insert(pool.clone(), controller.clone());
     }
 }
--- a/crates/cleatfold-control/src/namespaces/loss_logs.rs
+++ b/crates/cleatfold-control/src/namespaces/loss_logs.rs
@@ -38,7 +38,7 @@
 
 impl Losses {
     /// The workspaces of these teams are ours, each under its token; their logs are ours to write.
-    pub fn own(&mut self, owned: &BTreeMap<TeamId, Version>) {
+    pub(crate) fn own(&mut self, owned: &BTreeMap<TeamId, Version>) {
         self.logs.retain(|team, log| owned.get(team) == Some(&log.token));
         for (team, token) in owned {
             if !self.logs.contains_key(team) {
@@ -49,7 +49,7 @@
     }
 
     /// Whether it is to be asked now what the logs contain; then that is under way.
-    pub fn begin_reading(&mut self) -> bool {
+    pub(crate) fn begin_reading(&mut self) -> bool {
         let due = !self.reading && self.logs.values().any(|log| !log.read);
         if due {
             self.reading = true;
@@ -59,7 +59,7 @@
     }
 
     /// These changes are what the logs contain.
-    pub fn note_read(&mut self, events: &[Event]) {
+    pub(crate) fn note_read(&mut self, events: &[Event]) {
         self.reading = false;
         for event in events {
             let value = event.value.as_ref().filter(|_| event.put.is_some());
@@ -78,12 +78,12 @@
     }
 
     /// The log of a team, if it is ours and its content is known.
-    pub fn log(&mut self, team: &TeamId) -> Option<&mut Log> {
+    pub(crate) fn log(&mut self, team: &TeamId) -> Option<&mut Log> {
         self.logs.get_mut(team).filter(|log| log.read)
     }
 
     /// Forgets full lists of which all is in the log. What is found again is told again.
-    pub fn forget_written(&mut self) {
+    pub(crate) fn forget_written(&mut self) {
         for log in self.logs.values_mut() {
             if log.known.len() >= KNOWN && log.waiting.is_empty() {
                 log.known.clear();
@@ -94,7 +94,7 @@
 
 impl Log {
     /// Adds those of a job's losses that are not known yet to what has to be written.
-    pub fn find(&mut self, now: Ms, job: &JobId, list: &LossList) {
+    pub(crate) fn find(&mut self, now: Ms, job: &JobId, list: &LossList) {
         for loss in list.entries(job) {
             let start = (job.clone(), loss.task.ix, loss.attempt);
             if self.known.len() < KNOWN && self.known.insert(start) {
@@ -111,7 +111,7 @@
     }
 
     /// How long the oldest loss has waited to be written, in milliseconds.
-    pub fn waited(&self, now: Ms) -> u64 {
+    pub(crate) fn waited(&self, now: Ms) -> u64 {
         self.waiting.first().map_or(0, |(at, _)| now.since(*at))
     }
 }
--- a/crates/cleatfold-control/src/namespaces/question_state.rs
+++ b/crates/cleatfold-control/src/namespaces/question_state.rs
@@ -44,7 +44,10 @@
 
 impl Ranks {
     /// Counts through the queue, of which each job comes with its team.
-    pub fn of_queue<'a>(now: Ms, queue: impl Iterator<Item = (&'a JobId, &'a TeamId)>) -> Self {
+    pub(crate) fn of_queue<'a>(
+        now: Ms,
+        queue: impl Iterator<Item = (&'a JobId, &'a TeamId)>,
+    ) -> Self {
         let mut counts: BTreeMap<&TeamId, u32> = BTreeMap::new();
         let mut by_job = BTreeMap::new();
         for (job, team) in queue {
@@ -56,24 +59,24 @@
     }
 
     /// Whether the order is to be worked out anew.
-    pub fn are_due(&self, now: Ms) -> bool {
+    pub(crate) fn are_due(&self, now: Ms) -> bool {
         now.since(self.at) >= RANKS_MS || self.by_job.is_empty()
     }
 
     /// The job's place among those of its team that wait; the first is 1.
-    pub fn get(&self, job: &JobId) -> Option<u32> {
+    pub(crate) fn get(&self, job: &JobId) -> Option<u32> {
         self.by_job.get(job).copied()
     }
 }
 
 impl Teams {
     /// Whether as many questions of the team wait as may.
-    pub fn is_full(&self, team: &TeamId) -> bool {
+    pub(crate) fn is_full(&self, team: &TeamId) -> bool {
         self.waiting.iter().filter(|question| question.team == *team).count() >= QUESTIONS
     }
 
     /// Takes out the questions that have waited too long, or all if the state service is away.
-    pub fn take_late(&mut self, now: Ms, away: bool) -> Vec<u64> {
+    pub(crate) fn take_late(&mut self, now: Ms, away: bool) -> Vec<u64> {
         let is_late = |question: &Question| away || now.since(question.arrived) > WAIT_MS;
         let (late, waiting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.waiting).into_iter().partition(is_late);
--- a/crates/cleatfold-control/src/pools/ownership.rs
+++ b/crates/cleatfold-control/src/pools/ownership.rs
@@ -25,12 +25,12 @@
 
 impl OwnedPools {
     /// Whether the pool is ours under exactly this token, as last read.
-    pub fn owns(&self, pool: &PoolId, token: FencingToken) -> bool {
+    pub(crate) fn owns(&self, pool: &PoolId, token: FencingToken) -> bool {
         self.owned.get(pool).is_some_and(|owned| owned.token == token)
     }
 
     /// The pools of ours that nobody is known to have taken over, with their tokens.
-    pub fn undisputed(&self) -> impl Iterator<Item = (&PoolId, FencingToken)> {
+    pub(crate) fn undisputed(&self) -> impl Iterator<Item = (&PoolId, FencingToken)> {
         let owned = self.owned.iter().filter(|(pool, _)| !self.hinted.contains_key(*pool));
         owned.map(|(pool, owned)| (pool, owned.token))
     }
--- a/crates/cleatfold-control/src/pools/worker_authority.rs
+++ b/crates/cleatfold-control/src/pools/worker_authority.rs
@@ -17,11 +17,11 @@
 }
 
 impl WorkerAuthority {
-    pub fn token(&self) -> FencingToken {
+    pub(crate) fn token(&self) -> FencingToken {
         self.token
     }
 
-    pub fn answer(self, commands: Vec<Command>) -> Response {
+    pub(crate) fn answer(self, commands: Vec<Command>) -> Response {
         Response::Worker(HeartbeatResponse { token: self.token, commands })
     }
 }
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -71,7 +71,7 @@
 }
 
 impl QuotaState {
-    pub fn new(me: &ControllerId) -> Self {
+    pub(crate) fn new(me: &ControllerId) -> Self {
         let seed = xxhash_rust::xxh3::xxh3_64(me.as_str().as_bytes());
         Self {
             pacer: WritePacer::new(seed, PACER),
@@ -95,18 +95,18 @@
 }
 
 impl Binding {
-    pub fn binds(&self, spec: &JobSpec) -> bool {
+    pub(crate) fn binds(&self, spec: &JobSpec) -> bool {
         self.team == spec.team && spec.estimate_s > self.longer_than_s
     }
 
     /// A task of the team in this pool is expected to end.
-    pub fn ends(&mut self, now: Ms, end: Ms, each: Resources) {
+    pub(crate) fn ends(&mut self, now: Ms, end: Ms, each: Resources) {
         if end.0 < FOREVER {
             *self.back.entry(end.since(now).div_ceil(1000)).or_default() += each;
         }
     }
 
-    pub fn over_time(&self, now: Ms) -> AvailabilityProfile {
+    pub(crate) fn over_time(&self, now: Ms) -> AvailabilityProfile {
         let back = self.back.iter().map(|(s, what)| (now.plus(s * 1000), *what));
         AvailabilityProfile::growing(now, self.left, back)
     }
--- a/crates/cleatfold-control/src/scheduling/evictions.rs
+++ b/crates/cleatfold-control/src/scheduling/evictions.rs
@@ -38,21 +38,27 @@
 }
 
 impl Evictions {
-    pub fn get(&self, machine: &MachineId, job: &JobId, ix: TaskIx) -> Option<&Eviction> {
+    pub(crate) fn get(&self, machine: &MachineId, job: &JobId, ix: TaskIx) -> Option<&Eviction> {
         // Nearly always there is none at all.
         self.tasks.get(machine)?.get(&(job.clone(), ix))
     }
 
-    pub fn insert(&mut self, machine: &MachineId, job: &JobId, ix: TaskIx, eviction: Eviction) {
+    pub(crate) fn insert(
+        &mut self,
+        machine: &MachineId,
+        job: &JobId,
+        ix: TaskIx,
+        eviction: Eviction,
+    ) {
         self.tasks.entry(machine.clone()).or_default().insert((job.clone(), ix), eviction);
     }
 
     /// Whether any task of the machine is to leave.
-    pub fn any(&self, machine: &MachineId) -> bool {
+    pub(crate) fn any(&self, machine: &MachineId) -> bool {
         self.tasks.contains_key(machine)
     }
 
-    pub fn remove(&mut self, machine: &MachineId, job: &JobId, ix: TaskIx) {
+    pub(crate) fn remove(&mut self, machine: &MachineId, job: &JobId, ix: TaskIx) {
         if let Some(on) = self.tasks.get_mut(machine) {
             on.remove(&(job.clone(), ix));
             if on.is_empty() {
@@ -62,18 +68,23 @@
     }
 
     /// So many places of a job will come free in a pool.
-    pub fn expect(&mut self, job: JobId, pool: PoolId, tasks: u32, until: Ms) {
+    pub(crate) fn expect(&mut self, job: JobId, pool: PoolId, tasks: u32, until: Ms) {
         self.coming.push(ComingPlaces { job, pool, tasks, until });
     }
 
     /// How many places of a job are on their way in a pool.
-    pub fn coming(&self, job: &JobId, pool: &PoolId) -> u32 {
+    pub(crate) fn coming(&self, job: &JobId, pool: &PoolId) -> u32 {
         let coming = self.coming.iter().filter(|c| c.job == *job && c.pool == *pool);
         coming.map(|c| c.tasks).sum()
     }
 
     /// The command that tells a task once more, in the end without grace, to leave.
-    pub fn repeat(&self, machine: &MachineId, task: &TaskReport, now: Ms) -> Option<Command> {
+    pub(crate) fn repeat(
+        &self,
+        machine: &MachineId,
+        task: &TaskReport,
+        now: Ms,
+    ) -> Option<Command> {
         let stop = self.get(machine, &task.task.job, task.task.ix)?;
         if stop.attempt != task.attempt {
             return None;
@@ -84,7 +95,7 @@
     }
 
     /// Forgets what is over: a claim that ended otherwise, a place long there.
-    pub fn prune(&mut self, now: Ms, claims: &BTreeMap<MachineId, MachineClaims>) {
+    pub(crate) fn prune(&mut self, now: Ms, claims: &BTreeMap<MachineId, MachineClaims>) {
         self.coming.retain(|c| c.until > now);
         self.tasks.retain(|machine, tasks| {
             let on = claims.get(machine);
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -39,7 +39,13 @@
 }
 
 impl Plans {
-    pub fn remote(&mut self, pool: PoolId, token: FencingToken, now: Ms, promises: Vec<Promise>) {
+    pub(crate) fn remote(
+        &mut self,
+        pool: PoolId,
+        token: FencingToken,
+        now: Ms,
+        promises: Vec<Promise>,
+    ) {
         let jobs = promises
             .into_iter()
             .map(|p| {
@@ -264,7 +270,7 @@
     fn expected_end(
         &self,
         machine_id: &MachineId,
-        machine: &crate::machines::inventory::Machine,
+        machine: &Machine,
         (job, ix): (&JobId, TaskIx),
         cached: &CachedJob,
         job_state: Option<&LocalJobState>,
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -40,23 +40,23 @@
 
 impl PriorityState {
     /// Whether somebody plans for the pool, as last looked at.
-    pub fn lives(&self, pool: &PoolId) -> bool {
+    pub(crate) fn lives(&self, pool: &PoolId) -> bool {
         !self.fallen.contains(pool)
     }
 
     /// The lowest lane that may start in a pool of ours.
-    pub fn lowest(&self, pool: &PoolId) -> Urgency {
+    pub(crate) fn lowest(&self, pool: &PoolId) -> Urgency {
         self.start_barriers.get(pool).map_or(Urgency::Critical, StartBarrier::lowest)
     }
 
-    pub fn has_preemption_for(&self, pool: &PoolId, job: &JobId) -> bool {
+    pub(crate) fn has_preemption_for(&self, pool: &PoolId, job: &JobId) -> bool {
         self.preemptions
             .get(pool)
             .is_some_and(|preemptions| preemptions.iter().any(|r| r.1.job == *job))
     }
 
     /// Machines, by index, on which a pool of ours keeps room that is not for this job.
-    pub fn kept_from(
+    pub(crate) fn kept_from(
         &self,
         pool: &PoolId,
         (job, urgency): (&JobId, Urgency),
@@ -68,7 +68,7 @@
     }
 
     /// Whether a pool of ours plans for a job that was sent to `sent`.
-    pub fn considers(
+    pub(crate) fn considers(
         &self,
         urgency: Urgency,
         job: &JobId,
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -22,11 +22,11 @@
 /// Keys whose removal is remembered.
 const MAX_REMOVED_KEYS: usize = 500;
 
-pub type PartMap = BTreeMap<u32, (Version, Table)>;
-pub type ProgressMap = BTreeMap<u32, (Version, Part)>;
+pub(crate) type PartMap = BTreeMap<u32, (Version, Table)>;
+pub(crate) type ProgressMap = BTreeMap<u32, (Version, Part)>;
 
 #[derive(Clone, Debug)]
-pub struct CachedJob {
+pub(crate) struct CachedJob {
     pub record: JobRecord,
     pub version: Version,
     pub each: Resources,
@@ -42,17 +42,17 @@
 
 impl CachedJob {
     /// Where it stands among jobs of its kind: the revision at which it was accepted.
-    pub fn place(&self) -> u64 {
+    pub(crate) fn place(&self) -> u64 {
         cleatfold_priority::place_of(self.record.place, self.version)
     }
 
     /// Where a one-zone job has to stay while any task of it may run.
-    pub fn bound_zone(&self) -> Option<&ZoneId> {
+    pub(crate) fn bound_zone(&self) -> Option<&ZoneId> {
         self.record.zone.as_ref().filter(|_| self.claimed > 0)
     }
 
     /// How wide an elastic job should run.
-    pub fn width(&self) -> Option<Width> {
+    pub(crate) fn width(&self) -> Option<Width> {
         let elastic = self.record.spec.elastic.as_ref()?;
         Some(Width {
             least: elastic.least,
@@ -63,7 +63,7 @@
     }
 
     /// Tasks that are not done; of an elastic job the members it could still use.
-    pub fn unfinished(&self) -> u32 {
+    pub(crate) fn unfinished(&self) -> u32 {
         match self.width() {
             Some(width) => width.useful(),
             None => self.record.spec.tasks.saturating_sub(self.done),
@@ -72,7 +72,7 @@
 
     /// Tasks that wait for a place in the queue's order. What an elastic job may grow by beyond
     /// that only takes holes.
-    pub fn unclaimed(&self) -> u32 {
+    pub(crate) fn unclaimed(&self) -> u32 {
         match self.width() {
             Some(width) => width.base().saturating_sub(self.claimed),
             None => self.record.spec.tasks.saturating_sub(self.done + self.claimed),
@@ -80,13 +80,13 @@
     }
 
     /// Every step of an elastic job is finished: its members have nothing more to do.
-    pub fn is_complete(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.steps_left == Some(0)
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct PoolOwnership {
+pub(crate) struct PoolOwnership {
     pub owner: ControllerId,
     pub incarnation: u64,
     pub token: FencingToken,
@@ -130,7 +130,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct StateCache {
+pub(crate) struct StateCache {
     /// Every change up to this revision is in.
     pub applied: Version,
     pub jobs: BTreeMap<JobId, CachedJob>,
@@ -177,16 +177,16 @@
 impl StateCache {
     /// Forgets everything, to be read again. Stamps go on: a report that was settled by one of before must not pass
     /// for settled by a new one of the same number.
-    pub fn begin_anew(&mut self) {
+    pub(crate) fn begin_anew(&mut self) {
         *self = StateCache { stamps: self.stamps, ..StateCache::default() };
     }
 
     /// Of a listing, which tells what stands now: also what has not changed since it began.
-    pub fn apply_item(&mut self, item: &Item) {
+    pub(crate) fn apply_item(&mut self, item: &Item) {
         self.put(&item.key, item.value.get(), item.version);
     }
 
-    pub fn apply_event(&mut self, event: &Event) {
+    pub(crate) fn apply_event(&mut self, event: &Event) {
         if event.version <= self.applied {
             return;
         }
@@ -199,7 +199,7 @@
 
     /// Everything up to `applied` is in, and what has gone since is gone: an answer to a change of ours that comes
     /// after a reading that showed it would put back parts and claims that others have ended meanwhile.
-    pub fn is_newer(&self, version: Version) -> bool {
+    pub(crate) fn is_newer(&self, version: Version) -> bool {
         version > self.applied
     }
 
@@ -226,13 +226,13 @@
 
     /// A reading has shown the key at a later version than this one, or gone since. (What our own changes alone have
     /// shown does not count: all that was done before is known of what was read.)
-    pub fn has_moved(&self, key: &str, since: Version) -> bool {
+    pub(crate) fn has_moved(&self, key: &str, since: Version) -> bool {
         let Some(parsed) = parse_key(key) else { return false };
         let known = self.version_of(key, &parsed);
         known > since && known <= self.applied
     }
 
-    pub fn set(&mut self, key: &str, value: &str, version: Version) {
+    pub(crate) fn set(&mut self, key: &str, value: &str, version: Version) {
         if self.is_newer(version) {
             self.put(key, value, version);
         }
@@ -293,7 +293,7 @@
         Ok(())
     }
 
-    pub fn remove(&mut self, key: &str, version: Version) {
+    pub(crate) fn remove(&mut self, key: &str, version: Version) {
         let Some(parsed) = parse_key(key) else { return };
         if !self.is_newer(version) || version <= self.version_of(key, &parsed) {
             return;
@@ -364,7 +364,7 @@
         self.recount(id);
     }
 
-    pub fn install_job(&mut self, id: JobId, record: JobRecord, version: Version) {
+    pub(crate) fn install_job(&mut self, id: JobId, record: JobRecord, version: Version) {
         let mut aborted = false;
         if let Some(old) = self.jobs.remove(&id) {
             aborted = old.record.aborted;
@@ -406,7 +406,7 @@
         }
     }
 
-    pub fn install_part(&mut self, id: JobId, part: u32, table: Table, version: Version) {
+    pub(crate) fn install_part(&mut self, id: JobId, part: u32, table: Table, version: Version) {
         self.index_replacing(&id, part, &table);
         if !table.losses.is_empty() {
             self.lossy.insert(id.clone());
@@ -415,17 +415,23 @@
         self.recount(&id);
     }
 
-    pub fn install_progress(&mut self, id: JobId, part: u32, progress: Part, version: Version) {
+    pub(crate) fn install_progress(
+        &mut self,
+        id: JobId,
+        part: u32,
+        progress: Part,
+        version: Version,
+    ) {
         self.progress.entry(id.clone()).or_default().insert(part, (version, progress));
         self.recount(&id);
     }
 
-    pub fn any_elastic(&self) -> bool {
+    pub(crate) fn any_elastic(&self) -> bool {
         self.elastic > 0
     }
 
     /// All that is known of an elastic job's steps.
-    pub fn progress_of(&self, id: &JobId) -> Option<Progress> {
+    pub(crate) fn progress_of(&self, id: &JobId) -> Option<Progress> {
         let steps = self.jobs.get(id)?.record.spec.elastic.as_ref()?.steps;
         let mut progress = Progress::new(steps);
         for (number, (_, part)) in self.progress.get(id).into_iter().flatten() {
@@ -503,7 +509,7 @@
 
     /// The job's claims call for something else than before, though none of them changed: whoever compares
     /// stamps has to look at their machines again.
-    pub fn restamp(&mut self, id: &JobId) {
+    pub(crate) fn restamp(&mut self, id: &JobId) {
         let Some(live) = self.jobs.get(id) else { return };
         let parts = self.parts.get(id).into_iter().flat_map(|p| p.values()).map(|p| &p.1);
         for group in std::iter::once(&live.record.table).chain(parts).flat_map(|t| &t.claims) {
@@ -515,17 +521,17 @@
     }
 
     /// Changes whenever the claims on a machine do, or what they call for; 0: there are none.
-    pub fn claims_stamp(&self, machine: &MachineId) -> u64 {
+    pub(crate) fn claims_stamp(&self, machine: &MachineId) -> u64 {
         self.claims.get(machine).map_or(0, |c| c.stamp)
     }
 
-    pub fn claim(&self, machine: &MachineId, task: &TaskId) -> Option<Claim> {
+    pub(crate) fn claim(&self, machine: &MachineId, task: &TaskId) -> Option<Claim> {
         self.claims.get(machine)?.get(&(task.job.clone(), task.ix)).copied()
     }
 
     /// What an ended job's record keeps for its team's history. `record` is as it will be; parts that end
     /// with it are in it already.
-    pub fn summary(&self, id: &JobId, record: &JobRecord, wall_ms: u64) -> Summary {
+    pub(crate) fn summary(&self, id: &JobId, record: &JobRecord, wall_ms: u64) -> Summary {
         let parts = self.parts.get(id).into_iter().flatten();
         let parts = parts.filter(|(part, _)| !record.parts_done.contains(part)).map(|(_, p)| &p.1);
         let tables = || std::iter::once(&record.table).chain(parts.clone());
@@ -542,7 +548,7 @@
     }
 
     /// Every table of a job: its own, or its parts'.
-    pub fn tables<'a>(&'a self, id: &JobId) -> impl Iterator<Item = &'a Table> + 'a {
+    pub(crate) fn tables<'a>(&'a self, id: &JobId) -> impl Iterator<Item = &'a Table> + 'a {
         let own = self.jobs.get(id).map(|j| &j.record.table);
         let parts = self.parts.get(id).into_iter().flat_map(|p| p.values().map(|p| &p.1));
         own.into_iter().chain(parts)
--- a/crates/cleatfold-control/src/store/calls.rs
+++ b/crates/cleatfold-control/src/store/calls.rs
@@ -31,12 +31,12 @@
     }
 
     /// Whether the call waits to be sent once more.
-    pub fn is_resent_later(&self, op: u64) -> bool {
+    pub(crate) fn is_resent_later(&self, op: u64) -> bool {
         self.resends.iter().any(|resend| resend.op == op)
     }
 
     /// Its outcome is known: it is not sent once more.
-    pub fn forget_resend(&mut self, op: u64) {
+    pub(crate) fn forget_resend(&mut self, op: u64) {
         self.resends.retain(|resend| resend.op != op);
     }
 }
--- a/crates/cleatfold-control/src/store/format_check.rs
+++ b/crates/cleatfold-control/src/store/format_check.rs
@@ -24,7 +24,7 @@
 
 impl FormatCheck {
     /// The records are ours to read and write.
-    pub fn is_known(&self) -> bool {
+    pub(crate) fn is_known(&self) -> bool {
         self.state == Format::Known
     }
 }
--- a/crates/cleatfold-control/src/store/loss_records.rs
+++ b/crates/cleatfold-control/src/store/loss_records.rs
@@ -9,9 +9,11 @@
 /// The teams' logs; outside of what nodes read at start and follow.
 pub const LOSS_LOG: &str = "lo/";
 
+/// The beginning of the keys of a team's log of losses.
 pub fn loss_log_prefix(team: &TeamId) -> String {
     format!("{LOSS_LOG}{team}/")
 }
+/// A group of a team's log of losses.
 pub fn loss_log_key(team: &TeamId, number: u64) -> String {
     format!("{LOSS_LOG}{team}/{number:010}")
 }
@@ -19,6 +21,7 @@
 /// How long a team's log is.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LossHead {
+    /// The number of the next group.
     #[serde(rename = "n")]
     pub next: u64,
 }
@@ -39,6 +42,7 @@
 /// The lost starts of a table's tasks: all counted, the latest kept.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LossList {
+    /// All lost starts, also those that are not kept by name.
     #[serde(rename = "n", default)]
     pub total: u32,
     #[serde(rename = "g", default)]
@@ -49,10 +53,12 @@
     /// Starts that are kept by name; a record that is full of claims still has room for them.
     pub const MAX_KEPT: usize = 96;
 
+    /// Whether nothing was lost.
     pub fn is_empty(&self) -> bool {
         self.total == 0
     }
 
+    /// Adds a lost start.
     pub fn note(
         &mut self,
         machine: &MachineId,
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -22,6 +22,7 @@
 /// Tasks of one record. A record full of claims stays under 8 KiB.
 pub const PART: u32 = 256;
 
+/// The prefix of all that controllers read at their start and follow.
 pub const LIVE: &str = "cf/";
 /// Ended jobs, outside of what nodes read at their start.
 pub const ARCHIVE: &str = "ar/";
@@ -40,17 +41,22 @@
 pub const HISTORY_LOG: &str = "hist/";
 /// Which version of the records these are.
 pub const FORMAT_KEY: &str = "cf/format";
+/// What was asked of the cloud, or is about to be.
 pub const SCALE_OUT_KEY: &str = "cf/rents";
+/// The shares under overload.
 pub const OVERLOAD_QUOTA_KEY: &str = "cf/allotment";
 /// Who fetches from the origin of images.
 pub const ORIGIN_KEY: &str = "cf/origin";
 
+/// The record of a job that has not ended.
 pub fn job_key(job: &JobId) -> String {
     format!("{JOBS}{job}")
 }
+/// The record of an ended job.
 pub fn archive_key(job: &JobId) -> String {
     format!("{ARCHIVE}{job}")
 }
+/// A part of a large job's tasks.
 pub fn part_key(job: &JobId, part: u32) -> String {
     format!("{PARTS}{job}/{part:05}")
 }
@@ -59,12 +65,15 @@
 pub fn progress_key(job: &JobId, part: u32) -> String {
     format!("{PROGRESS}{job}/{part:05}")
 }
+/// Who owns a pool. Its version is the fencing token.
 pub fn pool_key(pool: &PoolId) -> String {
     format!("{POOLS}{pool}")
 }
+/// A live controller, under its lease.
 pub fn controller_key(controller: &ControllerId) -> String {
     format!("{CONTROLLERS}{controller}")
 }
+/// How long a team's log of losses is.
 pub fn loss_head_key(team: &TeamId) -> String {
     format!("{LOSS_HEADS}{team}")
 }
@@ -72,9 +81,11 @@
 pub fn workspace_key(team: &TeamId) -> String {
     format!("{WORKSPACES}{team}")
 }
+/// How far a team's history is written.
 pub fn history_head_key(team: &TeamId) -> String {
     format!("{HISTORIES}{team}")
 }
+/// The beginning of the keys of a team's history.
 pub fn history_prefix(team: &TeamId) -> String {
     format!("{HISTORY_LOG}{team}/")
 }
@@ -90,6 +101,7 @@
 pub fn image_holders_key(image: &ImageId) -> String {
     format!("{IMAGE_HOLDERS}{image}")
 }
+/// How a team's limit is cut into slices.
 pub fn slice_key(team: &TeamId) -> String {
     format!("{SLICES}{team}")
 }
@@ -97,23 +109,39 @@
 /// What a key of the live prefix is about.
 #[derive(Debug, PartialEq)]
 pub enum Key {
+    /// A job's record.
     Job(JobId),
+    /// A part of a job's tasks.
     Part(JobId, u32),
+    /// A part of an elastic job's progress.
     Progress(JobId, u32),
+    /// The owner of a pool.
     Pool(PoolId),
+    /// A live controller.
     Controller(ControllerId),
+    /// The slices of a team's limit.
     Slice(TeamId),
+    /// The head of a team's log of losses.
     LossHead(TeamId),
+    /// The owner of a team's workspace.
     Workspace(TeamId),
+    /// The head of a team's history.
     History(TeamId),
+    /// Preemptions under way in a pool.
     Preemption(PoolId),
+    /// Who holds an image that many want.
     ImageHolders(ImageId),
+    /// The holder of a role.
     Role(Role),
+    /// What was asked of the cloud.
     ScaleOutIntents,
+    /// The shares under overload.
     OverloadQuota,
+    /// Who fetches from the origin of images.
     Origin,
 }
 
+/// What a key of the live prefix is about; none if it is unknown.
 pub fn parse_key(key: &str) -> Option<Key> {
     if let Some(id) = key.strip_prefix(JOBS) {
         Some(Key::Job(JobId::new(id)))
@@ -156,14 +184,18 @@
 /// pool: a restart gets a new token, so nothing of the former life can speak for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderRecord {
+    /// The controller that owns or holds it.
     #[serde(rename = "o")]
     pub owner: ControllerId,
+    /// The life of that controller.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
 
+/// A live controller's own record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControllerRecord {
+    /// The life of that controller.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
@@ -176,14 +208,19 @@
     pub pools: BTreeMap<PoolId, (i64, i64)>,
 }
 
+/// How a job ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ArchiveRecord {
+    /// `done` or `aborted`.
     #[serde(rename = "e")]
     pub state: JobState,
+    /// How many of its tasks, or steps, are done.
     #[serde(rename = "n")]
     pub done: u32,
+    /// Its team.
     #[serde(rename = "q")]
     pub team: TeamId,
+    /// Starts that were lost.
     #[serde(rename = "l", default, skip_serializing_if = "LossList::is_empty")]
     pub losses: LossList,
     /// For its team's history; records of earlier versions have none.
@@ -203,26 +240,33 @@
 /// The claims on one machine under one token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimGroup {
+    /// The machine that they run on.
     #[serde(rename = "m")]
     pub machine: MachineId,
+    /// The fencing token under which they were made.
     #[serde(rename = "k")]
     pub token: FencingToken,
+    /// The machine's pool.
     #[serde(rename = "p")]
     pub pool: PoolId,
+    /// Tasks with their attempts.
     #[serde(rename = "t")]
     pub tasks: Vec<(TaskIx, Attempt)>,
 }
 
+/// The tasks of a job, or of a part of one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Table {
     /// Tasks that are done, as ranges [from, to).
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<(u32, u32)>,
+    /// Claims, by machine and token.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub claims: Vec<ClaimGroup>,
     /// The highest attempt of tasks that are neither claimed nor done.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub attempts: Vec<(TaskIx, Attempt)>,
+    /// Starts that were lost.
     #[serde(rename = "l", default, skip_serializing_if = "LossList::is_empty")]
     pub losses: LossList,
     /// Time of day of its first claim, in milliseconds.
@@ -238,11 +282,13 @@
 }
 
 impl Table {
+    /// Whether the task is done.
     pub fn is_done(&self, ix: TaskIx) -> bool {
         let i = self.done.partition_point(|r| r.1 <= ix.0);
         self.done.get(i).is_some_and(|r| r.0 <= ix.0)
     }
 
+    /// How many tasks are done.
     pub fn done_count(&self) -> u32 {
         self.done.iter().map(|r| r.1 - r.0).sum()
     }
@@ -321,6 +367,7 @@
 /// The record of a job that is not yet archived.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// The job as it was submitted.
     #[serde(rename = "s")]
     pub spec: JobSpec,
     /// Time of day of acceptance, in milliseconds. Only orders the queue.
@@ -329,6 +376,7 @@
     /// The revision at which it was accepted, once the record has been written again.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub place: Option<u64>,
+    /// It is cancelled.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub aborted: bool,
     /// Of a one-zone job: where its first claim bound it.
@@ -343,6 +391,7 @@
 }
 
 impl JobRecord {
+    /// The record of a job that has just been accepted.
     pub fn new(spec: JobSpec, accepted_ms: u64) -> Self {
         Self {
             spec,
@@ -354,12 +403,15 @@
             table: Table::default(),
         }
     }
+    /// What one task takes.
     pub fn each(&self) -> Resources {
         Resources::new(self.spec.cpus, self.spec.gpus, self.spec.memory_gb)
     }
+    /// Whether its tasks are kept in parts.
     pub fn in_parts(&self) -> bool {
         self.spec.tasks > PART
     }
+    /// How many parts it has, if it is kept in parts.
     pub fn part_count(&self) -> u32 {
         self.spec.tasks.div_ceil(PART)
     }
@@ -369,6 +421,7 @@
     }
 }
 
+/// A job's status as users are told it, without details.
 pub fn status(id: &JobId, state: JobState, done: u32, running: u32) -> JobStatus {
     JobStatus { id: id.clone(), state, done, running, why: None, steps: None, losses: None }
 }
--- a/crates/cleatfold-control/src/store/sent.rs
+++ b/crates/cleatfold-control/src/store/sent.rs
@@ -16,7 +16,7 @@
 }
 
 impl Sent {
-    pub fn now(at: Ms) -> Self {
+    pub(crate) fn now(at: Ms) -> Self {
         Self { at, ..Self::default() }
     }
 }
@@ -32,7 +32,7 @@
 
 impl Sent {
     /// `read`: the sending time of the newest reading that is in; `decided`: it shows that the transaction is decided.
-    pub fn step(self, now: Ms, read: Option<Ms>, decided: bool) -> UnansweredAction {
+    pub(crate) fn step(self, now: Ms, read: Option<Ms>, decided: bool) -> UnansweredAction {
         let look_at = self.at.plus(UNANSWERED_AFTER_MS);
         if now < look_at {
             return UnansweredAction::Wait;
--- a/crates/cleatfold-control/tests/answer_order.rs
+++ b/crates/cleatfold-control/tests/answer_order.rs
@@ -511,7 +511,7 @@
 #[test]
 fn enormous_amounts_stop_nobody() {
     let mut world = ready(60);
-    let most = cleatfold_wire::job::MAX_AMOUNT;
+    let most = job::MAX_AMOUNT;
     for n in 0..6 {
         let mut spec = plain(&mut world, 3, most);
         (spec.save_s, spec.deadline_s) = (most, Some(most));
--- a/crates/cleatfold-control/tests/claims.rs
+++ b/crates/cleatfold-control/tests/claims.rs
@@ -15,10 +15,10 @@
 //! (The search is a plain one through all states; no library for it could be had here.)
 
 mod claims {
-    pub mod commands;
-    pub mod model;
-    pub mod search;
-    pub mod steps;
+    pub(crate) mod commands;
+    pub(crate) mod model;
+    pub(crate) mod search;
+    pub(crate) mod steps;
 }
 
 use claims::model::*;
--- a/crates/cleatfold-control/tests/claims/commands.rs
+++ b/crates/cleatfold-control/tests/claims/commands.rs
@@ -5,7 +5,7 @@
 
 impl HeldCommand {
     /// Whether the worker still executes it.
-    pub fn matches(&self, machine: &Machine) -> bool {
+    pub(crate) fn matches(&self, machine: &Machine) -> bool {
         self.token >= machine.token && self.agent_epoch == machine.agent_epoch
     }
 }
--- a/crates/cleatfold-control/tests/claims/model.rs
+++ b/crates/cleatfold-control/tests/claims/model.rs
@@ -4,13 +4,13 @@
 use cleatfold_control::records::Table;
 use cleatfold_wire::{Attempt, FencingToken, MachineId, PoolId, TaskIx};
 
-pub const CONTROLLERS: usize = 2;
-pub const MACHINES: usize = 2;
-pub const TASKS: usize = 2;
+pub(crate) const CONTROLLERS: usize = 2;
+pub(crate) const MACHINES: usize = 2;
+pub(crate) const TASKS: usize = 2;
 
 /// What may be left out, one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Guard {
+pub(crate) enum Guard {
     JobInClaims,
     PoolInClaims,
     PoolInReleases,
@@ -47,7 +47,7 @@
 
 /// How far the search goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub(crate) struct Bounds {
     pub name: &'static str,
     pub tasks: usize,
     pub machines: usize,
@@ -73,34 +73,34 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Task {
+pub(crate) enum Task {
     Free { last: u8 },
     Claimed { machine: u8, token: u8, attempt: u8 },
     Done,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Job {
+pub(crate) struct Job {
     pub version: u8,
     pub aborted: bool,
     pub tasks: [Task; TASKS],
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Pool {
+pub(crate) struct Pool {
     pub owner: u8,
     pub life: u8,
     pub token: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Ended {
+pub(crate) enum Ended {
     Done,
     Aborted,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Store {
+pub(crate) struct Store {
     pub job: Option<Job>,
     /// Versions given to the job's key.
     pub versions: u8,
@@ -109,7 +109,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct End {
+pub(crate) struct End {
     pub machine: u8,
     pub attempt: u8,
     pub done: bool,
@@ -118,14 +118,14 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Outcome {
+pub(crate) enum Outcome {
     Live(Job),
     Ended(Ended),
 }
 
 /// A transaction: its guards and what it writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Tx {
+pub(crate) struct Tx {
     /// The job's version, 0: no such key; none: not guarded.
     pub job: Option<u8>,
     pub no_archive: bool,
@@ -137,14 +137,14 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct StateCache {
+pub(crate) struct StateCache {
     pub job: Option<Job>,
     pub pool: Pool,
 }
 
 /// What a controller remembers of a machine that it has answered under its present token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Received {
+pub(crate) struct Received {
     pub token: u8,
     /// The newest report carried it.
     pub seen: bool,
@@ -153,7 +153,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Controller {
+pub(crate) struct Controller {
     pub life: u8,
     pub cache: Option<StateCache>,
     pub tx: Option<Tx>,
@@ -165,23 +165,23 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Run {
+pub(crate) enum Run {
     Alive,
     Completed,
     Failed,
 }
 
 /// Task, attempt, state.
-pub type Tasks = Vec<(u8, u8, Run)>;
+pub(crate) type Tasks = Vec<(u8, u8, Run)>;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Heartbeat {
+pub(crate) struct Heartbeat {
     pub token: u8,
     pub tasks: Tasks,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Command {
+pub(crate) enum Command {
     Launch(u8, u8),
     Kill(u8, u8),
     Reap(u8, u8),
@@ -189,7 +189,7 @@
 
 /// A 200 on its way to its worker, which sends nothing while it waits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Answer {
+pub(crate) struct Answer {
     pub token: u8,
     pub commands: Vec<Command>,
     /// The report was sent after the deaf limit.
@@ -197,7 +197,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Machine {
+pub(crate) struct Machine {
     pub agent_epoch: u8,
     pub token: u8,
     pub tasks: Tasks,
@@ -208,7 +208,7 @@
 
 /// A direct command that is on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct HeldCommand {
+pub(crate) struct HeldCommand {
     pub sender: u8,
     pub machine: u8,
     pub token: u8,
@@ -218,7 +218,7 @@
 
 /// A report that may be read again, or for the first time, at any later step.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Copied {
+pub(crate) struct Copied {
     pub machine: u8,
     pub report: Heartbeat,
     /// Controllers that have read this one or a newer one of the machine.
@@ -227,7 +227,7 @@
 
 /// How far a cancellation is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Phase {
+pub(crate) enum Phase {
     #[default]
     Before,
     Confirmation,
@@ -238,7 +238,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Confirmation {
+pub(crate) enum Confirmation {
     #[default]
     Nothing,
     Accepted,
@@ -247,7 +247,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct State {
+pub(crate) struct State {
     pub store: Store,
     pub controllers: [Controller; CONTROLLERS],
     pub machines: [Machine; MACHINES],
@@ -276,14 +276,14 @@
 }
 
 /// The record's tasks as the service's own table.
-pub struct Claims {
+pub(crate) struct Claims {
     table: Table,
     tasks: usize,
     pool: PoolId,
 }
 
 impl Claims {
-    pub fn of(job: &Job, tasks: usize) -> Self {
+    pub(crate) fn of(job: &Job, tasks: usize) -> Self {
         let mut table = Table::default();
         let pool = PoolId { machine_type: "t".into(), zone: "z".into() };
         let mut claims = Self { table: Table::default(), tasks, pool: pool.clone() };
@@ -309,30 +309,30 @@
         claims
     }
 
-    pub fn end(&mut self, ix: usize, end: &End) -> bool {
+    pub(crate) fn end(&mut self, ix: usize, end: &End) -> bool {
         let attempt = Attempt(end.attempt.into());
         self.table.end(&machine_id(end.machine), TaskIx(ix as u32), attempt, end.done)
     }
 
-    pub fn free(&self) -> Vec<TaskIx> {
+    pub(crate) fn free(&self) -> Vec<TaskIx> {
         self.table.free(0, self.tasks as u32)
     }
 
-    pub fn claim(&mut self, machine: u8, token: u8, ix: TaskIx) -> u8 {
+    pub(crate) fn claim(&mut self, machine: u8, token: u8, ix: TaskIx) -> u8 {
         let attempt =
             self.table.claim(&machine_id(machine), FencingToken(token.into()), &self.pool, ix);
         attempt.0 as u8
     }
 
-    pub fn all_done(&self) -> bool {
+    pub(crate) fn all_done(&self) -> bool {
         self.table.done_count() as usize == self.tasks
     }
 
-    pub fn none_claimed(&self) -> bool {
+    pub(crate) fn none_claimed(&self) -> bool {
         self.table.claims.is_empty()
     }
 
-    pub fn tasks(&self) -> [Task; TASKS] {
+    pub(crate) fn tasks(&self) -> [Task; TASKS] {
         let mut tasks = [Task::Free { last: 0 }; TASKS];
         for (ix, last) in &self.table.attempts {
             tasks[ix.0 as usize] = Task::Free { last: last.0 as u8 };
--- a/crates/cleatfold-control/tests/claims/search.rs
+++ b/crates/cleatfold-control/tests/claims/search.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
-pub struct Found {
+pub(crate) struct Found {
     pub states: usize,
     pub steps: usize,
     /// What can go wrong, and the shortest way to it.
@@ -17,16 +17,18 @@
 
 const MOST: usize = 3_000_000;
 
-pub const DONE: &str = "archived as done";
-pub const ABORTED: &str = "archived as aborted";
-pub const BOUND: &str = "the bound of a cancellation";
-pub const ADOPTED: &str = "a task adopted by the next owner";
-pub const RELEASED: &str = "a claim released after a take-over";
-pub const BESIDE: &str = "an exit that is not recorded, beside another attempt that is alive";
-pub const CANCELLED: &str = "cancelled and not over";
-pub const AT_END: &str =
+pub(crate) const DONE: &str = "archived as done";
+pub(crate) const ABORTED: &str = "archived as aborted";
+pub(crate) const BOUND: &str = "the bound of a cancellation";
+pub(crate) const ADOPTED: &str = "a task adopted by the next owner";
+pub(crate) const RELEASED: &str = "a claim released after a take-over";
+pub(crate) const BESIDE: &str =
+    "an exit that is not recorded, beside another attempt that is alive";
+pub(crate) const CANCELLED: &str = "cancelled and not over";
+pub(crate) const AT_END: &str =
     "a cancellation is asked for as the last task has completed and that is not recorded";
-pub const READ_FIRST: &str = "a cancellation was read by another before its author knows of it";
+pub(crate) const READ_FIRST: &str =
+    "a cancellation was read by another before its author knows of it";
 
 fn print(state: &State) -> u64 {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
@@ -35,7 +37,7 @@
 }
 
 /// All states, or those until `what` is found broken.
-pub fn explore(world: &World, what: Option<&str>) -> Found {
+pub(crate) fn explore(world: &World, what: Option<&str>) -> Found {
     let start = world.start();
     let mut known = HashSet::from([print(&start)]);
     let mut ways: Vec<(u32, Step)> = vec![(0, Step::Bound)];
--- a/crates/cleatfold-control/tests/claims/steps.rs
+++ b/crates/cleatfold-control/tests/claims/steps.rs
@@ -4,7 +4,7 @@
 use super::model::*;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub(crate) enum Step {
     Submit(usize),
     Withdraw(usize),
     /// A reading; with a user who waits for it.
@@ -39,7 +39,7 @@
     Arrives(bool),
 }
 
-pub struct World {
+pub(crate) struct World {
     pub bounds: Bounds,
     pub without: Option<Guard>,
 }
@@ -49,7 +49,7 @@
         self.without != Some(guard)
     }
 
-    pub fn start(&self) -> State {
+    pub(crate) fn start(&self) -> State {
         let mut s = State { tasks: self.bounds.tasks as u8, ..State::default() };
         s.store.pool = Pool { owner: 0, life: 0, token: 1 };
         if self.bounds.submissions == 0 {
@@ -70,7 +70,7 @@
         (usize::from(pool.owner) == n && same_life).then_some(pool.token)
     }
 
-    pub fn next(&self, s: &State) -> Vec<(Step, State)> {
+    pub(crate) fn next(&self, s: &State) -> Vec<(Step, State)> {
         let mut out = Vec::new();
         let mut go = |step: Step, f: &dyn Fn(&mut State)| {
             let mut t = s.clone();
@@ -488,14 +488,14 @@
     }
 }
 
-pub const RAN_TWICE: &str = "ran_twice";
-pub const RAN_CANCELLED: &str = "ran_cancelled";
-pub const WENT_BACK: &str = "went_back";
-pub const NOT_DONE: &str = "not_done";
-pub const FORGOTTEN: &str = "forgotten";
-pub const UNDONE: &str = "a recorded completion is gone";
-pub const REAPED: &str = "a completion was reaped before it was durable";
-pub const AGAIN: &str = "started again after its completion was durable";
+pub(crate) const RAN_TWICE: &str = "ran_twice";
+pub(crate) const RAN_CANCELLED: &str = "ran_cancelled";
+pub(crate) const WENT_BACK: &str = "went_back";
+pub(crate) const NOT_DONE: &str = "not_done";
+pub(crate) const FORGOTTEN: &str = "forgotten";
+pub(crate) const UNDONE: &str = "a recorded completion is gone";
+pub(crate) const REAPED: &str = "a completion was reaped before it was durable";
+pub(crate) const AGAIN: &str = "started again after its completion was durable";
 
 /// A proof for ever replaces one that needs our token.
 pub(super) fn end(controller: &mut Controller, ix: u8, end: End) {
--- a/crates/cleatfold-control/tests/late_reports.rs
+++ b/crates/cleatfold-control/tests/late_reports.rs
@@ -106,7 +106,7 @@
     let served = |seed: u64, copies: bool| -> u64 {
         let mut world = busy(seed, 4.0);
         // The idle ones are returned; then those that returned them are gone.
-        let mut last: BTreeMap<MachineId, cleatfold_wire::worker::Heartbeat> = BTreeMap::new();
+        let mut last: BTreeMap<MachineId, worker::Heartbeat> = BTreeMap::new();
         let mut most = world.workers.len();
         while world.workers.len() * 2 > most && world.now < Ms(120_000) {
             for (id, w) in &mut world.workers {
--- a/crates/cleatfold-control/tests/scenario/mod.rs
+++ b/crates/cleatfold-control/tests/scenario/mod.rs
@@ -7,13 +7,13 @@
 use cleatfold_wire::*;
 
 /// A quiet region in which every job is asked about until it ends.
-pub fn region(seed: u64, machines: usize) -> World {
+pub(crate) fn region(seed: u64, machines: usize) -> World {
     let mut world = World::sized(seed, false, Size { most_jobs: 0, machines, ..Size::SMALL });
     world.poll_everything();
     world
 }
 
-pub fn plain(world: &mut World, tasks: u32, estimate_s: f64) -> JobSpec {
+pub(crate) fn plain(world: &mut World, tasks: u32, estimate_s: f64) -> JobSpec {
     let mut spec = world.some_job();
     (spec.team, spec.urgency, spec.kind) = (TeamId::new("free"), Urgency::Normal, Kind::Array);
     (spec.tasks, spec.cpus, spec.memory_gb, spec.estimate_s) = (tasks, 2.0, 1.0, estimate_s);
@@ -22,13 +22,13 @@
     spec
 }
 
-pub fn run_for(world: &mut World, ms: u64) {
+pub(crate) fn run_for(world: &mut World, ms: u64) {
     let now = world.now;
     world.run(now.plus(ms));
 }
 
 /// Cancels the job at a controller.
-pub fn withdraw(world: &mut World, controller: usize, job: &JobId) {
+pub(crate) fn withdraw(world: &mut World, controller: usize, job: &JobId) {
     use cleatfold_control::Request;
     use cleatfold_testbed::world::Asked;
     world.jobs.get_mut(job).expect("known").cancel_asked = true;
@@ -36,7 +36,7 @@
 }
 
 /// Everything accepted comes to its end, and no rule was broken on the way.
-pub fn ends_well(world: &mut World, by_ms: u64, what: &str) {
+pub(crate) fn ends_well(world: &mut World, by_ms: u64, what: &str) {
     let until = world.now.plus(by_ms);
     while world.now < until && !world.unfinished().is_empty() && world.broken.is_empty() {
         run_for(world, 500);
@@ -47,7 +47,7 @@
 
 /// What befalls an owner of pools.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Loss {
+pub(crate) enum Loss {
     /// Its process ends and is back so much later.
     Ends(u64),
     /// It alone is refused by the state service; its process lives on.
@@ -63,7 +63,7 @@
 }
 
 impl Loss {
-    pub const ALL: [Loss; 9] = [
+    pub(crate) const ALL: [Loss; 9] = [
         Loss::Ends(300),
         Loss::Ends(8_000),
         Loss::Refused(6_000),
@@ -75,7 +75,7 @@
         Loss::AllEnd(7_000),
     ];
 
-    pub fn befall(self, world: &mut World, controller: usize) {
+    pub(crate) fn befall(self, world: &mut World, controller: usize) {
         let now = world.now;
         match self {
             Loss::Ends(back) => world.crash(controller, back),
@@ -93,7 +93,7 @@
 }
 
 /// Runs on while users ask at every controller each second.
-pub fn asking(world: &mut World, ms: u64) {
+pub(crate) fn asking(world: &mut World, ms: u64) {
     let until = world.now.plus(ms);
     while world.now < until && world.broken.is_empty() {
         run_for(world, 1_000.min(until.since(world.now)));
@@ -101,7 +101,7 @@
     }
 }
 
-pub fn ends_well_asked(world: &mut World, by_ms: u64, what: &str) {
+pub(crate) fn ends_well_asked(world: &mut World, by_ms: u64, what: &str) {
     let until = world.now.plus(by_ms);
     while world.now < until && !world.unfinished().is_empty() && world.broken.is_empty() {
         asking(world, 5_000);
@@ -117,6 +117,6 @@
 }
 
 /// Whoever holds the pool of the machine.
-pub fn owner(world: &World, machine: &MachineId) -> Option<usize> {
+pub(crate) fn owner(world: &World, machine: &MachineId) -> Option<usize> {
     world.holder(&world.pool_of(machine)?)
 }
--- a/crates/cleatfold-control/tests/unannounced_faults.rs
+++ b/crates/cleatfold-control/tests/unannounced_faults.rs
@@ -13,8 +13,7 @@
 
 fn plain(world: &mut World, tasks: u32, estimate_s: f64) -> JobSpec {
     let mut spec = world.some_job();
-    (spec.team, spec.urgency, spec.kind) =
-        (TeamId::new("free"), Urgency::Normal, cleatfold_wire::job::Kind::Array);
+    (spec.team, spec.urgency, spec.kind) = (TeamId::new("free"), Urgency::Normal, job::Kind::Array);
     (spec.tasks, spec.cpus, spec.memory_gb, spec.estimate_s) = (tasks, 2.0, 1.0, estimate_s);
     (spec.one_zone, spec.spread, spec.types, spec.zone) = (false, false, None, None);
     (spec.spot, spec.checkpoint_s, spec.elastic) = (true, 0.0, None);
--- a/crates/cleatfold-elastic/src/accounting.rs
+++ b/crates/cleatfold-elastic/src/accounting.rs
@@ -21,8 +21,10 @@
 /// first and not hear of the change before it begins the second.
 const KEPT: u32 = 2;
 
+/// What becomes of a member's report.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
+    /// It is recorded, with this answer.
     Accepted(StepReply),
     /// The member's claim does not stand: nothing of the report counts, and it must leave.
     Lost(&'static str),
@@ -40,6 +42,7 @@
 }
 
 impl<'a> StepAccounts<'a> {
+    /// Accounts of a job with this progress and these members, at most `width` of which work.
     pub fn new(progress: Progress, members: &'a Members, width: u32) -> Self {
         Self { progress, members, width, touched: BTreeSet::new(), free: BTreeMap::new() }
     }
@@ -62,6 +65,7 @@
         (changed.collect(), self.progress)
     }
 
+    /// Judges one report and applies it.
     pub fn report(&mut self, report: &StepReport) -> Verdict {
         let (member, attempt) = (report.member.ix, report.attempt);
         match self.members.get(&member) {
--- a/crates/cleatfold-elastic/src/progress.rs
+++ b/crates/cleatfold-elastic/src/progress.rs
@@ -23,9 +23,13 @@
 /// Steps [from, to) belong to a member for as long as its claim under this attempt stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
+    /// Who holds the steps.
     pub member: TaskIx,
+    /// Its attempt.
     pub attempt: Attempt,
+    /// The first of the steps.
     pub from: u32,
+    /// The first step after them.
     pub to: u32,
 }
 
@@ -38,6 +42,7 @@
     pub held: Vec<Hold>,
 }
 
+/// A part of the progress as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PartRecord {
     #[serde(rename = "b")]
@@ -46,11 +51,14 @@
     held: Vec<(TaskIx, Attempt, u32, u32)>,
 }
 
+/// Why a stored part cannot be read.
 #[derive(Debug, thiserror::Error)]
 #[error("not a record of progress: {0}")]
 pub struct Unreadable(String);
 
 impl Part {
+    /// As it is stored.
+    #[expect(clippy::expect_used, reason = "writing to memory does not fail")]
     pub fn to_record(&self) -> PartRecord {
         let mut bitmap = self.finished.clone();
         bitmap.optimize();
@@ -62,6 +70,7 @@
         }
     }
 
+    /// From what is stored.
     pub fn from_record(record: &PartRecord) -> Result<Part, Unreadable> {
         let bytes =
             STANDARD_NO_PAD.decode(&record.bitmap).map_err(|e| Unreadable(e.to_string()))?;
@@ -82,11 +91,14 @@
 /// All that is known of a job's steps. Parts that nothing was ever written of are absent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Progress {
+    /// How many steps the job has.
     pub steps: u32,
+    /// Parts of the progress, by number.
     pub parts: BTreeMap<u32, Part>,
 }
 
 impl Progress {
+    /// No step is finished or held.
     pub fn new(steps: u32) -> Self {
         Self { steps, parts: BTreeMap::new() }
     }
@@ -96,19 +108,23 @@
         (part * STEPS_PART, ((part + 1) * STEPS_PART).min(self.steps))
     }
 
+    /// Whether the step is finished.
     pub fn is_finished(&self, step: u32) -> bool {
         let part = self.parts.get(&(step / STEPS_PART));
         part.is_some_and(|p| p.finished.contains(step % STEPS_PART))
     }
 
+    /// How many steps are finished.
     pub fn finished(&self) -> u32 {
         self.parts.values().map(|p| p.finished.len() as u32).sum()
     }
 
+    /// How many are not.
     pub fn left(&self) -> u32 {
         self.steps.saturating_sub(self.finished())
     }
 
+    /// Whether all are finished.
     pub fn is_complete(&self) -> bool {
         self.left() == 0
     }
--- a/crates/cleatfold-elastic/src/width.rs
+++ b/crates/cleatfold-elastic/src/width.rs
@@ -5,6 +5,7 @@
 pub struct Width {
     /// Members that are kept; 0: it may shrink to nothing.
     pub least: u32,
+    /// The most members it may have.
     pub most: u32,
     /// Steps that are not finished.
     pub left: u32,
--- a/crates/cleatfold-fault-attribution/src/job.rs
+++ b/crates/cleatfold-fault-attribution/src/job.rs
@@ -6,8 +6,11 @@
 /// A start that failed, as its job's record tells of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Failure {
+    /// Where it failed.
     pub machine: MachineId,
+    /// Which task.
     pub task: TaskIx,
+    /// Which attempt of it.
     pub attempt: Attempt,
     /// Time of day.
     pub at_ms: u64,
@@ -30,9 +33,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// As good as any. Some of its tasks may have failed and pause, each by itself.
-    Sound { pausing: BTreeSet<TaskIx> },
+    /// Some of its tasks work; those that failed pause.
+    Sound {
+        /// Tasks that must not be claimed now.
+        pausing: BTreeSet<TaskIx>,
+    },
     /// It failed wherever it ran: one task at a time, not before `until_ms`.
-    Suspect { until_ms: u64 },
+    /// It fails wherever it runs.
+    Suspect {
+        /// Time of day of its next try, in milliseconds.
+        until_ms: u64,
+    },
 }
 
 impl Verdict {
--- a/crates/cleatfold-fault-attribution/src/lib.rs
+++ b/crates/cleatfold-fault-attribution/src/lib.rs
@@ -7,6 +7,14 @@
 //! just now. The evidence about machines is their owner's memory: a new owner begins anew, and
 //! a machine that is faulty shows it again.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 mod job;
 mod machine;
 
--- a/crates/cleatfold-image-distribution/src/distributor.rs
+++ b/crates/cleatfold-image-distribution/src/distributor.rs
@@ -9,6 +9,7 @@
 /// A machine of our pools by a report that was sent under our token.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
+    /// The machine's pool.
     pub pool: PoolId,
     /// When its newest report came.
     pub at: Ms,
@@ -29,6 +30,7 @@
 }
 
 impl Seen {
+    /// Whether the machine holds the image whole.
     pub fn has(&self, image: &ImageId) -> bool {
         self.images.get(image).is_some_and(|part| *part >= 1.0)
     }
@@ -36,14 +38,23 @@
 
 /// What the decisions are made from. Wants are those of all pools; the rest is of our own.
 pub struct View<'a> {
+    /// Steady time.
     pub now: Ms,
+    /// Time of day in milliseconds.
     pub wall_ms: u64,
+    /// Bytes of one record at most.
     pub value_bytes: usize,
+    /// The operators' settings.
     pub settings: &'a Settings,
+    /// Who fetches from the origin, as it is stored.
     pub origin: &'a OriginRecord,
+    /// Who holds which image, as it is stored.
     pub spreads: &'a BTreeMap<ImageId, SpreadRecord>,
+    /// Machines that wait for images.
     pub wants: Vec<Want>,
+    /// The pools that are ours.
     pub pools: &'a BTreeSet<PoolId>,
+    /// Our machines as they last reported.
     pub seen: BTreeMap<MachineId, Seen>,
     /// On how many machines tasks of an image have claims.
     pub in_use: BTreeMap<ImageId, usize>,
@@ -109,6 +120,7 @@
 }
 
 impl ImageDistributor {
+    /// Where a machine fetches an image from; none: not yet.
     pub fn turn(&self, machine: &MachineId, image: &ImageId) -> Option<&Turn> {
         self.fetch_sources.get(&(machine.clone(), image.clone()))
     }
--- a/crates/cleatfold-image-distribution/src/lib.rs
+++ b/crates/cleatfold-image-distribution/src/lib.rs
@@ -3,6 +3,14 @@
 //!
 //! Pure: no I/O and no clock. `docs/weights.md` argues.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 mod distributor;
 mod origin;
 mod pieces;
--- a/crates/cleatfold-image-distribution/src/origin.rs
+++ b/crates/cleatfold-image-distribution/src/origin.rs
@@ -12,8 +12,10 @@
 /// One machine's fetch from the origin.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slot {
+    /// The machine's pool.
     #[serde(rename = "p")]
     pub pool: PoolId,
+    /// The image.
     #[serde(rename = "i")]
     pub image: ImageId,
     /// Time of day, in milliseconds. To be read by people.
@@ -24,6 +26,7 @@
     pub mb_per_s: u32,
 }
 
+/// All fetches from the origin.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OriginRecord {
     /// By machine: it fetches one image at a time.
--- a/crates/cleatfold-image-distribution/src/pieces.rs
+++ b/crates/cleatfold-image-distribution/src/pieces.rs
@@ -14,11 +14,14 @@
 /// What the image's maker says its pieces are.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pieces {
+    /// The image.
     pub image: ImageId,
+    /// The digest of each piece.
     pub digests: Arc<[u64]>,
 }
 
 impl Pieces {
+    /// Whether these bytes are the piece of this number.
     pub fn is(&self, number: u32, bytes: &[u8]) -> bool {
         self.digests.get(number as usize) == Some(&digest(number, bytes))
     }
@@ -33,6 +36,7 @@
     Origin(u32),
     /// Every source failed; whoever decides has to say from where.
     Stuck,
+    /// All pieces are here.
     Whole,
 }
 
@@ -43,6 +47,7 @@
 /// dies all behind it would go there at once. It says that it is stuck and is told.
 #[derive(Clone, Debug)]
 pub struct Fetch {
+    /// What the image consists of.
     pub pieces: Pieces,
     /// Pieces are fetched in order: the first so many are there.
     pub have: u32,
@@ -54,6 +59,7 @@
 }
 
 impl Fetch {
+    /// A fetch that has nothing yet.
     pub fn new(pieces: Pieces, sources: &[String]) -> Self {
         let mut fetch = Fetch { pieces, have: 0, sources: None, failed: BTreeMap::new(), wrong: 0 };
         fetch.take_sources(sources);
@@ -66,10 +72,12 @@
         self.failed.clear();
     }
 
+    /// How much is here; 1: all of it.
     pub fn part(&self) -> f64 {
         f64::from(self.have) / (self.pieces.digests.len() as f64).max(1.0)
     }
 
+    /// What to fetch next.
     pub fn next(&self, now: Ms) -> Next {
         if self.have as usize >= self.pieces.digests.len() {
             return Next::Whole;
--- a/crates/cleatfold-image-distribution/src/record.rs
+++ b/crates/cleatfold-image-distribution/src/record.rs
@@ -10,6 +10,7 @@
 /// costs time, never a rule.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SpreadRecord {
+    /// Machines that hold it, by pool.
     #[serde(rename = "h", default)]
     pub holders: BTreeMap<PoolId, Names>,
 }
@@ -35,6 +36,7 @@
 }
 
 impl Names {
+    /// Packs names.
     pub fn of<'a>(names: impl IntoIterator<Item = &'a MachineId>) -> Self {
         let mut all = Names::default();
         let mut bits = RoaringBitmap::new();
@@ -107,10 +109,12 @@
         }
     }
 
+    /// The length of the record as it is stored.
     pub fn bytes(&self) -> usize {
         serde_json::to_vec(self).map_or(usize::MAX, |v| v.len())
     }
 
+    /// All holders in a zone.
     pub fn in_zone(&self, zone: &ZoneId) -> BTreeSet<MachineId> {
         let here = self.holders.iter().filter(|(p, _)| p.zone == *zone);
         here.flat_map(|(_, names)| names.read()).collect()
--- a/crates/cleatfold-image-distribution/src/settings.rs
+++ b/crates/cleatfold-image-distribution/src/settings.rs
@@ -45,6 +45,7 @@
         Ok(())
     }
 
+    /// Whether an image of this size is distributed.
     pub fn is_large(&self, gb: f64) -> bool {
         gb >= self.min_gb
     }
--- a/crates/cleatfold-image-distribution/src/slot_assignment.rs
+++ b/crates/cleatfold-image-distribution/src/slot_assignment.rs
@@ -12,8 +12,11 @@
 /// A machine with a claim that waits for an image that is not there.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Want {
+    /// The machine that waits.
     pub machine: MachineId,
+    /// Its pool.
     pub pool: PoolId,
+    /// What it waits for.
     pub image: ImageId,
     /// By urgency; the first lane is 0.
     pub urgency: u8,
--- a/crates/cleatfold-ingress/src/class.rs
+++ b/crates/cleatfold-ingress/src/class.rs
@@ -9,6 +9,7 @@
     Ask,
     /// A worker that holds nothing.
     Idle,
+    /// A user's question.
     Poll,
 }
 
@@ -17,6 +18,7 @@
 const WORKER_BOUND: usize = 8_192;
 
 impl Class {
+    /// All classes, in the order in which they are served.
     pub const ALL: [Class; 4] = [Class::Busy, Class::Ask, Class::Idle, Class::Poll];
 
     /// After so long the asker has left (PROTOCOL: a worker after 4 s, a user's request after
--- a/crates/cleatfold-ingress/src/connections.rs
+++ b/crates/cleatfold-ingress/src/connections.rs
@@ -2,9 +2,11 @@
 
 use std::collections::BTreeMap;
 
+/// The number of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
+/// What is known of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Connection {
     /// When a request last began or ended on it.
@@ -53,10 +55,12 @@
         (id, Some(leaves.unwrap_or(id)))
     }
 
+    /// The connection is closed.
     pub fn close(&mut self, id: ConnectionId) {
         self.taken.remove(&id);
     }
 
+    /// A request has begun (`busy`) or ended on the connection.
     pub fn note(&mut self, id: ConnectionId, now: u64, busy: bool, worker: bool) {
         if let Some(connection) = self.taken.get_mut(&id) {
             (connection.active, connection.busy) = (now, busy);
@@ -71,10 +75,12 @@
         unused.map(|(id, _)| *id).collect()
     }
 
+    /// How many connections there are.
     pub fn len(&self) -> usize {
         self.taken.len()
     }
 
+    /// Whether there is none.
     pub fn is_empty(&self) -> bool {
         self.taken.is_empty()
     }
--- a/crates/cleatfold-ingress/src/lib.rs
+++ b/crates/cleatfold-ingress/src/lib.rs
@@ -3,6 +3,14 @@
 //! Pure decisions, no I/O and no clock of their own: times are milliseconds on the caller's
 //! steady clock. `docs/overload.md` says why they are what they are.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 mod change_rate_limiter;
 mod class;
 mod connections;
--- a/crates/cleatfold-ingress/src/outgoing_queue.rs
+++ b/crates/cleatfold-ingress/src/outgoing_queue.rs
@@ -25,16 +25,19 @@
 }
 
 impl<T> OutgoingQueue<T> {
+    /// A queue of so many priorities.
     pub fn new(queues: usize) -> Self {
         Self { queues: (0..queues).map(|_| VecDeque::new()).collect(), sent: 0 }
     }
 
+    /// Adds a request of a priority, the first being 0, that makes so many changes.
     pub fn push(&mut self, queue: usize, at: u64, changes: f64, item: T) {
         if let Some(queue) = self.queues.get_mut(queue) {
             queue.push_back(Waiting { at, changes, item });
         }
     }
 
+    /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.queues.iter().all(VecDeque::is_empty)
     }
--- a/crates/cleatfold-ingress/src/pressure.rs
+++ b/crates/cleatfold-ingress/src/pressure.rs
@@ -5,6 +5,7 @@
 /// Ordered: a higher level is worse.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
+    /// In time.
     #[default]
     Calm,
     /// Behind now and then: what costs much and is not urgent is done less often.
@@ -53,6 +54,7 @@
         self.level = reached(1.0).max(self.level.min(reached(LEFT)));
     }
 
+    /// The level of pressure.
     pub fn level(&self) -> Level {
         self.level
     }
--- a/crates/cleatfold-ingress/src/request_queue.rs
+++ b/crates/cleatfold-ingress/src/request_queue.rs
@@ -56,6 +56,7 @@
         gone
     }
 
+    /// The request to be worked on next.
     pub fn pop(&mut self, now: u64) -> Option<T> {
         let age = |q: &VecDeque<Waiting<T>>| q.front().map(|w| now.saturating_sub(w.arrived));
         let late = |class: Class| {
@@ -81,10 +82,12 @@
         next.map(|w| w.item)
     }
 
+    /// How many requests wait.
     pub fn len(&self) -> usize {
         self.queues.iter().map(VecDeque::len).sum()
     }
 
+    /// Whether none waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/cleatfold-ingress/src/retry.rs
+++ b/crates/cleatfold-ingress/src/retry.rs
@@ -11,14 +11,17 @@
 }
 
 impl RetryBudget {
+    /// With the given limits.
     pub fn new(per_call: f64, most: f64) -> Self {
         Self { level: most, per_call, most }
     }
 
+    /// A call was made.
     pub fn note_call(&mut self) {
         self.level = (self.level + self.per_call).min(self.most);
     }
 
+    /// Whether a retry may be made; then it is counted.
     pub fn take(&mut self) -> bool {
         let any = self.level >= 1.0;
         if any {
@@ -32,11 +35,14 @@
 /// come back together.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
+    /// The pause after the first failure.
     pub first_ms: u64,
+    /// The longest pause.
     pub most_ms: u64,
 }
 
 impl Backoff {
+    /// The pause after so many failures in a row, spread at random.
     pub fn pause_ms(&self, failures: u32, rng: &mut impl Rng) -> u64 {
         let full = self.first_ms.saturating_mul(1 << failures.min(16)).min(self.most_ms).max(2);
         rng.random_range(full / 2..=full)
@@ -57,6 +63,7 @@
 }
 
 impl Breaker {
+    /// With the given limits.
     pub fn new(opens_after: u32, backoff: Backoff) -> Self {
         Self { opens_after, backoff, failures: 0, opened: 0, until: None, trying: false }
     }
@@ -73,10 +80,12 @@
         }
     }
 
+    /// Whether the service is taken to be down.
     pub fn is_open(&self) -> bool {
         self.until.is_some()
     }
 
+    /// What came of a call.
     pub fn note(&mut self, now: u64, answered: bool, rng: &mut impl Rng) {
         if answered {
             (self.failures, self.opened, self.until, self.trying) = (0, 0, None, false);
--- a/crates/cleatfold-ingress/src/submission_queue.rs
+++ b/crates/cleatfold-ingress/src/submission_queue.rs
@@ -23,10 +23,12 @@
 }
 
 impl<K: Ord + Clone, T> SubmissionQueue<K, T> {
+    /// Submissions of users who wait for so long.
     pub fn new(patience_ms: u64) -> Self {
         Self { teams: BTreeMap::new(), last: None, patience_ms }
     }
 
+    /// Adds a submission of a team.
     pub fn push(&mut self, team: K, arrived: u64, item: T) {
         self.teams.entry(team).or_default().push_back(Waiting { arrived, item });
     }
@@ -36,10 +38,12 @@
         self.teams.entry(team).or_default().push_front(Waiting { arrived, item });
     }
 
+    /// How many submissions wait.
     pub fn len(&self) -> usize {
         self.teams.values().map(VecDeque::len).sum()
     }
 
+    /// Whether none waits.
     pub fn is_empty(&self) -> bool {
         self.teams.is_empty()
     }
--- a/crates/cleatfold-priority/src/decision.rs
+++ b/crates/cleatfold-priority/src/decision.rs
@@ -17,8 +17,10 @@
 /// Room that is being made on a machine, and for whom.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PreemptionPlan {
+    /// The job that resources are freed for.
     #[serde(rename = "j")]
     pub job: JobId,
+    /// Where they are freed.
     #[serde(rename = "m")]
     pub machine: MachineId,
     /// Tasks of the job that it is for.
@@ -30,6 +32,7 @@
     /// Time of day in milliseconds after which it is nobody's any more.
     #[serde(rename = "z")]
     pub until_ms: u64,
+    /// The tasks that leave.
     #[serde(rename = "x", default)]
     pub stop: Vec<Victim>,
     /// How long these have to save, in milliseconds.
@@ -40,6 +43,7 @@
 /// The rooms being made in one pool, written under the pool's token.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PreemptionRecord {
+    /// The plans that are under way.
     #[serde(rename = "r", default)]
     pub plans: Vec<PreemptionPlan>,
 }
@@ -51,6 +55,7 @@
     pub waits: u32,
     /// Its tasks with a place on the room's machine.
     pub here: u32,
+    /// Time of day in milliseconds.
     pub wall_ms: u64,
 }
 
--- a/crates/cleatfold-priority/src/inversions.rs
+++ b/crates/cleatfold-priority/src/inversions.rs
@@ -8,9 +8,13 @@
 /// A task that is to start, or has started, on a machine.
 #[derive(Clone, Debug)]
 pub struct Start {
+    /// The job.
     pub job: JobId,
+    /// Its urgency.
     pub urgency: Urgency,
+    /// The machine's type.
     pub machine_type: TypeId,
+    /// The machine's zone.
     pub zone: ZoneId,
     /// The machine may be taken away.
     pub spot: bool,
@@ -21,16 +25,21 @@
 /// A job of which tasks wait for a place.
 #[derive(Clone, Debug)]
 pub struct Waiting {
+    /// The job.
     pub job: JobId,
+    /// Its urgency.
     pub urgency: Urgency,
     /// Since when: accepted, or a place of it ended.
     pub since: Ms,
+    /// What one task takes.
     pub each: Resources,
+    /// The machine types it may run on; none: any.
     pub types: Option<Vec<TypeId>>,
     /// The only zone it may run in.
     pub zone: Option<ZoneId>,
     /// Zones in which it may have no more.
     pub barred: BTreeSet<ZoneId>,
+    /// It may run on spot machines.
     pub spot: bool,
     /// Its team's limit holds one more.
     pub within_limit: bool,
@@ -56,13 +65,16 @@
 /// Counts them over a day.
 #[derive(Clone, Debug, Default)]
 pub struct Inversions {
+    /// All starts.
     pub starts: u32,
+    /// Those before something more urgent that would have fitted.
     pub inverted: u32,
     /// The first few, to be looked at.
     pub shown: Vec<(Ms, Start, Waiting)>,
 }
 
 impl Inversions {
+    /// Counts a start while these jobs wait.
     pub fn started<'a>(
         &mut self,
         start: &Start,
--- a/crates/cleatfold-priority/src/lib.rs
+++ b/crates/cleatfold-priority/src/lib.rs
@@ -2,6 +2,14 @@
 //!
 //! Pure: no I/O and no clock. `docs/lanes.md` argues.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 mod decision;
 mod inversions;
 mod live;
--- a/crates/cleatfold-priority/src/live.rs
+++ b/crates/cleatfold-priority/src/live.rs
@@ -17,6 +17,7 @@
 pub struct Owner {
     /// Its key stands, of the life that holds the pool.
     pub stands: bool,
+    /// How long ago anything came from it.
     pub silence_ms: Option<u64>,
     /// When it last read the state service, by its own word.
     pub read_ms: Option<u64>,
@@ -84,6 +85,7 @@
 pub struct Sent {
     /// The dealer has sent it somewhere.
     pub anywhere: bool,
+    /// It was sent to this pool.
     pub here: bool,
     /// All the pools that it was sent to live.
     pub all_live: bool,
--- a/crates/cleatfold-priority/src/start_barrier.rs
+++ b/crates/cleatfold-priority/src/start_barrier.rs
@@ -9,6 +9,7 @@
 /// What the new owner has heard since.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StartBarrier {
+    /// When the pool came to its present owner.
     pub taken: Ms,
     /// When the newest complete reading of the state service was asked for.
     pub read: Option<Ms>,
--- a/crates/cleatfold-reachability/src/contact.rs
+++ b/crates/cleatfold-reachability/src/contact.rs
@@ -6,6 +6,7 @@
 /// From the workers' report interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
+    /// Time between two heartbeats of a worker.
     pub heartbeat_interval_ms: u64,
 }
 
@@ -38,10 +39,13 @@
 /// A question to be put to a machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Probe {
+    /// The machine's zone.
     pub zone: ZoneId,
+    /// The machine.
     pub machine: MachineId,
 }
 
+/// The contact with one zone's workers.
 #[derive(Clone, Debug, Default)]
 pub struct Contact {
     last_contact: Ms,
@@ -56,31 +60,37 @@
 }
 
 impl Contact {
+    /// Something was heard of a worker.
     pub fn note_contact(&mut self, now: Ms) {
         self.last_contact = now;
         self.in_vain = 0;
         self.unanswered.clear();
     }
 
+    /// A machine did not answer a question.
     pub fn unanswered(&mut self, machine: &MachineId) {
         self.in_vain += 1;
         self.unanswered.insert(machine.clone());
     }
 
+    /// When a worker was last heard of.
     pub fn last_contact(&self) -> Ms {
         self.last_contact
     }
 
+    /// Whether the zone's workers are out of reach.
     pub fn is_lost(&self) -> bool {
         self.in_vain >= UNANSWERED && self.unanswered.len() >= self.machines.min(UNANSWERED)
     }
 
+    /// What was noted before says nothing any more.
     pub fn begin_anew(&mut self, now: Ms) {
         (self.last_contact, self.asked) = (now, now);
         self.in_vain = 0;
         self.unanswered.clear();
     }
 
+    /// The question that should be put to a machine now, if any.
     pub fn probe(
         &mut self,
         timing: &Timing,
--- a/crates/cleatfold-reachability/src/lib.rs
+++ b/crates/cleatfold-reachability/src/lib.rs
@@ -4,6 +4,14 @@
 //! Hints, all of it: who owns a pool is decided in the state service, under tokens. What is decided
 //! here is only whom it is worth asking. `docs/reachability.md` weighs and argues.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 mod contact;
 mod misdirected_workers;
 mod one_way_partition;
@@ -30,13 +38,17 @@
 pub struct Reachability {
     timing: Timing,
     zones: BTreeMap<ZoneId, Contact>,
+    /// What is heard of the other controllers.
     pub peers: Peers,
+    /// Workers that come here in vain.
     pub misdirected_workers: MisdirectedWorkers,
+    /// Which workers to let go while nothing is heard of anybody else.
     pub worker_release: WorkerRelease,
     shunned: ShunnedControllers,
 }
 
 impl Reachability {
+    /// A view in which nothing is known yet.
     pub fn new(timing: Timing) -> Self {
         Self { timing, ..Self::default() }
     }
--- a/crates/cleatfold-reachability/src/misdirected_workers.rs
+++ b/crates/cleatfold-reachability/src/misdirected_workers.rs
@@ -20,6 +20,7 @@
 /// Whether a pool should come after a worker that came here in vain.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Came {
+    /// It should stay.
     No,
     /// Yes, if the worker itself is still there and says the same when it is asked.
     Ask,
@@ -34,6 +35,7 @@
     at: Ms,
 }
 
+/// Workers that came here instead of to their pool's owner.
 #[derive(Clone, Debug, Default)]
 pub struct MisdirectedWorkers {
     came: BTreeMap<MachineId, (PoolId, VecDeque<Ms>)>,
--- a/crates/cleatfold-reachability/src/one_way_partition.rs
+++ b/crates/cleatfold-reachability/src/one_way_partition.rs
@@ -126,6 +126,7 @@
         true
     }
 
+    /// Whether the machine reports and receives nothing.
     pub fn is_partitioned(&self) -> bool {
         self.partitioned_since.is_some()
     }
--- a/crates/cleatfold-reachability/src/peers.rs
+++ b/crates/cleatfold-reachability/src/peers.rs
@@ -27,6 +27,7 @@
     pub lost: bool,
 }
 
+/// The other controllers, by name.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
     peers: BTreeMap<ControllerId, Peer>,
@@ -37,6 +38,7 @@
         self.peers.entry(controller.clone()).or_default()
     }
 
+    /// Something came from the peer.
     pub fn note_message(&mut self, controller: &ControllerId, now: Ms) {
         self.peer(controller).last_message = Some(now);
     }
@@ -46,6 +48,7 @@
         self.peer(controller).contact = Some(at);
     }
 
+    /// The peer says which zones' workers it hears.
     pub fn note_zone_contacts(
         &mut self,
         controller: &ControllerId,
@@ -55,6 +58,7 @@
         self.peer(controller).zones = Some((now, zones));
     }
 
+    /// When anything last came from the peer.
     pub fn last_message(&self, controller: &ControllerId) -> Option<Ms> {
         self.peers.get(controller).and_then(|p| p.last_message)
     }
--- a/crates/cleatfold-reachability/src/shunned.rs
+++ b/crates/cleatfold-reachability/src/shunned.rs
@@ -22,6 +22,7 @@
 }
 
 impl ShunnedControllers {
+    /// The zone's workers have left the controller.
     pub fn left(&mut self, controller: &ControllerId, zone: &ZoneId, now: Ms) {
         let key = (controller.clone(), zone.clone());
         let known = self.left.get(&key).copied();
@@ -36,6 +37,7 @@
         self.left.insert(key, Left { at: now, pause_ms });
     }
 
+    /// Whether the controller gets nothing of the zone now.
     pub fn is_shunned(&self, controller: &ControllerId, zone: &ZoneId, now: Ms) -> bool {
         let key = (controller.clone(), zone.clone());
         self.left.get(&key).is_some_and(|l| now.since(l.at) < l.pause_ms)
--- a/crates/cleatfold-reachability/src/worker_release.rs
+++ b/crates/cleatfold-reachability/src/worker_release.rs
@@ -44,6 +44,7 @@
 /// What to do with a worker that reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
+    /// Answer it as ever.
     Keep,
     /// To this controller, or to whichever it finds.
     Release(Option<ControllerId>),
--- a/crates/cleatfold-roles/src/lib.rs
+++ b/crates/cleatfold-roles/src/lib.rs
@@ -5,6 +5,14 @@
 //! epoch, and every transaction of the duty is guarded by it. The cloud knows no epochs, so a
 //! rental is first a durable intent. Pure: no I/O and no clock. `docs/duties.md` argues.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 pub mod role;
 pub mod role_assignment;
 pub mod scale_out;
--- a/crates/cleatfold-roles/src/role.rs
+++ b/crates/cleatfold-roles/src/role.rs
@@ -22,13 +22,16 @@
 ];
 
 impl Role {
+    /// All roles.
     pub const ALL: [Role; 4] =
         [Role::PoolAssignment, Role::ScaleOut, Role::GarbageCollection, Role::OverloadQuota];
 
+    /// The role's key in the state service.
     pub fn key(self) -> &'static str {
         KEYS[self as usize].1
     }
 
+    /// The role that a key stands for.
     pub fn of_key(key: &str) -> Option<Role> {
         KEYS.iter().find(|k| k.1 == key).map(|k| k.0)
     }
--- a/crates/cleatfold-roles/src/role_assignment.rs
+++ b/crates/cleatfold-roles/src/role_assignment.rs
@@ -9,6 +9,7 @@
 use cleatfold_wire::{ControllerId, Ms};
 use std::collections::BTreeSet;
 
+/// When this controller takes roles and gives them back.
 #[derive(Debug, Default)]
 pub struct RoleAssignment {
     vacancies: Vacancies<Role>,
--- a/crates/cleatfold-roles/src/scale_out.rs
+++ b/crates/cleatfold-roles/src/scale_out.rs
@@ -17,16 +17,22 @@
 /// What is over is taken out of the record with the next rental, or after so long.
 const CLOSE_MS: u64 = 10_000;
 
+/// A request to the cloud, written down before it is made.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ScaleOutIntent {
+    /// The request's name; used once.
     #[serde(rename = "n")]
     pub name: String,
+    /// The machine type.
     #[serde(rename = "t")]
     pub machine_type: TypeId,
+    /// The zone.
     #[serde(rename = "z")]
     pub zone: ZoneId,
+    /// Spot machines.
     #[serde(rename = "s")]
     pub spot: bool,
+    /// How many machines.
     #[serde(rename = "c")]
     pub count: u32,
     /// It has been asked for once more by a later holder, and is not again: after a refusal a
@@ -36,10 +42,12 @@
 }
 
 impl ScaleOutIntent {
+    /// The pool that the machines will belong to.
     pub fn pool(&self) -> PoolId {
         PoolId { machine_type: self.machine_type.clone(), zone: self.zone.clone() }
     }
 
+    /// The request to the cloud.
     pub fn request(&self) -> ScaleOutRequest {
         ScaleOutRequest {
             request: self.name.clone(),
@@ -51,33 +59,42 @@
     }
 }
 
+/// What the cloud would not give.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CapacityRefusal {
+    /// The machine type.
     #[serde(rename = "t")]
     pub machine_type: TypeId,
+    /// The zone.
     #[serde(rename = "z")]
     pub zone: ZoneId,
+    /// Spot machines.
     #[serde(rename = "s")]
     pub spot: bool,
     /// Time of day.
     #[serde(rename = "u")]
     pub until_ms: u64,
+    /// The pause that led there; the next one is twice as long.
     #[serde(rename = "p")]
     pub pause_ms: u64,
 }
 
+/// All requests that may have been made, and refusals that still count.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ScaleOutIntents {
     /// Under which version of the duty's key it was written.
     #[serde(rename = "e", default)]
     pub epoch: Version,
+    /// Requests that are not known to be answered.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub open: Vec<ScaleOutIntent>,
+    /// What is not asked for again for a while.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub refused: Vec<CapacityRefusal>,
 }
 
 impl ScaleOutIntents {
+    /// Whether the cloud would not give machines of this pool just now.
     pub fn is_refused(&self, pool: &PoolId, spot: bool, wall_ms: u64) -> bool {
         self.refusal(pool, spot).is_some_and(|r| r.until_ms > wall_ms)
     }
@@ -113,7 +130,9 @@
 /// What to write next, and what to ask the cloud for once that is durable.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Step {
+    /// The record to be written.
     pub book: ScaleOutIntents,
+    /// Requests to be made once it is durable.
     pub calls: Vec<ScaleOutIntent>,
 }
 
@@ -173,6 +192,7 @@
         self.calling.extend(calls.iter().map(|i| i.name.clone()));
     }
 
+    /// The cloud has answered a request.
     pub fn answered(&mut self, name: &str, answer: Answer, now: Ms) {
         if self.calling.remove(name) {
             self.answered.insert(name.to_string(), (answer, now));
--- a/crates/cleatfold-roles/src/vacancies.rs
+++ b/crates/cleatfold-roles/src/vacancies.rs
@@ -13,6 +13,7 @@
 /// Things move back only when nobody has come or gone for so long, and one in so long.
 const QUIET_MS: u64 = 30_000;
 
+/// What stands without a holder, and what was asked for.
 #[derive(Debug)]
 pub struct Vacancies<K> {
     /// Since when a thing has been seen without a holder.
@@ -60,6 +61,7 @@
         }
     }
 
+    /// The live controllers, as last seen.
     pub fn live(&self) -> &BTreeSet<ControllerId> {
         &self.live
     }
--- a/crates/cleatfold-wire/src/store.rs
+++ b/crates/cleatfold-wire/src/store.rs
@@ -58,6 +58,7 @@
         self.guards.push(Guard { key: key.into(), version });
     }
     pub fn put(&mut self, key: impl Into<String>, value: &impl Serialize, lease: Option<LeaseId>) {
+        #[expect(clippy::expect_used, reason = "records are plain JSON")]
         let value = serde_json::value::to_raw_value(value).expect("our records are plain JSON");
         self.changes.push(Change {
             put: Some(key.into()),
--- a/crates/cleatfold-wire/src/worker.rs
+++ b/crates/cleatfold-wire/src/worker.rs
@@ -138,6 +138,7 @@
 
 impl Heartbeat {
     pub fn into_raw(self) -> RawHeartbeat {
+        #[expect(clippy::expect_used, reason = "tasks are plain JSON")]
         let text = serde_json::value::to_raw_value(&self.tasks).expect("tasks are plain JSON");
         self.with_tasks(text)
     }
--- a/crates/cleatfold-workspace/src/entry.rs
+++ b/crates/cleatfold-workspace/src/entry.rs
@@ -10,19 +10,25 @@
 /// Short names: values are small in the state service. Its number is its place in its group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
+    /// The job.
     #[serde(rename = "j")]
     pub job: JobId,
+    /// How it ended.
     #[serde(rename = "e")]
     pub state: JobState,
+    /// How many of its tasks were done.
     #[serde(rename = "n")]
     pub done: u32,
     /// Jobs that ended under an earlier version have none.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     pub summary: Option<Summary>,
+    /// How many starts were lost.
     #[serde(rename = "l", default, skip_serializing_if = "is_zero")]
     pub losses: u32,
+    /// Why, and how many of each.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub causes: Vec<(LossCause, u32)>,
+    /// The last failure that is known.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub last_failure: Option<LastFailure>,
 }
@@ -57,6 +63,7 @@
         Self { job, state, done, summary, losses: total, causes, last_failure }
     }
 
+    /// As its team is shown it, under its number.
     pub fn to_ended_job(&self, number: u64) -> EndedJob {
         let s = self.summary.as_ref();
         EndedJob {
@@ -86,6 +93,7 @@
 /// Ended jobs that follow one another. Its key says the number of the first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Group {
+    /// In the order of their numbers.
     #[serde(rename = "e")]
     pub entries: Vec<Entry>,
 }
--- a/crates/cleatfold-workspace/src/history.rs
+++ b/crates/cleatfold-workspace/src/history.rs
@@ -7,10 +7,13 @@
 /// What an ended job's record keeps for its team's history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
+    /// The job's class.
     #[serde(rename = "c")]
     pub class: ClassId,
+    /// Its urgency.
     #[serde(rename = "u")]
     pub urgency: Urgency,
+    /// How many tasks it had.
     #[serde(rename = "t")]
     pub tasks: u32,
     /// Times of day, in milliseconds.
@@ -19,6 +22,7 @@
     /// When a task of it was first claimed; none: never.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub begun_ms: Option<u64>,
+    /// Time of day of its end, in milliseconds.
     #[serde(rename = "z")]
     pub ended_ms: u64,
     /// Processor seconds of all its starts, lost ones too, in thousandths.
@@ -38,6 +42,7 @@
     /// The number of the next entry: entries are numbered without gaps.
     #[serde(rename = "e", default)]
     pub entries: u64,
+    /// Ends up to this revision are in it.
     #[serde(rename = "v", default)]
     pub upto: u64,
 }
--- a/crates/cleatfold-workspace/src/lib.rs
+++ b/crates/cleatfold-workspace/src/lib.rs
@@ -3,6 +3,14 @@
 //! A workspace's owner is named by a key of the state service; the key's version is the token that
 //! guards everything the owner writes. Pure: no I/O and no clock. `docs/workspaces.md` argues.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 mod entry;
 mod history;
 pub mod owner;
--- a/crates/cleatfold-workspace/src/page.rs
+++ b/crates/cleatfold-workspace/src/page.rs
@@ -9,6 +9,7 @@
 /// Entries of an answer, as many as it holds.
 #[derive(Debug)]
 pub struct AnswerPage<T> {
+    /// What fits so far.
     pub entries: Vec<T>,
     length: usize,
 }
--- a/crates/cleatfold-workspace/src/unwritten.rs
+++ b/crates/cleatfold-workspace/src/unwritten.rs
@@ -25,8 +25,11 @@
 /// An ended job, as the archive's record has it, and the record's version.
 #[derive(Clone, Debug)]
 pub struct JobEnd {
+    /// The revision that ended the job.
     pub version: u64,
+    /// Its team.
     pub team: TeamId,
+    /// Its entry in the history.
     pub entry: Entry,
 }
 
@@ -41,7 +44,9 @@
 /// A piece of a tail that becomes a group: the next head, and how many jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Piece {
+    /// What is to be written.
     pub entries: Vec<Entry>,
+    /// The head as it will be.
     pub head: HistoryHead,
     /// It goes even where changes are short.
     pub pressing: bool,
@@ -90,6 +95,7 @@
         self.read.map(|r| r.1)
     }
 
+    /// From which revision on ends are known.
     pub fn from(&self) -> Option<u64> {
         self.read.map(|r| r.0)
     }
--- a/crates/cleatfold-write-batching/src/lib.rs
+++ b/crates/cleatfold-write-batching/src/lib.rs
@@ -3,6 +3,14 @@
 //! still with the workers, who keep an exited task in their reports until they are told to
 //! forget it.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 mod parts;
 mod pending_updates;
 
--- a/crates/cleatfold-write-batching/src/parts.rs
+++ b/crates/cleatfold-write-batching/src/parts.rs
@@ -15,7 +15,9 @@
 /// What is to be recorded of one part.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PendingPartUpdates {
+    /// Completed tasks.
     pub done: u32,
+    /// Tasks that ended otherwise.
     pub lost: u32,
     /// Tasks of it that still run in this controller's pools.
     pub mine_left: u32,
@@ -46,14 +48,17 @@
         Self { chosen: order.into_iter().take(room).map(|(n, _)| *n).collect() }
     }
 
+    /// Whether the part's ends are recorded.
     pub fn contains(&self, part: u32) -> bool {
         self.chosen.contains(&part)
     }
 
+    /// How many parts are.
     pub fn len(&self) -> usize {
         self.chosen.len()
     }
 
+    /// Whether none is.
     pub fn is_empty(&self) -> bool {
         self.chosen.is_empty()
     }
--- a/crates/cleatfold-write-batching/src/pending_updates.rs
+++ b/crates/cleatfold-write-batching/src/pending_updates.rs
@@ -11,6 +11,7 @@
     pub starts: u32,
     /// Members of an elastic job that report, and those of them that have nothing to do.
     pub member_reports: u32,
+    /// Members that have nothing to do until they are answered.
     pub idle: u32,
     /// Its user has asked to cancel it.
     pub abort: bool,
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -4,7 +4,7 @@
 //! the HTTP server each run beside it and speak to it by messages.
 
 use crate::operator::Operator;
-use crate::settings::Settings;
+use crate::settings::{Peer, Settings};
 use bytes::Bytes;
 use cleatfold_clients::{cloud, mesh, store, workers};
 use cleatfold_control::{Controller, Effect, Event, Request, Response};
@@ -18,19 +18,22 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
+/// Messages that wait for one peer; what comes on top is dropped, for all of them are hints.
+const MAX_WAITING_FRAMES: usize = 64;
+
 const TICK: Duration = Duration::from_millis(50);
 
 /// Asks that are handled before others have a turn to send or receive.
 const AT_ONCE: u32 = 32;
 
 /// What the door hands in.
-pub struct Ask {
+pub(crate) struct Ask {
     pub arrived: Instant,
     pub what: Asked,
     pub answer: oneshot::Sender<Response>,
 }
 
-pub enum Asked {
+pub(crate) enum Asked {
     Request(Request),
     Heartbeat(RawHeartbeat),
 }
@@ -48,7 +51,7 @@
 
 /// What the core last said of itself: enough to answer some at the door.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Vitals {
+pub(crate) struct Vitals {
     pub ready: bool,
     /// Under pressure polls are turned away unread when it is not their job's turn.
     pub level: Level,
@@ -56,7 +59,7 @@
 
 /// The core as the door knows it.
 #[derive(Clone)]
-pub struct Core {
+pub(crate) struct Core {
     pub asks: mpsc::UnboundedSender<Ask>,
     pub vitals: watch::Receiver<Vitals>,
 }
@@ -110,20 +113,51 @@
     }
 }
 
-pub async fn serve(settings: Settings, operator: Operator) -> std::io::Result<()> {
-    // What the services we use and our peers say comes in apart from what is asked of us: a node
+pub(crate) async fn serve(settings: Settings, operator: Operator) -> std::io::Result<()> {
+    // What the services we use and our peers say comes in apart from what is asked of us: a controller
     // that has more to answer than it can must still hear that its own lease was renewed.
-    let (core, inner) = mpsc::unbounded_channel::<Event>();
+    let (events, inner) = mpsc::unbounded_channel::<Event>();
     let (asks, asked) = mpsc::unbounded_channel::<Ask>();
     let (say, vitals) = watch::channel(Vitals { ready: false, level: Level::Calm });
-    let (store_queue, store_jobs) = mpsc::unbounded_channel();
-    let (cloud_queue, cloud_jobs) = mpsc::unbounded_channel();
-    let (worker_queue, worker_jobs) = mpsc::unbounded_channel();
-
     let listener = TcpListener::bind(settings.listen).await?;
     let mesh_listener = TcpListener::bind(settings.mesh_listen).await?;
+    let outgoing = spawn_clients(&settings, &events, mesh_listener);
+    let limits = crate::serve::ServerLimits {
+        sockets: settings.sockets(),
+        idle: settings.idle_connection(),
+    };
+    tokio::task::spawn_local(crate::serve::run(listener, Core { asks, vitals }, limits));
+
+    let mut config = settings.control();
+    operator.apply(&mut config);
+    tracing::info!(controller = %settings.controller, zone = %settings.zone, "serving");
+    CoreActor {
+        controller: Controller::new(config),
+        outgoing,
+        start: Instant::now(),
+        request_queue: RequestQueue::default(),
+        pressure: Pressure::default(),
+        poll_schedule: PollSchedule::default(),
+        polls: HashMap::new(),
+        announced_level: Level::Calm,
+        say,
+        next_rid: 0,
+    }
+    .run(inner, asked)
+    .await
+}
 
-    let to_core = core.clone();
+/// Starts the clients of the state service, the cloud, the workers and the peers. What they hear goes
+/// to the core as events; what the core wants goes to them through the channels that are returned.
+fn spawn_clients(
+    settings: &Settings,
+    events: &mpsc::UnboundedSender<Event>,
+    mesh_listener: TcpListener,
+) -> OutgoingChannels {
+    let (store_queue, store_jobs) = mpsc::unbounded_channel();
+    let (cloud_queue, cloud_jobs) = mpsc::unbounded_channel();
+    let (worker_queue, worker_jobs) = mpsc::unbounded_channel();
+    let to_core = events.clone();
     tokio::task::spawn_local(store::run(
         settings.endpoints.state.to_string(),
         settings.store_budget(),
@@ -132,7 +166,7 @@
             let _ = to_core.send(Event::Store { op, reply });
         },
     ));
-    let to_core = core.clone();
+    let to_core = events.clone();
     tokio::task::spawn_local(cloud::run(
         settings.endpoints.cloud.to_string(),
         cloud_jobs,
@@ -140,59 +174,40 @@
             let _ = to_core.send(Event::Cloud { op, reply });
         },
     ));
-    let to_core = core.clone();
-    tokio::task::spawn_local(workers::run(worker_jobs, move |machine, announced_level| {
-        let _ = to_core.send(match announced_level {
+    let to_core = events.clone();
+    tokio::task::spawn_local(workers::run(worker_jobs, move |machine, result| {
+        let _ = to_core.send(match result {
             workers::CallResult::Ordered(report) => Event::Ordered { machine, report },
-            workers::CallResult::Inspected(said) => Event::Probed { machine, answer: said },
+            workers::CallResult::Inspected(answer) => Event::Probed { machine, answer },
         });
     }));
-    let to_core = core.clone();
+    let to_core = events.clone();
     tokio::task::spawn_local(mesh::listen(mesh_listener, move |from, message| {
         let _ = to_core.send(Event::Mesh { from, message });
     }));
-    let mut mesh_queues = HashMap::new();
-    for peer in &settings.peers {
-        let (queue, frames) = mpsc::channel(64);
-        mesh_queues.insert(peer.controller.clone(), queue);
-        let me = settings.controller.clone();
-        tokio::task::spawn_local(mesh::dial(me, peer.endpoint.to_string(), frames));
-    }
-    let limits = crate::serve::ServerLimits {
-        sockets: settings.sockets(),
-        idle: settings.idle_connection(),
-    };
-    tokio::task::spawn_local(crate::serve::run(listener, Core { asks, vitals }, limits));
-
-    let outgoing = OutgoingChannels {
+    OutgoingChannels {
         store: store_queue,
         cloud: cloud_queue,
         workers: worker_queue,
-        mesh: mesh_queues,
+        mesh: dial_peers(settings),
         answers: HashMap::new(),
         refused: None,
-    };
-    let mut config = settings.control();
-    operator.apply(&mut config);
-    tracing::info!(controller = %settings.controller, zone = %settings.zone, "serving");
-    CoreActor {
-        controller: Controller::new(config),
-        outgoing,
-        start: Instant::now(),
-        request_queue: RequestQueue::default(),
-        pressure: Pressure::default(),
-        poll_schedule: PollSchedule::default(),
-        polls: HashMap::new(),
-        announced_level: Level::Calm,
-        say,
-        next_rid: 0,
     }
-    .run(inner, asked)
-    .await
+}
+
+/// Connects to every peer; what is sent to the channels goes out.
+fn dial_peers(settings: &Settings) -> HashMap<ControllerId, mpsc::Sender<Bytes>> {
+    let dial = |peer: &Peer| {
+        let (queue, frames) = mpsc::channel(MAX_WAITING_FRAMES);
+        let me = settings.controller.clone();
+        tokio::task::spawn_local(mesh::dial(me, peer.endpoint.to_string(), frames));
+        (peer.controller.clone(), queue)
+    };
+    settings.peers.iter().map(dial).collect()
 }
 
 /// The time of day.
-pub fn wall_ms() -> u64 {
+pub(crate) fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
--- a/crates/cleatfold/src/main.rs
+++ b/crates/cleatfold/src/main.rs
@@ -1,5 +1,13 @@
 //! The controller's program.
 
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
+
 mod actor;
 mod operator;
 mod serve;
--- a/crates/cleatfold/src/operator.rs
+++ b/crates/cleatfold/src/operator.rs
@@ -8,7 +8,7 @@
 
 #[derive(Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Operator {
+pub(crate) struct Operator {
     /// Pools that a job is sent to; 1 to 16.
     pub pools_per_job: Option<u32>,
     /// Milliseconds between readings of the state service; 100 to 2000.
@@ -35,7 +35,7 @@
 }
 
 impl Operator {
-    pub fn read(path: &Path) -> Result<Self, SettingsError> {
+    pub(crate) fn read(path: &Path) -> Result<Self, SettingsError> {
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path)
             .map_err(|error| SettingsError::Read { path: shown.clone(), error })?;
@@ -74,7 +74,7 @@
             .map_or(Ok(()), |image_distribution| image_distribution.check())
     }
 
-    pub fn apply(&self, config: &mut Config) {
+    pub(crate) fn apply(&self, config: &mut Config) {
         if let Some(k) = self.pools_per_job {
             config.k = k as usize;
         }
--- a/crates/cleatfold/src/serve.rs
+++ b/crates/cleatfold/src/serve.rs
@@ -19,14 +19,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
-use warp::http::{Method, StatusCode};
+use warp::http::{HeaderValue, Method, StatusCode};
 use warp::path::FullPath;
 use warp::Filter;
 
 type Reply = warp::http::Response<Bytes>;
 
 /// What the server may use.
-pub struct ServerLimits {
+pub(crate) struct ServerLimits {
     pub sockets: usize,
     /// A connection without a request for so long is closed.
     pub idle: Duration,
@@ -45,7 +45,7 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts connections and owns the table of them.
-pub async fn run(listener: TcpListener, core: Core, limits: ServerLimits) {
+pub(crate) async fn run(listener: TcpListener, core: Core, limits: ServerLimits) {
     let (events, mut heard) = mpsc::unbounded_channel();
     let mut connections = ConnectionTable::new(limits.sockets, limits.idle.as_millis() as u64);
     let mut leave: HashMap<ConnectionId, oneshot::Sender<()>> = HashMap::new();
@@ -300,6 +300,6 @@
 fn json(code: u16, body: &impl Serialize) -> Reply {
     let mut reply = Reply::new(Bytes::from(serde_json::to_vec(body).unwrap_or_default()));
     *reply.status_mut() = StatusCode::from_u16(code).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    reply.headers_mut().insert("content-type", "application/json".parse().expect("a header value"));
+    reply.headers_mut().insert("content-type", HeaderValue::from_static("application/json"));
     reply
 }
--- a/crates/cleatfold/src/settings.rs
+++ b/crates/cleatfold/src/settings.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 #[derive(Debug, thiserror::Error)]
-pub enum SettingsError {
+pub(crate) enum SettingsError {
     #[error("{path}: {error}")]
     Read { path: String, error: std::io::Error },
     #[error("{path}: {error}")]
@@ -19,7 +19,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Settings {
+pub(crate) struct Settings {
     #[serde(rename = "host_name")]
     pub controller: ControllerId,
     #[serde(rename = "area")]
@@ -35,7 +35,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Peer {
+pub(crate) struct Peer {
     #[serde(rename = "host_name")]
     pub controller: ControllerId,
     #[serde(rename = "area")]
@@ -44,13 +44,13 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Endpoints {
+pub(crate) struct Endpoints {
     pub cloud: SocketAddr,
     pub state: SocketAddr,
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Cluster {
+pub(crate) struct Cluster {
     #[serde(rename = "nodes")]
     pub controllers: u32,
     pub zones: Vec<ZoneId>,
@@ -67,14 +67,14 @@
 
 /// What the machine allows; 0: not said.
 #[derive(Debug, Default, Deserialize)]
-pub struct Limits {
+pub(crate) struct Limits {
     #[serde(default)]
     pub max_sockets: u32,
 }
 
 /// Where the settings do not say how many sockets the process may have: enough for a connection
 /// from each of 4,000 workers and as many users.
-pub const DEFAULT_MAX_SOCKETS: usize = 8_192;
+pub(crate) const DEFAULT_MAX_SOCKETS: usize = 8_192;
 
 impl TeamSettings {
     fn accounted(&self) -> bool {
@@ -83,7 +83,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct TeamSettings {
+pub(crate) struct TeamSettings {
     pub name: TeamId,
     #[serde(default)]
     pub cpus: f64,
@@ -97,7 +97,7 @@
 
 /// Kinds and fields that we do not know are left alone.
 #[derive(Debug, Deserialize)]
-pub struct Objective {
+pub(crate) struct Objective {
     pub kind: String,
     pub class: Option<ClassId>,
     pub within_s: Option<f64>,
@@ -117,14 +117,14 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Workers {
+pub(crate) struct Workers {
     pub report_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
 }
 
 #[derive(Debug, Deserialize)]
-pub struct State {
+pub(crate) struct State {
     pub rps: f64,
     pub write_rps: f64,
     pub value_kb: f64,
@@ -132,12 +132,12 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Cloud {
+pub(crate) struct Cloud {
     pub rps: f64,
     pub list_lag_s: f64,
 }
 
-pub fn read(path: &Path) -> Result<Settings, SettingsError> {
+pub(crate) fn read(path: &Path) -> Result<Settings, SettingsError> {
     let shown = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|error| SettingsError::Read { path: shown.clone(), error })?;
@@ -150,7 +150,7 @@
     Ok(settings)
 }
 
-pub fn log_level() -> Result<tracing::Level, SettingsError> {
+pub(crate) fn log_level() -> Result<tracing::Level, SettingsError> {
     match std::env::var("LOG_LEVEL").as_deref() {
         Err(_) | Ok("info") => Ok(tracing::Level::INFO),
         Ok("error") => Ok(tracing::Level::ERROR),
@@ -213,7 +213,7 @@
         Ok(())
     }
 
-    pub fn control(&self) -> Config {
+    pub(crate) fn control(&self) -> Config {
         let c = &self.cluster;
         let ms = |s: f64| (s * 1000.0) as u64;
         Config {
@@ -265,7 +265,7 @@
     }
 
     /// Sockets that this process may have.
-    pub fn sockets(&self) -> usize {
+    pub(crate) fn sockets(&self) -> usize {
         match self.cluster.limits.max_sockets {
             0 => DEFAULT_MAX_SOCKETS,
             most => most as usize,
@@ -273,13 +273,13 @@
     }
 
     /// A connection that brings nothing for so long is closed. Workers come every `report_s`.
-    pub fn idle_connection(&self) -> Duration {
+    pub(crate) fn idle_connection(&self) -> Duration {
         Duration::from_secs_f64((self.cluster.workers.report_s * 3.0).max(30.0))
     }
 
     /// Our share of the state service's limits. More than an even share, for the load moves
     /// between nodes; the service's own 429 is the backstop.
-    pub fn store_budget(&self) -> Budget {
+    pub(crate) fn store_budget(&self) -> Budget {
         let share = if self.peers.is_empty() { 0.9 } else { 0.5 };
         Budget {
             requests_per_s: self.cluster.state.rps * share,
