--- a/crates/cleatfold-admission/src/decide.rs
+++ b/crates/cleatfold-admission/src/decide.rs
@@ -1,4 +1,4 @@
-//! From what is asked and what there is to an allotment.
+//! From what is asked and what there is to an overload quota.
 
 use crate::fill::{fill, Need};
 use crate::overload_quota::{Entry, Group, OverloadQuota};
@@ -114,7 +114,7 @@
     /// A group that waits for longer than its patience for so many seconds comes under the quota.
     pub enter_s: f64,
     /// And as served again below this many, for so long. Far apart, or it would swing: under an
-    /// allotment the queue is shorter than without.
+    /// overload quota the queue is shorter than without.
     pub leave: f64,
     /// It leaves it again after so many seconds in which it is served in time.
     pub leave_s: f64,
@@ -191,7 +191,7 @@
     }
 }
 
-/// The entries of the next allotment. `judge` is the decider's memory; a new decider goes on
+/// The entries of the next overload quota. `judge` is the decider's memory; a new decider goes on
 /// from `known`, which is durable.
 pub fn decide(
     rules: &Rules,
@@ -337,7 +337,7 @@
     let mut given = vec![0.0; all.len()];
     raise(&mut given, most - small.iter().sum::<f64>(), upper.iter().copied());
     raise(&mut small, most - given.iter().sum::<f64>(), must.iter().copied());
-    // Of what a group has for its upper bands the largest have theirs first.
+    // Of what a group has for its upper size classes the largest have theirs first.
     let mut largest: Vec<f64> =
         all.iter().zip(&given).map(|(g, u)| u.min(g.large.need(g))).collect();
     let mut between: Vec<f64> = given.iter().zip(&largest).map(|(u, l)| u - l).collect();
--- a/crates/cleatfold-admission/src/lib.rs
+++ b/crates/cleatfold-admission/src/lib.rs
@@ -1,7 +1,7 @@
 //! Under lasting overload: who is served, in what order, and who is told to come back.
 //!
-//! Jobs are looked at by group, a team's jobs of one class. One node decides from what all of them
-//! read in the state service and writes an `OverloadQuota` there; every node orders its queue by the
+//! Jobs are looked at by group, a team's jobs of one class. One controller decides from what all of them
+//! read in the state service and writes an `OverloadQuota` there; every controller orders its queue by the
 //! one it has read. Pure: no I/O and no clock. `docs/admission.md` weighs and argues.
 
 #![warn(
--- a/crates/cleatfold-admission/src/size_classes.rs
+++ b/crates/cleatfold-admission/src/size_classes.rs
@@ -1,15 +1,15 @@
 //! Sizes: half of each is served, the largest tenth too.
 //!
 //! Floors that are filled with the smallest first leave the large out for as long as the overload lasts. So
-//! a group's jobs are looked at in three bands, and a class has a floor for each. In the two upper
-//! bands a floor is filled in the order of acceptance, not of size: what has begun goes on at a rate that ends
-//! it in a stated time, and no more is begun than can go on so. Not all of a band can be served;
+//! a group's jobs are looked at in three size classes, and a class has a floor for each. In the two upper
+//! size classes a floor is filled in the order of acceptance, not of size: what has begun goes on at a rate that ends
+//! it in a stated time, and no more is begun than can go on so. Not all of a size class can be served;
 //! every other job, by its id, goes before those that may or may not be.
 
 use crate::decide::Bounds;
 use serde::{Deserialize, Serialize};
 
-/// So large a part of a band's floor is for jobs that have not begun, whatever has.
+/// So large a part of a size class's floor is for jobs that have not begun, whatever has.
 const BEGINNINGS: i64 = 4;
 /// What has begun may ask for so many floors together; after that nothing more begins. As many times
 /// longer than stated may a job take.
@@ -30,7 +30,7 @@
     Large,
 }
 
-/// Where a group's bands begin and what the upper two have. Work in processor-seconds, floors in
+/// Where a group's size classes begin and what the upper two have. Work in processor-seconds, floors in
 /// thousandths of processors.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sizes {
@@ -74,12 +74,12 @@
     }
 }
 
-/// A job of an upper band that is not done.
+/// A job of an upper size class that is not done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waiting {
     /// Time of day of its acceptance, in milliseconds.
     pub accepted_ms: u64,
-    /// Spread evenly, the same for this job at every node: of its id.
+    /// Spread evenly, the same for this job at every controller: of its id.
     pub turn: u64,
     /// Some of its tasks run or are done.
     pub begun: bool,
@@ -95,7 +95,7 @@
     pub work: u64,
 }
 
-/// What holds for all jobs of a band.
+/// What holds for all jobs of a size class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
     /// The guaranteed minimum of a size class.
@@ -123,8 +123,8 @@
     now_ms.saturating_sub(accepted_ms) as f64 > SOON * begin_ms as f64
 }
 
-/// How much of each job goes before everybody else's, for one class and band. Jobs in any order; ties in acceptance
-/// are broken by `turn`, so every node that reads the same decides the same.
+/// How much of each job goes before everybody else's, for one class and size class. Jobs in any order; ties in acceptance
+/// are broken by `turn`, so every controller that reads the same decides the same.
 pub fn promote(terms: Terms, now_ms: u64, jobs: &[Waiting]) -> Vec<i64> {
     let Terms { floor, begin_ms, short } = terms;
     let mut promoted = vec![0; jobs.len()];
@@ -169,7 +169,7 @@
         left -= promoted[i];
         begun.push(i);
     }
-    // All of it only as far as the band has less than its floor, or urgent work waits beside a class that has
+    // All of it only as far as the size class has less than its floor, or urgent work waits beside a class that has
     // more than that. (`controle`: 0.99 in time without sizes, 0.83 before this.) What has nothing may
     // have one task more, up to a quarter beyond it; what has begun in any case.
     let mut spare = floor - jobs.iter().map(|j| j.has).sum::<i64>();
--- a/crates/cleatfold-admission/tests/decide.rs
+++ b/crates/cleatfold-admission/tests/decide.rs
@@ -83,7 +83,7 @@
     assert!(decider.known.is_empty());
 }
 
-/// The queue under an allotment is shorter than without; if that ended it, it would begin anew.
+/// The queue under an overload quota is shorter than without; if that ended it, it would begin anew.
 #[test]
 fn it_does_not_swing() {
     let mut decider = Decider::new(OverloadQuota::default());
@@ -221,7 +221,7 @@
     assert!((spread.typical / 50.0 - 1.0).abs() < 0.05, "{spread:?}");
     let part = 0.6 * 11.0 * 50.0 / 1500.0;
     assert!((spread.part / part - 1.0).abs() < 0.1, "{spread:?} against {part}");
-    // A restarted node reads jobs in any order: late news counts by its age.
+    // A restarted controller reads jobs in any order: late news counts by its age.
     let mut late = Meter::default();
     late.arrived(&g, 100.0, 60.0, 1, 10.0);
     late.arrived(&g, 40.0, 60.0, 1, 10.0);
--- a/crates/cleatfold-admission/tests/sizes.rs
+++ b/crates/cleatfold-admission/tests/sizes.rs
@@ -446,7 +446,7 @@
         let terms = Terms { floor, begin_ms: 240_000, short };
         let promoted = promote(terms, 400_000, &jobs);
         prop_assert_eq!(&promoted, &model(floor, short, 400_000, &jobs));
-        // A node may know them in any order.
+        // A controller may know them in any order.
         let mut other = jobs.clone();
         other.rotate_left(turned % jobs.len().max(1));
         let mut again = promote(terms, 400_000, &other);
--- a/crates/cleatfold-backfill/src/profile.rs
+++ b/crates/cleatfold-backfill/src/profile.rs
@@ -1,4 +1,4 @@
-//! One pool's chart: conservative backfilling over its machines.
+//! One pool's profile: conservative backfilling over its machines.
 //!
 //! Every queued request gets its reservation in queue order, carved out of what earlier ones
 //! left; so a later request may use a hole but never moves an earlier reservation. Tasks of
@@ -19,7 +19,7 @@
     free: AvailabilityProfile,
     /// A spot machine, or a job that may run on one.
     pub spot: bool,
-    /// May start tasks at once. A machine that is still booting has a chart but is not open.
+    /// May start tasks at once. A machine that is still booting has a profile but is not open.
     pub open: bool,
     /// Images here, and when each is (or is expected to be) ready.
     pub images: Vec<(ImageId, Ms)>,
--- a/crates/cleatfold-backfill/src/resources.rs
+++ b/crates/cleatfold-backfill/src/resources.rs
@@ -29,7 +29,7 @@
         for (have, want) in
             [(self.cpus, each.cpus), (self.gpus, each.gpus), (self.memory, each.memory)]
         {
-            // Dividing is dear and seldom needed: this is asked of every step of every chart.
+            // Dividing is dear and seldom needed: this is asked of every step of every profile.
             if want > 0 && have < want.saturating_mul(n) {
                 n = have.max(0) / want;
             } else if have < 0 {
--- a/crates/cleatfold-backfill/tests/model.rs
+++ b/crates/cleatfold-backfill/tests/model.rs
@@ -1,4 +1,4 @@
-//! The chart against a slow plain model that tries every moment on every machine.
+//! The profile against a slow plain model that tries every moment on every machine.
 
 use cleatfold_backfill::{
     plan, AvailabilityProfile, MachineProfile, Request, Reservation, Resources,
@@ -216,7 +216,7 @@
 }
 
 /// A team at its limit once held its places in every pool all the same, and those behind it found
-/// full charts beside idle machines.
+/// full profiles beside idle machines.
 #[test]
 fn a_team_at_its_limit_takes_no_resources_from_others() {
     let total = Resources::new(8.0, 0.0, 100.0);
--- a/crates/cleatfold-clients/src/cloud.rs
+++ b/crates/cleatfold-clients/src/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud's client: one call at a time, spaced so that the nodes together keep the rate.
-//! What rents or returns machines goes before what only looks: the list of a large fleet takes
+//! The cloud's client: one call at a time, spaced so that the controllers together keep the rate.
+//! What rents or returns machines goes before what only looks: the list of a large deployment takes
 //! several calls.
 
 use crate::http::Http;
--- a/crates/cleatfold-clients/src/store.rs
+++ b/crates/cleatfold-clients/src/store.rs
@@ -1,6 +1,6 @@
-//! The state service's client: one actor per process, with a rate budget and lanes.
+//! The state service's client: one actor per process, with a rate budget and urgencies.
 //!
-//! Requests beyond the budget wait here, in the order of their lanes, instead of being
+//! Requests beyond the budget wait here, in the order of their urgencies, instead of being
 //! refused there. What is refused all the same is tried again within a budget of retries, and
 //! while the service does not answer only readings and renewals, which see when it is back, go
 //! out: the rest would be refused there, and all of it at once when it returns.
--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -1,8 +1,8 @@
-//! Overload that lasts: what each group asks for is measured by every node, one node decides, and
+//! Overload that lasts: what each group asks for is measured by every controller, one controller decides, and
 //! all go by what it has written.
 //!
-//! Only the order of the queue rests on it, so a node that has not read the newest allotment does
-//! no harm: every claim is guarded as ever. The writer's word is guarded by its duty's key: a
+//! Only the order of the queue rests on it, so a controller that has not read the newest overload quota does
+//! no harm: every claim is guarded as ever. The writer's word is guarded by its role's key: a
 //! holder that was replaced cannot overwrite what the next one has written.
 
 use crate::admission::state::{work, LongWork, MEASUREMENT_INTERVAL_MS, SETTLED_MS};
@@ -24,7 +24,7 @@
 use cleatfold_wire::{ClassId, JobId, TeamId};
 use std::collections::BTreeMap;
 
-/// An allotment stands for so long, unless a group comes or goes.
+/// An overload quota stands for so long, unless a group comes or goes.
 const STAND_MS: u64 = 5000;
 /// Bytes that an entry takes in the record, names included.
 const ENTRY_BYTES: usize = 260;
@@ -112,13 +112,13 @@
     }
 
     /// Whether a job that is not known yet would only wait past its use, and then after how many
-    /// seconds to ask again. By the job's size and the allotment alone: the same answer at every
-    /// node and at every retry, as long as the allotment stands.
+    /// seconds to ask again. By the job's size and the overload quota alone: the same answer at every
+    /// controller and at every retry, as long as the overload quota stands.
     pub(crate) fn refused_for_now(&self, spec: &JobSpec) -> Option<u32> {
         self.cfg.admission.as_ref()?;
         let most = self.cache.overload_quota.1.entry(&spec.team, &spec.class)?.most?;
         let refused = spec.kind == Kind::Array && work(spec, spec.tasks) > most as f64;
-        // An allotment is looked at again after STAND_MS; a retry before that is in vain.
+        // An overload quota is looked at again after STAND_MS; a retry before that is in vain.
         let spread = xxhash_rust::xxh3::xxh3_64(spec.id.as_str().as_bytes()) % 8;
         refused.then_some((2 * STAND_MS / 1000 + spread) as u32)
     }
@@ -135,7 +135,7 @@
         .unwrap_or(4.0 * self.cfg.usual_wait_s + spec.estimate_s)
     }
 
-    /// Measures, at every node, so that whoever decides next knows what the last one knew.
+    /// Measures, at every controller, so that whoever decides next knows what the last one knew.
     pub(crate) fn keep_admission(&mut self) {
         if self.cfg.admission.is_none()
             || self.now.since(self.admission.last_checked) < MEASUREMENT_INTERVAL_MS
@@ -221,7 +221,7 @@
     }
 
     /// Whether one of our own machines has not reported for a lease. Machines of other owners report to those:
-    /// whether we hear them says nothing. (A former owner went on counting by its own reports, wrote an allotment
+    /// whether we hear them says nothing. (A former owner went on counting by its own reports, wrote an overload quota
     /// of no capacity one lease after its pools had left it, and jobs of limited teams waited beside free machines.)
     fn is_silent(&self, machine: &Machine) -> bool {
         let Some(owned) = self.pools.owned.get(&machine.pool) else { return false };
--- a/crates/cleatfold-control/src/admission/state.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -92,7 +92,7 @@
     f64::from(tasks) * spec.cpus * run
 }
 
-/// What of a job of an upper band decides how much of it goes before everybody else's.
+/// What of a job of an upper size class decides how much of it goes before everybody else's.
 pub(crate) fn size_class_demand(
     entry: &Entry,
     id: &JobId,
--- a/crates/cleatfold-control/src/config.rs
+++ b/crates/cleatfold-control/src/config.rs
@@ -64,11 +64,11 @@
     pub cancel_ms: u64,
     /// Operations of one transaction at most.
     pub txn_ops: usize,
-    /// Changes a second that the state service takes from all nodes together.
+    /// Changes a second that the state service takes from all controllers together.
     pub changes_per_s: f64,
     /// Bytes of one record at most.
     pub value_bytes: usize,
-    /// Calls a second that the cloud takes from all nodes together.
+    /// Calls a second that the cloud takes from all controllers together.
     pub cloud_calls_per_s: f64,
     /// How far the cloud's list of machines lags behind.
     pub list_lag_ms: u64,
@@ -107,8 +107,8 @@
     }
 
     /// A machine silent for so long is given up and deleted, which proves it gone. Two reports
-    /// must have failed, and a worker that lost its node have had the time to try every other
-    /// one: an answer that does not come costs it 4 s, the pause before the next node 1 s. (After
+    /// must have failed, and a worker that lost its controller have had the time to try every other
+    /// one: an answer that does not come costs it 4 s, the pause before the next controller 1 s. (After
     /// six seconds an owner once deleted a pool whose workers were still looking for it.)
     pub fn given_up_ms(&self) -> u64 {
         let round = 5000 * (self.peers.len() as u64 + 1);
--- a/crates/cleatfold-control/src/jobs/archive.rs
+++ b/crates/cleatfold-control/src/jobs/archive.rs
@@ -1,8 +1,8 @@
 //! Questions to the archive of ended jobs.
 //!
-//! A poll for an ended job that this node does not know of needs a request of its own to the
+//! A poll for an ended job that this controller does not know of needs a request of its own to the
 //! state service, behind everything else. Each poll once sent one. When requests ran short they
-//! came so late that every asker had left, and asked again: the queue only grew, a fleet with
+//! came so late that every asker had left, and asked again: the queue only grew, a deployment with
 //! two thirds of its processors idle told a fifth of its finished jobs as done, and it stayed
 //! so after the load was over. So there is one question a job at a time, its askers are
 //! answered in time whatever comes of it, and their number is bounded; and what others ended is
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -109,7 +109,7 @@
             }
             !give_up
         });
-        // Work whose asker has left is not done: he has asked again, most likely another node.
+        // Work whose asker has left is not done: he has asked again, most likely another controller.
         // (Both kept it, each batch met jobs that the other had accepted, and failed as a whole;
         // so the more had asked again the fewer were accepted, for good.)
         let gone =
@@ -127,7 +127,7 @@
     }
 
     /// A reading sent at event `sent_at` is in: it answers everyone who asked before. By events, not by the clock: who
-    /// asks later in the same millisecond may have been told by another node of what this reading does not show.
+    /// asks later in the same millisecond may have been told by another controller of what this reading does not show.
     pub(crate) fn answer_waiting(&mut self, sent_at: EventNumber) {
         let (ripe, rest) =
             std::mem::take(&mut self.waiting).into_iter().partition(|w| w.arrived_at <= sent_at);
--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -86,7 +86,7 @@
     pub tasks: u32,
 }
 
-/// What this node keeps about a job beside its record.
+/// What this controller keeps about a job beside its record.
 #[derive(Debug, Default)]
 pub(crate) struct LocalJobState {
     pub busy: bool,
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -1,7 +1,7 @@
 //! Steps of elastic jobs: members' reports to transactions and answers.
 //!
-//! A job's reports go to its *coordinator*, one of the live nodes, so that they gather and do not
-//! make each other fail. Who coordinates a job is a hint: any node that is asked insistently
+//! A job's reports go to its *coordinator*, one of the live controllers, so that they gather and do not
+//! make each other fail. Who coordinates a job is a hint: any controller that is asked insistently
 //! decides as well. What counts is the transaction. It is guarded by the version of the job's
 //! record, which holds the members' claims, and of each part of the progress that it changes:
 //! a report of a member whose claim has ended meanwhile fails, and is judged anew.
@@ -19,8 +19,8 @@
 const COMPLETE_MS: u64 = 250;
 
 impl Controller {
-    /// Rendezvous hashing over the live nodes: as few jobs as possible change their coordinator when
-    /// a node comes or goes, and all nodes that know the same members agree.
+    /// Rendezvous hashing over the live controllers: as few jobs as possible change their coordinator when
+    /// a controller comes or goes, and all controllers that know the same members agree.
     fn coordinator(&self, job: &JobId) -> ControllerId {
         let rank = |controller: &ControllerId| {
             xxhash_rust::xxh3::xxh3_64(format!("{job}@{controller}").as_bytes())
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -1,4 +1,4 @@
-//! The dealing of pools, and sending jobs to pools.
+//! The assigning of pools, and sending jobs to pools.
 //!
 //! Who deals is a hint: two at once do no harm, since every change they make is guarded by the
 //! version of the key they change.
@@ -108,7 +108,7 @@
         }
     }
 
-    // ---- dealing ----
+    // ---- assigning ----
 
     fn live(&self, holding: &crate::store::cache::PoolOwnership) -> bool {
         self.cache.controllers.get(&holding.owner).is_some_and(|n| n.0 == holding.incarnation)
@@ -124,7 +124,7 @@
             return false;
         }
         // Every pool and every machine is looked at: at each tick this alone took a tenth of a
-        // leader's processor time in a large fleet.
+        // leader's processor time in a large deployment.
         if self.now.since(self.leadership.assignment_checked_at) < ASSIGNMENT_INTERVAL_MS {
             return false;
         }
@@ -209,7 +209,7 @@
         std::iter::once((pool, to)).chain(second).collect()
     }
 
-    /// The live node of a zone.
+    /// The live controller of a zone.
     fn home_of(&self, zone: &ZoneId) -> Option<ControllerId> {
         std::iter::once((&self.cfg.me, &self.cfg.zone))
             .chain(self.cfg.peers.iter().map(|(n, z)| (n, z)))
@@ -217,11 +217,11 @@
             .map(|(n, _)| n.clone())
     }
 
-    /// One pool from the fullest node to the emptiest, where that evens them out.
+    /// One pool from the fullest controller to the emptiest, where that evens them out.
     fn balance(&self, pools: &[PoolId], loads: &PoolLoads) -> Option<(PoolId, ControllerId)> {
         let most = loads.by_controller.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
         let average = loads.mean();
-        // Every move costs its workers a change of node: only clear unevenness is worth one.
+        // Every move costs its workers a change of controller: only clear unevenness is worth one.
         if self
             .leadership
             .pool_assigned_at
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -1,4 +1,4 @@
-//! Taking duties, giving them back, and the small ones themselves.
+//! Taking roles, giving them back, and the small ones themselves.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
@@ -15,7 +15,7 @@
         self.epoch(role).is_some()
     }
 
-    /// The version of a duty's key while it is ours: every transaction of the duty is guarded by it.
+    /// The version of a role's key while it is ours: every transaction of the role is guarded by it.
     pub(crate) fn epoch(&self, role: Role) -> Option<Version> {
         let (holder, version) = self.cache.roles.get(&role)?;
         let ours =
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -174,7 +174,7 @@
         sizes
     }
 
-    /// The machines of each pool, found in one pass: a pass per pool is dear in a large fleet.
+    /// The machines of each pool, found in one pass: a pass per pool is dear in a large deployment.
     pub(crate) fn by_pool(&self) -> BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> {
         let mut pools: BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> = BTreeMap::new();
         for (id, m) in &self.machines {
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -1,7 +1,7 @@
-//! ScaleOutState machines, under the duty of that name: an intent first, then the call.
+//! ScaleOutState machines, under the role of that name: an intent first, then the call.
 //!
 //! The cloud cannot tell a holder that was replaced from the one that came after it. So what is
-//! asked of it is first written under the duty's epoch: a former holder's write fails, and it has
+//! asked of it is first written under the role's epoch: a former holder's write fails, and it has
 //! nothing to ask for. Whoever comes next asks for the same by the same names.
 
 use crate::config::AimKind;
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -148,7 +148,7 @@
     }
 
     /// Sees who holds the pools now. Where one went from a controller that lives to another and it was not
-    /// us who dealt it so, its workers have left the first.
+    /// us who assigned it so, its workers have left the first.
     pub(crate) fn note_holders(&mut self) {
         for (pool, holding) in &self.cache.pools {
             self.reachability.view.misdirected_workers.see_token(pool, holding.token, self.now);
--- a/crates/cleatfold-control/src/membership/state.rs
+++ b/crates/cleatfold-control/src/membership/state.rs
@@ -14,7 +14,7 @@
     pub lost: BTreeSet<ZoneId>,
     /// Who held each pool when we last looked.
     pub holders: BTreeMap<PoolId, ControllerId>,
-    /// To whom we have dealt pools ourselves.
+    /// To whom we have assigned pools ourselves.
     pub assigned_to: BTreeMap<PoolId, ControllerId>,
 }
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /// We gave a pool to a node.
+    /// We gave a pool to a controller.
     pub(crate) fn note_assignment(&mut self, pool: &PoolId, controller: &ControllerId) {
         self.assigned_to.insert(pool.clone(), controller.clone());
     }
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -310,7 +310,7 @@
         let mut uncovered = Vec::new();
         let teams: Vec<TeamId> = self.workspaces.kept.keys().cloned().collect();
         for team in teams {
-            // It stops for this team alone; the mirror has said why.
+            // It stops for this team alone; the cache has said why.
             if !self.readable(&history_head_key(&team)) {
                 continue;
             }
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -46,7 +46,7 @@
     /// Reading the marker of the records' version, and writing it.
     Format,
     FormatWritten,
-    /// Taking a duty, or giving it back.
+    /// Taking a role, or giving it back.
     Role(Role),
     /// The record of rentals, and what to ask for once it is durable.
     ScaleOutIntents(Box<cleatfold_roles::scale_out::Step>),
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -84,7 +84,7 @@
             return self.redirect(rid, &heartbeat, &pool);
         };
         if heartbeat.token > token {
-            // Someone was dealt the pool after us and we have not read it yet.
+            // Someone was assigned the pool after us and we have not read it yet.
             self.session.sync_wanted = true;
             self.reachability.view.worker_release.is_served(&pool, self.now);
             return self.reply(rid, Response::Redirect(None));
@@ -153,7 +153,7 @@
     }
 
     /// The heartbeat repeats its machine's last one, and nothing here has changed since that would
-    /// call for a command: most reports of a large fleet. (Reading each of them in full and
+    /// call for a command: most reports of a large deployment. (Reading each of them in full and
     /// going through its claims took most of the processor time that reports cost.)
     fn says_the_same(&self, heartbeat: &RawHeartbeat, token: FencingToken) -> bool {
         let Some(machine) = self.inventory.machines.get(&heartbeat.machine) else { return false };
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -1,4 +1,4 @@
-//! From the mirror and the fleet to reservations, promises and claims.
+//! From the cache and the deployment to reservations, promises and claims.
 
 use crate::controller::Controller;
 use crate::effects::Effect;
@@ -34,7 +34,7 @@
 pub(crate) struct Plans {
     planned: Ms,
     sent_at: Ms,
-    /// Promises of other nodes' pools: when they came, and per job when tasks finish.
+    /// Promises of other controllers' pools: when they came, and per job when tasks finish.
     remote: BTreeMap<PoolId, (FencingToken, Ms, BTreeMap<JobId, Finishes>)>,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// One own pool's chart as planned.
+/// One own pool's profile as planned.
 pub(crate) struct PoolPlan {
     pub pool: PoolId,
     pub token: FencingToken,
@@ -485,7 +485,7 @@
 
     /// What every pool promises, by job: the number of an own pool (none for others' pools),
     /// when tasks finish and how many. Gathered once: looking through all reservations for each
-    /// start took a third of the processor in a large fleet.
+    /// start took a third of the processor in a large deployment.
     fn promises<'a>(&'a self, plans: &'a [PoolPlan]) -> Promises<'a> {
         let mut promises = Promises::new();
         for (p, plan) in plans.iter().enumerate() {
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -2,7 +2,7 @@
 //! are preempted where the protocol allows it and it makes a difference.
 //!
 //! Whom to stop is decided in `cleatfold_backfill::victims`. What is kept here may be lost with the
-//! node: a task whose stop is forgotten just runs on.
+//! controller: a task whose stop is forgotten just runs on.
 
 use crate::config::AimKind;
 use crate::controller::Controller;
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -5,7 +5,7 @@
 use cleatfold_wire::{FencingToken, JobId, MachineId, Ms, PoolId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which pools plan, which lanes may start, and the room that stands or is being written down.
+/// Which pools plan, which urgencies may start, and the room that stands or is being written down.
 #[derive(Debug, Default)]
 pub(crate) struct PriorityState {
     pub last_checked: Ms,
@@ -44,7 +44,7 @@
         !self.fallen.contains(pool)
     }
 
-    /// The lowest lane that may start in a pool of ours.
+    /// The lowest urgency that may start in a pool of ours.
     pub(crate) fn lowest(&self, pool: &PoolId) -> Urgency {
         self.start_barriers.get(pool).map_or(Urgency::Critical, StartBarrier::lowest)
     }
--- a/crates/cleatfold-control/src/scheduling/queue/tests.rs
+++ b/crates/cleatfold-control/src/scheduling/queue/tests.rs
@@ -1,4 +1,4 @@
-//! The queue against a plain model: sorted by lane, guarantee and the revision that accepted each job.
+//! The queue against a plain model: sorted by urgency, guarantee and the revision that accepted each job.
 
 use super::*;
 use crate::config::{Config, Team};
@@ -11,7 +11,7 @@
     [Urgency::Critical, Urgency::High, Urgency::Normal, Urgency::BestEffort];
 const GUARANTEED: u32 = 6;
 
-/// A job as accepted: lane, whether its team has a guarantee, cpus, how wrong its acceptor's clock was.
+/// A job as accepted: urgency, whether its team has a guarantee, cpus, how wrong its acceptor's clock was.
 type Job = (usize, bool, u32, i64);
 
 fn controller(me: &str) -> Controller {
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -1,4 +1,4 @@
-//! This node's copy of the live prefix of the state service.
+//! This controller's copy of the live prefix of the state service.
 //!
 //! It is fed from three sides: the listing at the start, the changes read since, and our own
 //! transactions. Each key's version only ever grows here, so a late or repeated piece of news
@@ -102,7 +102,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct MachineClaims {
     tasks: BTreeMap<(JobId, TaskIx), Claim>,
-    /// Tells two states of them apart: the number of the mirror's last change to them.
+    /// Tells two states of them apart: the number of the cache's last change to them.
     pub stamp: u64,
 }
 
--- a/crates/cleatfold-control/src/store/loss_records.rs
+++ b/crates/cleatfold-control/src/store/loss_records.rs
@@ -6,7 +6,7 @@
 use cleatfold_wire::{Attempt, JobId, MachineId, TaskId, TaskIx, TeamId};
 use serde::{Deserialize, Serialize};
 
-/// The teams' logs; outside of what nodes read at start and follow.
+/// The teams' logs; outside of what controllers read at start and follow.
 pub const LOSS_LOG: &str = "lo/";
 
 /// The beginning of the keys of a team's log of losses.
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -3,7 +3,7 @@
 //! A job of up to `PART` tasks lives in one record, `cf/j/<job>`. A larger one keeps its
 //! tasks in parts, `cf/p/<job>/<part>`, which come into being with their first claim; its
 //! head names the parts that are complete. Ended jobs move to `ar/<job>`, outside of what
-//! nodes read at start and follow.
+//! controllers read at start and follow.
 
 pub use super::loss_records::*;
 
@@ -24,7 +24,7 @@
 
 /// The prefix of all that controllers read at their start and follow.
 pub const LIVE: &str = "cf/";
-/// Ended jobs, outside of what nodes read at their start.
+/// Ended jobs, outside of what controllers read at their start.
 pub const ARCHIVE: &str = "ar/";
 const JOBS: &str = "cf/j/";
 const PARTS: &str = "cf/p/";
@@ -37,7 +37,7 @@
 const HISTORIES: &str = "cf/hist/";
 const PREEMPTIONS: &str = "cf/made/";
 const IMAGE_HOLDERS: &str = "cf/w/";
-/// Groups of teams' histories, outside of what nodes read at their start.
+/// Groups of teams' histories, outside of what controllers read at their start.
 pub const HISTORY_LOG: &str = "hist/";
 /// Which version of the records these are.
 pub const FORMAT_KEY: &str = "cf/format";
@@ -180,7 +180,7 @@
     }
 }
 
-/// Who owns a pool, or holds a duty. The incarnation tells a restarted owner from the one that was dealt the
+/// Who owns a pool, or holds a role. The incarnation tells a restarted owner from the one that was assigned the
 /// pool: a restart gets a new token, so nothing of the former life can speak for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderRecord {
--- a/crates/cleatfold-control/tests/admission.rs
+++ b/crates/cleatfold-control/tests/admission.rs
@@ -76,7 +76,7 @@
 }
 
 /// Whoever decides is killed again and again, and cut off with its packets held, so that what it
-/// wrote may arrive when another one decides. Seen to fail without the guard on the duty's key.
+/// wrote may arrive when another one decides. Seen to fail without the guard on the role's key.
 #[test]
 fn a_replaced_holder_changes_nothing_any_more() {
     let mut epochs = 0;
@@ -93,7 +93,7 @@
                     }
                 }
             }
-            // Whatever is written was decided by who held the duty at that moment.
+            // Whatever is written was decided by who held the role at that moment.
             for ms in 0..100 {
                 let leading = world.store.get(Role::OverloadQuota.key()).map(|i| i.version);
                 world.run(Ms(second * 1000 + (ms + 1) * 10));
@@ -120,7 +120,7 @@
     Some((overload_quota.entries.iter().map(|e| e.floor).sum(), overload_quota))
 }
 
-/// All pools are the holder's alone until its workers no longer reach it; it keeps the duty while the others own them. Their
+/// All pools are the holder's alone until its workers no longer reach it; it keeps the role while the others own them. Their
 /// machines still count. Seen to fail where a machine counts as silent by what its former owner hears.
 #[test]
 fn the_machines_of_other_owners_count() {
--- a/crates/cleatfold-control/tests/answer_order.rs
+++ b/crates/cleatfold-control/tests/answer_order.rs
@@ -342,7 +342,7 @@
     assert!(ends[0] > 0 && ends[1] > 0, "aborted and done: {ends:?}");
 }
 
-/// Users cancel what runs under a controller just before, while and after its pools are dealt to others; nothing of it
+/// Users cancel what runs under a controller just before, while and after its pools are assigned to others; nothing of it
 /// is ordered by either one once they were told, beyond what was on its way.
 #[test]
 fn cancellations_while_pools_change_hands() {
@@ -364,7 +364,7 @@
             run_for(&mut world, 20_000);
             let owner = world.most().expect("somebody holds machines");
             loss.befall(&mut world, owner);
-            // The dealing itself is on its way when the first are cancelled.
+            // The assigning itself is on its way when the first are cancelled.
             let deal =
                 hold(&mut world, &what, |n, r| n != owner && writes(r, Purpose::PoolAssignment));
             let others: Vec<usize> = (0..CONTROLLERS).filter(|n| *n != owner).collect();
--- a/crates/cleatfold-control/tests/claims.rs
+++ b/crates/cleatfold-control/tests/claims.rs
@@ -7,10 +7,10 @@
 //! Bounds: those of each search are in the table below; all are searched exhaustively within them. Beyond them
 //! or not in the model: jobs in parts, gangs, limits, elastic jobs, deletion of machines, answers that wait
 //! for a claim. Direct commands are in the two searches of their name. A reading is one step, and the
-//! dealing of a pool is one (its guard is the version that it changes). Time is not in it but for what the
+//! assigning of a pool is one (its guard is the version that it changes). Time is not in it but for what the
 //! clocks warrant: an owner concludes that a lease has run out only when the session that it answered has ended
 //! or the worker has gone on under a higher token; a cancellation's bound passes only when each machine was
-//! answered since the deaf limit, or its session has ended since.
+//! answered since the partitioned limit, or its session has ended since.
 //!
 //! (The search is a plain one through all states; no library for it could be had here.)
 
--- a/crates/cleatfold-control/tests/claims/model.rs
+++ b/crates/cleatfold-control/tests/claims/model.rs
@@ -21,7 +21,7 @@
     SeenForExits,
     /// Only a report newer than all that were read shows absence.
     Newest,
-    /// A restarted controller does not own what its former life was dealt.
+    /// A restarted controller does not own what its former life was assigned.
     Incarnation,
     /// What is being recorded as ended is not launched again.
     NotEnding,
@@ -192,7 +192,7 @@
 pub(crate) struct Answer {
     pub token: u8,
     pub commands: Vec<Command>,
-    /// The report was sent after the deaf limit.
+    /// The report was sent after the partitioned limit.
     pub after_limit: bool,
 }
 
@@ -202,7 +202,7 @@
     pub token: u8,
     pub tasks: Tasks,
     pub answer: Option<Answer>,
-    /// Its lease was renewed by a report sent after the deaf limit, or its session began then.
+    /// Its lease was renewed by a report sent after the partitioned limit, or its session began then.
     pub renewed: bool,
 }
 
--- a/crates/cleatfold-control/tests/elastic.rs
+++ b/crates/cleatfold-control/tests/elastic.rs
@@ -82,7 +82,7 @@
     assert!(redone > 0, "no step was ever done again: the troubles saw no member");
 }
 
-/// The keeper ends between recording steps and answering: members say the same to another node,
+/// The keeper ends between recording steps and answering: members say the same to another controller,
 /// and it counts for them and counts once.
 #[test]
 fn the_coordinator_ends_between_recording_and_answering() {
--- a/crates/cleatfold-control/tests/handovers.rs
+++ b/crates/cleatfold-control/tests/handovers.rs
@@ -191,7 +191,7 @@
 // ---- over and back ----
 
 /// A pool goes from one controller to another and back, the first one's process living on or not, at every
-/// moment of a claim, an election, a dealing, a cancellation.
+/// moment of a claim, an election, a assigning, a cancellation.
 #[test]
 fn a_pool_that_goes_over_and_back_finds_nothing_of_its_former_time() {
     let mut back = 0;
--- a/crates/cleatfold-control/tests/late_transactions.rs
+++ b/crates/cleatfold-control/tests/late_transactions.rs
@@ -205,7 +205,7 @@
 }
 
 /// The first of each of these is guarded by the absence of a key that stays: it comes when somebody has written that.
-/// Seen to fail without the version in dealing, which no day misses.
+/// Seen to fail without the version in assigning, which no day misses.
 #[test]
 fn a_late_one_is_refused_once_its_key_was_written() {
     for kind in [
@@ -385,7 +385,7 @@
     audited(&mut world, until);
 }
 
-/// A duty that is taken late by a controller that is still there is held once, as any; a controller that is gone has no
+/// A role that is taken late by a controller that is still there is held once, as any; a controller that is gone has no
 /// lease to take it under.
 #[test]
 fn a_late_taking_of_a_duty_is_under_a_lease_that_stands_or_refused() {
--- a/crates/cleatfold-control/tests/leaders.rs
+++ b/crates/cleatfold-control/tests/leaders.rs
@@ -1,7 +1,7 @@
 //! Leaders that change again and again, controllers that are all away, and users and workers meanwhile.
 //!
 //! Seen to fail without the job's version in its changes and without the pool's version in ends (most of these tests).
-//! Not seen to fail without the incarnation of owners, the pool's version in dealing, a worker's having seen the token, or
+//! Not seen to fail without the incarnation of owners, the pool's version in assigning, a worker's having seen the token, or
 //! a poll's wait for a later reading: `claims.rs`, `late.rs`, `seen_token.rs` and `world.rs` are about these.
 
 mod scenario;
@@ -10,7 +10,7 @@
 use cleatfold_wire::*;
 use scenario::*;
 
-/// A region that users keep busy, at the time when a leader has dealt its pools.
+/// A region that users keep busy, at the time when a leader has assigned its pools.
 fn busy(seed: u64, until: Ms) -> World {
     let mut world = region(seed, 18);
     world.keep_busy(until);
@@ -185,7 +185,7 @@
     applied_faults
 }
 
-/// Whichever of them returns, and in the middle of whatever: taking a duty, dealing pools, taking one over.
+/// Whichever of them returns, and in the middle of whatever: taking a role, assigning pools, taking one over.
 #[test]
 fn all_end_in_the_middle_of_an_election_and_one_returns() {
     let seed = 31;
@@ -221,7 +221,7 @@
     }
 }
 
-/// Each step of taking the role, of dealing and of a take-over, with the acting process, or whoever comes after it,
+/// Each step of taking the role, of assigning and of a take-over, with the acting process, or whoever comes after it,
 /// back at once.
 #[test]
 fn the_acting_controller_is_back_at_once_at_every_step_of_an_election() {
--- a/crates/cleatfold-control/tests/overload.rs
+++ b/crates/cleatfold-control/tests/overload.rs
@@ -9,7 +9,7 @@
     World::sized(seed, false, Size { most_jobs: 0, ..Size::GROWN })
 }
 
-/// A user who waits 5 s, as the protocol has it, and then asks the next node a second later.
+/// A user who waits 5 s, as the protocol has it, and then asks the next controller a second later.
 struct User {
     job: JobId,
     controller: usize,
@@ -17,8 +17,8 @@
     open: Option<(usize, u64)>,
 }
 
-/// Whoever is not answered in time asks another node. When every node kept all that it was
-/// asked, each batch of submissions met jobs that another node had accepted and failed as a
+/// Whoever is not answered in time asks another controller. When every controller kept all that it was
+/// asked, each batch of submissions met jobs that another controller had accepted and failed as a
 /// whole: the more had asked again the fewer were accepted, and it stayed so for good with three
 /// quarters of the processor idle. Seen to fail without dropping who has left.
 #[test]
@@ -62,8 +62,8 @@
     }
 }
 
-/// Every poll for an ended job that this node did not end once cost a request of its own, in
-/// the last lane; with all of them late the askers came back and the queue only grew.
+/// Every poll for an ended job that this controller did not end once cost a request of its own, in
+/// the last urgency; with all of them late the askers came back and the queue only grew.
 #[test]
 fn polls_for_ended_jobs_cost_no_request_each() {
     let mut world = region(5);
--- a/crates/cleatfold-control/tests/quick_restarts.rs
+++ b/crates/cleatfold-control/tests/quick_restarts.rs
@@ -1,5 +1,5 @@
 //! Processes and machines that are back within a fraction of a second, in the middle of something:
-//! each pair of a step (a controller says that it is there, takes a duty, deals a pool, takes one over,
+//! each pair of a step (a controller says that it is there, takes a role, deals a pool, takes one over,
 //! claims, rents) and a blink of each participant, right before the step is executed, while it is
 //! still on its way, and after it is executed but before its answer. One day is played again and
 //! again, with another blink each time. Seen to fail without the incarnation in the names of rentals (9
@@ -22,7 +22,7 @@
     spec
 }
 
-/// A day with an election, dealing, a take-over, claims and rentals. Returns the world at its end and
+/// A day with an election, assigning, a take-over, claims and rentals. Returns the world at its end and
 /// what did not hold.
 fn day(seed: u64, blink: Blink) -> (World, Vec<String>) {
     let size = Size { most_jobs: 0, machines: 9, ..Size::SMALL };
@@ -40,7 +40,7 @@
     submit(&mut world, "free", 14, 6.0);
     submit(&mut world, "tight", 8, 5.0);
     world.run(Ms(14_000));
-    // Whoever deals is gone for a while: its duties and pools go to others.
+    // Whoever deals is gone for a while: its roles and pools go to others.
     let holds = |world: &World, key: &str| -> Option<usize> {
         let holder = world.store.get(key)?;
         let holder: HolderRecord = serde_json::from_str(holder.value.get()).ok()?;
--- a/crates/cleatfold-control/tests/roles.rs
+++ b/crates/cleatfold-control/tests/roles.rs
@@ -129,7 +129,7 @@
     assert!(holders.len() > 20, "only {} holders rented", holders.len());
 }
 
-/// Duties are spread, and none stands empty for long after its holder's end.
+/// Roles are spread, and none stands empty for long after its holder's end.
 #[test]
 fn a_role_is_taken_soon_after_its_holder_failed() {
     let mut world = region(20);
--- a/crates/cleatfold-control/tests/unannounced_faults.rs
+++ b/crates/cleatfold-control/tests/unannounced_faults.rs
@@ -76,7 +76,7 @@
             assert!(back.is_empty(), "seed {seed}: {back:?} went back behind the cut");
             known = held;
         }
-        // Quiet for 1.5 s, three questions a second apart of a second each, a dealing.
+        // Quiet for 1.5 s, three questions a second apart of a second each, a assigning.
         assert!(served.is_some_and(|ms| ms <= 10_000), "seed {seed}: {served:?}");
         assert!(moves <= 6, "seed {seed}: {moves} moves");
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
--- a/crates/cleatfold-control/tests/urgency_order.rs
+++ b/crates/cleatfold-control/tests/urgency_order.rs
@@ -47,7 +47,7 @@
 fn submit(world: &mut World, controller: usize, shape: Shape) -> JobId {
     let mut spec = world.some_job();
     spec.team = TeamId::new("free");
-    // As users have it: a class is of one lane.
+    // As users have it: a class is of one urgency.
     spec.class = ClassId::new(format!("{:?}", shape.urgency).to_lowercase());
     (spec.urgency, spec.tasks) = (shape.urgency, shape.tasks);
     (spec.cpus, spec.estimate_s) = (shape.cpus, shape.estimate_s);
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -344,7 +344,7 @@
 }
 
 /// A store as an earlier version left it: ended jobs without a summary, live ones without a place, losses
-/// told by the holder of a duty; and more changes since than the state service keeps. Controllers fall
+/// told by the holder of a role; and more changes since than the state service keeps. Controllers fall
 /// while it is carried over, under load.
 #[test]
 fn a_store_of_an_earlier_version_is_carried_over() {
--- a/crates/cleatfold-control/tests/world.rs
+++ b/crates/cleatfold-control/tests/world.rs
@@ -1,5 +1,5 @@
 //! Days of a simulated region, watched for the protocol's rules. The world itself is the
-//! laboratory's, which measures in it as well.
+//! testbed's, which measures in it as well.
 
 use cleatfold_control::{records, Event, Request};
 use cleatfold_testbed::world::{
@@ -35,7 +35,7 @@
     }
 }
 
-/// A node that alone is refused by the state service, and that no peer can tell, must let its
+/// A controller that alone is refused by the state service, and that no peer can tell, must let its
 /// workers go in time for a cancellation that is told elsewhere.
 #[test]
 fn an_owner_that_is_cut_off_lets_its_workers_go() {
@@ -81,7 +81,7 @@
     assert!(!world.running.keys().any(|t| t.job == id));
 }
 
-/// A reading that was on its way when a poll came may be older than what another node has just
+/// A reading that was on its way when a poll came may be older than what another controller has just
 /// told: the poll must wait for the next one.
 #[test]
 fn a_poll_waits_for_a_reading_sent_after_it() {
@@ -133,8 +133,8 @@
 }
 
 /// Hundreds of machines and a few changes a second, under troubles: the rules hold, everything
-/// ends, and all nodes together keep to the service's limit, also while nodes come and go. (Each
-/// end and claim once was a transaction of its own, and every node took half of the limit.)
+/// ends, and all controllers together keep to the service's limit, also while controllers come and go. (Each
+/// end and claim once was a transaction of its own, and every controller took half of the limit.)
 #[test]
 fn a_grown_day_keeps_the_rules_and_the_limit_on_changes() {
     let world = play_sized(300, true, Size::GROWN);
@@ -158,8 +158,8 @@
     assert!(total as u32 * 2 < world.started * 3, "{total} changes for {} starts", world.started);
 }
 
-/// A node that is back before its lease has run out keeps its pools, under new tokens: hundreds
-/// of workers moving to another node and back cost every node seconds of processor time.
+/// A controller that is back before its lease has run out keeps its pools, under new tokens: hundreds
+/// of workers moving to another controller and back cost every controller seconds of processor time.
 #[test]
 fn a_restarted_node_gets_its_pools_back() {
     let owners = |world: &World| -> BTreeMap<String, (ControllerId, Version)> {
@@ -175,7 +175,7 @@
     let mut tried = 0..;
     let (mut world, before, controller) = loop {
         let mut world = World::new(tried.next().expect("a seed"), false);
-        // First some pool has to be away from the node of its zone, where any leader would put it.
+        // First some pool has to be away from the controller of its zone, where any leader would put it.
         world.run(Ms(30_000));
         stop(&mut world, 0, 8000);
         world.run(Ms(39_500));
--- a/crates/cleatfold-fakes/src/member.rs
+++ b/crates/cleatfold-fakes/src/member.rs
@@ -30,7 +30,7 @@
     /// It is to be gone then.
     stop_at: Option<Ms>,
     resting: u32,
-    /// Its node did not answer.
+    /// Its controller did not answer.
     pub astray: bool,
     pub left: Option<Left>,
     /// Steps worked through since this was last looked at.
@@ -160,7 +160,7 @@
         self.not_before = now.plus(AGAIN_MS);
     }
 
-    /// Sent to another node.
+    /// Sent to another controller.
     pub fn redirected(&mut self, now: Ms) {
         self.saying = None;
         self.astray = false;
--- a/crates/cleatfold-image-distribution/src/slot_assignment.rs
+++ b/crates/cleatfold-image-distribution/src/slot_assignment.rs
@@ -18,7 +18,7 @@
     pub pool: PoolId,
     /// What it waits for.
     pub image: ImageId,
-    /// By urgency; the first lane is 0.
+    /// By urgency; the first urgency is 0.
     pub urgency: u8,
     /// The others of a gang wait for it, by the clock.
     pub gang: bool,
--- a/crates/cleatfold-ingress/src/connections.rs
+++ b/crates/cleatfold-ingress/src/connections.rs
@@ -37,7 +37,7 @@
     /// so long is closed.
     pub fn new(sockets: usize, idle_ms: u64) -> Self {
         // The state service, the cloud, the mesh and orders to workers have theirs in any case:
-        // a node full of users must still be able to renew its lease.
+        // a controller full of users must still be able to renew its lease.
         let kept = (sockets / 8).clamp(16, 512);
         Self { most: sockets.saturating_sub(kept).max(8), idle_ms, next: 0, taken: BTreeMap::new() }
     }
--- a/crates/cleatfold-ingress/src/outgoing_queue.rs
+++ b/crates/cleatfold-ingress/src/outgoing_queue.rs
@@ -10,12 +10,12 @@
     item: T,
 }
 
-/// One of so many goes to the last lane once something there has waited `LONG_MS`: what others need for
+/// One of so many goes to the last urgency once something there has waited `LONG_MS`: what others need for
 /// their answers must not wait for ever behind what goes first.
 const FLOOR: u32 = 4;
 const LONG_MS: u64 = 300;
 
-/// Requests in lanes, the first lane first, each in order. What would only wait for changes to come
+/// Requests in urgencies, the first urgency first, each in order. What would only wait for changes to come
 /// free holds up nobody who needs none. (Questions for ended jobs once waited behind claims until their
 /// askers had left, for as long as changes were short.)
 #[derive(Debug)]
--- a/crates/cleatfold-ingress/tests/parts.rs
+++ b/crates/cleatfold-ingress/tests/parts.rs
@@ -31,7 +31,7 @@
     assert_eq!(go(&mut pressure, 0, 200), Level::Calm);
 }
 
-/// A node full of connections made room for none of its own: its lease ran out.
+/// A controller full of connections made room for none of its own: its lease ran out.
 #[test]
 fn room_is_made_for_new_connections_and_some_is_always_left() {
     let mut connections = ConnectionTable::new(100, 30_000);
--- a/crates/cleatfold-ingress/tests/poll_schedule.rs
+++ b/crates/cleatfold-ingress/tests/poll_schedule.rs
@@ -48,7 +48,7 @@
         prop_assert!(PollSchedule::wait_ms(&id, Level::Busy, at).is_none());
     }
 
-    /// Against a plain reading: the first lane's first that may go, but one in four from the last lane once it
+    /// Against a plain reading: the first urgency's first that may go, but one in four from the last urgency once it
     /// has waited long.
     #[test]
     fn the_outgoing_queue_goes_by_its_rule(steps in prop::collection::vec((0usize..4, 0u32..3, 0u64..200, any::<bool>(), any::<bool>()), 1..200)) {
--- a/crates/cleatfold-ingress/tests/request_queue.rs
+++ b/crates/cleatfold-ingress/tests/request_queue.rs
@@ -1,4 +1,4 @@
-//! The desk against a slow plain model, and against loads that nobody could serve.
+//! The request queue against a slow plain model, and against loads that nobody could serve.
 
 use cleatfold_ingress::{Class, RequestQueue};
 use rand::rngs::SmallRng;
@@ -117,7 +117,7 @@
 }
 
 /// The load that late answers breed keeps a first-come queue down for good: it is what the
-/// collapse of the larger fleet looked like. With the desk no load lowers what is done.
+/// collapse of the larger deployment looked like. With the request queue no load lowers what is done.
 #[test]
 fn no_load_lowers_what_is_done_in_time() {
     for load in [1.0, 2.0, 3.0, 5.0] {
--- a/crates/cleatfold-priority/src/decision.rs
+++ b/crates/cleatfold-priority/src/decision.rs
@@ -65,7 +65,7 @@
         seen.waits > 0 && seen.here < self.had + self.tasks && seen.wall_ms < self.until_ms
     }
 
-    /// Whether the room is not for another job: only what is of a higher lane than whom it was made for
+    /// Whether the room is not for another job: only what is of a higher urgency than whom it was made for
     /// goes before that one.
     pub fn bars(&self, urgency: Urgency, other: &JobId, others_urgency: Urgency) -> bool {
         *other != self.job && others_urgency >= urgency
--- a/crates/cleatfold-priority/src/inversions.rs
+++ b/crates/cleatfold-priority/src/inversions.rs
@@ -1,4 +1,4 @@
-//! Inversions: starts of a lower lane while something of a higher one, that would have fitted there, waited.
+//! Inversions: starts of a lower urgency while something of a higher one, that would have fitted there, waited.
 
 use cleatfold_backfill::Resources;
 use cleatfold_wire::job::Urgency;
--- a/crates/cleatfold-priority/src/live.rs
+++ b/crates/cleatfold-priority/src/live.rs
@@ -65,7 +65,7 @@
     heard && reads && !owner.lost_workers
 }
 
-/// Whether a pool's promise for a job of that lane holds the job back elsewhere. Background goes on believing
+/// Whether a pool's promise for a job of that urgency holds the job back elsewhere. Background goes on believing
 /// who has fallen silent: nobody is in a hurry for it.
 pub fn believed(urgency: Urgency, told_ms: u64, lives: bool) -> bool {
     told_ms < PROMISE_MS && (lives || urgency == Urgency::BestEffort)
@@ -83,7 +83,7 @@
 /// Whether a pool plans for a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
-    /// The dealer has sent it somewhere.
+    /// The leader has sent it somewhere.
     pub anywhere: bool,
     /// It was sent to this pool.
     pub here: bool,
@@ -96,7 +96,7 @@
 }
 
 /// What was sent to a pool that does not live is planned by every one that does, and so is what has waited where it
-/// was sent to while places come free elsewhere; background waits for the dealer.
+/// was sent to while places come free elsewhere; background waits for the leader.
 pub fn considers(urgency: Urgency, sent: Sent) -> bool {
     let urgent = urgency < Urgency::BestEffort;
     !sent.anywhere || sent.here || sent.preempted_here || (urgent && (sent.late || !sent.all_live))
--- a/crates/cleatfold-priority/src/place.rs
+++ b/crates/cleatfold-priority/src/place.rs
@@ -1,4 +1,4 @@
-//! A job's durable place among those of its lane, and the moment that it stands for.
+//! A job's durable place among those of its urgency, and the moment that it stands for.
 
 use cleatfold_wire::Version;
 
--- a/crates/cleatfold-priority/src/start_barrier.rs
+++ b/crates/cleatfold-priority/src/start_barrier.rs
@@ -3,7 +3,7 @@
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::Ms;
 
-/// Without word of the dealer everything urgent is planned for, sent there or not, for so long.
+/// Without word of the leader everything urgent is planned for, sent there or not, for so long.
 const WIDE_MS: u64 = 3_000;
 
 /// What the new owner has heard since.
@@ -13,12 +13,12 @@
     pub taken: Ms,
     /// When the newest complete reading of the state service was asked for.
     pub read: Option<Ms>,
-    /// When the dealer last sent jobs to pools.
+    /// When the leader last sent jobs to pools.
     pub assigned: Option<Ms>,
 }
 
 impl StartBarrier {
-    /// The lowest lane that may start: until a reading that was asked for after the pool came, something
+    /// The lowest urgency that may start: until a reading that was asked for after the pool came, something
     /// urgent may be unread that the former owner knew of. Nothing is above the highest.
     pub fn lowest(&self) -> Urgency {
         if self.read.is_some_and(|read| read >= self.taken) {
--- a/crates/cleatfold-priority/tests/explored.rs
+++ b/crates/cleatfold-priority/tests/explored.rs
@@ -96,7 +96,7 @@
     PreemptionRecord::default().with(vec![room], |_| true)
 }
 
-/// Whether the room that a node has read stands, by the service's own rule.
+/// Whether the room that a controller has read stands, by the service's own rule.
 fn stands(controller: &Controller) -> bool {
     let urgent_has = controller.place == Place::Urgent;
     let seen = Seen { waits: u32::from(!urgent_has), here: u32::from(urgent_has), wall_ms: 0 };
@@ -113,7 +113,7 @@
 fn step(s: &State, g: Guards) -> Vec<State> {
     let mut next = Vec::new();
     for n in 0..2 {
-        // The pool is dealt to it: the other may go on believing.
+        // The pool is assigned to it: the other may go on believing.
         if s.owner != Some(n) && s.token < HANDS {
             let mut t = s.clone();
             t.token += 1;
--- a/crates/cleatfold-priority/tests/model.rs
+++ b/crates/cleatfold-priority/tests/model.rs
@@ -120,7 +120,7 @@
         Urgency::BestEffort
     );
     assert_eq!(StartBarrier { read: None, ..start_barrier }.lowest(), Urgency::Critical);
-    // And plans for all that is urgent until the dealer has spoken, or a while has passed.
+    // And plans for all that is urgent until the leader has spoken, or a while has passed.
     assert!(start_barrier.wide(Ms(5100)));
     assert!(!StartBarrier { assigned: Some(Ms(5050)), ..start_barrier }.wide(Ms(5100)));
     assert!(!start_barrier.wide(Ms(8000)));
--- a/crates/cleatfold-reachability/src/misdirected_workers.rs
+++ b/crates/cleatfold-reachability/src/misdirected_workers.rs
@@ -67,7 +67,7 @@
     /// Notes that a worker of a pool came here in vain with a report of this number, and says whether the pool, of
     /// `machines` machines, should come after it. Once may be a hand-over; again means that it cannot get through to its
     /// owner. Some of a large pool can't for a moment whenever its owner is busy, and a move costs
-    /// all of them a change of node: the pool moves when a fair part of it has come. While nothing
+    /// all of them a change of controller: the pool moves when a fair part of it has come. While nothing
     /// is heard of the owner (`owner_last_message`) it may be gone, and back in a moment: its lease in the state
     /// service decides that, and only workers that stay astray beyond it (the owner lives, behind
     /// a cut) count. And a report that comes here may be a late copy, or come from a machine that hears
--- a/crates/cleatfold-reachability/src/one_way_partition.rs
+++ b/crates/cleatfold-reachability/src/one_way_partition.rs
@@ -39,10 +39,10 @@
     last_answer: Option<SentAnswer>,
     in_vain: u32,
     partitioned_since: Option<Ms>,
-    /// When it was last taken back, and how often it has been deaf before.
+    /// When it was last taken back, and how often it has been partitioned before.
     back: Option<Ms>,
     times: u32,
-    /// While deaf: since when it has heard again.
+    /// While partitioned: since when it has heard again.
     delivering_since: Option<Ms>,
 }
 
@@ -69,7 +69,7 @@
         self.last_answer = None;
     }
 
-    /// A newer report came. `has_token`: it carries our token. True if whether it is deaf has changed.
+    /// A newer report came. `has_token`: it carries our token. True if whether it is partitioned has changed.
     pub fn next_heartbeat(
         &mut self,
         now: Ms,
--- a/crates/cleatfold-reachability/tests/one_way_partition.rs
+++ b/crates/cleatfold-reachability/tests/one_way_partition.rs
@@ -56,7 +56,7 @@
 }
 
 proptest! {
-    /// A machine that hears is never taken for deaf: its reports come at its interval, or as soon as something
+    /// A machine that hears is never taken for partitioned: its reports come at its interval, or as soon as something
     /// changes, what it was ordered shows, and now and then one answer is lost on the way.
     #[test]
     fn a_machine_that_receives_answers_is_believed(
--- a/crates/cleatfold-reachability/tests/reachability.rs
+++ b/crates/cleatfold-reachability/tests/reachability.rs
@@ -181,7 +181,7 @@
     assert_eq!(came(&mut misdirected_workers, 0, 7, 19_500), Came::No, "one of eight");
     assert_eq!(came(&mut misdirected_workers, 1, 41, 19_600), Came::Ask, "two of eight");
     assert_eq!(came(&mut misdirected_workers, 1, 42, 19_700), Came::No, "asked already");
-    // Gone, or deaf: no answer. A copy: it has long said more. In another session: what it said is over.
+    // Gone, or partitioned: no answer. A copy: it has long said more. In another session: what it said is over.
     assert_eq!(misdirected_workers.answered(&machine(1), None, silent, Ms(19_700)), None);
     assert_eq!(
         misdirected_workers.answered(&machine(1), Some(number(400)), silent, Ms(19_700)),
--- a/crates/cleatfold-roles/src/lib.rs
+++ b/crates/cleatfold-roles/src/lib.rs
@@ -1,8 +1,8 @@
 //! What only one controller may do at a time: who holds it, and what may be asked of the cloud
 //! under it.
 //!
-//! A duty is a key in the state service under its holder's lease; the key's version is the duty's
-//! epoch, and every transaction of the duty is guarded by it. The cloud knows no epochs, so a
+//! A role is a key in the state service under its holder's lease; the key's version is the role's
+//! epoch, and every transaction of the role is guarded by it. The cloud knows no epochs, so a
 //! rental is first a durable intent. Pure: no I/O and no clock. `docs/duties.md` argues.
 
 #![warn(
--- a/crates/cleatfold-roles/src/role.rs
+++ b/crates/cleatfold-roles/src/role.rs
@@ -1,4 +1,4 @@
-//! Duties by name.
+//! Roles by name.
 
 /// What one controller does for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/cleatfold-roles/src/role_assignment.rs
+++ b/crates/cleatfold-roles/src/role_assignment.rs
@@ -1,7 +1,7 @@
-//! Who should hold which duty.
+//! Who should hold which role.
 //!
-//! Each duty has an order of the live controllers, the first of them a different one for each
-//! duty, so that one death takes few duties with it. When one is taken and given back is
+//! Each role has an order of the live controllers, the first of them a different one for each
+//! role, so that one death takes few roles with it. When one is taken and given back is
 //! `Vacancies`' decision.
 
 use crate::role::Role;
@@ -15,7 +15,7 @@
     vacancies: Vacancies<Role>,
 }
 
-/// The place of `me` among those who should hold the duty.
+/// The place of `me` among those who should hold the role.
 pub fn rank(role: Role, me: &ControllerId, live: &BTreeSet<ControllerId>) -> usize {
     let me = live.range(..me.clone()).count();
     let first = role as usize % live.len().max(1);
@@ -34,7 +34,7 @@
         self.vacancies.see(now, me, live, Role::ALL.iter(), |role| held(*role));
     }
 
-    /// A duty that is ours to take now: one that stands empty, or that was ours before we were
+    /// A role that is ours to take now: one that stands empty, or that was ours before we were
     /// restarted.
     pub fn take(
         &mut self,
@@ -47,14 +47,14 @@
         self.vacancies.take(now, 1, all, rank, |role| was_mine(*role)).pop()
     }
 
-    /// A duty of ours that should go back to its first controller now.
+    /// A role of ours that should go back to its first controller now.
     pub fn give(
         &mut self,
         now: Ms,
         me: &ControllerId,
         mine: impl Fn(Role) -> bool,
     ) -> Option<Role> {
-        // Dealing stays: whoever deals knows what it has just dealt.
+        // Dealing stays: whoever deals knows what it has just assigned.
         let mine = Role::ALL.iter().filter(|d| **d != Role::PoolAssignment && mine(**d));
         self.vacancies.give(now, mine, |role, live| rank(*role, me, live))
     }
--- a/crates/cleatfold-roles/src/scale_out.rs
+++ b/crates/cleatfold-roles/src/scale_out.rs
@@ -82,7 +82,7 @@
 /// All requests that may have been made, and refusals that still count.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ScaleOutIntents {
-    /// Under which version of the duty's key it was written.
+    /// Under which version of the role's key it was written.
     #[serde(rename = "e", default)]
     pub epoch: Version,
     /// Requests that are not known to be answered.
--- a/crates/cleatfold-roles/src/vacancies.rs
+++ b/crates/cleatfold-roles/src/vacancies.rs
@@ -1,4 +1,4 @@
-//! When to take what nobody has, and when to let it go: the same for duties and for teams' workspaces.
+//! When to take what nobody has, and when to let it go: the same for roles and for teams' workspaces.
 //!
 //! Whoever is first in a thing's order of the live controllers takes it at once when it is vacant, the
 //! next one a little later if it still is, and so on: no herd, and nothing waits for a controller that
--- a/crates/cleatfold-roles/tests/explored.rs
+++ b/crates/cleatfold-roles/tests/explored.rs
@@ -1,4 +1,4 @@
-//! ScaleOutState under a duty, explored in every order of what can happen: two controllers take it, lose
+//! ScaleOutState under a role, explored in every order of what can happen: two controllers take it, lose
 //! it, read, write and call, and any write or call may arrive after its sender was replaced or
 //! restarted. The record and the holder's memory are the service's own.
 //!
@@ -9,14 +9,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const CONTROLLERS: usize = 2;
-/// How often the duty may change hands, and how many requests a controller may name.
+/// How often the role may change hands, and how many requests a controller may name.
 const HANDS: u64 = 2;
 const NAMES: u32 = 1;
 
 /// The guards, to be removed one at a time.
 #[derive(Clone, Copy)]
 struct Guards {
-    /// A write is guarded by the duty's epoch.
+    /// A write is guarded by the role's epoch.
     epoch: bool,
     /// And by the version of the record that it was made from.
     record: bool,
--- a/crates/cleatfold-testbed/src/capacity.rs
+++ b/crates/cleatfold-testbed/src/capacity.rs
@@ -1,5 +1,5 @@
 //! What the controllers use at several sizes: the project's own controllers as real processes
-//! on loopback, a stand-in state service and cloud, and hollow workers that share threads.
+//! on loopback, a fake state service and cloud, and hollow workers that share threads.
 
 pub mod hollow;
 pub mod measure;
@@ -145,7 +145,7 @@
     pub redirects_per_s: f64,
     pub connections_opened_per_s: f64,
     pub sessions_lost: u64,
-    /// Processor share of the busiest stand-in thread.
+    /// Processor share of the busiest fake thread.
     pub busiest_stand_in: f64,
     pub one_killed: Option<Recovery>,
     pub all_killed: Option<Recovery>,
--- a/crates/cleatfold-testbed/src/capacity/measure.rs
+++ b/crates/cleatfold-testbed/src/capacity/measure.rs
@@ -30,7 +30,7 @@
 const PROGRESS_EVERY: u32 = 5;
 /// Arrays wait at their users while tasks for so long wait at the controllers.
 const BACKLOG_S: f64 = 30.0;
-/// A stand-in thread that is busier than this is no fair measure of the controllers.
+/// A fake thread that is busier than this is no fair measure of the controllers.
 pub const BUSIEST_STAND_IN: f64 = 0.85;
 
 /// A directory that goes with what is in it.
--- a/crates/cleatfold-testbed/src/capacity/state_service.rs
+++ b/crates/cleatfold-testbed/src/capacity/state_service.rs
@@ -21,7 +21,7 @@
 const TICK: Duration = Duration::from_millis(50);
 const BOOT_S: f64 = 2.0;
 const LEADER: &str = "cf/leader";
-/// What controllers mirror.
+/// What controllers cache.
 const LIVE: &str = "cf/";
 
 /// What the state service has done so far and what it holds.
--- a/crates/cleatfold-testbed/src/lib.rs
+++ b/crates/cleatfold-testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! The laboratory: a simulated region that tests and measurements share, and a real one on
+//! The testbed: a simulated region that tests and measurements share, and a real one on
 //! loopback. Not part of the product.
 
 pub mod capacity;
--- a/crates/cleatfold-testbed/src/main.rs
+++ b/crates/cleatfold-testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory's command line.
+//! The testbed's command line.
 
 use clap::{Parser, Subcommand};
 use cleatfold_testbed::{capacity, days, elastic, images, scale, team};
@@ -15,7 +15,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Bring up three controllers and a stand-in region; Ctrl-C stops all.
+    /// Bring up three controllers and a fake region; Ctrl-C stops all.
     Up {
         /// Machines that the region has.
         #[arg(long, default_value_t = 4)]
--- a/crates/cleatfold-testbed/src/region.rs
+++ b/crates/cleatfold-testbed/src/region.rs
@@ -1,4 +1,4 @@
-//! A region on loopback: the stand-in models behind HTTP, in real time. One actor owns them all.
+//! A region on loopback: the fake models behind HTTP, in real time. One actor owns them all.
 
 use crate::history::StepWatch;
 use bytes::Bytes;
@@ -28,7 +28,7 @@
 pub type Answer = (u16, Vec<u8>);
 
 pub enum ToRegion {
-    /// A request of a controller, or of whoever asks the stand-ins.
+    /// A request of a controller, or of whoever asks the fakes.
     Http {
         method: Method,
         path: String,
@@ -375,7 +375,7 @@
         self.steps.of_member(member);
     }
 
-    // ---- what the stand-ins answer ----
+    // ---- what the fakes answer ----
 
     fn answer(&mut self, method: &Method, path: &str, query: &str, body: &[u8]) -> Answer {
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
--- a/crates/cleatfold-testbed/src/world.rs
+++ b/crates/cleatfold-testbed/src/world.rs
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub enum SimulationEvent {
     Tick(usize),
-    /// To a node's incarnation.
+    /// To a controller's incarnation.
     Controller(usize, u32, Box<Event>),
     StoreRequest {
         controller: usize,
@@ -291,7 +291,7 @@
     /// From whom to whom nothing comes through.
     pub mesh_cut: BTreeSet<(usize, usize)>,
     pub cloud_off: bool,
-    /// How much later than usual the state service's answers reach a node.
+    /// How much later than usual the state service's answers reach a controller.
     pub slow_answers: Vec<u64>,
     pub faults: faults::FaultState,
     /// Large images on the machines.
@@ -421,7 +421,7 @@
         self.events.insert(self.number, event);
     }
 
-    /// Network delay: short, unless the node is cut off and the packets are held.
+    /// Network delay: short, unless the controller is cut off and the packets are held.
     fn delay(&mut self, controller: usize) -> u64 {
         let usual = self.rng.random_range(1..8);
         let held = self.cut[controller].since(self.now);
--- a/crates/cleatfold-testbed/src/world/commands.rs
+++ b/crates/cleatfold-testbed/src/world/commands.rs
@@ -26,7 +26,7 @@
 /// A cancellation without an answer is repeated after so long.
 const REPEAT_MS: u64 = 1_000;
 
-/// Where leaders, holders of duties and owners of pools are written.
+/// Where leaders, holders of roles and owners of pools are written.
 const LEADERSHIP_KEYS: [&str; 3] = ["cf/leader", "cf/duty/", "cf/pool/"];
 
 /// The state of these faults, and what they did so far.
@@ -35,7 +35,7 @@
     late_commands: Option<Share>,
     reports_for_next: Option<Share>,
     kept: Vec<Heartbeat>,
-    /// The newest change of any pool's owner or duty's holder that was seen.
+    /// The newest change of any pool's owner or role's holder that was seen.
     leadership: Version,
     /// Machines that open no connection to a controller, until when.
     mute: BTreeMap<MachineId, Ms>,
@@ -212,7 +212,7 @@
         kept.push(report.clone());
     }
 
-    /// The newest change of who owns a pool or holds a duty.
+    /// The newest change of who owns a pool or holds a role.
     fn leadership(&self) -> Version {
         let all = LEADERSHIP_KEYS.map(|prefix| self.store.list(prefix, None, 500).items);
         all.iter().flatten().map(|item| item.version).max().unwrap_or_default()
--- a/crates/cleatfold-testbed/src/world/late.rs
+++ b/crates/cleatfold-testbed/src/world/late.rs
@@ -127,7 +127,7 @@
 }
 
 const LATE_MS: std::ops::Range<u64> = 2_000..12_000;
-/// Parts and steps of a job that is gone are removed within this time where somebody has the duty of it.
+/// Parts and steps of a job that is gone are removed within this time where somebody has the role of it.
 const CLEAN_UP_MS: u64 = 30_000;
 /// No client waits that long for an answer: what is so late is never answered.
 const NEVER_MS: u64 = 1 << 40;
--- a/crates/cleatfold-testbed/src/world/priority_watch.rs
+++ b/crates/cleatfold-testbed/src/world/priority_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the order of lanes: starts of a lower one while something of a higher one waited that would have
+//! Watches the order of urgencies: starts of a lower one while something of a higher one waited that would have
 //! fitted there.
 
 use super::{records, BTreeMap, BTreeSet, JobId, Kind, MachineId, Ms, TaskId, World, ZoneId};
--- a/crates/cleatfold-testbed/src/world/quick_restarts.rs
+++ b/crates/cleatfold-testbed/src/world/quick_restarts.rs
@@ -12,7 +12,7 @@
 pub enum Step {
     /// A controller says that it is there.
     Enlist,
-    /// Taking a duty.
+    /// Taking a role.
     Elect,
     /// Taking a team's workspace.
     Keep,
@@ -41,7 +41,7 @@
     All,
     /// All end, and one alone is back at once: the acting controller, or so many after it.
     OneReturns(usize),
-    /// The machine of the claim, or one of the pool that is dealt with.
+    /// The machine of the claim, or one of the pool that is assigned with.
     Machine(Back),
 }
 
--- a/crates/cleatfold-testbed/src/world/users.rs
+++ b/crates/cleatfold-testbed/src/world/users.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Submits a job at a node, as a user does.
+    /// Submits a job at a controller, as a user does.
     pub fn submit(&mut self, controller: usize, spec: JobSpec) -> JobId {
         let id = spec.id.clone();
         self.know(&spec);
--- a/crates/cleatfold-testbed/src/world/written.rs
+++ b/crates/cleatfold-testbed/src/world/written.rs
@@ -31,7 +31,7 @@
     Slice,
     /// Teams' histories and logs of losses, their heads and workspaces.
     History,
-    /// Controllers, pools, duties and all else.
+    /// Controllers, pools, roles and all else.
     Control,
     /// Any key of a transaction that failed by its guards.
     Conflict,
--- a/crates/cleatfold-testbed/tests/pairs.rs
+++ b/crates/cleatfold-testbed/tests/pairs.rs
@@ -273,7 +273,7 @@
 }
 
 /// The controller with most machines is refused alone, users cancel through the others what runs on
-/// them, and before its pools are dealt on everybody is refused for longer than a cancellation may
+/// them, and before its pools are assigned on everybody is refused for longer than a cancellation may
 /// take. No peer can tell it either; it must let its workers go in time. Seen to fail (`ran_cancelled`) with
 /// the limit for a cut-off owner four times as long.
 #[test]
--- a/crates/cleatfold-wire/src/ids.rs
+++ b/crates/cleatfold-wire/src/ids.rs
@@ -13,9 +13,11 @@
         pub struct $name(Name);
 
         impl $name {
+            /// From its text.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Name::new(text.as_ref()))
             }
+            /// Its text.
             pub fn as_str(&self) -> &str {
                 self.0.as_str()
             }
@@ -47,7 +49,7 @@
     MachineId
 );
 name_type!(
-    /// A controller node's name.
+    /// A controller controller's name.
     ControllerId
 );
 name_type!(
@@ -71,14 +73,17 @@
     ClassId
 );
 
-/// One machine type in one zone: the unit that is dealt to controllers.
+/// One machine type in one zone: the unit that is assigned to controllers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId {
+    /// The machine type.
     pub machine_type: TypeId,
+    /// The zone.
     pub zone: ZoneId,
 }
 
 impl PoolId {
+    /// From the form that it is displayed in.
     pub fn parse(text: &str) -> Option<Self> {
         let (machine_type, zone) = text.split_once('/')?;
         Some(Self { machine_type: TypeId::new(machine_type), zone: ZoneId::new(zone) })
@@ -166,9 +171,11 @@
 pub struct Ms(pub u64);
 
 impl Ms {
+    /// So many seconds later.
     pub fn plus_s(self, seconds: f64) -> Ms {
         Ms(self.0 + (seconds.max(0.0) * 1000.0) as u64)
     }
+    /// So many milliseconds later.
     pub fn plus(self, ms: u64) -> Ms {
         Ms(self.0 + ms)
     }
@@ -181,7 +188,9 @@
 /// A task of a job, spelled `run-000412/3` on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
+    /// The job.
     pub job: JobId,
+    /// The task's number within its job.
     pub ix: TaskIx,
 }
 
--- a/crates/cleatfold-wire/src/job.rs
+++ b/crates/cleatfold-wire/src/job.rs
@@ -16,13 +16,16 @@
 /// An elastic job may have no more members than this: their claims share one record.
 pub const MAX_MEMBERS: u32 = 256;
 
+/// What the tasks of a job are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Kind {
+    /// Independent tasks, each of which runs to completion.
     #[serde(rename = "batch")]
     Array,
     /// All tasks run at the same time or none does.
     #[serde(rename = "gang")]
     Gang,
+    /// Replicas that run until the job is cancelled.
     #[serde(rename = "service")]
     Service,
 }
@@ -30,12 +33,16 @@
 /// Ordered: a smaller urgency goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Urgency {
+    /// Before everything else.
     #[serde(rename = "critical")]
     Critical,
+    /// Before ordinary work.
     #[serde(rename = "high")]
     High,
+    /// Ordinary work.
     #[serde(rename = "normal")]
     Normal,
+    /// Background work.
     #[serde(rename = "best_effort")]
     BestEffort,
 }
@@ -56,45 +63,66 @@
     pub step_s: f64,
 }
 
+/// A job as it is submitted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// The job's id.
     #[serde(rename = "uid")]
     pub id: JobId,
+    /// The class of jobs that it belongs to.
     #[serde(rename = "lot")]
     pub class: ClassId,
+    /// The team whose guarantee and limit apply.
     #[serde(rename = "equipe")]
     pub team: TeamId,
+    /// What its tasks are.
     #[serde(rename = "genre")]
     pub kind: Kind,
+    /// Its urgency.
     #[serde(rename = "urgence")]
     pub urgency: Urgency,
+    /// How many tasks it has, numbered from 0.
     #[serde(rename = "pieces")]
     pub tasks: u32,
+    /// Processors that each task takes.
     #[serde(rename = "cores")]
     pub cpus: f64,
+    /// GPUs that each task takes.
     #[serde(rename = "cards")]
     pub gpus: f64,
+    /// Memory that each task takes, in GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
+    /// The image that a machine must have before a task can start.
     #[serde(rename = "gabarit")]
     pub image: ImageId,
+    /// The size of the image, in GB.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
+    /// The allowed machine types; none: any.
     #[serde(rename = "gabaritsMachine", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<TypeId>>,
+    /// The only allowed zone; none: any.
     #[serde(rename = "site", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<ZoneId>,
+    /// All tasks must be in the same zone.
     #[serde(rename = "oneZone")]
     pub one_zone: bool,
+    /// At most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
+    /// It may run on spot machines.
     #[serde(rename = "pretees")]
     pub spot: bool,
+    /// The owner's estimate of a task's run time, in seconds.
     #[serde(rename = "dureePrevueS")]
     pub estimate_s: f64,
+    /// A running task saves a checkpoint after so many seconds of progress; 0: never.
     #[serde(rename = "intervalleSauvegardeS")]
     pub checkpoint_s: f64,
+    /// Seconds that a task takes to save when it is stopped.
     #[serde(rename = "dureeSauvegardeS")]
     pub save_s: f64,
+    /// When the job should be complete, in seconds from its submission.
     #[serde(rename = "echeanceS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Not part of the protocol: an elastic job (`docs/elastic.md`).
@@ -105,12 +133,20 @@
 /// Why a submission is malformed.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum SpecError {
+    /// The body is longer than the protocol allows.
     #[error("the body is longer than {MAX_BODY} bytes")]
     TooLong,
+    /// The body is not a JSON object.
     #[error("not a job: {0}")]
     Json(String),
     #[error("{field}: {problem}")]
-    Field { field: &'static str, problem: &'static str },
+    /// A field is missing or invalid.
+    Field {
+        /// Its name on the wire.
+        field: &'static str,
+        /// What is wrong with it.
+        problem: &'static str,
+    },
 }
 
 impl JobSpec {
@@ -194,31 +230,42 @@
     })
 }
 
+/// How a job is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
+    /// No task of it runs.
     #[serde(rename = "queued")]
     Queued,
+    /// It runs.
     #[serde(rename = "running")]
     Running,
+    /// All of its tasks are done.
     #[serde(rename = "done")]
     Done,
+    /// It is cancelled.
     #[serde(rename = "aborted")]
     Aborted,
 }
 
 impl JobState {
+    /// Whether the job stays so for ever.
     pub fn is_final(self) -> bool {
         matches!(self, JobState::Done | JobState::Aborted)
     }
 }
 
+/// A job's state as its user is told it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
+    /// The job's id.
     #[serde(rename = "uid")]
     pub id: JobId,
+    /// How it is.
     #[serde(rename = "etat")]
     pub state: JobState,
+    /// How many tasks are done.
     pub done: u32,
+    /// How many tasks run.
     pub running: u32,
     /// Why it waits, was stopped, or failed. Not part of the protocol; for people.
     #[serde(rename = "why", default, skip_serializing_if = "Option::is_none")]
@@ -231,15 +278,20 @@
     pub losses: Option<JobLosses>,
 }
 
+/// How far an elastic job has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepCount {
+    /// How many of them are finished.
     #[serde(rename = "finies")]
     pub finished: u32,
+    /// How many steps there are.
     #[serde(rename = "total")]
     pub total: u32,
 }
 
+/// The body of a refusal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Problem {
+    /// What is wrong.
     pub error: String,
 }
--- a/crates/cleatfold-wire/src/name.rs
+++ b/crates/cleatfold-wire/src/name.rs
@@ -1,7 +1,7 @@
 //! Names as everything else is looked up by: short ones compare as numbers.
 //!
 //! A controller looks claims, jobs and machines up by name hundreds of thousands of times a
-//! second, and in a large fleet comparing shared strings byte by byte was a fifth of all its
+//! second, and in a large deployment comparing shared strings byte by byte was a fifth of all its
 //! processor time. Names of up to `SHORT` bytes, which are nearly all, are kept in place: no
 //! allocation, no counter, one comparison of 16 bytes.
 
@@ -28,6 +28,7 @@
 }
 
 impl Name {
+    /// From its text.
     pub fn new(text: &str) -> Self {
         let bytes = text.as_bytes();
         let kept = bytes.len().min(SHORT);
@@ -42,6 +43,7 @@
         Self { head, long: Some(Arc::from(text)) }
     }
 
+    /// Its text.
     pub fn as_str(&self) -> &str {
         match &self.long {
             Some(text) => text,
--- a/crates/cleatfold-wire/src/steps.rs
+++ b/crates/cleatfold-wire/src/steps.rs
@@ -14,8 +14,10 @@
 /// `POST /v1/jobs/{id}/steps`. May be repeated; whatever is in it counts at most once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepReport {
+    /// The member that reports.
     #[serde(rename = "piece")]
     pub member: TaskId,
+    /// Its attempt.
     #[serde(rename = "essai")]
     pub attempt: Attempt,
     /// Steps whose work is complete and which the member has not been told are finished.
@@ -25,7 +27,7 @@
     /// gives back what it holds.
     #[serde(rename = "veut", default)]
     pub wants: u32,
-    /// The node that keeps this job did not answer the member: whoever gets this shall decide.
+    /// The controller that keeps this job did not answer the member: whoever gets this shall decide.
     #[serde(rename = "insiste", default, skip_serializing_if = "std::ops::Not::not")]
     pub generate_load: bool,
 }
@@ -54,8 +56,10 @@
     /// Steps of the report that the member does not hold: their work does not count.
     #[serde(rename = "refusees", default, skip_serializing_if = "Vec::is_empty")]
     pub refused: Vec<StepRange>,
+    /// How far the job has come.
     #[serde(rename = "avance")]
     pub progress: StepCount,
+    /// What the member should do next.
     #[serde(rename = "suite")]
     pub next_action: NextAction,
 }
@@ -63,10 +67,13 @@
 /// Why a step report is malformed.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum StepError {
+    /// Not a JSON object.
     #[error("not a step report: {0}")]
     Json(String),
+    /// The member is of another job than the path.
     #[error("piece: is of another job than the path")]
     OtherJob,
+    /// The ranges of steps make no sense.
     #[error("finies: {0}")]
     Ranges(&'static str),
 }
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -1,6 +1,6 @@
 //! The actors of a process and what they say to one another.
 //!
-//! `core` owns the node's state. The state service's and the cloud's clients, the mesh and
+//! `core` owns the controller's state. The state service's and the cloud's clients, the mesh and
 //! the HTTP server each run beside it and speak to it by messages.
 
 use crate::operator::Operator;
@@ -211,7 +211,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-/// Owns the node's state; everything else speaks to it by messages.
+/// Owns the controller's state; everything else speaks to it by messages.
 struct CoreActor {
     controller: Controller,
     outgoing: OutgoingChannels,
--- a/crates/cleatfold/src/operator.rs
+++ b/crates/cleatfold/src/operator.rs
@@ -13,7 +13,7 @@
     pub pools_per_job: Option<u32>,
     /// Milliseconds between readings of the state service; 100 to 2000.
     pub reading_ms: Option<u64>,
-    /// Milliseconds after which a silent node's pools are dealt on; 1000 to 60000.
+    /// Milliseconds after which a silent controller's pools are assigned on; 1000 to 60000.
     pub node_lease_ms: Option<u64>,
     /// Seconds after which an idle machine that no waiting job may use is returned; 0 to 86400.
     pub idle_return_s: Option<f64>,
--- a/crates/cleatfold/src/settings.rs
+++ b/crates/cleatfold/src/settings.rs
@@ -241,7 +241,7 @@
             list_lag_ms: ms(c.cloud.list_lag_s.max(0.0)),
             k: 3,
             sync_ms: 250,
-            // A node that restarts within its lease keeps its pools. Where workers report seldom
+            // A controller that restarts within its lease keeps its pools. Where workers report seldom
             // little is lost by waiting a moment longer for it: whoever took its pools over could
             // start nothing before their next reports.
             controller_lease_ms: (ms(c.workers.report_s) * 7 / 8).clamp(3000, 7000),
@@ -278,7 +278,7 @@
     }
 
     /// Our share of the state service's limits. More than an even share, for the load moves
-    /// between nodes; the service's own 429 is the backstop.
+    /// between controllers; the service's own 429 is the backstop.
     pub(crate) fn store_budget(&self) -> Budget {
         let share = if self.peers.is_empty() { 0.9 } else { 0.5 };
         Budget {
