--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -153,7 +153,7 @@
             let Some(m) = self.inventory.machines.get_mut(&id) else { continue };
             m.suspicion = suspicion;
             if faulty {
-                tracing::info!(machine = %id, "what works elsewhere fails here: returning it");
+                tracing::info!(machine = %id, "machine at fault: returning it");
                 (m.faulty, m.draining) = (true, true);
                 self.replan_needed = true;
             }
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -67,7 +67,7 @@
             Some(_) => None,
         };
         if let Some(why) = why {
-            tracing::info!(member = %report.member, attempt = report.attempt.0, why, "steps refused");
+            tracing::info!(member = %report.member, attempt = report.attempt.0, why, "step report refused");
             return self.reply(rid, Response::refuse(409, why));
         }
         let idle = report.wants > 0 && self.runs_out(&report);
@@ -91,7 +91,7 @@
                 Verdict::Accepted(reply) => Response::Steps(reply),
                 Verdict::Lost(why) => {
                     let member = &member_reports.report.member;
-                    tracing::info!(%member, attempt = member_reports.report.attempt.0, why, "steps refused");
+                    tracing::info!(%member, attempt = member_reports.report.attempt.0, why, "step report refused");
                     Response::refuse(409, why)
                 }
             };
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -185,7 +185,7 @@
                 let conflict = matches!(reply, StoreReply::Conflict(_));
                 let (now, event) = (self.now, self.event);
                 if conflict {
-                    tracing::debug!(job = %tx.job, "conflict");
+                    tracing::debug!(job = %tx.job, "transaction conflict");
                     self.session.sync_wanted = true;
                     if tx.doubtful {
                         // It may have been executed after all: its claims count against the
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -69,7 +69,7 @@
     /// Lets whoever should hold it have it: guarded, so it is only ever our own holding that ends.
     fn give_back(&mut self, role: Role) {
         let Some(epoch) = self.epoch(role) else { return };
-        tracing::info!(role = role.key(), "giving back");
+        tracing::info!(role = role.key(), "releasing role");
         let mut txn = Txn::default();
         txn.guard(role.key(), epoch);
         txn.delete(role.key());
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -93,7 +93,7 @@
                 self.inventory.types.get(&pool.machine_type).map_or(1.0, |t| t.cpus.max(0.1));
             let count = ((lack / cpus).ceil() as u32).clamp(1, MAX_MACHINES_PER_REQUEST);
             self.scale_out.count += 1;
-            tracing::info!(%pool, spot, count, lack, "renting");
+            tracing::info!(%pool, spot, count, lack, "scaling out");
             new.push(ScaleOutIntent {
                 name: format!("{}-{}-{}", self.cfg.me, incarnation, self.scale_out.count),
                 machine_type: pool.machine_type,
@@ -116,7 +116,7 @@
                 self.scale_out.tracker.called(&step.calls);
                 for intent in step.calls {
                     if intent.inherited {
-                        tracing::info!(request = %intent.name, "asking once more for what stands");
+                        tracing::info!(request = %intent.name, "repeating inherited scale-out request");
                     }
                     let request = intent.request();
                     let pending = Pending::ScaleOut { request: request.clone(), tries: 0 };
@@ -136,7 +136,7 @@
             PoolId { machine_type: request.machine_type.clone(), zone: request.zone.clone() };
         let answer = match reply {
             CloudReply::Rented(machines) => {
-                tracing::info!(%pool, spot = request.spot, ?machines, "rented");
+                tracing::info!(%pool, spot = request.spot, ?machines, "machines created");
                 let short = (machines.len() as u32) < request.count;
                 let names = machines.iter().map(|m| m.to_string()).collect();
                 let message =
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -330,7 +330,7 @@
             }
         }
         if !batch.is_empty() {
-            tracing::info!(machines = ?batch, "deleting");
+            tracing::info!(machines = ?batch, "deleting machines");
             let pending = Pending::Delete { machines: batch.clone() };
             self.cloud(CloudRequest::Delete(batch), pending);
         }
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -52,7 +52,7 @@
             .collect();
         let changed = lost != self.reachability.lost;
         if changed {
-            tracing::info!(zones = ?lost, "workers not reached");
+            tracing::info!(zones = ?lost, "zones unreachable");
             self.reachability.lost = lost;
         }
         if changed || self.now.since(self.reachability.contacts_sent_at) >= 1000 {
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -117,7 +117,7 @@
                 });
                 match holder {
                     Some(holder) => {
-                        tracing::info!(%team, to = %holder.owner, "giving over the workspace");
+                        tracing::info!(%team, to = %holder.owner, "handing over workspace ownership");
                         self.hand(vec![team], holder);
                     }
                     None => vacancies.settled(&team),
@@ -183,7 +183,7 @@
             if self.workspaces.kept.contains_key(team) {
                 continue;
             }
-            tracing::info!(%team, token = token.0, "workspace is ours");
+            tracing::info!(%team, fencing_token = token.0, "workspace ownership acquired");
             let kept = Kept {
                 token: *token,
                 writing: false,
@@ -254,7 +254,7 @@
         if self.workspaces.listing.is_none() && !uncovered.is_empty() {
             let teams = uncovered.into_iter().map(|team| {
                 let from = self.head(&team).1.upto;
-                tracing::info!(%team, from, "looking through the whole archive");
+                tracing::info!(%team, from, "scanning archive");
                 (team, (from, BTreeMap::new()))
             });
             let teams = teams.collect();
@@ -296,7 +296,7 @@
             let jobs = found.len();
             let joins =
                 self.workspaces.ended.listed(&team, from, at, found.into_values().collect());
-            tracing::info!(%team, jobs, joins, "looked through the archive");
+            tracing::info!(%team, jobs, joins, "archive scanned");
         }
     }
 
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -335,7 +335,7 @@
                 *job_state.stopped.entry(ix).or_default() += 1;
             }
             tracing::info!(
-                %job, task = ix.0, machine = %id, grace_s, room_for = %choice.job, "stopping"
+                %job, task = ix.0, machine = %id, grace_s, preempting_job = %choice.job, "evicting task"
             );
             commands.push(Command::Stop { task: TaskId { job, ix }, attempt, grace_s });
         }
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -26,7 +26,7 @@
         // Somebody has fallen silent: what waits for his pools is planned for now.
         let fallen = self.fallen();
         if fallen != self.priority.fallen {
-            tracing::debug!(pools = ?fallen, "nobody plans for");
+            tracing::debug!(pools = ?fallen, "pools without a planner");
             self.priority.fallen = fallen;
             self.replan_needed = true;
         }
@@ -63,7 +63,7 @@
                 standing.filter_map(|r| Some((urgency(r)?, r.clone()))).collect();
             if self.priority.adopted.insert(pool.clone(), token) != Some(token) {
                 for (_, preemption) in &preemptions {
-                    tracing::info!(%pool, job = %preemption.job, machine = %preemption.machine, "room goes on");
+                    tracing::info!(%pool, job = %preemption.job, machine = %preemption.machine, "continuing preemption of a former owner");
                     self.evict(token, preemption.clone());
                 }
             }
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -117,7 +117,7 @@
     }
 
     fn resolve_job(&mut self, tx: JobTransaction) {
-        tracing::debug!(job = %tx.job, "settled by a reading");
+        tracing::debug!(job = %tx.job, "unknown outcome resolved by a reading");
         let JobTransaction { job, mut withdrawals, steps, .. } = tx;
         let job_state = self.job_state(&job);
         job_state.busy = false;
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -295,13 +295,13 @@
         let now = self.millis(Instant::now());
         for (class, ask) in self.request_queue.expired(now) {
             // Its asker has left, or will have before an answer could be there.
-            tracing::debug!(?class, "too late to answer");
+            tracing::debug!(?class, "request expired");
             self.turn_away(ask);
         }
         self.pressure.note(now, late.as_millis() as u64, self.request_queue.oldest_ms(now));
         if self.pressure.level() != self.announced_level {
             self.announced_level = self.pressure.level();
-            tracing::info!(level = ?self.announced_level, waiting = self.request_queue.len(), "pressure");
+            tracing::info!(level = ?self.announced_level, waiting = self.request_queue.len(), "pressure level changed");
             self.controller.set_backpressure(self.pressure.backpressure());
         }
         self.handle(Event::Tick);
--- a/crates/cleatfold/src/serve.rs
+++ b/crates/cleatfold/src/serve.rs
@@ -72,7 +72,7 @@
                     let visit = Visit { id, core: core.clone(), events: events.clone() };
                     tokio::task::spawn_local(visit.run(stream, told_to));
                     if let Some(other) = leaves {
-                        tracing::debug!(connections = connections.len(), "no sockets left: closing one");
+                        tracing::debug!(connections = connections.len(), "connection limit reached: closing one");
                         // Its seat is free at once: the next one that comes in the same burst
                         // must not choose it again, or the sockets kept back would go too.
                         connections.close(other);
@@ -80,7 +80,7 @@
                     }
                 }
                 Err(error) => {
-                    tracing::info!(%error, "cannot accept");
+                    tracing::info!(%error, "cannot accept connection");
                     tokio::time::sleep(PAUSE).await;
                 }
             },
