--- a/crates/cleatfold-testbed/src/world.rs
+++ b/crates/cleatfold-testbed/src/world.rs
@@ -4,6 +4,7 @@
 //! Time is simulated and all luck is seeded: a seed always plays the same day.
 
 mod answers;
+mod arrivals;
 mod cancelled;
 mod commands;
 mod digest;
@@ -466,36 +467,7 @@
             match effect {
                 Effect::Reply { rid, response } => self.on_reply(controller, rid, response),
                 Effect::Store { op, request, .. } => {
-                    let mut delay =
-                        self.delay(controller) + self.faults.held_apart(controller, self.now);
-                    delay += self.late_by(&request);
-                    let lost = self.fault && self.rng.random_bool(0.01);
-                    if lost && self.rng.random_bool(0.5) {
-                        // It arrives, but long after its sender gave up.
-                        delay += self.rng.random_range(1000..20_000);
-                    }
-                    let (there, back) = self.lateness(&request);
-                    delay += there;
-                    let lost = lost || self.answer_lost(&request);
-                    let answered = !lost && delay + back <= meetings::STORE_MS;
-                    if !answered {
-                        let reply = match request {
-                            StoreRequest::Txn(_) => StoreReply::Unknown,
-                            _ => StoreReply::Refused,
-                        };
-                        let event = Box::new(Event::Store { op, reply });
-                        self.at(
-                            meetings::STORE_MS,
-                            SimulationEvent::Controller(controller, life, event),
-                        );
-                    }
-                    if answered && back > 0 {
-                        self.meetings.back.insert((controller, life, op), back);
-                    }
-                    self.at(
-                        delay,
-                        SimulationEvent::StoreRequest { controller, life, op, request, answered },
-                    );
+                    self.send_store_request(controller, op, request)
                 }
                 Effect::Cloud { op, request, .. } => {
                     let delay = self.delay(controller) + 100;
@@ -504,26 +476,7 @@
                 Effect::Order { machine, orders, .. } => {
                     self.send_command(controller, machine, orders);
                 }
-                Effect::Probe { machine, .. } => {
-                    let delay = 2 * self.delay(controller);
-                    let cut = self.machine_cut(&machine);
-                    let (faults, now) = (&self.faults, self.now);
-                    let hangs = self.hung.get(&machine).is_some_and(|until| *until > now);
-                    let said = self.workers.get_mut(&machine).and_then(|w| {
-                        let reached = !faults.cut_off(controller, &w.zone, now)
-                            && !faults.is_partitioned(w, now)
-                            && delay < 1000;
-                        // Before it is up it answers nobody.
-                        let reached = reached && !cut;
-                        let there = reached && !hangs && w.renewed <= now;
-                        there.then(|| w.report()).map(|r| (r.agent_epoch, r.seq))
-                    });
-                    let event = Event::Probed { machine, answer: said };
-                    self.at(
-                        delay.min(1000),
-                        SimulationEvent::Controller(controller, life, Box::new(event)),
-                    );
-                }
+                Effect::Probe { machine, .. } => self.send_probe(controller, &machine),
                 Effect::Mesh { to, message } => self.on_mesh(controller, to, &message),
                 Effect::Refuse { why } => {
                     // Its process ends; whoever started it sees why.
@@ -565,83 +518,20 @@
                 }
             }
             SimulationEvent::StoreRequest { controller, life, op, request, answered } => {
-                let due = self.blink_due(controller, &request);
-                if let Some(due) = due.as_ref().filter(|d| !quick_restarts::is_after(d)) {
-                    self.quick_restart_now(due);
-                }
-                if let Some(ms) = quick_restarts::late(due.as_ref()) {
-                    let request =
-                        SimulationEvent::StoreRequest { controller, life, op, request, answered };
-                    return self.at(ms, request);
-                }
-                let is_txn = matches!(request, StoreRequest::Txn(_));
-                let late = (!answered).then(|| late::purpose(&request)).flatten();
-                let reply = if self.outage > self.now
-                    || self.store_cut[controller] > self.now
-                    || self.faults.refused_apart(controller, self.now)
-                {
-                    StoreReply::Refused
-                } else {
-                    self.execute(request)
-                };
-                self.note_late(late, &reply);
-                if let Some(due) = due.filter(quick_restarts::is_after) {
-                    self.quick_restart_now(&due);
-                }
-                if answered {
-                    let back =
-                        self.meetings.back.remove(&(controller, life, op)).unwrap_or_default();
-                    let late =
-                        self.slow_answers[controller] + self.commit_late(controller, is_txn) + back;
-                    let delay = self.delay(controller) + late;
-                    let event = Box::new(Event::Store { op, reply });
-                    self.at(delay, SimulationEvent::Controller(controller, life, event));
-                }
+                self.store_request_arrives(controller, life, op, request, answered);
             }
             SimulationEvent::CloudRequest { controller, life, op, request } => {
-                let due = self.call_blink_due(controller, &request);
-                if let Some(due) = due.as_ref().filter(|d| !quick_restarts::is_after(d)) {
-                    self.quick_restart_now(due);
-                }
-                if let Some(ms) = quick_restarts::late(due.as_ref()) {
-                    return self
-                        .at(ms, SimulationEvent::CloudRequest { controller, life, op, request });
-                }
-                let reply = self.execute_cloud(request);
-                if let Some(due) = due.filter(quick_restarts::is_after) {
-                    self.quick_restart_now(&due);
-                }
-                let delay = self.delay(controller) + 50;
-                self.at(
-                    delay,
-                    SimulationEvent::Controller(
-                        controller,
-                        life,
-                        Box::new(Event::Cloud { op, reply }),
-                    ),
-                );
+                self.cloud_request_arrives(controller, life, op, request);
             }
             SimulationEvent::WorkerReports(id) => self.worker_reports(id),
             SimulationEvent::ReportArrives { controller, machine, sent, report } => {
-                if self.controllers[controller].is_none() {
-                    return;
-                }
-                self.next_rid += 1;
-                let rid = self.next_rid;
-                let asked = Asked::Heartbeat(machine, sent, report.agent_epoch.0, report.seq.0);
-                self.asked.insert((controller, rid), asked);
-                self.give(controller, Event::Heartbeat { rid, report: report.into_raw() });
+                self.heartbeat_arrives(controller, machine, sent, report);
             }
             SimulationEvent::WorkerAnswer { machine, number, sent, agent_epoch, response } => {
                 self.worker_answer(machine, number, sent, agent_epoch, response)
             }
             SimulationEvent::WorkerTimeout { machine, number } => {
-                let Some(link) = self.links.get_mut(&machine) else { return };
-                if link.waiting == Some(number) {
-                    link.waiting = None;
-                    link.target = (link.target + 1) % self.controllers.len();
-                    self.report_in(1000, machine);
-                }
+                self.worker_times_out(machine, number);
             }
             SimulationEvent::User(u) => self.user(u),
             SimulationEvent::Crash(i) => {
@@ -672,15 +562,7 @@
                 // Whatever expired meanwhile has its full time again.
                 self.store.renew_all(self.outage);
             }
-            SimulationEvent::Die(id) => {
-                if let Some(worker) = self.workers.remove(&id) {
-                    for (task, _) in worker.tasks.keys() {
-                        self.gone(task, &id);
-                    }
-                    self.links.remove(&id);
-                    self.wakes.remove(&id);
-                }
-            }
+            SimulationEvent::Die(id) => self.machine_dies(&id),
             SimulationEvent::Wake(id) => self.wake(&id),
             SimulationEvent::ApplyFault(fault, for_ms) => self.apply_fault(fault, for_ms),
             SimulationEvent::Meets(fault, for_ms, aim) => self.meets(fault, for_ms, aim),
@@ -692,50 +574,14 @@
             SimulationEvent::Looks { controller, job, what } => self.looks(controller, job, what),
             SimulationEvent::Odd => self.odd(),
             SimulationEvent::MemberAsks { controller, machine, key, number, report } => {
-                if self.controllers[controller].is_none() {
-                    return;
-                }
-                self.next_rid += 1;
-                let rid = self.next_rid;
-                self.asked.insert((controller, rid), Asked::Steps(machine, key, number));
-                let request = Request::Steps(Box::new(report));
-                self.give(controller, Event::Request { rid, request });
+                self.step_report_arrives(controller, machine, key, number, report);
             }
             SimulationEvent::MemberAnswered { machine, key, number, response } => {
                 self.member_answered(machine, key, number, response)
             }
             held @ SimulationEvent::Orders { .. } if self.orders_held(&held) => {}
             SimulationEvent::Orders { controller, life, machine, orders, answered } => {
-                let now = self.now;
-                // A machine that hangs executes them when it carries on.
-                if let Some(until) = self.hung.get(&machine).filter(|u| **u > now) {
-                    let until = until.since(now) + 1;
-                    let order =
-                        SimulationEvent::Orders { controller, life, machine, orders, answered };
-                    return self.at(until, order);
-                }
-                self.wake(&machine);
-                let cut = self.machine_cut(&machine);
-                let lost = self.order_answer_lost();
-                let Some(worker) = self.workers.get_mut(&machine) else { return };
-                if cut || self.faults.is_partitioned(worker, now) {
-                    let event = Box::new(Event::Ordered { machine, report: None });
-                    return self.at(4000, SimulationEvent::Controller(controller, life, event));
-                }
-                let report = worker.orders(now, &orders, |_| None).map(|happenings| {
-                    let report = worker.report();
-                    (happenings, report)
-                });
-                if let Some((happenings, report)) = report {
-                    self.judge(&machine, happenings);
-                    self.wake(&machine);
-                    if !answered {
-                        return;
-                    }
-                    let event = Event::Ordered { machine, report: Some(report).filter(|_| !lost) };
-                    let delay = self.delay(controller);
-                    self.at(delay, SimulationEvent::Controller(controller, life, Box::new(event)));
-                }
+                self.orders_arrive(controller, life, machine, orders, answered);
             }
         }
     }
