--- a/crates/cleatfold-control/tests/urgency_order.rs
+++ b/crates/cleatfold-control/tests/urgency_order.rs
@@ -182,7 +182,7 @@
     order_stays(2, Fall::Apart, 0.005, 1);
 }
 
-/// With two of three gone what is left has every pool at once. (Not the 0.005 that is wanted: `docs/lanes.md`.)
+/// With two of three gone what is left has every pool at once. (Not the 0.005 that is wanted: `docs/priority.md`.)
 #[test]
 fn two_at_once() {
     order_stays(1, Fall::Two, 0.03, 3);
--- a/crates/cleatfold-image-distribution/src/lib.rs
+++ b/crates/cleatfold-image-distribution/src/lib.rs
@@ -1,7 +1,7 @@
 //! Image distribution: images that many machines want at once. Which machine fetches when, and from the origin
 //! or from which peer.
 //!
-//! Pure: no I/O and no clock. `docs/weights.md` argues.
+//! Pure: no I/O and no clock. `docs/image-distribution.md` argues.
 
 #![warn(
     missing_docs,
--- a/crates/cleatfold-priority/src/lib.rs
+++ b/crates/cleatfold-priority/src/lib.rs
@@ -1,6 +1,6 @@
 //! PriorityState: urgent work starts before background work, whoever plans and whoever fails.
 //!
-//! Pure: no I/O and no clock. `docs/lanes.md` argues.
+//! Pure: no I/O and no clock. `docs/priority.md` argues.
 
 #![warn(
     missing_docs,
--- a/crates/cleatfold-roles/src/lib.rs
+++ b/crates/cleatfold-roles/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! A role is a key in the state service under its holder's lease; the key's version is the role's
 //! epoch, and every transaction of the role is guarded by it. The cloud knows no epochs, so a
-//! rental is first a durable intent. Pure: no I/O and no clock. `docs/duties.md` argues.
+//! rental is first a durable intent. Pure: no I/O and no clock. `docs/roles.md` argues.
 
 #![warn(
     missing_docs,
--- a/deploy/weights.hcl
+++ b/deploy/weights.hcl
@@ -1,7 +1,7 @@
 # Large images (a model's weights) that many machines want at once: fetched from their origin by turns, never
 # more at a time than it gives, and handed on from machine to machine by workers that know how. Workers that
 # know the protocol alone fetch from the origin when their turn comes. Without this block each machine fetches
-# for itself, at once. See docs/weights.md.
+# for itself, at once. See docs/image-distribution.md.
 #
 #     cleatfold --config settings.toml --operator deploy/weights.hcl
 weights {
