--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -17,13 +17,13 @@
 }
 
 impl TerminalJobCache {
-    const KEPT: usize = 4000;
+    const MAX_CACHED_JOBS: usize = 4000;
 
     pub(crate) fn insert(&mut self, job: JobId, archive: ArchiveRecord) {
         if self.states.insert(job.clone(), archive).is_none() {
             self.order.push_back(job);
         }
-        while self.order.len() > Self::KEPT {
+        while self.order.len() > Self::MAX_CACHED_JOBS {
             if let Some(old) = self.order.pop_front() {
                 self.states.remove(&old);
             }
