--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -10,7 +10,7 @@
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreRequest};
 use crate::machines::inventory::Machine;
-use crate::store::cache::CachedJob;
+use crate::store::cache::{CachedJob, Versioned};
 use crate::store::records::OVERLOAD_QUOTA_KEY;
 use cleatfold_admission::long_work_limit::LongWorkLimit;
 use cleatfold_admission::meter::{Largest, Spread};
@@ -104,7 +104,7 @@
 impl Controller {
     /// What the agreement says of the job's group, if it is not served in time.
     pub(crate) fn overload_entry(&self, cached: &CachedJob) -> Option<&Entry> {
-        let overload_quota = &self.cache.overload_quota.1;
+        let overload_quota = &self.cache.overload_quota.value;
         if overload_quota.is_empty() || cached.width().is_some() || self.cfg.admission.is_none() {
             return None;
         }
@@ -116,7 +116,7 @@
     /// controller and at every retry, as long as the overload quota stands.
     pub(crate) fn refused_for_now(&self, spec: &JobSpec) -> Option<u32> {
         self.cfg.admission.as_ref()?;
-        let most = self.cache.overload_quota.1.entry(&spec.team, &spec.class)?.most?;
+        let most = self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.most?;
         let refused = spec.kind == Kind::Array && work(spec, spec.tasks) > most as f64;
         // An overload quota is looked at again after STAND_MS; a retry before that is in vain.
         let spread = xxhash_rust::xxh3::xxh3_64(spec.id.as_str().as_bytes()) % 8;
@@ -318,7 +318,7 @@
     fn decide_overload_quota(&mut self) {
         let view = self.view();
         let Some(rules) = &self.cfg.admission else { return };
-        let (version, known) = &self.cache.overload_quota;
+        let Versioned { version, value: known } = &self.cache.overload_quota;
         let now_s = self.now.0 as f64 / 1000.0;
         let mut entries = decide(rules, &mut self.admission.judge, known, &view, now_s);
         entries.truncate(self.cfg.value_bytes / ENTRY_BYTES);
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -3,6 +3,7 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
+use crate::store::cache::Versioned;
 use crate::store::records::{image_holders_key, pool_key, OriginRecord, SpreadRecord, ORIGIN_KEY};
 use cleatfold_image_distribution::{Seen, Settings, Turn, View, Want};
 use cleatfold_wire::job::Kind;
@@ -37,14 +38,14 @@
         let pools: BTreeSet<PoolId> =
             self.pools.owned.keys().filter(|p| self.my_token(p).is_some()).cloned().collect();
         let spreads: BTreeMap<ImageId, SpreadRecord> =
-            self.cache.image_holders.iter().map(|(i, r)| (i.clone(), r.1.clone())).collect();
+            self.cache.image_holders.iter().map(|(i, r)| (i.clone(), r.value.clone())).collect();
         let mut distributor = std::mem::take(&mut self.image_distribution.distributor);
         let (origin, come) = distributor.pass(&View {
             now: self.now,
             wall_ms: self.wall_ms,
             value_bytes: self.cfg.value_bytes,
             settings: &settings,
-            origin: &self.cache.origin.1,
+            origin: &self.cache.origin.value,
             spreads: &spreads,
             wants,
             pools: &pools,
@@ -67,7 +68,7 @@
             Some(machine) => machine.expired,
             None => {
                 let known = self.cfg.list_lag_ms + self.cfg.lease_ms + self.cfg.given_up_ms();
-                let slot = self.cache.origin.1.slots.get(id);
+                let slot = self.cache.origin.value.slots.get(id);
                 let owned = slot.and_then(|s| self.pools.owned.get(&s.pool));
                 self.inventory.is_deleted(id)
                     || owned.is_some_and(|o| self.now.since(o.since) > known)
@@ -145,9 +146,8 @@
                     }
                     Some(_) => {}
                     // A job that has gone since: whatever it has a slot for.
-                    None => {
-                        fetching.extend(self.cache.origin.1.slots.get(id).map(|s| s.image.clone()))
-                    }
+                    None => fetching
+                        .extend(self.cache.origin.value.slots.get(id).map(|s| s.image.clone())),
                 }
             }
             seen.insert(
@@ -196,7 +196,7 @@
             Turn::From(sources) => Some(sources.clone()),
             // The slot as it stands, not as it stood when turns were last looked at.
             Turn::Origin => {
-                let slot = self.cache.origin.1.slots.get(id)?;
+                let slot = self.cache.origin.value.slots.get(id)?;
                 let stands = slot.image == spec.image && slot.pool == machine.pool;
                 (stands && !self.image_distribution.given_back.contains(id)).then(Vec::new)
             }
@@ -247,7 +247,7 @@
         {
             return;
         }
-        let old = &self.cache.origin.1;
+        let old = &self.cache.origin.value;
         let changed = |from: &OriginRecord, to: &OriginRecord| -> Vec<(MachineId, PoolId)> {
             let gone = from.slots.iter().filter(|(m, s)| to.slots.get(*m) != Some(*s));
             gone.map(|(m, s)| (m.clone(), s.pool.clone())).collect()
@@ -255,7 +255,7 @@
         let (gone, new) = (changed(old, &record), changed(&record, old));
         let pools: BTreeSet<&PoolId> = gone.iter().chain(&new).map(|c| &c.1).collect();
         let mut txn = Txn::default();
-        txn.guard(ORIGIN_KEY, self.cache.origin.0);
+        txn.guard(ORIGIN_KEY, self.cache.origin.version);
         for pool in pools {
             let Some(token) = self.my_token(pool) else { return };
             txn.guard(pool_key(pool), Version(token.0));
@@ -282,8 +282,8 @@
                 );
             }
             StoreReply::Committed(version) => {
-                if self.cache.origin.0 < version {
-                    self.cache.origin = (version, record);
+                if self.cache.origin.version < version {
+                    self.cache.origin = Versioned::new(version, record);
                 }
                 // Those whose slot it is need not wait for the next look.
                 self.image_distribution.last_checked = Ms(0);
@@ -309,7 +309,7 @@
         for image in wanted.keys() {
             let mut ours = seen.iter().filter(|(_, s)| s.has(image)).map(|(m, _)| m);
             let elsewhere =
-                self.cache.image_holders.get(*image).into_iter().flat_map(|r| &r.1.holders);
+                self.cache.image_holders.get(*image).into_iter().flat_map(|r| &r.value.holders);
             let mut elsewhere = elsewhere.filter(|(p, _)| !self.pools.owned.contains_key(*p));
             if let (Some(only), None, None) = (ours.next(), ours.next(), elsewhere.next()) {
                 last.insert(only.clone());
@@ -327,12 +327,12 @@
             let old = self.cache.image_holders.get(image);
             let many = wanted.get(image).is_some_and(|m| m.len() > HANDFUL);
             let mut txn = Txn::default();
-            txn.guard(image_holders_key(image), old.map(|o| o.0).unwrap_or_default());
+            txn.guard(image_holders_key(image), old.map(|o| o.version).unwrap_or_default());
             if old.is_some() && !wanted.contains_key(image) {
                 // Nobody uses it any more. (It may be wanted again: then it is written anew.)
                 txn.delete(image_holders_key(image));
             } else if old.is_some() || many {
-                let mut new = old.map(|o| o.1.clone()).unwrap_or_default();
+                let mut new = old.map(|o| o.value.clone()).unwrap_or_default();
                 for pool in self.pools.owned.keys() {
                     let Some(token) = self.my_token(pool) else { continue };
                     let here = seen.iter().filter(|(_, s)| {
@@ -350,7 +350,8 @@
                         txn.guard(pool_key(pool), Version(token.0));
                     }
                 }
-                if old.is_some_and(|o| o.1 == new) || (old.is_none() && new.holders.is_empty()) {
+                if old.is_some_and(|o| o.value == new) || (old.is_none() && new.holders.is_empty())
+                {
                     continue;
                 }
                 txn.put(image_holders_key(image), &new, None);
--- a/crates/cleatfold-control/src/jobs/draft.rs
+++ b/crates/cleatfold-control/src/jobs/draft.rs
@@ -72,7 +72,7 @@
 }
 
 fn version_of_part(parts: Option<&PartMap>, part: u32) -> Version {
-    parts.and_then(|p| p.get(&part)).map(|p| p.0).unwrap_or_default()
+    parts.and_then(|p| p.get(&part)).map(|p| p.version).unwrap_or_default()
 }
 
 impl<'a> Draft<'a> {
@@ -169,7 +169,7 @@
     /// The table of a part, or of a job in one record, to be changed.
     fn table_mut(&mut self, part: Option<u32>) -> &mut Table {
         let Some(part) = part else { return &mut self.record.table };
-        let known = || self.parts.and_then(|p| p.get(&part)).map(|p| p.1.clone());
+        let known = || self.parts.and_then(|p| p.get(&part)).map(|p| p.value.clone());
         self.touched.entry(part).or_insert_with(|| known().unwrap_or_default())
     }
 
@@ -332,7 +332,7 @@
 
     fn free_in_part(&self, part: u32) -> Vec<TaskIx> {
         let (from, to) = self.record.part_range(part);
-        let known = self.parts.and_then(|p| p.get(&part)).map(|p| &p.1);
+        let known = self.parts.and_then(|p| p.get(&part)).map(|p| &p.value);
         match self.touched.get(&part).or(known) {
             Some(table) => table.free(from, to),
             None => (from..to).map(TaskIx).collect(),
--- a/crates/cleatfold-control/src/jobs/step_reports.rs
+++ b/crates/cleatfold-control/src/jobs/step_reports.rs
@@ -63,7 +63,7 @@
     judged: &JudgedReports,
 ) {
     for (number, part) in &judged.changes {
-        let version = known.and_then(|p| p.get(number)).map(|p| p.0).unwrap_or_default();
+        let version = known.and_then(|p| p.get(number)).map(|p| p.version).unwrap_or_default();
         txn.guard(progress_key(job, *number), version);
         txn.put(progress_key(job, *number), &part.to_record(), None);
     }
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -79,7 +79,7 @@
     /// Whether the member has no unfinished step left beside those that it reports.
     fn runs_out(&self, report: &StepReport) -> bool {
         let parts = self.cache.progress.get(&report.member.job).into_iter().flatten();
-        let held = parts.flat_map(|(_, (_, part))| part.held.iter());
+        let held = parts.flat_map(|(_, part)| part.value.held.iter());
         let mine = held.filter(|h| h.member == report.member.ix && h.attempt == report.attempt);
         let reported = |s: u32| report.finished.iter().any(|r| r.0 <= s && s < r.1);
         !mine.flat_map(|h| h.from..h.to).any(|s| !reported(s))
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -377,8 +377,8 @@
     let record = &draft.record;
     let job = &record.spec.id;
     let mut losses = record.table.losses.clone();
-    for (_, table) in cache.parts.get(job).into_iter().flat_map(|p| p.values()) {
-        losses.take(table.losses.clone());
+    for part in cache.parts.get(job).into_iter().flat_map(|p| p.values()) {
+        losses.take(part.value.losses.clone());
     }
     ArchiveRecord {
         state,
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -143,7 +143,8 @@
         }
         let tables = self.cache.parts.get(job);
         for (number, pending_updates) in &mut parts {
-            let Some((_, table)) = tables.and_then(|t| t.get(number)) else { continue };
+            let Some(part) = tables.and_then(|t| t.get(number)) else { continue };
+            let table = &part.value;
             let claims = |mine: bool| -> u32 {
                 let groups = table.claims.iter();
                 let groups = groups.filter(|g| !mine || self.pools.owned.contains_key(&g.pool));
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -92,10 +92,10 @@
             return;
         }
         let parts = self.cache.parts.iter().flat_map(|(id, parts)| {
-            parts.iter().map(move |(part, record)| (id, part_key(id, *part), record.0))
+            parts.iter().map(move |(part, record)| (id, part_key(id, *part), record.version))
         });
         let progress = self.cache.progress.iter().flat_map(|(id, parts)| {
-            parts.iter().map(move |(part, record)| (id, progress_key(id, *part), record.0))
+            parts.iter().map(move |(part, record)| (id, progress_key(id, *part), record.version))
         });
         let gone = parts.chain(progress).filter(|(id, ..)| !self.cache.jobs.contains_key(*id));
         let mut txn = Txn::default();
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -9,6 +9,7 @@
 use crate::effects::{CallPriority, CloudReply, CloudRequest, StoreReply, StoreRequest};
 use crate::machines::inventory::Machine;
 use crate::scheduling::queue::Queued;
+use crate::store::cache::Versioned;
 use crate::store::records::SCALE_OUT_KEY;
 use cleatfold_roles::scale_out::Step;
 use cleatfold_roles::{Answer, Role, ScaleOutIntent, ScaleOutTracker};
@@ -57,7 +58,7 @@
         let new = self.new_scale_out_intents();
         let Some(epoch) = self.epoch(Role::ScaleOut) else { return };
         let lag_ms = 2 * self.cfg.list_lag_ms + 5000;
-        let (version, book) = &self.cache.scale_out_intents;
+        let Versioned { version, value: book } = &self.cache.scale_out_intents;
         let times = (self.now, self.wall_ms);
         let Some(step) = self.scale_out.tracker.next(book, epoch, new, times, lag_ms) else {
             return;
@@ -77,7 +78,7 @@
     fn new_scale_out_intents(&mut self) -> Vec<ScaleOutIntent> {
         let Some(incarnation) = self.session.incarnation else { return vec![] };
         // What is answered and only not yet out of the record holds nobody up.
-        let coming = self.scale_out.tracker.coming(&self.cache.scale_out_intents.1);
+        let coming = self.scale_out.tracker.coming(&self.cache.scale_out_intents.value);
         let open: Vec<(PoolId, bool)> = coming.map(|i| (i.pool(), i.spot)).collect();
         let free = MAX_OPEN_INTENTS.saturating_sub(open.len());
         if free == 0 {
@@ -110,8 +111,8 @@
         self.scale_out.writing = false;
         match reply {
             StoreReply::Committed(version) => {
-                if self.cache.scale_out_intents.0 < version {
-                    self.cache.scale_out_intents = (version, step.book);
+                if self.cache.scale_out_intents.version < version {
+                    self.cache.scale_out_intents = Versioned::new(version, step.book);
                 }
                 self.scale_out.tracker.called(&step.calls);
                 for intent in step.calls {
@@ -203,7 +204,7 @@
             *supply.entry((m.pool.clone(), m.spot)).or_default() += free.max(0.0);
         }
         // What stands in the record is on its way, whoever asked for it.
-        for intent in self.scale_out.tracker.coming(&self.cache.scale_out_intents.1) {
+        for intent in self.scale_out.tracker.coming(&self.cache.scale_out_intents.value) {
             let kind = self.inventory.types.get(&intent.machine_type);
             let cpus = kind.map_or(0.0, |t| t.cpus) * f64::from(intent.count);
             *supply.entry((intent.pool(), intent.spot)).or_default() += cpus;
@@ -283,7 +284,7 @@
             }
             for spot in [true, false] {
                 let key = (pool.clone(), spot);
-                let book = &self.cache.scale_out_intents.1;
+                let book = &self.cache.scale_out_intents.value;
                 let refused = book.is_refused(&pool, spot, self.wall_ms)
                     || self.scale_out.tracker.was_short(book, &pool, spot);
                 if (spot && !cached.record.spec.spot) || refused {
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -8,6 +8,7 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, Response, StoreReply, StoreRequest};
+use crate::store::cache::Versioned;
 use crate::store::records::{
     loss_head_key, loss_log_key, loss_log_prefix, workspace_key, ArchiveRecord, LossHead, LOSS_LOG,
 };
@@ -87,7 +88,8 @@
             return;
         }
         let (team, token) = (team.clone(), log.token);
-        let (version, head) = self.cache.loss_heads.get(&team).cloned().unwrap_or_default();
+        let Versioned { version, value: head } =
+            self.cache.loss_heads.get(&team).cloned().unwrap_or_default();
         let group: Vec<Loss> = log.waiting.iter().take(GROUP).map(|(_, l)| l.clone()).collect();
         log.writing = true;
         let mut txn = Txn::default();
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -203,7 +203,7 @@
 
     fn tell_history(&mut self, question: Question) {
         let Question { rid, team, since, .. } = question;
-        let head = self.head(&team).1;
+        let head = self.head(&team).value;
         let unreadable = self.cache.unreadable.contains(&history_head_key(&team));
         if unreadable || !self.workspaces.ended.covers(&team, &head) {
             return self.reply(rid, Response::later("the history is being brought up to date"));
@@ -265,7 +265,7 @@
         next: u64,
         mut answer_page: AnswerPage<EndedJob>,
     ) -> TeamHistory {
-        let head = self.head(team).1;
+        let head = self.head(team).value;
         let mut next = next;
         // A group was written since the groups were read, or the reading was lost: asked again.
         let mut more = head.entries > next || !self.workspaces.ended.covers(team, &head);
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -8,6 +8,7 @@
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
 use crate::namespaces::workspace_state::{read_group, Kept, Listing, Write};
+use crate::store::cache::Versioned;
 use crate::store::records::{
     history_group_key, history_head_key, history_prefix, workspace_key, ArchiveRecord,
     HistoryGroup, HistoryHead, HolderRecord, ARCHIVE,
@@ -60,7 +61,7 @@
 
     /// Our token for a workspace, by what was read last.
     pub(crate) fn workspace(&self, team: &TeamId) -> Option<Version> {
-        let (version, holder) = self.cache.workspaces.get(team)?;
+        let Versioned { version, value: holder } = self.cache.workspaces.get(team)?;
         let ours =
             holder.owner == self.cfg.me && Some(holder.incarnation) == self.session.incarnation;
         (ours && self.readable(&workspace_key(team))).then_some(*version)
@@ -80,7 +81,7 @@
         // As pools are: an owner is whoever the record names, as long as that life of it has its key.
         // What cannot be read is nobody's to write over.
         let held = |team: &TeamId| {
-            let holder = cache.workspaces.get(team).map(|w| &w.1);
+            let holder = cache.workspaces.get(team).map(|w| &w.value);
             holder.is_some_and(|h| {
                 cache.controllers.get(&h.owner).is_some_and(|n| n.0 == h.incarnation)
             }) || !self.readable(&workspace_key(team))
@@ -96,7 +97,7 @@
             self.workspaces.unsure = None;
             let rank = |team: &TeamId, cached: &_| owner::rank(team, &me, cached);
             let former = |team: &TeamId| {
-                let holder = cache.workspaces.get(team).map(|w| &w.1);
+                let holder = cache.workspaces.get(team).map(|w| &w.value);
                 holder.is_some_and(|h| h.owner == me && h.incarnation != incarnation)
                     && self.readable(&workspace_key(team))
             };
@@ -131,7 +132,7 @@
     fn hand(&mut self, teams: Vec<TeamId>, holder: HolderRecord) {
         let mut txn = Txn::default();
         for team in &teams {
-            let version = self.cache.workspaces.get(team).map(|w| w.0).unwrap_or_default();
+            let version = self.cache.workspaces.get(team).map(|w| w.version).unwrap_or_default();
             txn.guard(workspace_key(team), version);
             txn.put(workspace_key(team), &holder, None);
         }
@@ -159,9 +160,9 @@
         };
         for team in teams {
             self.workspaces.vacancies.settled(&team);
-            let known = self.cache.workspaces.get(&team).map(|w| w.0).unwrap_or_default();
+            let known = self.cache.workspaces.get(&team).map(|w| w.version).unwrap_or_default();
             if let Some(version) = committed.filter(|v| *v > known) {
-                self.cache.workspaces.insert(team, (version, holder.clone()));
+                self.cache.workspaces.insert(team, Versioned::new(version, holder.clone()));
             }
         }
         self.session.sync_wanted = true;
@@ -202,7 +203,7 @@
     /// Everything was read: what ended is read from where the histories stand, as far back as that goes.
     pub(crate) fn begin_ended(&mut self) {
         let applied = self.cache.applied.0;
-        let upto = |t: &crate::config::Team| self.head(&t.name).1.upto;
+        let upto = |t: &crate::config::Team| self.head(&t.name).value.upto;
         let near = self.cfg.teams.iter().map(upto).filter(|u| u + BACK >= applied);
         let from = near.min().unwrap_or(applied).min(applied);
         self.archive.read_to = Version(from);
@@ -237,8 +238,8 @@
     }
 
     fn keep_ended(&mut self) {
-        for (team, (_, head)) in &self.cache.histories {
-            self.workspaces.ended.forget(team, head);
+        for (team, head) in &self.cache.histories {
+            self.workspaces.ended.forget(team, &head.value);
         }
         let behind = self.workspaces.ended.to().is_none_or(|to| to < self.cache.applied.0);
         if behind && self.now.since(self.workspaces.followed) >= FOLLOW_MS {
@@ -253,7 +254,7 @@
     fn list_archive(&mut self, uncovered: Vec<TeamId>) {
         if self.workspaces.listing.is_none() && !uncovered.is_empty() {
             let teams = uncovered.into_iter().map(|team| {
-                let from = self.head(&team).1.upto;
+                let from = self.head(&team).value.upto;
                 tracing::info!(%team, from, "scanning archive");
                 (team, (from, BTreeMap::new()))
             });
@@ -302,7 +303,7 @@
 
     // ---- histories ----
 
-    pub(crate) fn head(&self, team: &TeamId) -> (Version, HistoryHead) {
+    pub(crate) fn head(&self, team: &TeamId) -> Versioned<HistoryHead> {
         self.cache.histories.get(team).cloned().unwrap_or_default()
     }
 
@@ -314,7 +315,7 @@
             if !self.readable(&history_head_key(&team)) {
                 continue;
             }
-            let (version, head) = self.head(&team);
+            let Versioned { version, value: head } = self.head(&team);
             let fresh = self.session.last_read;
             let Some(kept) = self.workspaces.kept.get_mut(&team) else { continue };
             if kept.writing || kept.unsure.is_some_and(|t| fresh.is_none_or(|f| f < t)) {
@@ -362,13 +363,15 @@
         let now = self.now;
         match reply {
             StoreReply::Committed(version) => {
-                if self.head(&write.team).0 < version {
+                if self.head(&write.team).version < version {
                     tracing::info!(
                         team = %write.team, entries = write.head.entries, upto = write.head.upto,
                         "history written"
                     );
                     self.workspaces.ended.forget(&write.team, &write.head);
-                    self.cache.histories.insert(write.team.clone(), (version, write.head));
+                    self.cache
+                        .histories
+                        .insert(write.team.clone(), Versioned::new(version, write.head));
                 }
             }
             // Perhaps it is there: the same again, its guards decide.
@@ -408,7 +411,7 @@
     }
 
     pub(crate) fn on_oldest(&mut self, team: TeamId, token: Version, reply: StoreReply) {
-        let head = self.head(&team).1;
+        let head = self.head(&team).value;
         let Some(kept) = self.workspaces.kept.get_mut(&team) else { return };
         if kept.token != token {
             return;
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -6,7 +6,7 @@
 use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
 use crate::scheduling::planning::PoolPlan;
-use crate::store::cache::CachedJob;
+use crate::store::cache::{CachedJob, Versioned};
 use crate::store::records::{pool_key, slice_key, SliceRecord};
 use cleatfold_admission::long_work_limit::LongWorkLimit;
 use cleatfold_backfill::profile::FOREVER;
@@ -215,7 +215,7 @@
 
     /// The pool's part of a team's limit, and what of the limit is no pool's.
     fn part_and_free(&self, team: &crate::config::Team, pool: &PoolId) -> (Resources, Resources) {
-        let record = self.cache.slices.get(&team.name).map(|s| &s.1);
+        let record = self.cache.slices.get(&team.name).map(|s| &s.value);
         let parts = || record.iter().flat_map(|r| &r.pools);
         let part = parts().find(|(p, _)| *p == pool).map(|p| *p.1).unwrap_or_default();
         let taken = parts().fold((0, 0), |a, (_, s)| (a.0 + s.0, a.1 + s.1));
@@ -283,7 +283,7 @@
         if self.quota.blind.is_some() || self.quota.inflight.contains(team) {
             return 0;
         }
-        let slice = self.cache.slices.get(team).and_then(|s| s.1.pools.get(pool)).copied();
+        let slice = self.cache.slices.get(team).and_then(|s| s.value.pools.get(pool)).copied();
         let (cpus, gpus) = slice.unwrap_or_default();
         let used = usage.entry((team.clone(), pool.clone())).or_default();
         let far = i64::MAX / 4;
@@ -341,7 +341,8 @@
         let mut moves = Vec::new();
         let limited = self.cfg.teams.iter().filter(|t| t.is_limited());
         for team in limited.filter(|t| !self.quota.inflight.contains(&t.name)) {
-            let (version, record) = self.cache.slices.get(&team.name).cloned().unwrap_or_default();
+            let Versioned { version, value: record } =
+                self.cache.slices.get(&team.name).cloned().unwrap_or_default();
             let max = Resources::new(team.cpus_max, team.gpus_max, 0.0);
             let taken = record.pools.values().fold((0, 0), |a, s| (a.0 + s.0, a.1 + s.1));
             let mut free = (max.cpus - taken.0, max.gpus - taken.1);
@@ -405,9 +406,9 @@
                 let SentSlice { team, record, .. } = sent;
                 self.quota.inflight.remove(&team);
                 self.quota.pacer.succeeded(&team);
-                let current = self.cache.slices.get(&team).map(|s| s.0).unwrap_or_default();
+                let current = self.cache.slices.get(&team).map(|s| s.version).unwrap_or_default();
                 if current < version {
-                    self.cache.slices.insert(team, (version, record));
+                    self.cache.slices.insert(team, Versioned::new(version, record));
                 }
                 self.replan_needed = true;
             }
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -118,7 +118,8 @@
         let time = self.time_that_counts(cached, within_guarantee, wait.start);
         // While more is asked for than can be done, every stop is work done twice and two changes
         // more, and saves nobody a wait that somebody else does not get.
-        let preempts = self.cfg.preempt && time.is_some() && self.cache.overload_quota.1.is_empty();
+        let preempts =
+            self.cfg.preempt && time.is_some() && self.cache.overload_quota.value.is_empty();
         // Stopping what has run long costs more than a start that is in time gives: a whole run
         // time as the bound lost kerbrev's rough days 0.03, a quarter of it nothing.
         let worth = if preempts {
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -4,6 +4,7 @@
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
 use crate::scheduling::priority_state::UncommittedPreemption;
 use crate::scheduling::queue::Queued;
+use crate::store::cache::Versioned;
 use crate::store::records::{pool_key, preemption_key};
 use cleatfold_priority::{lives, ListenerHealth, Owner, PreemptionPlan, Seen, StartBarrier};
 use cleatfold_wire::job::Urgency;
@@ -55,8 +56,8 @@
         self.priority.preemptions.clear();
         self.priority.adopted.retain(|p, _| self.pools.owned.contains_key(p));
         for (pool, token) in owned {
-            let Some((_, record)) = self.cache.preemptions.get(&pool) else { continue };
-            let standing = record.plans.iter().filter(|r| self.is_preemption_active(r));
+            let Some(record) = self.cache.preemptions.get(&pool) else { continue };
+            let standing = record.value.plans.iter().filter(|r| self.is_preemption_active(r));
             let urgency =
                 |r: &PreemptionPlan| self.cache.jobs.get(&r.job).map(|l| l.record.spec.urgency);
             let preemptions: Vec<(Urgency, PreemptionPlan)> =
@@ -108,7 +109,8 @@
         if preemptions.is_empty() || self.priority.writing.contains(pool) {
             return;
         }
-        let (version, known) = self.cache.preemptions.get(pool).cloned().unwrap_or_default();
+        let Versioned { version, value: known } =
+            self.cache.preemptions.get(pool).cloned().unwrap_or_default();
         let record = known.with(preemptions.clone(), |r| self.is_preemption_active(r));
         let mut txn = Txn::default();
         txn.guard(pool_key(pool), Version(token.0));
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -19,11 +19,24 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// A record's value, and the revision of its last change.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub(crate) struct Versioned<T> {
+    pub(crate) version: Version,
+    pub(crate) value: T,
+}
+
+impl<T> Versioned<T> {
+    pub(crate) fn new(version: Version, value: T) -> Self {
+        Self { version, value }
+    }
+}
+
 /// Keys whose removal is remembered.
 const MAX_REMOVED_KEYS: usize = 500;
 
-pub(crate) type PartMap = BTreeMap<u32, (Version, Table)>;
-pub(crate) type ProgressMap = BTreeMap<u32, (Version, Part)>;
+pub(crate) type PartMap = BTreeMap<u32, Versioned<Table>>;
+pub(crate) type ProgressMap = BTreeMap<u32, Versioned<Part>>;
 
 #[derive(Clone, Debug)]
 pub(crate) struct CachedJob {
@@ -141,24 +154,24 @@
     /// Who holds what, and under which epoch.
     pub roles: BTreeMap<Role, (HolderRecord, Version)>,
     /// What was asked of the cloud, or is about to be.
-    pub scale_out_intents: (Version, ScaleOutIntents),
-    pub slices: BTreeMap<TeamId, (Version, SliceRecord)>,
+    pub scale_out_intents: Versioned<ScaleOutIntents>,
+    pub slices: BTreeMap<TeamId, Versioned<SliceRecord>>,
     /// What is agreed on while there is overload.
-    pub overload_quota: (Version, OverloadQuota),
-    pub loss_heads: BTreeMap<TeamId, (Version, LossHead)>,
+    pub overload_quota: Versioned<OverloadQuota>,
+    pub loss_heads: BTreeMap<TeamId, Versioned<LossHead>>,
     /// Who keeps each team's workspace, and under which token.
-    pub workspaces: BTreeMap<TeamId, (Version, HolderRecord)>,
-    pub histories: BTreeMap<TeamId, (Version, HistoryHead)>,
+    pub workspaces: BTreeMap<TeamId, Versioned<HolderRecord>>,
+    pub histories: BTreeMap<TeamId, Versioned<HistoryHead>>,
     /// Room that is being made, by pool.
-    pub preemptions: BTreeMap<PoolId, (Version, PreemptionRecord)>,
+    pub preemptions: BTreeMap<PoolId, Versioned<PreemptionRecord>>,
     /// Images that are being spread.
-    pub image_holders: BTreeMap<ImageId, (Version, SpreadRecord)>,
+    pub image_holders: BTreeMap<ImageId, Versioned<SpreadRecord>>,
     /// CachedJob jobs of each team, by place.
     pub by_team: BTreeMap<TeamId, BTreeSet<(u64, JobId)>>,
     /// Keys whose last value cannot be read: nobody acts on what they held before, nor writes over them.
     pub unreadable: BTreeSet<String>,
     /// Who fetches from the origin.
-    pub origin: (Version, OriginRecord),
+    pub origin: Versioned<OriginRecord>,
     /// CachedJob jobs that have lost something.
     pub lossy: BTreeSet<JobId>,
     /// All claims, by machine.
@@ -206,20 +219,24 @@
     fn version_of(&self, key: &str, parsed: &Key) -> Version {
         let live = match parsed {
             Key::Job(id) => self.jobs.get(id).map(|j| j.version),
-            Key::Part(id, part) => self.parts.get(id).and_then(|p| p.get(part)).map(|p| p.0),
-            Key::Progress(id, part) => self.progress.get(id).and_then(|p| p.get(part)).map(|p| p.0),
+            Key::Part(id, part) => self.parts.get(id).and_then(|p| p.get(part)).map(|p| p.version),
+            Key::Progress(id, part) => {
+                self.progress.get(id).and_then(|p| p.get(part)).map(|p| p.version)
+            }
             Key::Pool(id) => self.pools.get(id).map(|p| Version(p.token.0)),
             Key::Controller(id) => self.controllers.get(id).map(|n| n.1),
-            Key::Slice(team) => self.slices.get(team).map(|s| s.0),
-            Key::LossHead(team) => self.loss_heads.get(team).map(|h| h.0),
+            Key::Slice(team) => self.slices.get(team).map(|s| s.version),
+            Key::LossHead(team) => self.loss_heads.get(team).map(|h| h.version),
             Key::Role(role) => self.roles.get(role).map(|h| h.1),
-            Key::Workspace(team) => self.workspaces.get(team).map(|h| h.0),
-            Key::History(team) => self.histories.get(team).map(|h| h.0),
-            Key::Preemption(pool) => self.preemptions.get(pool).map(|h| h.0),
-            Key::ImageHolders(image) => self.image_holders.get(image).map(|h| h.0),
-            Key::ScaleOutIntents => Some(self.scale_out_intents.0).filter(|v| *v > Version(0)),
-            Key::OverloadQuota => Some(self.overload_quota.0).filter(|v| *v > Version(0)),
-            Key::Origin => Some(self.origin.0).filter(|v| *v > Version(0)),
+            Key::Workspace(team) => self.workspaces.get(team).map(|h| h.version),
+            Key::History(team) => self.histories.get(team).map(|h| h.version),
+            Key::Preemption(pool) => self.preemptions.get(pool).map(|h| h.version),
+            Key::ImageHolders(image) => self.image_holders.get(image).map(|h| h.version),
+            Key::ScaleOutIntents => {
+                Some(self.scale_out_intents.version).filter(|v| *v > Version(0))
+            }
+            Key::OverloadQuota => Some(self.overload_quota.version).filter(|v| *v > Version(0)),
+            Key::Origin => Some(self.origin.version).filter(|v| *v > Version(0)),
         };
         live.or_else(|| self.removed.get(key).copied()).unwrap_or_default()
     }
@@ -276,19 +293,29 @@
                 self.controllers.insert(id, (record.incarnation, version));
             }
             Key::Role(role) => drop(self.roles.insert(role, (from_str(value)?, version))),
-            Key::Slice(team) => drop(self.slices.insert(team, (version, from_str(value)?))),
-            Key::LossHead(team) => drop(self.loss_heads.insert(team, (version, from_str(value)?))),
-            Key::Workspace(team) => drop(self.workspaces.insert(team, (version, from_str(value)?))),
-            Key::History(team) => drop(self.histories.insert(team, (version, from_str(value)?))),
+            Key::Slice(team) => {
+                drop(self.slices.insert(team, Versioned::new(version, from_str(value)?)))
+            }
+            Key::LossHead(team) => {
+                drop(self.loss_heads.insert(team, Versioned::new(version, from_str(value)?)))
+            }
+            Key::Workspace(team) => {
+                drop(self.workspaces.insert(team, Versioned::new(version, from_str(value)?)))
+            }
+            Key::History(team) => {
+                drop(self.histories.insert(team, Versioned::new(version, from_str(value)?)))
+            }
             Key::Preemption(pool) => {
-                self.preemptions.insert(pool, (version, from_str(value)?));
+                self.preemptions.insert(pool, Versioned::new(version, from_str(value)?));
             }
             Key::ImageHolders(image) => {
-                self.image_holders.insert(image, (version, from_str(value)?));
+                self.image_holders.insert(image, Versioned::new(version, from_str(value)?));
+            }
+            Key::ScaleOutIntents => {
+                self.scale_out_intents = Versioned::new(version, from_str(value)?)
             }
-            Key::ScaleOutIntents => self.scale_out_intents = (version, from_str(value)?),
-            Key::OverloadQuota => self.overload_quota = (version, from_str(value)?),
-            Key::Origin => self.origin = (version, from_str(value)?),
+            Key::OverloadQuota => self.overload_quota = Versioned::new(version, from_str(value)?),
+            Key::Origin => self.origin = Versioned::new(version, from_str(value)?),
         }
         Ok(())
     }
@@ -345,8 +372,8 @@
 
     fn remove_part(&mut self, id: &JobId, part: u32) {
         let known = self.parts.get_mut(id).and_then(|parts| parts.remove(&part));
-        if let Some((_, table)) = known {
-            self.unindex(id, &table);
+        if let Some(known) = known {
+            self.unindex(id, &known.value);
         }
         if self.parts.get(id).is_some_and(|parts| parts.is_empty()) {
             self.parts.remove(id);
@@ -411,7 +438,7 @@
         if !table.losses.is_empty() {
             self.lossy.insert(id.clone());
         }
-        self.parts.entry(id.clone()).or_default().insert(part, (version, table));
+        self.parts.entry(id.clone()).or_default().insert(part, Versioned::new(version, table));
         self.recount(&id);
     }
 
@@ -422,7 +449,10 @@
         progress: Part,
         version: Version,
     ) {
-        self.progress.entry(id.clone()).or_default().insert(part, (version, progress));
+        self.progress
+            .entry(id.clone())
+            .or_default()
+            .insert(part, Versioned::new(version, progress));
         self.recount(&id);
     }
 
@@ -434,16 +464,16 @@
     pub(crate) fn progress_of(&self, id: &JobId) -> Option<Progress> {
         let steps = self.jobs.get(id)?.record.spec.elastic.as_ref()?.steps;
         let mut progress = Progress::new(steps);
-        for (number, (_, part)) in self.progress.get(id).into_iter().flatten() {
-            progress.parts.insert(*number, part.clone());
+        for (number, part) in self.progress.get(id).into_iter().flatten() {
+            progress.parts.insert(*number, part.value.clone());
         }
         Some(progress)
     }
 
     fn index_replacing(&mut self, id: &JobId, part: u32, table: &Table) {
         let old = self.parts.get_mut(id).and_then(|p| p.remove(&part));
-        if let Some((_, old)) = old {
-            self.unindex(id, &old);
+        if let Some(old) = old {
+            self.unindex(id, &old.value);
         }
         self.index(id, table);
     }
@@ -458,7 +488,7 @@
             done += to - from;
         }
         live.by_pool.clear();
-        let parts = self.parts.get(id).into_iter().flat_map(|p| p.values().map(|p| &p.1));
+        let parts = self.parts.get(id).into_iter().flat_map(|p| p.values().map(|p| &p.value));
         for table in std::iter::once(&live.record.table).chain(parts) {
             done += table.done_count();
             for group in &table.claims {
@@ -473,7 +503,7 @@
         (live.done, live.claimed) = (done, claimed);
         let Some(elastic) = &live.record.spec.elastic else { return };
         let parts = self.progress.get(id).into_iter().flat_map(|p| p.values());
-        let finished: u64 = parts.map(|(_, p)| p.finished.len()).sum();
+        let finished: u64 = parts.map(|part| part.value.finished.len()).sum();
         live.steps_left = Some(elastic.steps.saturating_sub(finished as u32));
         let claims = live.record.table.claims.iter();
         let mut members: Vec<TaskIx> = claims.flat_map(|g| g.tasks.iter().map(|t| t.0)).collect();
@@ -511,7 +541,7 @@
     /// stamps has to look at their machines again.
     pub(crate) fn restamp(&mut self, id: &JobId) {
         let Some(live) = self.jobs.get(id) else { return };
-        let parts = self.parts.get(id).into_iter().flat_map(|p| p.values()).map(|p| &p.1);
+        let parts = self.parts.get(id).into_iter().flat_map(|p| p.values()).map(|p| &p.value);
         for group in std::iter::once(&live.record.table).chain(parts).flat_map(|t| &t.claims) {
             if let Some(on) = self.claims.get_mut(&group.machine) {
                 self.stamps += 1;
@@ -533,7 +563,8 @@
     /// with it are in it already.
     pub(crate) fn summary(&self, id: &JobId, record: &JobRecord, wall_ms: u64) -> Summary {
         let parts = self.parts.get(id).into_iter().flatten();
-        let parts = parts.filter(|(part, _)| !record.parts_done.contains(part)).map(|(_, p)| &p.1);
+        let parts =
+            parts.filter(|(part, _)| !record.parts_done.contains(part)).map(|(_, p)| &p.value);
         let tables = || std::iter::once(&record.table).chain(parts.clone());
         let ran_ms: u64 = tables().map(|t| t.ran_ms).sum();
         Summary {
@@ -550,7 +581,7 @@
     /// Every table of a job: its own, or its parts'.
     pub(crate) fn tables<'a>(&'a self, id: &JobId) -> impl Iterator<Item = &'a Table> + 'a {
         let own = self.jobs.get(id).map(|j| &j.record.table);
-        let parts = self.parts.get(id).into_iter().flat_map(|p| p.values().map(|p| &p.1));
+        let parts = self.parts.get(id).into_iter().flat_map(|p| p.values().map(|p| &p.value));
         own.into_iter().chain(parts)
     }
 }
