--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -6,7 +6,8 @@
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
 use crate::scheduling::queue::Queued;
-use crate::store::records::{pool_key, HolderRecord};
+use crate::store::cache::Versioned;
+use crate::store::records::{pool_key, ControllerRecord, HolderRecord};
 use cleatfold_backfill::pools::{choose, Load};
 use cleatfold_roles::Role;
 use cleatfold_wire::job::Kind;
@@ -47,7 +48,7 @@
     fn new(
         pools: &[PoolId],
         sizes: BTreeMap<&'a PoolId, usize>,
-        controllers: &BTreeMap<ControllerId, (u64, Version)>,
+        controllers: &BTreeMap<ControllerId, Versioned<ControllerRecord>>,
     ) -> Self {
         let by_controller = controllers.keys().map(|n| (n.clone(), 0.0)).collect();
         let mut loads = Self { sizes, by_controller, average: 0.0 };
@@ -111,7 +112,10 @@
     // ---- assigning ----
 
     fn live(&self, holding: &crate::store::cache::PoolOwnership) -> bool {
-        self.cache.controllers.get(&holding.owner).is_some_and(|n| n.0 == holding.incarnation)
+        self.cache
+            .controllers
+            .get(&holding.owner)
+            .is_some_and(|n| n.value.incarnation == holding.incarnation)
     }
 
     /// Whether pools may be assigned now; `since` is when that became ours to do.
@@ -253,9 +257,8 @@
     fn write_assignments(&mut self, moves: Vec<(PoolId, ControllerId)>) {
         let mut txn = Txn::default();
         for (pool, controller) in moves {
-            let Some((incarnation, _)) = self.cache.controllers.get(&controller).copied() else {
-                continue;
-            };
+            let Some(live) = self.cache.controllers.get(&controller) else { continue };
+            let incarnation = live.value.incarnation;
             let version =
                 self.cache.pools.get(&pool).map(|h| Version(h.token.0)).unwrap_or_default();
             tracing::info!(%pool, %controller, "assigning pool");
@@ -372,7 +375,7 @@
         pools: Vec<String>,
         jobs: Vec<(String, Vec<u16>)>,
     ) {
-        if self.cache.roles.get(&Role::PoolAssignment).map(|h| &h.0.owner) != Some(from) {
+        if self.cache.roles.get(&Role::PoolAssignment).map(|h| &h.value.owner) != Some(from) {
             return;
         }
         self.priority.assigned = Some(self.now);
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -2,6 +2,7 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
+use crate::store::cache::Versioned;
 use crate::store::records::{job_key, part_key, progress_key, HolderRecord};
 use cleatfold_roles::Role;
 use cleatfold_wire::store::Txn;
@@ -17,7 +18,7 @@
 
     /// The version of a role's key while it is ours: every transaction of the role is guarded by it.
     pub(crate) fn epoch(&self, role: Role) -> Option<Version> {
-        let (holder, version) = self.cache.roles.get(&role)?;
+        let Versioned { version, value: holder } = self.cache.roles.get(&role)?;
         let ours =
             holder.owner == self.cfg.me && Some(holder.incarnation) == self.session.incarnation;
         ours.then_some(*version)
@@ -26,7 +27,7 @@
     /// A key of ours from before we were restarted: nobody acts under it any more. What was done
     /// under it is not known here, so it is taken anew, under a new epoch, rather than gone on with.
     fn former_life(&self, role: Role) -> Option<Version> {
-        let (holder, version) = self.cache.roles.get(&role)?;
+        let Versioned { version, value: holder } = self.cache.roles.get(&role)?;
         let former =
             holder.owner == self.cfg.me && Some(holder.incarnation) != self.session.incarnation;
         former.then_some(*version)
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -83,11 +83,14 @@
         let held = |team: &TeamId| {
             let holder = cache.workspaces.get(team).map(|w| &w.value);
             holder.is_some_and(|h| {
-                cache.controllers.get(&h.owner).is_some_and(|n| n.0 == h.incarnation)
+                cache
+                    .controllers
+                    .get(&h.owner)
+                    .is_some_and(|n| n.value.incarnation == h.incarnation)
             }) || !self.readable(&workspace_key(team))
         };
         vacancies.see(now, &me, cache.controllers.keys(), teams.iter(), held);
-        let known = cache.controllers.get(&me).map(|n| n.0);
+        let known = cache.controllers.get(&me).map(|n| n.value.incarnation);
         let unsure =
             self.workspaces.unsure.is_some_and(|t| self.session.last_read.is_none_or(|f| f < t));
         let incarnation = self.session.incarnation.filter(|i| known == Some(*i) && !unsure);
@@ -113,7 +116,7 @@
                 let first = owner::first(&team, vacancies.live().iter()).cloned();
                 let first = first.filter(|n| *n != me);
                 let holder = first.and_then(|owner| {
-                    let incarnation = self.cache.controllers.get(&owner)?.0;
+                    let incarnation = self.cache.controllers.get(&owner)?.value.incarnation;
                     Some(HolderRecord { owner, incarnation })
                 });
                 match holder {
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -150,9 +150,10 @@
     pub parts: BTreeMap<JobId, PartMap>,
     pub progress: BTreeMap<JobId, ProgressMap>,
     pub pools: BTreeMap<PoolId, PoolOwnership>,
-    pub controllers: BTreeMap<ControllerId, (u64, Version)>,
+    /// Live controllers, each with its incarnation.
+    pub controllers: BTreeMap<ControllerId, Versioned<ControllerRecord>>,
     /// Who holds what, and under which epoch.
-    pub roles: BTreeMap<Role, (HolderRecord, Version)>,
+    pub roles: BTreeMap<Role, Versioned<HolderRecord>>,
     /// What was asked of the cloud, or is about to be.
     pub scale_out_intents: Versioned<ScaleOutIntents>,
     pub slices: BTreeMap<TeamId, Versioned<SliceRecord>>,
@@ -224,10 +225,10 @@
                 self.progress.get(id).and_then(|p| p.get(part)).map(|p| p.version)
             }
             Key::Pool(id) => self.pools.get(id).map(|p| Version(p.token.0)),
-            Key::Controller(id) => self.controllers.get(id).map(|n| n.1),
+            Key::Controller(id) => self.controllers.get(id).map(|n| n.version),
             Key::Slice(team) => self.slices.get(team).map(|s| s.version),
             Key::LossHead(team) => self.loss_heads.get(team).map(|h| h.version),
-            Key::Role(role) => self.roles.get(role).map(|h| h.1),
+            Key::Role(role) => self.roles.get(role).map(|h| h.version),
             Key::Workspace(team) => self.workspaces.get(team).map(|h| h.version),
             Key::History(team) => self.histories.get(team).map(|h| h.version),
             Key::Preemption(pool) => self.preemptions.get(pool).map(|h| h.version),
@@ -289,10 +290,11 @@
                 self.pools.insert(id, PoolOwnership { owner, incarnation, token });
             }
             Key::Controller(id) => {
-                let record: ControllerRecord = from_str(value)?;
-                self.controllers.insert(id, (record.incarnation, version));
+                self.controllers.insert(id, Versioned::new(version, from_str(value)?));
+            }
+            Key::Role(role) => {
+                drop(self.roles.insert(role, Versioned::new(version, from_str(value)?)))
             }
-            Key::Role(role) => drop(self.roles.insert(role, (from_str(value)?, version))),
             Key::Slice(team) => {
                 drop(self.slices.insert(team, Versioned::new(version, from_str(value)?)))
             }
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -88,11 +88,11 @@
         else {
             return;
         };
-        let known = self.cache.controllers.get(&self.cfg.me).copied();
+        let known = self.cache.controllers.get(&self.cfg.me);
         let last_read = self.session.last_read;
         let is_read =
             self.session.registered_at.is_none_or(|at| last_read.is_some_and(|read| read >= at));
-        let is_registered = known.map(|n| n.0) == Some(incarnation);
+        let is_registered = known.map(|n| n.value.incarnation) == Some(incarnation);
         if self.session.registering || !self.session.is_loaded || !is_read || is_registered {
             return;
         }
@@ -100,7 +100,7 @@
         let key = controller_key(&self.cfg.me);
         let mut txn = Txn::default();
         // Guarded, or one of a former life that is executed late puts that life back.
-        txn.guard(key.clone(), known.map(|n| n.1).unwrap_or_default());
+        txn.guard(key.clone(), known.map(|n| n.version).unwrap_or_default());
         txn.put(key, &ControllerRecord { incarnation }, Some(lease));
         self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Registration);
     }
