--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -6,7 +6,7 @@
 //! holder that was replaced cannot overwrite what the next one has written.
 
 use crate::admission::state::{work, LongWork, MEASUREMENT_INTERVAL_MS, SETTLED_MS};
-use crate::config::AimKind;
+use crate::config::ObjectiveKind;
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreRequest};
 use crate::machines::inventory::Machine;
@@ -123,16 +123,17 @@
         refused.then_some((2 * STAND_MS / 1000 + spread) as u32)
     }
 
-    /// How long a job of this kind is of use to who sent it: by the most lenient of its aims.
+    /// How long a job of this kind is of use to who sent it: by the most lenient of its objectives.
     fn patience_s(&self, spec: &JobSpec) -> f64 {
-        let aims = self.cfg.aims.iter().filter(|a| a.class == spec.class);
-        aims.filter_map(|a| match a.kind {
-            AimKind::Finished(within) => Some(within),
-            AimKind::Deadline(times) => spec.deadline_s.map(|d| d * times),
-            AimKind::Wait(within) => Some(within + spec.estimate_s),
-        })
-        .max_by(f64::total_cmp)
-        .unwrap_or(4.0 * self.cfg.usual_wait_s + spec.estimate_s)
+        let objectives = self.cfg.objectives.iter().filter(|a| a.class == spec.class);
+        objectives
+            .filter_map(|a| match a.kind {
+                ObjectiveKind::Finished(within) => Some(within),
+                ObjectiveKind::Deadline(times) => spec.deadline_s.map(|d| d * times),
+                ObjectiveKind::Wait(within) => Some(within + spec.estimate_s),
+            })
+            .max_by(f64::total_cmp)
+            .unwrap_or(4.0 * self.cfg.usual_wait_s + spec.estimate_s)
     }
 
     /// Measures, at every controller, so that whoever decides next knows what the last one knew.
@@ -321,7 +322,7 @@
         let Versioned { version, value: known } = &self.cache.overload_quota;
         let now_s = self.now.0 as f64 / 1000.0;
         let mut entries = decide(rules, &mut self.admission.judge, known, &view, now_s);
-        entries.truncate(self.cfg.value_bytes / ENTRY_BYTES);
+        entries.truncate(self.cfg.max_value_bytes / ENTRY_BYTES);
         let same_groups = entries.len() == known.entries.len()
             && entries.iter().all(|e| known.entry(&e.team, &e.class).is_some());
         let stands = same_groups && self.now.since(self.admission.written) < STAND_MS;
--- a/crates/cleatfold-control/src/config.rs
+++ b/crates/cleatfold-control/src/config.rs
@@ -27,16 +27,16 @@
 
 /// What the operators expect of a class of jobs, as far as it bears on decisions.
 #[derive(Clone, Debug)]
-pub struct Aim {
+pub struct ServiceLevelObjective {
     /// The class of jobs.
     pub class: ClassId,
     /// What is expected of it.
-    pub kind: AimKind,
+    pub kind: ObjectiveKind,
 }
 
 /// By when a job should have started or ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum AimKind {
+pub enum ObjectiveKind {
     /// Done within so many seconds.
     Finished(f64),
     /// Done within so many times its own deadline.
@@ -63,23 +63,23 @@
     /// All tasks of a cancelled job are gone within this time.
     pub cancel_ms: u64,
     /// Operations of one transaction at most.
-    pub txn_ops: usize,
+    pub max_txn_changes: usize,
     /// Changes a second that the state service takes from all controllers together.
     pub changes_per_s: f64,
     /// Bytes of one record at most.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Calls a second that the cloud takes from all controllers together.
     pub cloud_calls_per_s: f64,
     /// How far the cloud's list of machines lags behind.
     pub list_lag_ms: u64,
     /// Pools that a job is sent to.
-    pub k: usize,
+    pub pools_per_job: usize,
     /// Time between readings of the state service when nothing presses.
-    pub sync_ms: u64,
+    pub read_interval_ms: u64,
     /// How long a controller's own lease lasts without renewal.
     pub controller_lease_ms: u64,
     /// What the operators expect of each class of jobs.
-    pub aims: Vec<Aim>,
+    pub objectives: Vec<ServiceLevelObjective>,
     /// Without an aim for its class, a job should start within this time.
     pub usual_wait_s: f64,
     /// A machine with nothing to do for this long is returned.
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -170,11 +170,11 @@
         match event {
             Event::Tick => self.tick(),
             Event::Request { rid, request } => self.on_request(rid, request),
-            Event::Heartbeat { rid, report } => self.on_heartbeat(rid, report),
+            Event::Heartbeat { rid, heartbeat } => self.on_heartbeat(rid, heartbeat),
             Event::Store { op, reply } => self.on_store(op, reply),
             Event::Cloud { op, reply } => self.on_cloud(op, reply),
             Event::Mesh { from, message } => self.on_mesh(from, message),
-            Event::Ordered { machine, report } => self.on_ordered(machine, report),
+            Event::Ordered { machine, heartbeat } => self.on_ordered(machine, heartbeat),
             Event::Probed { machine, answer } => self.on_probed(machine, answer),
         }
         if std::mem::take(&mut self.flush_due) {
--- a/crates/cleatfold-control/src/effects.rs
+++ b/crates/cleatfold-control/src/effects.rs
@@ -84,7 +84,7 @@
         /// The number of the request.
         rid: u64,
         /// What it reports.
-        report: RawHeartbeat,
+        heartbeat: RawHeartbeat,
     },
     /// The state service has answered, or not in time.
     Store {
@@ -112,7 +112,7 @@
         /// The worker's machine.
         machine: MachineId,
         /// Its heartbeat after the orders; none: no answer, or not executed.
-        report: Option<Heartbeat>,
+        heartbeat: Option<Heartbeat>,
     },
     /// A worker answered a question that only asked whether it is reached, or did not.
     Probed {
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -43,7 +43,7 @@
         let (origin, come) = distributor.pass(&View {
             now: self.now,
             wall_ms: self.wall_ms,
-            value_bytes: self.cfg.value_bytes,
+            value_bytes: self.cfg.max_value_bytes,
             settings: &settings,
             origin: &self.cache.origin.value,
             spreads: &spreads,
@@ -346,7 +346,7 @@
                     };
                     holders.extend(before.iter().filter(|m| unheard(m)).cloned());
                     if holders != before {
-                        new.set(pool, &holders, self.cfg.value_bytes);
+                        new.set(pool, &holders, self.cfg.max_value_bytes);
                         txn.guard(pool_key(pool), Version(token.0));
                     }
                 }
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -126,8 +126,8 @@
         };
         let over = |need: f64, max: f64| max > 0.0 && need * n > max + 1e-9;
         // Each member's claim takes its room in the one record that fences them all.
-        if spec.elastic.is_some() && spec.tasks as usize * CLAIM_BYTES > self.cfg.value_bytes {
-            let most = self.cfg.value_bytes / CLAIM_BYTES;
+        if spec.elastic.is_some() && spec.tasks as usize * CLAIM_BYTES > self.cfg.max_value_bytes {
+            let most = self.cfg.max_value_bytes / CLAIM_BYTES;
             return Some(format!("an elastic job may have at most {most} members here"));
         }
         if over(spec.cpus, team.cpus_max) || over(spec.gpus, team.gpus_max) {
@@ -147,7 +147,7 @@
         let mut size = 0;
         // Each costs a change whether alone or not, and one that is known already fails them all:
         // no more at a time than half a second's worth.
-        let most = (self.submissions_per_s().ceil() as usize).clamp(2, self.cfg.txn_ops);
+        let most = (self.submissions_per_s().ceil() as usize).clamp(2, self.cfg.max_txn_changes);
         while batch.len() < most {
             let Some((_, next)) = self.submitting.submission_queue.pop(self.now.0) else { break };
             let job = next.spec.id.clone();
@@ -167,7 +167,7 @@
                 self.submitting.put_back(next);
                 break;
             }
-            if length > self.cfg.value_bytes {
+            if length > self.cfg.max_value_bytes {
                 self.reply(next.rid, Response::refuse(400, "the description is too long"));
                 continue;
             }
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -72,7 +72,7 @@
     ) -> Option<JobTransaction> {
         let bounds = self.claim_bounds(job);
         // Each touched part is one change; the head, the archive and a part's end need some.
-        let max_parts = self.cfg.txn_ops.saturating_sub(RESERVED_CHANGES).max(1);
+        let max_parts = self.cfg.max_txn_changes.saturating_sub(RESERVED_CHANGES).max(1);
         let max_parts = max_parts.min(self.rate_limiter.max_changes());
         let job_state = self.job_states.get_mut(job)?;
         let placements = std::mem::take(&mut job_state.placement_requests);
@@ -145,7 +145,7 @@
             pausing,
             max_tasks,
             // A quarter is left for pools and whatever else claims are guarded by.
-            max_guards: self.cfg.txn_ops * (GUARDS_PER_CHANGE - 1),
+            max_guards: self.cfg.max_txn_changes * (GUARDS_PER_CHANGE - 1),
             rank: self.rank(),
             by_zone: self.spread_by_zone(job),
         }
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -167,7 +167,7 @@
         if moves.is_empty() {
             moves = self.balancing_moves(&pools, &mut loads);
         }
-        moves.truncate(self.cfg.txn_ops);
+        moves.truncate(self.cfg.max_txn_changes);
         self.write_assignments(moves);
     }
 
@@ -356,9 +356,9 @@
             let k = if long.is_long(spec) {
                 pools.len()
             } else if spec.kind == Kind::Service || spec.spread {
-                self.cfg.k.max(4)
+                self.cfg.pools_per_job.max(4)
             } else {
-                self.cfg.k
+                self.cfg.pools_per_job
             };
             let chosen = choose(&mut loads, &eligible, &current, k, work);
             assigned.push((id.to_string(), chosen.iter().map(|&i| i as u16).collect()));
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -101,7 +101,7 @@
         let gone = parts.chain(progress).filter(|(id, ..)| !self.cache.jobs.contains_key(*id));
         let mut txn = Txn::default();
         let mut jobs = BTreeSet::new();
-        for (id, key, version) in gone.take(self.cfg.txn_ops.min(8)) {
+        for (id, key, version) in gone.take(self.cfg.max_txn_changes.min(8)) {
             if jobs.insert(id) {
                 txn.guard(job_key(id), Version(0));
             }
--- a/crates/cleatfold-control/src/lib.rs
+++ b/crates/cleatfold-control/src/lib.rs
@@ -39,7 +39,7 @@
 mod scheduling;
 mod store;
 
-pub use config::{Aim, AimKind, Config, Team};
+pub use config::{Config, ObjectiveKind, ServiceLevelObjective, Team};
 pub use controller::Controller;
 pub use effects::{
     CallPriority, CloudReply, CloudRequest, Effect, Event, Request, Response, StoreReply,
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -4,7 +4,7 @@
 //! asked of it is first written under the role's epoch: a former holder's write fails, and it has
 //! nothing to ask for. Whoever comes next asks for the same by the same names.
 
-use crate::config::AimKind;
+use crate::config::ObjectiveKind;
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, CloudReply, CloudRequest, StoreReply, StoreRequest};
 use crate::machines::inventory::Machine;
@@ -256,11 +256,11 @@
     fn slack_s(&self, cached: &crate::store::cache::CachedJob) -> f64 {
         let spec = &cached.record.spec;
         let elapsed = self.wall_ms.saturating_sub(cached.record.accepted_ms) as f64 / 1000.0;
-        let aims = self.cfg.aims.iter().filter(|a| a.class == spec.class);
-        let waits = aims.filter_map(|a| match a.kind {
-            AimKind::Finished(within) => Some(within - spec.estimate_s),
-            AimKind::Deadline(times) => spec.deadline_s.map(|d| d * times - spec.estimate_s),
-            AimKind::Wait(within) => Some(within),
+        let objectives = self.cfg.objectives.iter().filter(|a| a.class == spec.class);
+        let waits = objectives.filter_map(|a| match a.kind {
+            ObjectiveKind::Finished(within) => Some(within - spec.estimate_s),
+            ObjectiveKind::Deadline(times) => spec.deadline_s.map(|d| d * times - spec.estimate_s),
+            ObjectiveKind::Wait(within) => Some(within),
         });
         waits.min_by(f64::total_cmp).unwrap_or(self.cfg.usual_wait_s) - elapsed
     }
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -104,7 +104,7 @@
                 holder.is_some_and(|h| h.owner == me && h.incarnation != incarnation)
                     && self.readable(&workspace_key(team))
             };
-            let most = self.cfg.txn_ops.min(self.rate_limiter.max_changes());
+            let most = self.cfg.max_txn_changes.min(self.rate_limiter.max_changes());
             let taken = vacancies.take(now, most, teams.iter(), rank, former);
             if !taken.is_empty() {
                 let holder = HolderRecord { owner: me.clone(), incarnation };
@@ -336,7 +336,7 @@
     }
 
     fn write_history(&mut self, team: TeamId, version: Version, head: HistoryHead) {
-        let piece = self.workspaces.ended.piece(&team, &head, self.cfg.value_bytes);
+        let piece = self.workspaces.ended.piece(&team, &head, self.cfg.max_value_bytes);
         let pressing = piece.as_ref().is_some_and(|p| p.pressing);
         if !self.rate_limiter.is_open() || !(pressing || self.rate_limiter.is_ample()) {
             return;
@@ -429,7 +429,7 @@
             let ended = ended.map(|s| s.ended_ms).max();
             oldest.push((number, group.entries.len() as u64, ended));
         }
-        oldest.truncate(self.cfg.txn_ops.saturating_sub(2));
+        oldest.truncate(self.cfg.max_txn_changes.saturating_sub(2));
         kept.gone = self.cfg.history.gone(&head, &oldest, self.wall_ms);
     }
 }
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -4,7 +4,7 @@
 //! Whom to stop is decided in `cleatfold_backfill::victims`. What is kept here may be lost with the
 //! controller: a task whose stop is forgotten just runs on.
 
-use crate::config::AimKind;
+use crate::config::ObjectiveKind;
 use crate::controller::Controller;
 use crate::effects::Effect;
 use crate::machines::inventory::Machine;
@@ -143,17 +143,18 @@
     fn time_that_counts(&self, cached: &CachedJob, within: bool, start: Ms) -> Option<u64> {
         let spec = &cached.record.spec;
         let elapsed = self.wall_ms.saturating_sub(cached.record.accepted_ms) as f64;
-        let aims = self.cfg.aims.iter().filter(|a| a.class == spec.class);
-        // Aims at an end are left to the queue's order: what they gained was lost again in the ends
-        // of those that were stopped.
-        let aims = aims.filter_map(|a| match a.kind {
-            AimKind::Wait(within) => Some(within),
-            AimKind::Finished(_) | AimKind::Deadline(_) => None,
+        let objectives = self.cfg.objectives.iter().filter(|a| a.class == spec.class);
+        // Objectives on completion are left to the order of the queue: preempting for them lost as
+        // much work in the evicted jobs as it gained.
+        let waits = objectives.filter_map(|a| match a.kind {
+            ObjectiveKind::Wait(within) => Some(within),
+            ObjectiveKind::Finished(_) | ObjectiveKind::Deadline(_) => None,
         });
         let guarantee = self.cfg.guarantee_wait_s.filter(|_| within);
         let soonest = elapsed + CHANGE_MS as f64;
         let planned = elapsed + start.since(self.now) as f64;
-        aims.chain(guarantee)
+        waits
+            .chain(guarantee)
             .map(|s| s * 1000.0)
             .filter(|by| soonest <= *by && *by < planned)
             .map(|by| (by - soonest) as u64)
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -293,19 +293,19 @@
                 self.controllers.insert(id, Versioned::new(version, from_str(value)?));
             }
             Key::Role(role) => {
-                drop(self.roles.insert(role, Versioned::new(version, from_str(value)?)))
+                self.roles.insert(role, Versioned::new(version, from_str(value)?));
             }
             Key::Slice(team) => {
-                drop(self.slices.insert(team, Versioned::new(version, from_str(value)?)))
+                self.slices.insert(team, Versioned::new(version, from_str(value)?));
             }
             Key::LossHead(team) => {
-                drop(self.loss_heads.insert(team, Versioned::new(version, from_str(value)?)))
+                self.loss_heads.insert(team, Versioned::new(version, from_str(value)?));
             }
             Key::Workspace(team) => {
-                drop(self.workspaces.insert(team, Versioned::new(version, from_str(value)?)))
+                self.workspaces.insert(team, Versioned::new(version, from_str(value)?));
             }
             Key::History(team) => {
-                drop(self.histories.insert(team, Versioned::new(version, from_str(value)?)))
+                self.histories.insert(team, Versioned::new(version, from_str(value)?));
             }
             Key::Preemption(pool) => {
                 self.preemptions.insert(pool, Versioned::new(version, from_str(value)?));
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -48,7 +48,7 @@
 impl Controller {
     /// The state service has answered lately.
     pub(crate) fn in_contact(&self) -> bool {
-        let contact_ms = CONTACT_MS + self.cfg.sync_ms;
+        let contact_ms = CONTACT_MS + self.cfg.read_interval_ms;
         self.session.last_read.is_some_and(|at| self.now.since(at) < contact_ms)
     }
 
@@ -166,7 +166,9 @@
         let since = self.now.since(self.session.sync_sent);
         let pressing = self.session.sync_wanted || !self.waiting.is_empty();
         // Users' polls gather for a moment so that one reading answers many.
-        if since >= self.cfg.sync_ms || (pressing && since >= self.cfg.sync_ms / 3) {
+        if since >= self.cfg.read_interval_ms
+            || (pressing && since >= self.cfg.read_interval_ms / 3)
+        {
             self.session.sync_inflight = true;
             self.session.sync_wanted = false;
             self.session.sync_sent = self.now;
@@ -212,7 +214,7 @@
         self.session.is_loaded = true;
         // The pages are from different moments: only the next reading is complete.
         self.session.sync_wanted = true;
-        self.session.sync_sent = Ms(sent.0.saturating_sub(self.cfg.sync_ms));
+        self.session.sync_sent = Ms(sent.0.saturating_sub(self.cfg.read_interval_ms));
         let (jobs, revision) = (self.cache.jobs.len(), self.cache.applied.0);
         tracing::info!(jobs, revision, "state cache loaded");
     }
--- a/crates/cleatfold-testbed/src/world/arrivals.rs
+++ b/crates/cleatfold-testbed/src/world/arrivals.rs
@@ -134,7 +134,7 @@
         let rid = self.next_rid;
         let asked = Asked::Heartbeat(machine, sent, report.agent_epoch.0, report.seq.0);
         self.asked.insert((controller, rid), asked);
-        self.give(controller, Event::Heartbeat { rid, report: report.into_raw() });
+        self.give(controller, Event::Heartbeat { rid, heartbeat: report.into_raw() });
     }
 
     pub(super) fn worker_times_out(&mut self, machine: MachineId, number: u64) {
@@ -194,7 +194,7 @@
         let lost = self.order_answer_lost();
         let Some(worker) = self.workers.get_mut(&machine) else { return };
         if cut || self.faults.is_partitioned(worker, now) {
-            let event = Box::new(Event::Ordered { machine, report: None });
+            let event = Box::new(Event::Ordered { machine, heartbeat: None });
             return self.at(4000, SimulationEvent::Controller(controller, life, event));
         }
         let report = worker.orders(now, &orders, |_| None).map(|happenings| {
@@ -207,7 +207,7 @@
             if !answered {
                 return;
             }
-            let event = Event::Ordered { machine, report: Some(report).filter(|_| !lost) };
+            let event = Event::Ordered { machine, heartbeat: Some(report).filter(|_| !lost) };
             let delay = self.delay(controller);
             self.at(delay, SimulationEvent::Controller(controller, life, Box::new(event)));
         }
--- a/crates/cleatfold-testbed/src/world/faults.rs
+++ b/crates/cleatfold-testbed/src/world/faults.rs
@@ -210,7 +210,7 @@
         self.faults.copied += 1;
         self.next_rid += 1;
         let rid = self.next_rid;
-        self.give(controller, Event::Heartbeat { rid, report: report.into_raw() });
+        self.give(controller, Event::Heartbeat { rid, heartbeat: report.into_raw() });
     }
 
     /// The machine stands still for a moment; its connection is gone, its session goes on.
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -177,7 +177,7 @@
     let to_core = events.clone();
     tokio::task::spawn_local(workers::run(worker_jobs, move |machine, result| {
         let _ = to_core.send(match result {
-            workers::CallResult::Ordered(report) => Event::Ordered { machine, report },
+            workers::CallResult::Ordered(report) => Event::Ordered { machine, heartbeat: report },
             workers::CallResult::Inspected(answer) => Event::Probed { machine, answer },
         });
     }));
@@ -340,7 +340,7 @@
         self.outgoing.answers.insert(rid, ask.answer);
         self.handle(match ask.what {
             Asked::Request(request) => Event::Request { rid, request },
-            Asked::Heartbeat(report) => Event::Heartbeat { rid, report },
+            Asked::Heartbeat(report) => Event::Heartbeat { rid, heartbeat: report },
         });
     }
 }
--- a/crates/cleatfold/src/operator.rs
+++ b/crates/cleatfold/src/operator.rs
@@ -76,10 +76,10 @@
 
     pub(crate) fn apply(&self, config: &mut Config) {
         if let Some(k) = self.pools_per_job {
-            config.k = k as usize;
+            config.pools_per_job = k as usize;
         }
         if let Some(ms) = self.reading_ms {
-            config.sync_ms = ms;
+            config.read_interval_ms = ms;
         }
         if let Some(ms) = self.node_lease_ms {
             config.controller_lease_ms = ms;
--- a/crates/cleatfold/src/settings.rs
+++ b/crates/cleatfold/src/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings file.
 
 use cleatfold_clients::store::Budget;
-use cleatfold_control::{Aim, AimKind, Config, Team};
+use cleatfold_control::{Config, ObjectiveKind, ServiceLevelObjective, Team};
 use cleatfold_wire::{ClassId, ControllerId, TeamId, ZoneId};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -105,14 +105,14 @@
 }
 
 impl Objective {
-    fn aim(&self) -> Option<Aim> {
+    fn aim(&self) -> Option<ServiceLevelObjective> {
         let kind = match (self.kind.as_str(), self.within_s) {
-            ("finished", Some(s)) => AimKind::Finished(s),
-            ("wait", Some(s)) => AimKind::Wait(s),
-            ("deadline", _) => AimKind::Deadline(self.times.unwrap_or(1.0)),
+            ("finished", Some(s)) => ObjectiveKind::Finished(s),
+            ("wait", Some(s)) => ObjectiveKind::Wait(s),
+            ("deadline", _) => ObjectiveKind::Deadline(self.times.unwrap_or(1.0)),
             _ => return None,
         };
-        Some(Aim { class: self.class.clone()?, kind })
+        Some(ServiceLevelObjective { class: self.class.clone()?, kind })
     }
 }
 
@@ -234,18 +234,18 @@
             heartbeat_interval_ms: ms(c.workers.report_s),
             lease_ms: ms(c.workers.lease_s),
             cancel_ms: ms(c.workers.cancel_s),
-            txn_ops: c.state.txn_ops,
+            max_txn_changes: c.state.txn_ops,
             changes_per_s: c.state.write_rps,
-            value_bytes: (c.state.value_kb * 1024.0) as usize,
+            max_value_bytes: (c.state.value_kb * 1024.0) as usize,
             cloud_calls_per_s: c.cloud.rps,
             list_lag_ms: ms(c.cloud.list_lag_s.max(0.0)),
-            k: 3,
-            sync_ms: 250,
+            pools_per_job: 3,
+            read_interval_ms: 250,
             // A controller that restarts within its lease keeps its pools. Where workers report seldom
             // little is lost by waiting a moment longer for it: whoever took its pools over could
             // start nothing before their next reports.
             controller_lease_ms: (ms(c.workers.report_s) * 7 / 8).clamp(3000, 7000),
-            aims: c.objectives.iter().filter_map(Objective::aim).collect(),
+            objectives: c.objectives.iter().filter_map(Objective::aim).collect(),
             usual_wait_s: 30.0,
             // Where no team has a guarantee or a limit, nobody accounts for capacity and speed
             // counts: machines are kept. Elsewhere money counts too.
