--- a/crates/cleatfold-image-distribution/src/lib.rs
+++ b/crates/cleatfold-image-distribution/src/lib.rs
@@ -22,5 +22,5 @@
 pub use origin::{OriginRecord, Slot};
 pub use pieces::{digest, Fetch, Next, Pieces};
 pub use record::{Names, SpreadRecord};
-pub use settings::Settings;
+pub use settings::{OutOfRange, Settings};
 pub use slot_assignment::{assign_slots, order, Want, COPIES, LINE};
--- a/crates/cleatfold-image-distribution/src/settings.rs
+++ b/crates/cleatfold-image-distribution/src/settings.rs
@@ -2,6 +2,18 @@
 
 use serde::Deserialize;
 
+/// A field of the settings is outside of what can work.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[error("weights.{field}: must be between {least} and {most}")]
+pub struct OutOfRange {
+    /// The field's name in the operators' file.
+    pub field: &'static str,
+    /// The least value that is allowed.
+    pub least: f64,
+    /// The greatest value that is allowed.
+    pub most: f64,
+}
+
 /// `weights { ... }` in the operators' file. Without it nothing is staged.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -30,8 +42,12 @@
         true
     }
 
-    /// What is wrong with them, if anything is.
-    pub fn check(&self) -> Result<(), String> {
+    /// Checks that each field is within its range.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is not.
+    pub fn check(&self) -> Result<(), OutOfRange> {
         let ranges = [
             ("origin_gb_per_s", self.origin_gb_per_s, 0.01, 100_000.0),
             ("uploads", f64::from(self.uploads), 1.0, 16.0),
@@ -39,7 +55,7 @@
         ];
         for (field, value, least, most) in ranges {
             if !(least..=most).contains(&value) {
-                return Err(format!("weights.{field}: must be between {least} and {most}"));
+                return Err(OutOfRange { field, least, most });
             }
         }
         Ok(())
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -3,7 +3,7 @@
 //! `core` owns the controller's state. The state service's and the cloud's clients, the mesh and
 //! the HTTP server each run beside it and speak to it by messages.
 
-use crate::operator::Operator;
+use crate::operator_settings::OperatorSettings;
 use crate::settings::{Peer, Settings};
 use bytes::Bytes;
 use cleatfold_clients::{cloud, mesh, store, workers};
@@ -113,7 +113,7 @@
     }
 }
 
-pub(crate) async fn serve(settings: Settings, operator: Operator) -> std::io::Result<()> {
+pub(crate) async fn serve(settings: Settings, operator: OperatorSettings) -> std::io::Result<()> {
     // What the services we use and our peers say comes in apart from what is asked of us: a controller
     // that has more to answer than it can must still hear that its own lease was renewed.
     let (events, inner) = mpsc::unbounded_channel::<Event>();
--- a/crates/cleatfold/src/main.rs
+++ b/crates/cleatfold/src/main.rs
@@ -9,7 +9,7 @@
 )]
 
 mod actor;
-mod operator;
+mod operator_settings;
 mod serve;
 mod settings;
 
@@ -61,10 +61,11 @@
         Ok(settings) => settings,
         Err(error) => return fail(&error),
     };
-    let operator = match operator.as_deref().map(operator::Operator::read).transpose() {
-        Ok(operator) => operator.unwrap_or_default(),
-        Err(error) => return fail(&error),
-    };
+    let operator =
+        match operator.as_deref().map(operator_settings::OperatorSettings::read).transpose() {
+            Ok(operator) => operator.unwrap_or_default(),
+            Err(error) => return fail(&error),
+        };
     if !serve {
         println!("{}: ok", path.display());
         return ExitCode::SUCCESS;
--- a/crates/cleatfold/src/operator.rs
+++ b/crates/cleatfold/src/operator_settings.rs
@@ -1,14 +1,29 @@
 //! The operators' own settings: an optional HCL file, checked, with a default for everything.
 
-use crate::settings::SettingsError;
+use crate::settings::{one_line, SettingsError};
 use cleatfold_control::Config;
+use cleatfold_image_distribution::OutOfRange;
 use cleatfold_workspace::Keep;
 use serde::Deserialize;
 use std::path::Path;
 
+/// Why the operators' file cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum OperatorSettingsError {
+    #[error("{}", one_line(.0))]
+    Syntax(#[from] Box<hcl::Error>),
+    #[error("{field}: must be between {least} and {most}")]
+    OutOfRange { field: &'static str, least: f64, most: f64 },
+    #[error("refuse_after: needs admission")]
+    RefuseAfterWithoutAdmission,
+    #[error(transparent)]
+    ImageDistribution(#[from] OutOfRange),
+}
+
+/// The contents of the operators' file.
 #[derive(Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct Operator {
+pub(crate) struct OperatorSettings {
     /// Pools that a job is sent to; 1 to 16.
     pub pools_per_job: Option<u32>,
     /// Milliseconds between readings of the state service; 100 to 2000.
@@ -19,12 +34,13 @@
     pub idle_return_s: Option<f64>,
     /// Seconds a job of a class without an objective may wait; 1 to 86400.
     pub usual_wait_s: Option<f64>,
-    /// Whether ordinary work is stopped for work that goes before it, where that meets an aim.
-    /// Without it: where an objective aims at a start.
+    /// Whether a running task may be evicted for a job that goes before it, where that meets an
+    /// objective. Without it: if some objective limits the wait for a start.
     pub preempt: Option<bool>,
     /// Whether anything is done about overload that lasts, so that no class and no team starves.
     pub admission: Option<bool>,
-    /// New large jobs of a group are refused while its jobs would wait so many patiences; 1 to 100.
+    /// New large jobs of a group are refused while its jobs would wait this many times as long as
+    /// their objectives allow; 1 to 100.
     /// Without it nothing is refused for its size.
     pub refuse_after: Option<f64>,
     /// How much of each team's history is kept.
@@ -34,23 +50,21 @@
     pub image_distribution: Option<cleatfold_image_distribution::Settings>,
 }
 
-impl Operator {
+impl OperatorSettings {
     pub(crate) fn read(path: &Path) -> Result<Self, SettingsError> {
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path)
             .map_err(|error| SettingsError::Read { path: shown.clone(), error })?;
-        Self::parse(&text).map_err(|error| SettingsError::Parse { path: shown, error })
+        Self::parse(&text).map_err(|error| SettingsError::Operator { path: shown, error })
     }
 
-    fn parse(text: &str) -> Result<Self, String> {
-        let one_line =
-            |e: hcl::Error| e.to_string().split_whitespace().collect::<Vec<_>>().join(" ");
-        let operator: Operator = hcl::from_str(text).map_err(one_line)?;
+    fn parse(text: &str) -> Result<Self, OperatorSettingsError> {
+        let operator: OperatorSettings = hcl::from_str(text).map_err(Box::new)?;
         operator.check()?;
         Ok(operator)
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), OperatorSettingsError> {
         let ranges = [
             ("pools_per_job", self.pools_per_job.map(f64::from), 1.0, 16.0),
             ("reading_ms", self.reading_ms.map(|v| v as f64), 100.0, 2000.0),
@@ -63,15 +77,16 @@
         ];
         for (field, value, least, most) in ranges {
             if value.is_some_and(|v| !(least..=most).contains(&v)) {
-                return Err(format!("{field}: must be between {least} and {most}"));
+                return Err(OperatorSettingsError::OutOfRange { field, least, most });
             }
         }
         if self.admission == Some(false) && self.refuse_after.is_some() {
-            return Err("refuse_after: needs admission".into());
+            return Err(OperatorSettingsError::RefuseAfterWithoutAdmission);
         }
-        self.image_distribution
-            .as_ref()
-            .map_or(Ok(()), |image_distribution| image_distribution.check())
+        if let Some(image_distribution) = &self.image_distribution {
+            image_distribution.check()?;
+        }
+        Ok(())
     }
 
     pub(crate) fn apply(&self, config: &mut Config) {
@@ -107,45 +122,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_left_out_keeps_its_default_and_errors_name_the_field() {
-        assert_eq!(Operator::parse("").unwrap(), Operator::default());
-        let some = Operator::parse("pools_per_job = 3\nidle_return_s = 12.5\n").unwrap();
-        assert_eq!((some.pools_per_job, some.idle_return_s), (Some(3), Some(12.5)));
-        let kept = Operator::parse("history {\n  days = 30\n}\n").unwrap().history;
-        assert_eq!(kept, Some(Keep { days: 30.0, ..Keep::default() }));
-        for (text, field) in [
-            ("pools_per_job = 0", "pools_per_job"),
-            ("reading_ms = 5", "reading_ms"),
-            ("usual_wait_s = \"long\"", "usual_wait_s"),
-            ("idle_retrun_s = 3", "idle_retrun_s"),
-            ("refuse_after = 0.5", "refuse_after"),
-            ("admission = false\nrefuse_after = 2", "refuse_after"),
-            ("history {\n  jobs = 5\n}", "history.jobs"),
-            ("history {\n  days = 0\n}", "history.days"),
-            ("history {\n  weeks = 2\n}", "weeks"),
-            ("weights { uploads = 2 }", "origin_gb_per_s"),
-            ("weights { origin_gb_per_s = 0 }", "weights.origin_gb_per_s"),
-            ("weights {\n origin_gb_per_s = 10\n uploads = 0\n}", "weights.uploads"),
-            ("weights {\n origin_gb_per_s = 10\n upload = 1\n}", "upload"),
-        ] {
-            let error = Operator::parse(text).unwrap_err();
-            assert!(!error.contains('\n'), "{error}");
-            assert!(error.contains(field) || error.contains("expected"), "{text}: {error}");
-        }
-        let text = include_str!("../../../deploy/weights.hcl");
-        let image_distribution =
-            Operator::parse(text).unwrap().image_distribution.expect("a block");
-        assert_eq!(
-            (
-                image_distribution.origin_gb_per_s,
-                image_distribution.uploads,
-                image_distribution.hand_on
-            ),
-            (10.0, 2, true)
-        );
-    }
-}
+mod tests;
--- a/crates/cleatfold/src/settings.rs
+++ b/crates/cleatfold/src/settings.rs
@@ -1,5 +1,6 @@
 //! The platform's settings file.
 
+use crate::operator_settings::OperatorSettingsError;
 use cleatfold_clients::store::Budget;
 use cleatfold_control::{Config, ObjectiveKind, ServiceLevelObjective, Team};
 use cleatfold_wire::{ClassId, ControllerId, TeamId, ZoneId};
@@ -8,14 +9,19 @@
 use std::path::Path;
 use std::time::Duration;
 
+/// Why the service cannot start with the settings that it was given.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SettingsError {
     #[error("{path}: {error}")]
     Read { path: String, error: std::io::Error },
+    #[error("{path}: {}", one_line(error))]
+    Toml { path: String, error: Box<toml::de::Error> },
     #[error("{path}: {error}")]
-    Parse { path: String, error: String },
+    Operator { path: String, error: OperatorSettingsError },
     #[error("{field}: {problem}")]
-    Field { field: String, problem: String },
+    Field { field: String, problem: &'static str },
+    #[error("LOG_LEVEL: '{0}' is none of error, info, debug")]
+    LogLevel(String),
 }
 
 #[derive(Debug, Deserialize)]
@@ -105,7 +111,7 @@
 }
 
 impl Objective {
-    fn aim(&self) -> Option<ServiceLevelObjective> {
+    fn service_level(&self) -> Option<ServiceLevelObjective> {
         let kind = match (self.kind.as_str(), self.within_s) {
             ("finished", Some(s)) => ObjectiveKind::Finished(s),
             ("wait", Some(s)) => ObjectiveKind::Wait(s),
@@ -137,15 +143,18 @@
     pub list_lag_s: f64,
 }
 
+/// A parser's message on one line: where the fault is and what it is.
+pub(crate) fn one_line(error: &dyn std::error::Error) -> String {
+    error.to_string().split_whitespace().collect::<Vec<_>>().join(" ")
+}
+
+/// Reads and checks the platform's settings.
 pub(crate) fn read(path: &Path) -> Result<Settings, SettingsError> {
     let shown = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|error| SettingsError::Read { path: shown.clone(), error })?;
-    let settings: Settings = toml::from_str(&text).map_err(|e| SettingsError::Parse {
-        path: shown,
-        // One line: where it is and what is wrong.
-        error: e.to_string().split_whitespace().collect::<Vec<_>>().join(" "),
-    })?;
+    let settings: Settings = toml::from_str(&text)
+        .map_err(|error| SettingsError::Toml { path: shown, error: Box::new(error) })?;
     settings.check()?;
     Ok(settings)
 }
@@ -155,18 +164,14 @@
         Err(_) | Ok("info") => Ok(tracing::Level::INFO),
         Ok("error") => Ok(tracing::Level::ERROR),
         Ok("debug") => Ok(tracing::Level::DEBUG),
-        Ok(other) => Err(SettingsError::Field {
-            field: "LOG_LEVEL".into(),
-            problem: format!("'{other}' is none of error, info, debug"),
-        }),
+        Ok(other) => Err(SettingsError::LogLevel(other.into())),
     }
 }
 
 impl Settings {
     fn check(&self) -> Result<(), SettingsError> {
-        let wrong = |field: &str, problem: &str| {
-            Err(SettingsError::Field { field: field.into(), problem: problem.into() })
-        };
+        let wrong =
+            |field: &str, problem| Err(SettingsError::Field { field: field.into(), problem });
         let c = &self.cluster;
         for (field, value) in [
             ("cluster.workers.report_s", c.workers.report_s),
@@ -245,7 +250,7 @@
             // little is lost by waiting a moment longer for it: whoever took its pools over could
             // start nothing before their next reports.
             controller_lease_ms: (ms(c.workers.report_s) * 7 / 8).clamp(3000, 7000),
-            objectives: c.objectives.iter().filter_map(Objective::aim).collect(),
+            objectives: c.objectives.iter().filter_map(Objective::service_level).collect(),
             usual_wait_s: 30.0,
             // Where no team has a guarantee or a limit, nobody accounts for capacity and speed
             // counts: machines are kept. Elsewhere money counts too.
