--- a/crates/cleatfold-admission/src/long_work_limit.rs
+++ b/crates/cleatfold-admission/src/long_work_limit.rs
@@ -1,4 +1,4 @@
-//! LongWorkLimit for what comes.
+//! Room that long work leaves for what arrives next.
 //!
 //! Work that runs long gives its place back late. A team that finds the region half empty could
 //! fill it with such work, and everybody who comes in the next minutes would wait for it: once a guest's
--- a/crates/cleatfold-control/src/jobs/draft.rs
+++ b/crates/cleatfold-control/src/jobs/draft.rs
@@ -4,7 +4,7 @@
 //! records, and collects the guards under which the copies may replace what stands. Each changed
 //! part of a large job is one change; the job's own record (its head) is written only if it changed.
 
-use crate::jobs::state::{part_of, ClaimEnd, PlacementRequest};
+use crate::jobs::state::{part_of, ClaimEnd, Fence, PlacementRequest};
 use crate::store::cache::{CachedJob, PartMap};
 use crate::store::records::{job_key, part_key, pool_key, JobRecord, Table};
 use cleatfold_wire::job::Kind;
@@ -117,7 +117,7 @@
     ) -> RecordedEnds {
         let mut outcome = RecordedEnds::default();
         for end in ends {
-            let unproven = end.fence.as_ref().is_some_and(|(pool, token)| !owns(pool, *token));
+            let unproven = end.fence.as_ref().is_some_and(|fence| !owns(&fence.pool, fence.token));
             if unproven {
                 outcome.void.push(end.clone());
             } else if !self.may_change_part_of(end, selection) {
@@ -160,7 +160,7 @@
         self.head_changed |= part.is_none();
         self.claimed -= 1;
         self.done += u32::from(end.done);
-        if let Some((pool, token)) = &end.fence {
+        if let Some(Fence { pool, token }) = &end.fence {
             guard_pool(&mut self.txn, pool, *token);
         }
         outcome.recorded.push(end);
--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -43,6 +43,13 @@
     }
 }
 
+/// The ownership of a pool under which something was proven.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct Fence {
+    pub pool: PoolId,
+    pub token: FencingToken,
+}
+
 /// A claim that is over, with proof.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ClaimEnd {
@@ -57,7 +64,7 @@
     /// are facts for ever; an absence or a lease that ran out are not: after a take-over the
     /// new owner may have heard the worker and renewed its lease, and our transaction may be
     /// applied minutes late.
-    pub fence: Option<(PoolId, FencingToken)>,
+    pub fence: Option<Fence>,
 }
 
 impl ClaimEnd {
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -90,6 +90,12 @@
     }
 }
 
+/// A pool that is to go to another controller.
+struct PoolMove {
+    pool: PoolId,
+    to: ControllerId,
+}
+
 impl Controller {
     /// Deals pools and sends jobs to them, for as long as that is ours to do.
     pub(crate) fn lead(&mut self) {
@@ -157,11 +163,11 @@
         }
         let weight = |orphan: &Orphan| loads.weight(orphan.pool);
         orphans.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.pool.cmp(b.pool)));
-        let mut moves: Vec<(PoolId, ControllerId)> = Vec::new();
+        let mut moves: Vec<PoolMove> = Vec::new();
         for orphan in orphans {
             if let Some(to) = self.new_owner(&orphan, &loads) {
                 loads.add(&to, orphan.pool);
-                moves.push((orphan.pool.clone(), to));
+                moves.push(PoolMove { pool: orphan.pool.clone(), to });
             }
         }
         if moves.is_empty() {
@@ -197,20 +203,17 @@
     }
 
     /// Up to two moves that even the controllers out.
-    fn balancing_moves(
-        &self,
-        pools: &[PoolId],
-        loads: &mut PoolLoads,
-    ) -> Vec<(PoolId, ControllerId)> {
-        let Some((pool, to)) = self.balance(pools, loads) else { return vec![] };
+    fn balancing_moves(&self, pools: &[PoolId], loads: &mut PoolLoads) -> Vec<PoolMove> {
+        let Some(first) = self.balance(pools, loads) else { return vec![] };
+        let PoolMove { pool, to } = &first;
         // One controller with nearly all is worth more than one move at a time.
-        if let Some(ownership) = self.cache.pools.get(&pool) {
-            loads.remove(&ownership.owner, &pool);
-            loads.add(&to, &pool);
+        if let Some(ownership) = self.cache.pools.get(pool) {
+            loads.remove(&ownership.owner, pool);
+            loads.add(to, pool);
         }
-        let rest: Vec<PoolId> = pools.iter().filter(|p| **p != pool).cloned().collect();
+        let rest: Vec<PoolId> = pools.iter().filter(|p| *p != pool).cloned().collect();
         let second = self.balance(&rest, loads);
-        std::iter::once((pool, to)).chain(second).collect()
+        std::iter::once(first).chain(second).collect()
     }
 
     /// The live controller of a zone.
@@ -222,7 +225,7 @@
     }
 
     /// One pool from the fullest controller to the emptiest, where that evens them out.
-    fn balance(&self, pools: &[PoolId], loads: &PoolLoads) -> Option<(PoolId, ControllerId)> {
+    fn balance(&self, pools: &[PoolId], loads: &PoolLoads) -> Option<PoolMove> {
         let most = loads.by_controller.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
         let average = loads.mean();
         // Every move costs its workers a change of controller: only clear unevenness is worth one.
@@ -251,12 +254,12 @@
                 };
                 left(a).total_cmp(&left(b)).then(a.0.cmp(b.0))
             })
-            .map(|(p, controller, _)| (p.clone(), controller.clone()))
+            .map(|(p, controller, _)| PoolMove { pool: p.clone(), to: controller.clone() })
     }
 
-    fn write_assignments(&mut self, moves: Vec<(PoolId, ControllerId)>) {
+    fn write_assignments(&mut self, moves: Vec<PoolMove>) {
         let mut txn = Txn::default();
-        for (pool, controller) in moves {
+        for PoolMove { pool, to: controller } in moves {
             let Some(live) = self.cache.controllers.get(&controller) else { continue };
             let incarnation = live.value.incarnation;
             let version =
@@ -297,7 +300,7 @@
         let me = self.cfg.me.clone();
         self.reachability.view.left(owner, &pool.zone, self.now);
         tracing::info!(%pool, %owner, "taking pool over: its workers do not reach its owner");
-        self.write_assignments(vec![(pool, me)]);
+        self.write_assignments(vec![PoolMove { pool, to: me }]);
     }
 
     // ---- sending jobs to pools ----
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -1,4 +1,4 @@
-//! ScaleOutState machines, under the role of that name: an intent first, then the call.
+//! Scaling out, under the role of that name: an intent first, then the call.
 //!
 //! The cloud cannot tell a holder that was replaced from the one that came after it. So what is
 //! asked of it is first written under the role's epoch: a former holder's write fails, and it has
@@ -9,23 +9,57 @@
 use crate::effects::{CallPriority, CloudReply, CloudRequest, StoreReply, StoreRequest};
 use crate::machines::inventory::Machine;
 use crate::scheduling::queue::Queued;
-use crate::store::cache::Versioned;
+use crate::store::cache::{CachedJob, Versioned};
 use crate::store::records::SCALE_OUT_KEY;
 use cleatfold_roles::scale_out::Step;
 use cleatfold_roles::{Answer, Role, ScaleOutIntent, ScaleOutTracker};
 use cleatfold_wire::cloud::ScaleOutRequest;
-use cleatfold_wire::job::{JobSpec, Kind};
+use cleatfold_wire::job::Kind;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::{MachineId, Ms, PoolId, ZoneId};
 use std::collections::BTreeMap;
 
 const SCALE_OUT_INTERVAL_MS: u64 = 500;
+/// Less than this is a rounding error.
+const MIN_LACK_CPUS: f64 = 1e-9;
 /// Requests that stand in the record at one time.
 const MAX_OPEN_INTENTS: usize = 4;
 /// Machines that one request may ask for, by the protocol.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
+/// Machines of one pool, ordinary or spot: what the cloud offers at one price.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Offer {
+    pool: PoolId,
+    spot: bool,
+}
+
+impl Offer {
+    fn of(intent: &ScaleOutIntent) -> Self {
+        Self { pool: intent.pool(), spot: intent.spot }
+    }
+}
+
+type CpusByOffer = BTreeMap<Offer, f64>;
+
+/// What one waiting job needs.
+struct Need {
+    /// Processors that are not found yet.
+    cpus: f64,
+    /// Processors that it may use in one zone.
+    per_zone: f64,
+    /// Processors of existing machines that are counted for it.
+    taken_by_zone: BTreeMap<ZoneId, f64>,
+}
+
+impl Need {
+    fn is_zone_full(&self, zone: &ZoneId) -> bool {
+        self.taken_by_zone.get(zone).is_some_and(|taken| *taken >= self.per_zone)
+    }
+}
+
+/// The state of the role of scaling out.
 #[derive(Debug, Default)]
 pub(crate) struct ScaleOutState {
     tracker: ScaleOutTracker,
@@ -37,7 +71,8 @@
 }
 
 impl Controller {
-    /// ScaleOutIntents what is lacking, for as long as that is ours to do and the state service says so.
+    /// Requests the machines that are lacking, while this controller holds the role and the state
+    /// service confirms it.
     pub(crate) fn maintain_scale_out(&mut self) {
         let due = self.now.since(self.scale_out.last_checked)
             >= SCALE_OUT_INTERVAL_MS * self.backpressure;
@@ -79,17 +114,18 @@
         let Some(incarnation) = self.session.incarnation else { return vec![] };
         // What is answered and only not yet out of the record holds nobody up.
         let coming = self.scale_out.tracker.coming(&self.cache.scale_out_intents.value);
-        let open: Vec<(PoolId, bool)> = coming.map(|i| (i.pool(), i.spot)).collect();
+        let open: Vec<Offer> = coming.map(Offer::of).collect();
         let free = MAX_OPEN_INTENTS.saturating_sub(open.len());
         if free == 0 {
             return vec![];
         }
         let mut new = Vec::new();
-        for ((pool, spot), lack) in self.lacking() {
+        for (offer, lack) in self.lacking() {
             // One at a time for the same machines.
-            if new.len() >= free || open.contains(&(pool.clone(), spot)) {
+            if new.len() >= free || open.contains(&offer) {
                 continue;
             }
+            let Offer { pool, spot } = offer;
             let cpus =
                 self.inventory.types.get(&pool.machine_type).map_or(1.0, |t| t.cpus.max(0.1));
             let count = ((lack / cpus).ceil() as u32).clamp(1, MAX_MACHINES_PER_REQUEST);
@@ -151,7 +187,7 @@
                 }
             }
             CloudReply::NoCapacity => Answer::Short,
-            // The same name again rents nothing twice.
+            // The same name again creates nothing twice.
             _ if tries < 3 => {
                 let pending = Pending::ScaleOut { request: request.clone(), tries: tries + 1 };
                 return self.cloud(CloudRequest::ScaleOut(request), pending);
@@ -161,7 +197,7 @@
         self.scale_out.tracker.answered(&request.request, answer, self.now);
     }
 
-    /// Machines that will come up, as the cloud has just said to us or to whoever rents.
+    /// Machines that will come up, as the cloud has just said to us or to the holder of the role.
     pub(crate) fn note_created_machines(
         &mut self,
         pool: &PoolId,
@@ -178,82 +214,101 @@
         self.replan_needed = true;
     }
 
-    /// What the machines we have and expect will not get through in time, and where it is best
-    /// rented for, in processors, most first. Goes through
-    /// the queue in order and lets each job take what it may use of the supply; what it lacks
-    /// then is rented in the pool that suits it best. (ScaleOutState for the sum of the queue once
-    /// filled the region with machines that the waiting jobs could not use.)
-    fn lacking(&self) -> Vec<((PoolId, bool), f64)> {
-        let usual_wait_s = self.cfg.usual_wait_s;
-        let stays = |spec: &JobSpec| (0.5 * spec.estimate_s / usual_wait_s).min(1.0);
-        let mut headroom = self.team_headroom(|cached| stays(&cached.record.spec));
-        let mut supply: BTreeMap<(PoolId, bool), f64> = BTreeMap::new();
+    /// Processors that the machines which exist or are requested will not provide in time, by the
+    /// offer that suits the waiting jobs best; most first. Each job in the order of the queue takes
+    /// what it may use of the supply, and lacks the rest. (The sum over the queue alone once filled
+    /// the region with machines that the waiting jobs could not use.)
+    fn lacking(&self) -> Vec<(Offer, f64)> {
+        let mut headroom = self.team_headroom(|cached| self.share_still_needed(cached));
+        let mut supply = self.supply();
+        let mut lacking = CpusByOffer::new();
+        let sizes = self.inventory.sizes();
+        for Queued { job: id, tasks: unclaimed, growth, .. } in self.queue() {
+            let Some(cached) = self.cache.jobs.get(&id) else { continue };
+            // No machine is requested for another try of what fails wherever it runs.
+            let may_use = |offer: &Offer| self.may_use(cached, &offer.pool);
+            if growth || (self.is_suspect(&id, cached) && supply.keys().any(may_use)) {
+                continue;
+            }
+            let mut need = self.scale_out_need(cached, unclaimed);
+            // Nor for what the team's limit will not let start.
+            if let Some(headroom) = headroom.get_mut(&cached.record.spec.team) {
+                need.cpus = need.cpus.min(*headroom).max(0.0);
+                *headroom -= need.cpus;
+            }
+            self.take_from_supply(cached, &mut need, &mut supply);
+            if need.cpus > MIN_LACK_CPUS {
+                if let Some(offer) = self.best_offer(cached, &lacking, &need, &sizes) {
+                    *lacking.entry(offer).or_default() += need.cpus;
+                }
+            }
+        }
+        let mut wanted: Vec<(Offer, f64)> = lacking.into_iter().collect();
+        wanted.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
+        wanted
+    }
+
+    /// The share of its processors that a job still holds when those that wait now need them.
+    fn share_still_needed(&self, cached: &CachedJob) -> f64 {
+        (0.5 * cached.record.spec.estimate_s / self.cfg.usual_wait_s).min(1.0)
+    }
+
+    /// Processors of the machines that exist, less what their tasks go on using, and of those that
+    /// are requested.
+    fn supply(&self) -> CpusByOffer {
+        let mut supply = CpusByOffer::new();
         for (id, m) in &self.inventory.machines {
-            // One that another controller has returned is no supply. (It counted for 50 s more, and what could have
-            // been rented for waited that long.)
+            // One that another controller has returned is no supply. (It counted for 50 s more, and
+            // what could have been requested waited that long.)
             if !m.takes_work() || !self.may_be_there(m) {
                 continue;
             }
             let mut free = self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
             for ((job, _), _) in self.cache.claims.get(id).into_iter().flatten() {
                 if let Some(cached) = self.cache.jobs.get(job) {
-                    let spec = &cached.record.spec;
-                    free -= spec.cpus * stays(spec);
+                    free -= cached.record.spec.cpus * self.share_still_needed(cached);
                 }
             }
-            *supply.entry((m.pool.clone(), m.spot)).or_default() += free.max(0.0);
+            let offer = Offer { pool: m.pool.clone(), spot: m.spot };
+            *supply.entry(offer).or_default() += free.max(0.0);
         }
         // What stands in the record is on its way, whoever asked for it.
         for intent in self.scale_out.tracker.coming(&self.cache.scale_out_intents.value) {
             let kind = self.inventory.types.get(&intent.machine_type);
             let cpus = kind.map_or(0.0, |t| t.cpus) * f64::from(intent.count);
-            *supply.entry((intent.pool(), intent.spot)).or_default() += cpus;
+            *supply.entry(Offer::of(intent)).or_default() += cpus;
         }
-        let mut lacking: BTreeMap<(PoolId, bool), f64> = BTreeMap::new();
-        let sizes = self.inventory.sizes();
-        for Queued { job: id, tasks: unclaimed, growth, .. } in self.queue() {
-            let Some(cached) = self.cache.jobs.get(&id) else { continue };
-            // Nor is anything rented for another try of what fails wherever it runs.
-            let tries_here = |(pool, _): &(PoolId, bool)| self.may_use(cached, pool);
-            if growth || (self.is_suspect(&id, cached) && supply.keys().any(tries_here)) {
+        supply
+    }
+
+    /// What a job needs to start its unclaimed tasks in time.
+    fn scale_out_need(&self, cached: &CachedJob, unclaimed: u32) -> Need {
+        let spec = &cached.record.spec;
+        let target = (self.slack_s(cached) * 0.8).clamp(5.0, 120.0);
+        let run = if spec.kind == Kind::Array { spec.estimate_s.max(1.0) } else { target };
+        let all = f64::from(unclaimed) * spec.cpus;
+        // Of a spread job, each zone can take only half.
+        let per_zone = if spec.spread { all / 2.0 + spec.cpus } else { f64::INFINITY };
+        let cpus = all.min(all * run / target).max(spec.cpus);
+        Need { cpus, per_zone, taken_by_zone: BTreeMap::new() }
+    }
+
+    /// Lets a job take what it may use of the supply.
+    fn take_from_supply(&self, cached: &CachedJob, need: &mut Need, supply: &mut CpusByOffer) {
+        for (offer, free) in supply {
+            if (offer.spot && !cached.record.spec.spot) || !self.may_use(cached, &offer.pool) {
                 continue;
             }
-            let spec = &cached.record.spec;
-            let target = (self.slack_s(cached) * 0.8).clamp(5.0, 120.0);
-            let run = if spec.kind == Kind::Array { spec.estimate_s.max(1.0) } else { target };
-            let all = f64::from(unclaimed) * spec.cpus;
-            let mut lack = all.min(all * run / target).max(spec.cpus);
-            // Nothing is rented for what its team's limit will not let start.
-            if let Some(headroom) = headroom.get_mut(&spec.team) {
-                lack = lack.min(*headroom).max(0.0);
-                *headroom -= lack;
-            }
-            // Of a spread job, each zone can take only half.
-            let mut zones: BTreeMap<ZoneId, f64> = BTreeMap::new();
-            let per_zone = if spec.spread { all / 2.0 + spec.cpus } else { f64::INFINITY };
-            for ((pool, spot), free) in &mut supply {
-                if (*spot && !spec.spot) || !self.may_use(cached, pool) {
-                    continue;
-                }
-                let zone = zones.entry(pool.zone.clone()).or_default();
-                let take = lack.min(*free).min(per_zone - *zone).max(0.0);
-                *free -= take;
-                *zone += take;
-                lack -= take;
-            }
-            if lack > 1e-9 {
-                if let Some(offer) = self.best_offer(cached, &lacking, &zones, per_zone, &sizes) {
-                    *lacking.entry(offer).or_default() += lack;
-                }
-            }
+            let in_zone = need.taken_by_zone.entry(offer.pool.zone.clone()).or_default();
+            let take = need.cpus.min(*free).min(need.per_zone - *in_zone).max(0.0);
+            *free -= take;
+            *in_zone += take;
+            need.cpus -= take;
         }
-        let mut wanted: Vec<((PoolId, bool), f64)> = lacking.into_iter().collect();
-        wanted.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        wanted
     }
 
     /// How long the tasks of a job may still wait if it is to meet what is expected of it.
-    fn slack_s(&self, cached: &crate::store::cache::CachedJob) -> f64 {
+    fn slack_s(&self, cached: &CachedJob) -> f64 {
         let spec = &cached.record.spec;
         let elapsed = self.wall_ms.saturating_sub(cached.record.accepted_ms) as f64 / 1000.0;
         let objectives = self.cfg.objectives.iter().filter(|a| a.class == spec.class);
@@ -265,25 +320,23 @@
         waits.min_by(f64::total_cmp).unwrap_or(self.cfg.usual_wait_s) - elapsed
     }
 
-    /// Where to rent for a job: cheap per processor, soon up, and not all in one place.
+    /// The offer that is best for a job: cheap per processor, soon up, and not all in one place.
     fn best_offer(
         &self,
-        cached: &crate::store::cache::CachedJob,
-        lacking: &BTreeMap<(PoolId, bool), f64>,
-        zones: &BTreeMap<ZoneId, f64>,
-        per_zone: f64,
+        cached: &CachedJob,
+        lacking: &CpusByOffer,
+        need: &Need,
         sizes: &BTreeMap<&PoolId, usize>,
-    ) -> Option<(PoolId, bool)> {
-        let mut best: Option<(f64, (PoolId, bool))> = None;
+    ) -> Option<Offer> {
+        let mut best: Option<(f64, Offer)> = None;
         let all = self.inventory.machines.len().max(1) as f64;
         for pool in self.inventory.pools() {
             let Some(kind) = self.inventory.types.get(&pool.machine_type) else { continue };
-            let full = zones.get(&pool.zone).is_some_and(|z| *z >= per_zone);
-            if full || kind.cpus <= 0.0 || !self.may_use(cached, &pool) {
+            if need.is_zone_full(&pool.zone) || kind.cpus <= 0.0 || !self.may_use(cached, &pool) {
                 continue;
             }
             for spot in [true, false] {
-                let key = (pool.clone(), spot);
+                let offer = Offer { pool: pool.clone(), spot };
                 let book = &self.cache.scale_out_intents.value;
                 let refused = book.is_refused(&pool, spot, self.wall_ms)
                     || self.scale_out.tracker.was_short(book, &pool, spot);
@@ -293,15 +346,15 @@
                 let price = if spot { kind.spot_price } else { kind.price };
                 let crowd = 1.0 + 0.5 * sizes.get(&pool).copied().unwrap_or(0) as f64 / all;
                 let mut rank = price / kind.cpus * (1.0 + kind.boot_s / 60.0) * crowd;
-                if lacking.contains_key(&key) {
-                    // Fill what is being rented anyway.
+                if lacking.contains_key(&offer) {
+                    // Prefer what is requested anyway.
                     rank *= 0.9;
                 }
                 if best.as_ref().is_none_or(|b| rank < b.0) {
-                    best = Some((rank, key));
+                    best = Some((rank, offer));
                 }
             }
         }
-        best.map(|b| b.1)
+        best.map(|(_, offer)| offer)
     }
 }
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -3,7 +3,7 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::CloudRequest;
-use crate::jobs::state::{ClaimEnd, EndReason};
+use crate::jobs::state::{ClaimEnd, EndReason, Fence};
 use crate::machines::inventory::Machine;
 use crate::store::cache::CachedJob;
 use cleatfold_wire::cloud::MachineState;
@@ -65,17 +65,33 @@
     }
 }
 
+/// A machine that has sent no heartbeat for so long that it is given up.
+struct SilentMachine {
+    id: MachineId,
+    zone: ZoneId,
+    silent_ms: u64,
+}
+
+/// A machine that sends heartbeats and receives nothing.
+struct PartitionedMachine {
+    id: MachineId,
+    zone: ZoneId,
+}
+
+/// A machine whose lease has provably expired, under the ownership that proves it.
+struct ExpiredMachine {
+    id: MachineId,
+    fence: Fence,
+}
+
 /// What one look at the machines has found.
 #[derive(Default)]
 struct Findings {
     /// To be deleted, whatever else is found.
     delete: Vec<MachineId>,
-    /// Given up, with how long they have been silent.
-    silent: Vec<(MachineId, ZoneId, u64)>,
-    /// They receive nothing.
-    partitioned: Vec<(MachineId, ZoneId)>,
-    /// Their leases have provably expired.
-    expired: Vec<(MachineId, PoolId, FencingToken)>,
+    silent: Vec<SilentMachine>,
+    partitioned: Vec<PartitionedMachine>,
+    expired: Vec<ExpiredMachine>,
     zones: BTreeMap<ZoneId, ZoneCount>,
 }
 
@@ -152,7 +168,8 @@
             });
             if seen && answered && !machine.expired {
                 machine.expired = true;
-                self.expired.push((id.clone(), machine.pool.clone(), pool.token));
+                let fence = Fence { pool: machine.pool.clone(), token: pool.token };
+                self.expired.push(ExpiredMachine { id: id.clone(), fence });
             }
         }
         let zone = &machine.pool.zone;
@@ -162,7 +179,8 @@
         };
         if quiet_ms > times.given_up_ms {
             count.unresponsive += 1;
-            self.silent.push((id.clone(), zone.clone(), quiet_ms));
+            let silent = SilentMachine { id: id.clone(), zone: zone.clone(), silent_ms: quiet_ms };
+            self.silent.push(silent);
             return false;
         }
         // It reports, but receives nothing: no sign that the zone is reached, and of no use.
@@ -170,7 +188,7 @@
             count.unresponsive += 1;
             let partitioned_ms = machine.partition_detector.partitioned_ms(now);
             if !has_claims && partitioned_ms > 2 * times.lease_ms {
-                self.partitioned.push((id.clone(), zone.clone()));
+                self.partitioned.push(PartitionedMachine { id: id.clone(), zone: zone.clone() });
             }
             return false;
         }
@@ -185,13 +203,11 @@
     /// Every machine that is to be deleted.
     fn to_delete(&self, lease_ms: u64) -> Vec<MachineId> {
         let mut delete = self.delete.clone();
-        let silent = self
-            .silent
-            .iter()
-            .filter(|(_, zone, quiet_ms)| !self.zone(zone).looks_cut() || *quiet_ms > lease_ms * 2);
-        delete.extend(silent.map(|(id, ..)| id.clone()));
-        let partitioned = self.partitioned.iter().filter(|(_, zone)| !self.zone(zone).looks_cut());
-        delete.extend(partitioned.map(|(id, _)| id.clone()));
+        let is_given_up =
+            |m: &&SilentMachine| !self.zone(&m.zone).looks_cut() || m.silent_ms > lease_ms * 2;
+        delete.extend(self.silent.iter().filter(is_given_up).map(|m| m.id.clone()));
+        let partitioned = self.partitioned.iter().filter(|m| !self.zone(&m.zone).looks_cut());
+        delete.extend(partitioned.map(|m| m.id.clone()));
         delete
     }
 }
@@ -224,11 +240,10 @@
             let is_needed = || self.image_distribution.needs(id);
             findings.inspect(id, machine, pool, &times, has_claims, is_needed);
         }
-        for (id, pool, token) in &findings.expired {
+        for ExpiredMachine { id, fence } in &findings.expired {
             // Claims made since are on no machine either: they were never ordered.
             if self.cache.claims.contains_key(id) {
-                let fence = Some((pool.clone(), *token));
-                self.on_machine_gone(id, EndReason::LeaseExpired, fence);
+                self.on_machine_gone(id, EndReason::LeaseExpired, Some(fence.clone()));
             }
         }
         self.replan_needed |= !findings.silent.is_empty();
@@ -290,7 +305,7 @@
         &mut self,
         id: &MachineId,
         reason: EndReason,
-        fence: Option<(PoolId, FencingToken)>,
+        fence: Option<Fence>,
     ) {
         let claims = self.cache.claims.get(id).cloned().unwrap_or_default();
         tracing::info!(machine = %id, tasks = claims.len(), reason = %reason, "machine gone");
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -8,7 +8,7 @@
 
 use crate::controller::Controller;
 use crate::effects::Response;
-use crate::jobs::state::{ClaimEnd, EndReason};
+use crate::jobs::state::{ClaimEnd, EndReason, Fence};
 use crate::machines::inventory::{LastHeartbeat, Machine};
 use crate::pools::long_polls::LongPoll;
 use crate::store::cache::Claim;
@@ -406,7 +406,7 @@
             done: false,
             reason: claim.reason,
             ran_ms: 0,
-            fence: Some((arrival.pool.clone(), arrival.token)),
+            fence: Some(Fence { pool: arrival.pool.clone(), token: arrival.token }),
         };
         self.end(&claim.task.job, end);
     }
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -1,4 +1,4 @@
-//! UncommittedPreemption room on machines that are full: members of elastic jobs give way, and ordinary tasks
+//! Preemption, to make room on machines that are full: members of elastic jobs give way, and ordinary tasks
 //! are preempted where the protocol allows it and it makes a difference.
 //!
 //! Whom to stop is decided in `cleatfold_backfill::victims`. What is kept here may be lost with the
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -1,4 +1,4 @@
-//! PriorityState: which pools' promises are believed, decisions that outlive who made them. `cleatfold_priority` decides.
+//! Priority: which pools' promises are believed, decisions that outlive who made them. `cleatfold_priority` decides.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -167,13 +167,13 @@
     pub preemptions: BTreeMap<PoolId, Versioned<PreemptionRecord>>,
     /// Images that are being spread.
     pub image_holders: BTreeMap<ImageId, Versioned<SpreadRecord>>,
-    /// CachedJob jobs of each team, by place.
+    /// The live jobs of each team, by place in the queue.
     pub by_team: BTreeMap<TeamId, BTreeSet<(u64, JobId)>>,
     /// Keys whose last value cannot be read: nobody acts on what they held before, nor writes over them.
     pub unreadable: BTreeSet<String>,
     /// Who fetches from the origin.
     pub origin: Versioned<OriginRecord>,
-    /// CachedJob jobs that have lost something.
+    /// Live jobs that have lost some run.
     pub lossy: BTreeSet<JobId>,
     /// All claims, by machine.
     pub claims: BTreeMap<MachineId, MachineClaims>,
--- a/crates/cleatfold-control/tests/unannounced_faults.rs
+++ b/crates/cleatfold-control/tests/unannounced_faults.rs
@@ -1,4 +1,4 @@
-//! FaultState that were on no list: controllers that stand still or that workers do not reach, and
+//! Faults that were on no list: controllers that stand still or that workers do not reach, and
 //! jobs that fail wherever they run.
 
 use cleatfold_control::records::{HolderRecord, JobRecord};
--- a/crates/cleatfold-control/tests/urgency_order.rs
+++ b/crates/cleatfold-control/tests/urgency_order.rs
@@ -1,4 +1,4 @@
-//! PriorityState on days on which planners fail: a wave of background fills the region, then urgent work comes, and
+//! Priority on days on which planners fail: a wave of background fills the region, then urgent work comes, and
 //! whoever plans most is killed, frozen or cut off.
 
 use cleatfold_control::records::HolderRecord;
--- a/crates/cleatfold-ingress/src/poll_schedule.rs
+++ b/crates/cleatfold-ingress/src/poll_schedule.rs
@@ -11,7 +11,7 @@
 /// So many turns make a round: the longest that a job waits for its turn.
 pub const ROUND: u64 = 5;
 
-/// PollSchedule follow from the job's id and the time of day, so that all controllers agree on them without a
+/// Turns in which polls of a job are answered. They follow from the job's id and the time of day, so that all controllers agree on them without a
 /// word, and so does whoever is asked next. (Turned away at random, nine of ten, a fifth of all jobs had
 /// every question of 75 s refused.)
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
     }
 }
 
-/// PollSchedule until one of the job's is there; 0: now.
+/// Turns until one of the job's is there; 0: now.
 fn ahead(hash: u64, level: Level, number: u64) -> u64 {
     let place = (number + hash) % ROUND;
     if place < open(level) {
--- a/crates/cleatfold-priority/src/lib.rs
+++ b/crates/cleatfold-priority/src/lib.rs
@@ -1,4 +1,4 @@
-//! PriorityState: urgent work starts before background work, whoever plans and whoever fails.
+//! Priority: urgent work starts before background work, whoever plans and whoever fails.
 //!
 //! Pure: no I/O and no clock. `docs/priority.md` argues.
 
--- a/crates/cleatfold-priority/src/place.rs
+++ b/crates/cleatfold-priority/src/place.rs
@@ -9,7 +9,7 @@
     kept.unwrap_or(version.0)
 }
 
-/// FaultSchedule for jobs that are given in order of their places, with the time of day at which whoever accepted
+/// Moments of acceptance for jobs that are given in order of their places, with the time of day at which whoever accepted
 /// them wrote them down: never decreasing, and otherwise as near to those times as can be (the mean of
 /// what stands in the wrong order). What compares a moment with anything, as the order under overload does, then never
 /// contradicts the places. Every controller derives the same from the same reading.
--- a/crates/cleatfold-priority/tests/explored.rs
+++ b/crates/cleatfold-priority/tests/explored.rs
@@ -1,4 +1,4 @@
-//! UncommittedPreemption room, explored in every order of what can happen: two controllers that both believe they own the
+//! Preemption, explored in every order of what can happen: two controllers that both believe they own the
 //! pool plan, write, order stops and claim, and any write or stop may arrive after its sender was
 //! replaced, restarted or frozen. The record, what stands in it and whom it bars are the service's own.
 //!
--- a/crates/cleatfold-reachability/src/worker_release.rs
+++ b/crates/cleatfold-reachability/src/worker_release.rs
@@ -1,4 +1,4 @@
-//! WorkerRelease workers go when nothing is heard of the state service nor of the other controllers.
+//! Lets workers go when nothing is heard of the state service nor of the other controllers.
 //!
 //! A controller that has lost both, but not its workers, can't tell whether all have lost the state service
 //! (then letting its workers go would cost their leases) or it alone (then others own its pools by now, and as
--- a/crates/cleatfold-roles/src/role.rs
+++ b/crates/cleatfold-roles/src/role.rs
@@ -5,7 +5,7 @@
 pub enum Role {
     /// Dealing pools to controllers and sending jobs to pools.
     PoolAssignment,
-    /// ScaleOutState machines.
+    /// Requests machines from the cloud.
     ScaleOut,
     /// Removing what nothing refers to any more.
     GarbageCollection,
--- a/crates/cleatfold-roles/tests/explored.rs
+++ b/crates/cleatfold-roles/tests/explored.rs
@@ -1,4 +1,4 @@
-//! ScaleOutState under a role, explored in every order of what can happen: two controllers take it, lose
+//! Scaling out under a role, explored in every order of what can happen: two controllers take it, lose
 //! it, read, write and call, and any write or call may arrive after its sender was replaced or
 //! restarted. The record and the holder's memory are the service's own.
 //!
--- a/crates/cleatfold-testbed/src/capacity/state_service.rs
+++ b/crates/cleatfold-testbed/src/capacity/state_service.rs
@@ -160,7 +160,7 @@
         Ms(1000 + self.start.elapsed().as_millis() as u64)
     }
 
-    /// ScaleOutIntents the machines that are there from the beginning.
+    /// Creates the machines that are there from the beginning.
     fn populate(&mut self, workers: usize) {
         for i in 0..ZONES {
             let request = ScaleOutRequest {
--- a/crates/cleatfold-testbed/src/days.rs
+++ b/crates/cleatfold-testbed/src/days.rs
@@ -29,7 +29,7 @@
     /// The first of them.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// FaultState drawn a day, within its first two minutes.
+    /// Faults drawn a day, within its first two minutes.
     #[arg(long = "troubles", default_value_t = 16)]
     pub faults: usize,
     /// Draw these alone (as `partitioned,copies`); all without.
--- a/crates/cleatfold-testbed/src/world/drawn.rs
+++ b/crates/cleatfold-testbed/src/world/drawn.rs
@@ -1,4 +1,4 @@
-//! FaultState drawn by the seed.
+//! Faults drawn by the seed.
 
 use super::{MachineId, Ms, Rng, SimulationEvent, World, ZoneId, LEASE_MS, ZONES};
 
--- a/crates/cleatfold-testbed/src/world/meetings.rs
+++ b/crates/cleatfold-testbed/src/world/meetings.rs
@@ -1,4 +1,4 @@
-//! FaultState that last over several moments of their own: what is carried out late, what is held
+//! Faults that last over several moments of their own: what is carried out late, what is held
 //! up, and controllers that end more than once.
 
 use super::{
