--- a/crates/cleatfold-clients/src/cloud.rs
+++ b/crates/cleatfold-clients/src/cloud.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 /// One call.
-pub struct Job {
+pub struct CloudCall {
     /// Its number; the answer carries it.
     pub op: u64,
     /// What is asked for.
@@ -24,28 +24,29 @@
 /// Runs until the queue's senders are gone. `answer` gets every reply.
 pub async fn run(
     endpoint: String,
-    mut queue: mpsc::UnboundedReceiver<Job>,
+    mut queue: mpsc::UnboundedReceiver<CloudCall>,
     answer: impl Fn(u64, CloudReply),
 ) {
     let http = Http::new(&endpoint);
-    let mut waiting: VecDeque<Job> = VecDeque::new();
+    let mut waiting: VecDeque<CloudCall> = VecDeque::new();
     loop {
         if waiting.is_empty() {
-            let Some(job) = queue.recv().await else { return };
-            waiting.push_back(job);
+            let Some(call) = queue.recv().await else { return };
+            waiting.push_back(call);
         }
-        while let Ok(job) = queue.try_recv() {
-            waiting.push_back(job);
+        while let Ok(call) = queue.try_recv() {
+            waiting.push_back(call);
         }
-        let acts =
-            |j: &Job| matches!(j.request, CloudRequest::ScaleOut(_) | CloudRequest::Delete(_));
+        let acts = |j: &CloudCall| {
+            matches!(j.request, CloudRequest::ScaleOut(_) | CloudRequest::Delete(_))
+        };
         let next = waiting.iter().position(acts).unwrap_or(0);
-        let Some(job) = waiting.remove(next) else { continue };
+        let Some(call) = waiting.remove(next) else { continue };
         let started = Instant::now();
-        let reply = execute(&http, &job.request).await;
+        let reply = execute(&http, &call.request).await;
         let failed = matches!(reply, CloudReply::Failed);
-        answer(job.op, reply);
-        let spacing = if failed { job.spacing * 4 } else { job.spacing };
+        answer(call.op, reply);
+        let spacing = if failed { call.spacing * 4 } else { call.spacing };
         tokio::time::sleep_until(started + spacing).await;
     }
 }
--- a/crates/cleatfold-clients/src/http.rs
+++ b/crates/cleatfold-clients/src/http.rs
@@ -42,7 +42,7 @@
     }
 
     /// A client of many hosts: paths are whole addresses.
-    pub fn anywhere() -> Self {
+    pub fn without_endpoint() -> Self {
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(Duration::from_secs(2))
--- a/crates/cleatfold-clients/src/store.rs
+++ b/crates/cleatfold-clients/src/store.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 /// One call.
-pub struct Job {
+pub struct StoreCall {
     /// Its number; the answer carries it.
     pub op: u64,
     /// Which calls go first when the rate is short.
@@ -47,7 +47,7 @@
 
 /// A call that waits for its turn, with how often it was tried.
 struct Waiting {
-    job: Job,
+    call: StoreCall,
     tries: u32,
 }
 
@@ -58,15 +58,15 @@
     again: Option<Waiting>,
 }
 
-/// Failures in a row after which the service is taken for gone.
-const GONE_AFTER: u32 = 4;
-const GONE: Backoff = Backoff { first_ms: 200, most_ms: 1000 };
+/// Failures in a row after which the service is taken to be unavailable.
+const MAX_FAILURES: u32 = 4;
+const UNAVAILABLE_BACKOFF: Backoff = Backoff { first_ms: 200, most_ms: 1000 };
 /// Retries that each call adds to the budget, and how many may be saved up.
 const RETRIES_PER_CALL: f64 = 0.1;
 const MAX_RETRIES_SAVED: f64 = 10.0;
 /// Tries of a call that the rate refuses.
-const TRIES: u32 = 3;
-const BUSY: Backoff = Backoff { first_ms: 150, most_ms: 600 };
+const MAX_TRIES: u32 = 3;
+const RATE_LIMIT_BACKOFF: Backoff = Backoff { first_ms: 150, most_ms: 600 };
 
 fn writes(request: &StoreRequest) -> f64 {
     match request {
@@ -79,7 +79,7 @@
 pub async fn run(
     endpoint: String,
     budget: Budget,
-    mut queue: mpsc::UnboundedReceiver<Job>,
+    mut queue: mpsc::UnboundedReceiver<StoreCall>,
     answer: impl Fn(u64, StoreReply) + Clone + 'static,
 ) {
     let (outcomes_out, mut outcomes_in) = mpsc::unbounded_channel::<Outcome>();
@@ -87,8 +87,8 @@
     loop {
         if client.waiting.is_empty() {
             tokio::select! {
-                job = queue.recv() => match job {
-                    Some(job) => client.enqueue(job),
+                call = queue.recv() => match call {
+                    Some(call) => client.enqueue(call),
                     None => return,
                 },
                 Some(outcome) = outcomes_in.recv() => client.note(outcome),
@@ -97,8 +97,8 @@
         while let Ok(outcome) = outcomes_in.try_recv() {
             client.note(outcome);
         }
-        while let Ok(job) = queue.try_recv() {
-            client.enqueue(job);
+        while let Ok(call) = queue.try_recv() {
+            client.enqueue(call);
         }
         client.refill();
         if client.send_next() || client.waiting.is_empty() {
@@ -106,8 +106,8 @@
         }
         tokio::select! {
             _ = tokio::time::sleep(client.pause()) => {}
-            job = queue.recv() => match job {
-                Some(job) => client.enqueue(job),
+            call = queue.recv() => match call {
+                Some(call) => client.enqueue(call),
                 None => return,
             },
         }
@@ -145,7 +145,7 @@
             changes: bucket(budget.writes_per_s),
             filled: Instant::now(),
             retries: RetryBudget::new(RETRIES_PER_CALL, MAX_RETRIES_SAVED),
-            breaker: Breaker::new(GONE_AFTER, GONE),
+            breaker: Breaker::new(MAX_FAILURES, UNAVAILABLE_BACKOFF),
             start: Instant::now(),
         }
     }
@@ -154,21 +154,23 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    fn enqueue(&mut self, job: Job) {
-        self.wait(Waiting { job, tries: 0 });
+    fn enqueue(&mut self, call: StoreCall) {
+        self.wait(Waiting { call, tries: 0 });
     }
 
-    fn wait(&mut self, call: Waiting) {
-        let changes = writes(&call.job.request);
-        self.waiting.push(call.job.priority as usize, self.now_ms(), changes, call);
+    fn wait(&mut self, waiting: Waiting) {
+        let changes = writes(&waiting.call.request);
+        self.waiting.push(waiting.call.priority as usize, self.now_ms(), changes, waiting);
     }
 
     /// Notes what became of a call; one that the rate refused is tried again within the budget.
     fn note(&mut self, outcome: Outcome) {
         self.breaker.note(self.now_ms(), outcome.answered, &mut rand::rng());
         match outcome.again {
-            Some(call) if call.tries <= TRIES && self.retries.take() => self.wait(call),
-            Some(call) => (self.answer)(call.job.op, StoreReply::Refused),
+            Some(waiting) if waiting.tries <= MAX_TRIES && self.retries.take() => {
+                self.wait(waiting)
+            }
+            Some(waiting) => (self.answer)(waiting.call.op, StoreReply::Refused),
             None => {}
         }
     }
@@ -188,13 +190,13 @@
         }
         // A large transaction may overdraw the budget; it is paid back before the next one.
         let now_ms = self.now_ms();
-        let Some((changes, call)) = self.waiting.pop(now_ms, self.changes.level >= 1.0) else {
+        let Some((changes, waiting)) = self.waiting.pop(now_ms, self.changes.level >= 1.0) else {
             return false;
         };
-        let is_renewal = call.job.priority == CallPriority::Renewal;
+        let is_renewal = waiting.call.priority == CallPriority::Renewal;
         if !is_renewal && self.breaker.is_open() && !self.breaker.admits(now_ms) {
             // Certainly not executed; whoever asked knows when to come back.
-            (self.answer)(call.job.op, StoreReply::Refused);
+            (self.answer)(waiting.call.op, StoreReply::Refused);
             return true;
         }
         self.requests.level -= 1.0;
@@ -202,7 +204,7 @@
         self.retries.note_call();
         let (http, answer, outcomes) =
             (self.http.clone(), self.answer.clone(), self.outcomes.clone());
-        tokio::task::spawn_local(make_call(http, call, answer, outcomes));
+        tokio::task::spawn_local(make_call(http, waiting, answer, outcomes));
         true
     }
 
@@ -219,28 +221,28 @@
 /// Makes one call, and reports what became of it.
 async fn make_call(
     http: Http,
-    call: Waiting,
+    waiting: Waiting,
     answer: impl Fn(u64, StoreReply),
     outcomes: mpsc::UnboundedSender<Outcome>,
 ) {
-    let Waiting { job, tries } = call;
-    let called = execute(&http, &job.request).await;
+    let Waiting { call, tries } = waiting;
+    let called = execute(&http, &call.request).await;
     if matches!(called, Called::Busy) {
-        let pause_ms = BUSY.pause_ms(tries, &mut rand::rng());
+        let pause_ms = RATE_LIMIT_BACKOFF.pause_ms(tries, &mut rand::rng());
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-        let again = Some(Waiting { job, tries: tries + 1 });
+        let again = Some(Waiting { call, tries: tries + 1 });
         let _ = outcomes.send(Outcome { answered: true, again });
         return;
     }
     let answered = !matches!(called, Called::Away | Called::Unknown);
     let _ = outcomes.send(Outcome { answered, again: None });
-    let is_transaction = matches!(job.request, StoreRequest::Txn(_));
+    let is_transaction = matches!(call.request, StoreRequest::Txn(_));
     let reply = match called {
         Called::Answered(reply) => reply,
         Called::Unknown if is_transaction => StoreReply::Unknown,
         Called::Busy | Called::Away | Called::Unknown => StoreReply::Refused,
     };
-    answer(job.op, reply);
+    answer(call.op, reply);
 }
 
 enum Called {
--- a/crates/cleatfold-clients/src/workers.rs
+++ b/crates/cleatfold-clients/src/workers.rs
@@ -9,17 +9,17 @@
 use tokio::sync::mpsc;
 
 /// One call to a worker.
-pub struct Job {
+pub struct WorkerCall {
     /// The worker's machine.
     pub machine: MachineId,
     /// Where the worker takes it.
     pub endpoint: String,
     /// What it is asked or told.
-    pub what: Call,
+    pub request: WorkerRequest,
 }
 
 /// What a worker is asked or told.
-pub enum Call {
+pub enum WorkerRequest {
     /// Commands to be executed.
     Orders(Orders),
     /// Is it reached at all?
@@ -27,7 +27,7 @@
 }
 
 /// What came of a call.
-pub enum CallResult {
+pub enum WorkerReply {
     /// The worker's report after the orders; none where they were not executed or nothing is known of it.
     Ordered(Option<Heartbeat>),
     /// The number of its newest message; none: no answer.
@@ -36,27 +36,27 @@
 
 /// Runs until the queue's senders are gone.
 pub async fn run(
-    mut queue: mpsc::UnboundedReceiver<Job>,
-    answer: impl Fn(MachineId, CallResult) + Clone + 'static,
+    mut queue: mpsc::UnboundedReceiver<WorkerCall>,
+    answer: impl Fn(MachineId, WorkerReply) + Clone + 'static,
 ) {
-    let http = Http::anywhere();
-    while let Some(job) = queue.recv().await {
+    let http = Http::without_endpoint();
+    while let Some(call) = queue.recv().await {
         let (http, answer) = (http.clone(), answer.clone());
         tokio::task::spawn_local(async move {
-            let call = async |method, path, body| {
-                let url = format!("http://{}{path}", job.endpoint);
+            let send = async |method, path, body| {
+                let url = format!("http://{}{path}", call.endpoint);
                 http.call(method, &url, body, Duration::from_secs(1)).await
             };
-            let result = match &job.what {
-                Call::Orders(orders) => {
+            let reply = match &call.request {
+                WorkerRequest::Orders(orders) => {
                     let body = serde_json::to_vec(orders).ok();
-                    CallResult::Ordered(match call(Method::POST, "/orders", body).await {
+                    WorkerReply::Ordered(match send(Method::POST, "/orders", body).await {
                         Ok((200, body)) => serde_json::from_slice(&body).ok(),
                         _ => None,
                     })
                 }
-                Call::Inspect => {
-                    CallResult::Inspected(match call(Method::GET, "/inspect", None).await {
+                WorkerRequest::Inspect => {
+                    WorkerReply::Inspected(match send(Method::GET, "/inspect", None).await {
                         // Whatever it answers, it is reached.
                         Ok((_, body)) => Some(
                             serde_json::from_slice::<RawHeartbeat>(&body)
@@ -66,7 +66,7 @@
                     })
                 }
             };
-            answer(job.machine, result);
+            answer(call.machine, reply);
         });
     }
 }
--- a/crates/cleatfold-ingress/src/class.rs
+++ b/crates/cleatfold-ingress/src/class.rs
@@ -2,41 +2,46 @@
 
 /// In the order in which they are served when not all can be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Class {
+pub enum RequestClass {
     /// A worker that holds tasks: without an answer its lease runs out and they are lost.
-    Busy,
+    BusyHeartbeat,
     /// Submissions, cancellations, members' steps.
-    Ask,
+    UserRequest,
     /// A worker that holds nothing.
-    Idle,
-    /// A user's question.
+    IdleHeartbeat,
+    /// A question about a job or a team.
     Poll,
 }
 
-/// Reports that may wait at one time. All workers of a large deployment (4,000 machines and more)
+/// Heartbeats that may wait at one time. All workers of a large deployment (4,000 machines and more)
 /// may come to one controller at the same moment, when the others have just ended.
-const WORKER_BOUND: usize = 8_192;
+const MAX_WAITING_HEARTBEATS: usize = 8_192;
 
-impl Class {
+impl RequestClass {
     /// All classes, in the order in which they are served.
-    pub const ALL: [Class; 4] = [Class::Busy, Class::Ask, Class::Idle, Class::Poll];
+    pub const ALL: [RequestClass; 4] = [
+        RequestClass::BusyHeartbeat,
+        RequestClass::UserRequest,
+        RequestClass::IdleHeartbeat,
+        RequestClass::Poll,
+    ];
 
-    /// After so long the asker has left (PROTOCOL: a worker after 4 s, a user's request after
+    /// How long a request is worth an answer: after this time the asker has left (PROTOCOL: a worker after 4 s, a user's request after
     /// 5 s, a poll after 2 s), less a moment for the answer's way back.
-    pub fn patience_ms(self) -> u64 {
+    pub fn timeout_ms(self) -> u64 {
         match self {
-            Class::Busy | Class::Idle => 3800,
-            Class::Ask => 4500,
-            Class::Poll => 1800,
+            RequestClass::BusyHeartbeat | RequestClass::IdleHeartbeat => 3800,
+            RequestClass::UserRequest => 4500,
+            RequestClass::Poll => 1800,
         }
     }
 
-    /// So many may wait at one time. What is above could not be answered before it has left.
-    pub fn bound(self) -> usize {
+    /// How many requests may wait. What is above could not be answered before its asker has left.
+    pub fn queue_limit(self) -> usize {
         match self {
-            Class::Busy | Class::Idle => WORKER_BOUND,
-            Class::Ask => 512,
-            Class::Poll => 1024,
+            RequestClass::BusyHeartbeat | RequestClass::IdleHeartbeat => MAX_WAITING_HEARTBEATS,
+            RequestClass::UserRequest => 512,
+            RequestClass::Poll => 1024,
         }
     }
 }
--- a/crates/cleatfold-ingress/src/lib.rs
+++ b/crates/cleatfold-ingress/src/lib.rs
@@ -23,7 +23,7 @@
 mod write_pacer;
 
 pub use change_rate_limiter::{ChangeRateLimiter, MAX_DEBT_S};
-pub use class::Class;
+pub use class::RequestClass;
 pub use connections::{Connection, ConnectionId, ConnectionTable};
 pub use outgoing_queue::OutgoingQueue;
 pub use poll_schedule::{PollSchedule, ROUND, TURN_MS};
--- a/crates/cleatfold-ingress/src/request_queue.rs
+++ b/crates/cleatfold-ingress/src/request_queue.rs
@@ -1,6 +1,6 @@
 //! What waits to be worked on.
 
-use crate::class::Class;
+use crate::class::RequestClass;
 use std::collections::VecDeque;
 
 /// One of so many goes to a class that would otherwise be last, so that none starves.
@@ -21,7 +21,7 @@
 /// asks again: no work is done for anyone.)
 #[derive(Debug)]
 pub struct RequestQueue<T> {
-    queues: [VecDeque<Waiting<T>>; Class::ALL.len()],
+    queues: [VecDeque<Waiting<T>>; RequestClass::ALL.len()],
     served: u32,
 }
 
@@ -33,22 +33,22 @@
 
 impl<T> RequestQueue<T> {
     /// Takes a request that arrived at `arrived`. Returns one that has to be turned away.
-    pub fn push(&mut self, class: Class, arrived: u64, item: T) -> Option<T> {
+    pub fn push(&mut self, class: RequestClass, arrived: u64, item: T) -> Option<T> {
         let queue = &mut self.queues[class as usize];
         queue.push_back(Waiting { arrived, item });
         // The oldest is nearest to leaving by itself.
-        if queue.len() > class.bound() {
+        if queue.len() > class.queue_limit() {
             return queue.pop_front().map(|w| w.item);
         }
         None
     }
 
     /// Those who have left by now, or will before an answer could reach them.
-    pub fn expired(&mut self, now: u64) -> Vec<(Class, T)> {
+    pub fn expired(&mut self, now: u64) -> Vec<(RequestClass, T)> {
         let mut gone = Vec::new();
-        for class in Class::ALL {
+        for class in RequestClass::ALL {
             let queue = &mut self.queues[class as usize];
-            while queue.front().is_some_and(|w| now.saturating_sub(w.arrived) > class.patience_ms())
+            while queue.front().is_some_and(|w| now.saturating_sub(w.arrived) > class.timeout_ms())
             {
                 gone.extend(queue.pop_front().map(|w| (class, w.item)));
             }
@@ -59,22 +59,22 @@
     /// The request to be worked on next.
     pub fn pop(&mut self, now: u64) -> Option<T> {
         let age = |q: &VecDeque<Waiting<T>>| q.front().map(|w| now.saturating_sub(w.arrived));
-        let late = |class: Class| {
-            age(&self.queues[class as usize]).is_some_and(|age| age > class.patience_ms() / 2)
+        let late = |class: RequestClass| {
+            age(&self.queues[class as usize]).is_some_and(|age| age > class.timeout_ms() / 2)
         };
         self.served = self.served.wrapping_add(1);
-        let class = if !Class::ALL.into_iter().any(late) {
+        let class = if !RequestClass::ALL.into_iter().any(late) {
             // Nobody is pressed: in the order of arrival.
-            let arrived = |c: &Class| self.queues[*c as usize].front().map(|w| w.arrived);
-            Class::ALL.into_iter().filter(|c| arrived(c).is_some()).min_by_key(arrived)?
+            let arrived = |c: &RequestClass| self.queues[*c as usize].front().map(|w| w.arrived);
+            RequestClass::ALL.into_iter().filter(|c| arrived(c).is_some()).min_by_key(arrived)?
         } else if self.served.is_multiple_of(FAIR) {
             // The longest kept waiting, against its patience.
-            let waited = |c: &Class| {
-                age(&self.queues[*c as usize]).map(|a| a * 1000 / c.patience_ms().max(1))
+            let waited = |c: &RequestClass| {
+                age(&self.queues[*c as usize]).map(|a| a * 1000 / c.timeout_ms().max(1))
             };
-            Class::ALL.into_iter().filter(|c| waited(c).is_some()).max_by_key(waited)?
+            RequestClass::ALL.into_iter().filter(|c| waited(c).is_some()).max_by_key(waited)?
         } else {
-            Class::ALL.into_iter().find(|c| !self.queues[*c as usize].is_empty())?
+            RequestClass::ALL.into_iter().find(|c| !self.queues[*c as usize].is_empty())?
         };
         let pressed = late(class);
         let queue = &mut self.queues[class as usize];
--- a/crates/cleatfold-ingress/src/submission_queue.rs
+++ b/crates/cleatfold-ingress/src/submission_queue.rs
@@ -9,7 +9,7 @@
 }
 
 /// Submissions by team, each team's turn coming round as long as it has any. (In one queue for all,
-/// a guest's swarm of single jobs had every team's submissions refused: three of four, for
+/// one team's many single jobs had every team's submissions refused: three of four, for
 /// a minute.)
 ///
 /// While a team's are served in time, its oldest goes first. When its oldest is past half of its
--- a/crates/cleatfold-ingress/tests/machine_limits.rs
+++ b/crates/cleatfold-ingress/tests/machine_limits.rs
@@ -1,6 +1,6 @@
 //! The HTTP server's bounds, at more machines than are supported.
 
-use cleatfold_ingress::{Class, ConnectionTable, RequestQueue};
+use cleatfold_ingress::{ConnectionTable, RequestClass, RequestQueue};
 
 const MACHINES: u64 = 4_500;
 /// What a controller may have where the settings do not say.
@@ -8,7 +8,7 @@
 
 #[test]
 fn reports_of_all_workers_wait_at_one_controller_and_none_is_turned_away() {
-    for class in [Class::Busy, Class::Idle] {
+    for class in [RequestClass::BusyHeartbeat, RequestClass::IdleHeartbeat] {
         let mut request_queue = RequestQueue::default();
         for worker in 0..MACHINES {
             assert_eq!(request_queue.push(class, 0, worker), None, "{class:?}");
--- a/crates/cleatfold-ingress/tests/request_queue.rs
+++ b/crates/cleatfold-ingress/tests/request_queue.rs
@@ -1,33 +1,33 @@
 //! The request queue against a slow plain model, and against loads that nobody could serve.
 
-use cleatfold_ingress::{Class, RequestQueue};
+use cleatfold_ingress::{RequestClass, RequestQueue};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
 /// Every request in one list, looked through for each answer.
 #[derive(Default)]
 struct Model {
-    waiting: Vec<(Class, u64, u32)>,
+    waiting: Vec<(RequestClass, u64, u32)>,
     served: u32,
 }
 
 impl Model {
-    fn of(&self, class: Class) -> impl Iterator<Item = &(Class, u64, u32)> {
+    fn of(&self, class: RequestClass) -> impl Iterator<Item = &(RequestClass, u64, u32)> {
         self.waiting.iter().filter(move |w| w.0 == class)
     }
 
-    fn oldest(&self, class: Class) -> Option<u64> {
+    fn oldest(&self, class: RequestClass) -> Option<u64> {
         self.of(class).map(|w| w.1).min()
     }
 
     fn pop(&mut self, now: u64) -> Option<u32> {
         self.served += 1;
-        let late = |c: Class| self.oldest(c).is_some_and(|at| now - at > c.patience_ms() / 2);
-        let some = || Class::ALL.into_iter().filter(|c| self.oldest(*c).is_some());
+        let late = |c: RequestClass| self.oldest(c).is_some_and(|at| now - at > c.timeout_ms() / 2);
+        let some = || RequestClass::ALL.into_iter().filter(|c| self.oldest(*c).is_some());
         let class = if !some().any(late) {
             some().min_by_key(|c| self.oldest(*c))
         } else if self.served.is_multiple_of(4) {
-            some().max_by_key(|c| (now - self.oldest(*c).unwrap()) * 1000 / c.patience_ms())
+            some().max_by_key(|c| (now - self.oldest(*c).unwrap()) * 1000 / c.timeout_ms())
         } else {
             some().next()
         }?;
@@ -40,7 +40,7 @@
     }
 
     fn expire(&mut self, now: u64) -> Vec<u32> {
-        let gone = |w: &&(Class, u64, u32)| now - w.1 > w.0.patience_ms();
+        let gone = |w: &&(RequestClass, u64, u32)| now - w.1 > w.0.timeout_ms();
         let mut numbers: Vec<u32> = self.waiting.iter().filter(gone).map(|w| w.2).collect();
         numbers.sort_unstable();
         self.waiting.retain(|w| !gone(&w));
@@ -59,7 +59,7 @@
             // More comes than is served, for a while, and then less.
             for _ in 0..rng.random_range(0..if number % 900 < 500 { 4 } else { 2 }) {
                 number += 1;
-                let class = Class::ALL[rng.random_range(0..4)];
+                let class = RequestClass::ALL[rng.random_range(0..4)];
                 assert!(request_queue.push(class, now, number).is_none());
                 model.waiting.push((class, now, number));
             }
@@ -84,7 +84,7 @@
     request_queue: impl Fn(&mut RequestQueue<(u64, bool)>, u64) -> Option<(u64, bool)>,
 ) -> [f64; 2] {
     const SERVED_MS: u64 = 10;
-    let class = Class::Ask;
+    let class = RequestClass::UserRequest;
     let mut waiting = RequestQueue::default();
     let mut again: Vec<u64> = Vec::new();
     let mut owed = 0.0;
@@ -106,11 +106,11 @@
             _ if now % 50 == 0 => waiting.expired(now),
             _ => vec![],
         };
-        again.extend(late.iter().map(|(_, (at, _))| at + class.patience_ms() + 1000));
+        again.extend(late.iter().map(|(_, (at, _))| at + class.timeout_ms() + 1000));
         let Some((at, _)) = request_queue(&mut waiting, now) else { continue };
-        match now - at <= class.patience_ms() {
+        match now - at <= class.timeout_ms() {
             true => good[usize::from(!overloaded)] += 1.0,
-            false => again.push(at + class.patience_ms() + 1000),
+            false => again.push(at + class.timeout_ms() + 1000),
         }
     }
     [good[0] / 60.0, good[1] / 10.0]
@@ -130,15 +130,18 @@
 #[test]
 fn nobody_starves_and_a_full_queue_rejects_the_oldest() {
     let mut request_queue = RequestQueue::default();
-    for at in 0..Class::Poll.bound() as u64 {
-        assert!(request_queue.push(Class::Poll, at, (Class::Poll, at)).is_none());
+    for at in 0..RequestClass::Poll.queue_limit() as u64 {
+        assert!(request_queue.push(RequestClass::Poll, at, (RequestClass::Poll, at)).is_none());
     }
-    assert_eq!(request_queue.push(Class::Poll, 5000, (Class::Poll, 5000)), Some((Class::Poll, 0)));
+    assert_eq!(
+        request_queue.push(RequestClass::Poll, 5000, (RequestClass::Poll, 5000)),
+        Some((RequestClass::Poll, 0))
+    );
     // Workers are pressed all the time: one answer in four still goes to who waits longest.
     let mut polls = 0;
     for i in 0..400 {
-        request_queue.push(Class::Busy, 3000, (Class::Busy, i));
-        polls += u32::from(request_queue.pop(5200).is_some_and(|p| p.0 == Class::Poll));
+        request_queue.push(RequestClass::BusyHeartbeat, 3000, (RequestClass::BusyHeartbeat, i));
+        polls += u32::from(request_queue.pop(5200).is_some_and(|p| p.0 == RequestClass::Poll));
     }
     assert!((90..=110).contains(&polls), "{polls}");
 }
--- a/crates/cleatfold-roles/src/role.rs
+++ b/crates/cleatfold-roles/src/role.rs
@@ -3,18 +3,18 @@
 /// What one controller does for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
-    /// Dealing pools to controllers and sending jobs to pools.
+    /// Assigning pools to controllers and sending jobs to pools.
     PoolAssignment,
     /// Requests machines from the cloud.
     ScaleOut,
-    /// Removing what nothing refers to any more.
+    /// Removing records that nothing refers to any more.
     GarbageCollection,
     /// Deciding what is done about overload that lasts.
     OverloadQuota,
 }
 
 const KEYS: [(Role, &str); 4] = [
-    // The name that the whole of them had when one controller had them all.
+    // The key of the time when one controller had all roles.
     (Role::PoolAssignment, "cf/leader"),
     (Role::ScaleOut, "cf/duty/rent"),
     (Role::GarbageCollection, "cf/duty/tidy"),
--- a/crates/cleatfold-roles/src/role_assignment.rs
+++ b/crates/cleatfold-roles/src/role_assignment.rs
@@ -54,7 +54,7 @@
         me: &ControllerId,
         mine: impl Fn(Role) -> bool,
     ) -> Option<Role> {
-        // Dealing stays: whoever deals knows what it has just assigned.
+        // Pool assignment stays: its holder knows what it has just assigned.
         let mine = Role::ALL.iter().filter(|d| **d != Role::PoolAssignment && mine(**d));
         self.vacancies.give(now, mine, |role, live| rank(*role, me, live))
     }
--- a/crates/cleatfold-testbed/src/capacity/measure.rs
+++ b/crates/cleatfold-testbed/src/capacity/measure.rs
@@ -179,7 +179,7 @@
             events,
             told,
             tell,
-            http: Http::anywhere(),
+            http: Http::without_endpoint(),
             rng: SmallRng::seed_from_u64(plan.seed),
             next_job: 1,
             next_arrival: Instant::now(),
--- a/crates/cleatfold-testbed/src/elastic.rs
+++ b/crates/cleatfold-testbed/src/elastic.rs
@@ -128,7 +128,7 @@
         for i in 0..count {
             controllers.start(i)?;
         }
-        let up = Up { controllers, region, http: Http::anywhere(), entries };
+        let up = Up { controllers, region, http: Http::without_endpoint(), entries };
         let since = Instant::now();
         while up.call(Method::GET, "/ready", None).await.is_none_or(|a| a.0 != 200) {
             if since.elapsed() > Duration::from_secs(30) {
--- a/crates/cleatfold-testbed/src/region.rs
+++ b/crates/cleatfold-testbed/src/region.rs
@@ -129,7 +129,7 @@
         changes: 0,
         budget: 0.0,
         changes_per_s,
-        http: Http::anywhere(),
+        http: Http::without_endpoint(),
         me: me.clone(),
         own,
     };
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use cleatfold_clients::{cloud, mesh, store, workers};
 use cleatfold_control::{Controller, Effect, Event, Request, Response};
-use cleatfold_ingress::{Class, Level, PollSchedule, Pressure, RequestQueue};
+use cleatfold_ingress::{Level, PollSchedule, Pressure, RequestClass, RequestQueue};
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::worker::RawHeartbeat;
 use cleatfold_wire::{ControllerId, JobId, Ms};
@@ -23,51 +23,53 @@
 
 const TICK: Duration = Duration::from_millis(50);
 
-/// Asks that are handled before others have a turn to send or receive.
-const AT_ONCE: u32 = 32;
+/// Requests that are processed before other tasks have a turn to send or receive.
+const MAX_BATCH: u32 = 32;
 
-/// What the door hands in.
-pub(crate) struct Ask {
+/// A request that the HTTP server hands to the core.
+pub(crate) struct IncomingRequest {
     pub arrived: Instant,
-    pub what: Asked,
+    pub payload: RequestPayload,
     pub answer: oneshot::Sender<Response>,
 }
 
-pub(crate) enum Asked {
+pub(crate) enum RequestPayload {
     Request(Request),
     Heartbeat(RawHeartbeat),
 }
 
-impl Asked {
-    fn class(&self) -> Class {
+impl RequestPayload {
+    fn class(&self) -> RequestClass {
         match self {
-            Asked::Heartbeat(report) if report.lists_tasks() => Class::Busy,
-            Asked::Heartbeat(_) => Class::Idle,
-            Asked::Request(Request::Poll(_)) => Class::Poll,
-            Asked::Request(_) => Class::Ask,
+            RequestPayload::Heartbeat(heartbeat) if heartbeat.lists_tasks() => {
+                RequestClass::BusyHeartbeat
+            }
+            RequestPayload::Heartbeat(_) => RequestClass::IdleHeartbeat,
+            RequestPayload::Request(Request::Poll(_)) => RequestClass::Poll,
+            RequestPayload::Request(_) => RequestClass::UserRequest,
         }
     }
 }
 
-/// What the core last said of itself: enough to answer some at the door.
+/// What the core last said of itself: enough for the HTTP server to answer some requests alone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Vitals {
+pub(crate) struct CoreStatus {
     pub ready: bool,
     /// Under pressure polls are turned away unread when it is not their job's turn.
     pub level: Level,
 }
 
-/// The core as the door knows it.
+/// The HTTP server's way to the core.
 #[derive(Clone)]
-pub(crate) struct Core {
-    pub asks: mpsc::UnboundedSender<Ask>,
-    pub vitals: watch::Receiver<Vitals>,
+pub(crate) struct CoreHandle {
+    pub requests: mpsc::UnboundedSender<IncomingRequest>,
+    pub status: watch::Receiver<CoreStatus>,
 }
 
 struct OutgoingChannels {
-    store: mpsc::UnboundedSender<store::Job>,
-    cloud: mpsc::UnboundedSender<cloud::Job>,
-    workers: mpsc::UnboundedSender<workers::Job>,
+    store: mpsc::UnboundedSender<store::StoreCall>,
+    cloud: mpsc::UnboundedSender<cloud::CloudCall>,
+    workers: mpsc::UnboundedSender<workers::WorkerCall>,
     mesh: HashMap<ControllerId, mpsc::Sender<Bytes>>,
     answers: HashMap<u64, oneshot::Sender<Response>>,
     /// Why this process has to end.
@@ -75,7 +77,7 @@
 }
 
 impl OutgoingChannels {
-    fn carry_out(&mut self, effect: Effect) {
+    fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Reply { rid, response } => {
                 if let Some(answer) = self.answers.remove(&rid) {
@@ -84,19 +86,19 @@
                 }
             }
             Effect::Store { op, priority, request } => {
-                let _ = self.store.send(store::Job { op, priority, request });
+                let _ = self.store.send(store::StoreCall { op, priority, request });
             }
             Effect::Cloud { op, request, spacing_ms } => {
                 let spacing = Duration::from_millis(spacing_ms);
-                let _ = self.cloud.send(cloud::Job { op, request, spacing });
+                let _ = self.cloud.send(cloud::CloudCall { op, request, spacing });
             }
             Effect::Order { machine, endpoint, orders } => {
-                let what = workers::Call::Orders(orders);
-                let _ = self.workers.send(workers::Job { machine, endpoint, what });
+                let request = workers::WorkerRequest::Orders(orders);
+                let _ = self.workers.send(workers::WorkerCall { machine, endpoint, request });
             }
             Effect::Probe { machine, endpoint } => {
-                let what = workers::Call::Inspect;
-                let _ = self.workers.send(workers::Job { machine, endpoint, what });
+                let request = workers::WorkerRequest::Inspect;
+                let _ = self.workers.send(workers::WorkerCall { machine, endpoint, request });
             }
             Effect::Mesh { to, message } => self.send(to, &message),
             Effect::Refuse { why } => self.refused = Some(why),
@@ -114,11 +116,11 @@
 }
 
 pub(crate) async fn serve(settings: Settings, operator: OperatorSettings) -> std::io::Result<()> {
-    // What the services we use and our peers say comes in apart from what is asked of us: a controller
-    // that has more to answer than it can must still hear that its own lease was renewed.
+    // Replies of the services and messages of peers have a channel of their own: a controller with more
+    // requests than it can answer must still learn that its own lease was renewed.
     let (events, inner) = mpsc::unbounded_channel::<Event>();
-    let (asks, asked) = mpsc::unbounded_channel::<Ask>();
-    let (say, vitals) = watch::channel(Vitals { ready: false, level: Level::Calm });
+    let (requests, incoming) = mpsc::unbounded_channel::<IncomingRequest>();
+    let (status_sender, status) = watch::channel(CoreStatus { ready: false, level: Level::Calm });
     let listener = TcpListener::bind(settings.listen).await?;
     let mesh_listener = TcpListener::bind(settings.mesh_listen).await?;
     let outgoing = spawn_clients(&settings, &events, mesh_listener);
@@ -126,7 +128,7 @@
         sockets: settings.sockets(),
         idle: settings.idle_connection(),
     };
-    tokio::task::spawn_local(crate::serve::run(listener, Core { asks, vitals }, limits));
+    tokio::task::spawn_local(crate::serve::run(listener, CoreHandle { requests, status }, limits));
 
     let mut config = settings.control();
     operator.apply(&mut config);
@@ -140,10 +142,10 @@
         poll_schedule: PollSchedule::default(),
         polls: HashMap::new(),
         announced_level: Level::Calm,
-        say,
+        status_sender,
         next_rid: 0,
     }
-    .run(inner, asked)
+    .run(inner, incoming)
     .await
 }
 
@@ -154,14 +156,14 @@
     events: &mpsc::UnboundedSender<Event>,
     mesh_listener: TcpListener,
 ) -> OutgoingChannels {
-    let (store_queue, store_jobs) = mpsc::unbounded_channel();
-    let (cloud_queue, cloud_jobs) = mpsc::unbounded_channel();
-    let (worker_queue, worker_jobs) = mpsc::unbounded_channel();
+    let (store_queue, store_calls) = mpsc::unbounded_channel();
+    let (cloud_queue, cloud_calls) = mpsc::unbounded_channel();
+    let (worker_queue, worker_calls) = mpsc::unbounded_channel();
     let to_core = events.clone();
     tokio::task::spawn_local(store::run(
         settings.endpoints.state.to_string(),
         settings.store_budget(),
-        store_jobs,
+        store_calls,
         move |op, reply| {
             let _ = to_core.send(Event::Store { op, reply });
         },
@@ -169,16 +171,16 @@
     let to_core = events.clone();
     tokio::task::spawn_local(cloud::run(
         settings.endpoints.cloud.to_string(),
-        cloud_jobs,
+        cloud_calls,
         move |op, reply| {
             let _ = to_core.send(Event::Cloud { op, reply });
         },
     ));
     let to_core = events.clone();
-    tokio::task::spawn_local(workers::run(worker_jobs, move |machine, result| {
-        let _ = to_core.send(match result {
-            workers::CallResult::Ordered(report) => Event::Ordered { machine, heartbeat: report },
-            workers::CallResult::Inspected(answer) => Event::Probed { machine, answer },
+    tokio::task::spawn_local(workers::run(worker_calls, move |machine, reply| {
+        let _ = to_core.send(match reply {
+            workers::WorkerReply::Ordered(heartbeat) => Event::Ordered { machine, heartbeat },
+            workers::WorkerReply::Inspected(answer) => Event::Probed { machine, answer },
         });
     }));
     let to_core = events.clone();
@@ -216,13 +218,13 @@
     controller: Controller,
     outgoing: OutgoingChannels,
     start: Instant,
-    request_queue: RequestQueue<Ask>,
+    request_queue: RequestQueue<IncomingRequest>,
     pressure: Pressure,
     poll_schedule: PollSchedule,
     /// Questions that are being answered.
     polls: HashMap<u64, JobId>,
     announced_level: Level,
-    say: watch::Sender<Vitals>,
+    status_sender: watch::Sender<CoreStatus>,
     next_rid: u64,
 }
 
@@ -230,7 +232,7 @@
     async fn run(
         mut self,
         mut inner: mpsc::UnboundedReceiver<Event>,
-        mut asked: mpsc::UnboundedReceiver<Ask>,
+        mut incoming: mpsc::UnboundedReceiver<IncomingRequest>,
     ) -> std::io::Result<()> {
         let mut next_tick = Instant::now();
         let mut handled = 0;
@@ -241,18 +243,18 @@
             while let Ok(event) = inner.try_recv() {
                 self.handle(event);
             }
-            while let Ok(ask) = asked.try_recv() {
-                self.take(ask);
+            while let Ok(request) = incoming.try_recv() {
+                self.enqueue(request);
             }
             let now = Instant::now();
             if now >= next_tick {
                 self.tick(now - next_tick);
                 next_tick = now + TICK;
             }
-            if let Some(ask) = self.request_queue.pop(self.millis(now)) {
-                self.work_on(ask);
+            if let Some(request) = self.request_queue.pop(self.millis(now)) {
+                self.process(request);
                 handled += 1;
-                if handled % AT_ONCE == 0 {
+                if handled % MAX_BATCH == 0 {
                     tokio::task::yield_now().await;
                 }
                 continue;
@@ -263,8 +265,8 @@
                     Some(event) => self.handle(event),
                     None => return Ok(()),
                 },
-                ask = asked.recv() => match ask {
-                    Some(ask) => self.take(ask),
+                request = incoming.recv() => match request {
+                    Some(request) => self.enqueue(request),
                     None => return Ok(()),
                 },
                 _ = tokio::time::sleep_until(next_tick) => {}
@@ -287,16 +289,16 @@
                     self.poll_schedule.give_back(job.as_str());
                 }
             }
-            self.outgoing.carry_out(effect);
+            self.outgoing.perform(effect);
         }
     }
 
     fn tick(&mut self, late: Duration) {
         let now = self.millis(Instant::now());
-        for (class, ask) in self.request_queue.expired(now) {
+        for (class, request) in self.request_queue.expired(now) {
             // Its asker has left, or will have before an answer could be there.
             tracing::debug!(?class, "request expired");
-            self.turn_away(ask);
+            self.shed(request);
         }
         self.pressure.note(now, late.as_millis() as u64, self.request_queue.oldest_ms(now));
         if self.pressure.level() != self.announced_level {
@@ -305,42 +307,44 @@
             self.controller.set_backpressure(self.pressure.backpressure());
         }
         self.handle(Event::Tick);
-        let vitals = Vitals { ready: self.controller.is_ready(), level: self.pressure.level() };
-        self.say.send_if_modified(|known| std::mem::replace(known, vitals) != vitals);
+        let status = CoreStatus { ready: self.controller.is_ready(), level: self.pressure.level() };
+        self.status_sender.send_if_modified(|known| std::mem::replace(known, status) != status);
     }
 
-    fn take(&mut self, ask: Ask) {
-        let arrived = self.millis(ask.arrived);
-        if let Some(turned) = self.request_queue.push(ask.what.class(), arrived, ask) {
-            self.turn_away(turned);
+    fn enqueue(&mut self, request: IncomingRequest) {
+        let arrived = self.millis(request.arrived);
+        let class = request.payload.class();
+        if let Some(displaced) = self.request_queue.push(class, arrived, request) {
+            self.shed(displaced);
         }
     }
 
-    fn turn_away(&self, ask: Ask) {
+    fn shed(&self, request: IncomingRequest) {
         let retry = self.pressure.retry_after_s(&mut rand::rng());
         let why = "more is asked than can be answered".to_string();
-        let _ = ask.answer.send(Response::Refusal { code: 503, why, retry_after_s: Some(retry) });
+        let _ =
+            request.answer.send(Response::Refusal { code: 503, why, retry_after_s: Some(retry) });
     }
 
-    fn work_on(&mut self, ask: Ask) {
-        // Whoever has hung up is not worked for.
-        if ask.answer.is_closed() {
+    fn process(&mut self, request: IncomingRequest) {
+        // The asker has hung up.
+        if request.answer.is_closed() {
             return;
         }
-        if let Asked::Request(Request::Poll(job)) = &ask.what {
+        if let RequestPayload::Request(Request::Poll(job)) = &request.payload {
             if !self.poll_schedule.take(job.as_str(), self.pressure.level(), wall_ms()) {
-                return self.turn_away(ask);
+                return self.shed(request);
             }
         }
         self.next_rid += 1;
         let rid = self.next_rid;
-        if let Asked::Request(Request::Poll(job)) = &ask.what {
+        if let RequestPayload::Request(Request::Poll(job)) = &request.payload {
             self.polls.insert(rid, job.clone());
         }
-        self.outgoing.answers.insert(rid, ask.answer);
-        self.handle(match ask.what {
-            Asked::Request(request) => Event::Request { rid, request },
-            Asked::Heartbeat(report) => Event::Heartbeat { rid, heartbeat: report },
+        self.outgoing.answers.insert(rid, request.answer);
+        self.handle(match request.payload {
+            RequestPayload::Request(request) => Event::Request { rid, request },
+            RequestPayload::Heartbeat(heartbeat) => Event::Heartbeat { rid, heartbeat },
         });
     }
 }
--- a/crates/cleatfold/src/serve.rs
+++ b/crates/cleatfold/src/serve.rs
@@ -1,6 +1,6 @@
 //! The HTTP server: turns requests into messages to the core and its answers into responses.
 
-use crate::actor::{Ask, Asked, Core};
+use crate::actor::{CoreHandle, IncomingRequest, RequestPayload};
 use bytes::{Buf, Bytes, BytesMut};
 use cleatfold_control::{Request, Response, TeamAsk};
 use cleatfold_ingress::{ConnectionId, ConnectionTable, PollSchedule};
@@ -45,7 +45,7 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts connections and owns the table of them.
-pub(crate) async fn run(listener: TcpListener, core: Core, limits: ServerLimits) {
+pub(crate) async fn run(listener: TcpListener, core: CoreHandle, limits: ServerLimits) {
     let (events, mut heard) = mpsc::unbounded_channel();
     let mut connections = ConnectionTable::new(limits.sockets, limits.idle.as_millis() as u64);
     let mut leave: HashMap<ConnectionId, oneshot::Sender<()>> = HashMap::new();
@@ -69,8 +69,8 @@
                     let (id, leaves) = connections.open(millis());
                     let (asked_to, told_to) = oneshot::channel();
                     leave.insert(id, asked_to);
-                    let visit = Visit { id, core: core.clone(), events: events.clone() };
-                    tokio::task::spawn_local(visit.run(stream, told_to));
+                    let connection = Connection { id, core: core.clone(), events: events.clone() };
+                    tokio::task::spawn_local(connection.run(stream, told_to));
                     if let Some(other) = leaves {
                         tracing::debug!(connections = connections.len(), "connection limit reached: closing one");
                         // Its seat is free at once: the next one that comes in the same burst
@@ -95,13 +95,13 @@
 
 /// One connection.
 #[derive(Clone)]
-struct Visit {
+struct Connection {
     id: ConnectionId,
-    core: Core,
+    core: CoreHandle,
     events: mpsc::UnboundedSender<ConnectionEvent>,
 }
 
-impl Visit {
+impl Connection {
     /// Serves until either side closes, or until `leave` is dropped.
     async fn run(self, stream: TcpStream, leave: oneshot::Receiver<()>) {
         let _ = stream.set_nodelay(true);
@@ -129,8 +129,8 @@
                  query: String,
                  length: Option<u64>,
                  body,
-                 visit: Visit| async move {
-                    visit.answer(method, path, query, length, body).await
+                 connection: Connection| async move {
+                    connection.answer(method, path, query, length, body).await
                 },
             )
             .recover(|refusal: warp::Rejection| async move {
@@ -165,15 +165,15 @@
 
     /// What needs no turn at the core: readiness, and polls that are turned away.
     fn answer_without_core(&self, path: &str) -> Option<Reply> {
-        let vitals = *self.core.vitals.borrow();
+        let status = *self.core.status.borrow();
         if path == "/ready" {
-            return Some(match vitals.ready {
+            return Some(match status.ready {
                 true => render(Response::Ready),
                 false => render(Response::later("this node is not ready")),
             });
         }
         let job = path.strip_prefix("/v1/jobs/")?;
-        PollSchedule::wait_ms(job, vitals.level, crate::actor::wall_ms()).map(|ms| {
+        PollSchedule::wait_ms(job, status.level, crate::actor::wall_ms()).map(|ms| {
             let why = "more is asked than can be answered".to_string();
             let retry_after_s = Some(ms.div_ceil(1000) as u32);
             render(Response::Refusal { code: 503, why, retry_after_s })
@@ -204,7 +204,7 @@
     Ok(all.freeze())
 }
 
-async fn route(method: &Method, path: &str, query: &str, body: &[u8], core: &Core) -> Reply {
+async fn route(method: &Method, path: &str, query: &str, body: &[u8], core: &CoreHandle) -> Reply {
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     let wanted = match parts.as_slice() {
         ["v1", "jobs"] | ["v1", "jobs", _, "withdraw" | "steps"] | ["hello"] => Method::POST,
@@ -221,7 +221,7 @@
     }
     match parts.as_slice() {
         ["hello"] => match serde_json::from_slice::<RawHeartbeat>(body) {
-            Ok(report) => ask(core, Asked::Heartbeat(report)).await,
+            Ok(report) => send_to_core(core, RequestPayload::Heartbeat(report)).await,
             Err(error) => problem(400, &format!("not a report: {error}")),
         },
         ["v1", "jobs"] => match JobSpec::from_json(body) {
@@ -259,13 +259,13 @@
     pairs.find(|(name, _)| *name == "since").map_or(Some(0), |(_, number)| number.parse().ok())
 }
 
-async fn ask_core(core: &Core, request: Request) -> Reply {
-    ask(core, Asked::Request(request)).await
+async fn ask_core(core: &CoreHandle, request: Request) -> Reply {
+    send_to_core(core, RequestPayload::Request(request)).await
 }
 
-async fn ask(core: &Core, what: Asked) -> Reply {
+async fn send_to_core(core: &CoreHandle, payload: RequestPayload) -> Reply {
     let (answer, response) = oneshot::channel();
-    if core.asks.send(Ask { arrived: Instant::now(), what, answer }).is_err() {
+    if core.requests.send(IncomingRequest { arrived: Instant::now(), payload, answer }).is_err() {
         return problem(503, "stopping");
     }
     match response.await {
