--- a/crates/cleatfold-admission/tests/long_work_limit.rs
+++ b/crates/cleatfold-admission/tests/long_work_limit.rs
@@ -11,7 +11,7 @@
 /// The day that showed it: twelve teams ask for most of the region in short tasks, and a guest
 /// comes with six jobs that run for minutes.
 #[test]
-fn a_guests_night_runs_leave_the_residents_theirs() {
+fn long_jobs_of_one_team_leave_capacity_to_the_others() {
     let mut all: BTreeMap<String, Vec<Asks<u8>>> =
         (0..12).map(|i| (format!("team-{i}"), asks(3, 1_200.0, 45.0))).collect();
     let guest = "guest".to_string();
--- a/crates/cleatfold-cancellation-broadcast/tests/broadcast.rs
+++ b/crates/cleatfold-cancellation-broadcast/tests/broadcast.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn nobody_is_told_twice_what_he_acknowledged_nor_what_he_has_read() {
+fn cancellations_are_not_repeated_once_acknowledged_or_read() {
     let mut broadcast = CancellationBroadcast::default();
     let (owner, other) = (controller(1), controller(2));
     broadcast.confirmed(
--- a/crates/cleatfold-control/tests/answer_order.rs
+++ b/crates/cleatfold-control/tests/answer_order.rs
@@ -226,7 +226,7 @@
 /// Each kind of change is carried out at once and its answer lost, while users ask, repeat the submission and cancel at
 /// all controllers.
 #[test]
-fn what_was_carried_out_without_an_answer_is_told_alike_by_all() {
+fn all_controllers_agree_on_a_transaction_whose_reply_was_lost() {
     #[derive(Clone, Copy, Debug, PartialEq)]
     enum Lost {
         Acceptance,
--- a/crates/cleatfold-control/tests/late_reports.rs
+++ b/crates/cleatfold-control/tests/late_reports.rs
@@ -57,7 +57,7 @@
 /// A controller that its workers do not reach took their old reports for a sign of them: it kept its
 /// pools for 13.5 s and more, for as long as copies came.
 #[test]
-fn copies_do_not_make_a_lost_zone_look_reachable() {
+fn duplicate_heartbeats_do_not_make_a_lost_zone_reachable() {
     for seed in 1..4 {
         let mut world = busy(seed, 8.0);
         let cut = world.most().expect("somebody holds workers");
--- a/crates/cleatfold-control/tests/late_transactions.rs
+++ b/crates/cleatfold-control/tests/late_transactions.rs
@@ -388,7 +388,7 @@
 /// A role that is taken late by a controller that is still there is held once, as any; a controller that is gone has no
 /// lease to take it under.
 #[test]
-fn a_late_taking_of_a_duty_is_under_a_lease_that_stands_or_refused() {
+fn a_late_role_acquisition_is_refused_or_under_a_valid_lease() {
     for gone in [false, true] {
         let mut world = World::sized(4, false, Size { most_jobs: 0, ..Size::SMALL });
         keep(&mut world, Purpose::AcquireRole);
--- a/crates/cleatfold-control/tests/losses.rs
+++ b/crates/cleatfold-control/tests/losses.rs
@@ -37,7 +37,7 @@
 
 /// A third of the machines and all controllers fall within the same second.
 #[test]
-fn every_run_that_was_lost_is_told_to_its_team_even_when_all_fall_together() {
+fn every_lost_run_is_reported_to_its_team_even_if_all_machines_fail_together() {
     for seed in [3, 4] {
         let mut world = World::sized(seed, false, Size { most_jobs: 0, ..Size::GROWN });
         world.run(Ms(8000));
--- a/crates/cleatfold-control/tests/quota.rs
+++ b/crates/cleatfold-control/tests/quota.rs
@@ -243,7 +243,7 @@
 /// More work than room, urgent and not, while the state service answers slowly: at least half of each class, team and size
 /// is served, and the largest jobs begin within four minutes.
 #[test]
-fn everybody_is_served_when_there_is_more_work_than_room_over_slow_links() {
+fn every_team_is_served_under_overload_over_slow_links() {
     for seed in 90..93u64 {
         let size = Size { machines: 6, most_jobs: 0, ..Size::SMALL };
         let mut world = World::sized(seed, false, size);
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_team_is_told_of_its_own_jobs_and_of_nobody_else() {
+fn a_team_sees_its_own_jobs_and_no_others() {
     let mut world = World::sized(21, false, Size { most_jobs: 0, limit_cpus: 8.0, ..Size::SMALL });
     world.run(Ms(8000));
     let mut specs: Vec<JobSpec> = Vec::new();
@@ -312,7 +312,7 @@
 
 /// A head that a foreign hand has spoilt stops that team's history, and only that; nothing writes over it.
 #[test]
-fn what_cannot_be_read_stops_its_own_workspace_alone() {
+fn an_unreadable_record_affects_only_its_own_workspace() {
     let mut world = World::sized(31, false, BUSY);
     world.run(Ms(40_000));
     let key = history_head_key(&TeamId::new("free"));
--- a/crates/cleatfold-ingress/tests/parts.rs
+++ b/crates/cleatfold-ingress/tests/parts.rs
@@ -33,7 +33,7 @@
 
 /// A controller full of connections made room for none of its own: its lease ran out.
 #[test]
-fn room_is_made_for_new_connections_and_some_is_always_left() {
+fn the_connection_table_closes_idle_connections_for_new_ones() {
     let mut connections = ConnectionTable::new(100, 30_000);
     let ids: Vec<_> = (0..84).map(|i| connections.open(i).0).collect();
     assert_eq!(connections.len(), 84);
--- a/crates/cleatfold-ingress/tests/poll_schedule.rs
+++ b/crates/cleatfold-ingress/tests/poll_schedule.rs
@@ -9,7 +9,7 @@
 /// to 5.8 s, whoever answers, and take no notice of when to come back. Drawn anew for each question (nine of ten
 /// refused) a fifth of the jobs heard nothing for 75 s.
 #[test]
-fn every_job_is_told_about_in_each_round_whoever_is_asked() {
+fn each_round_answers_polls_of_every_job_at_any_controller() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut answered = 0;
     let mut asked = 0;
--- a/crates/cleatfold-priority/tests/explored.rs
+++ b/crates/cleatfold-priority/tests/explored.rs
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn in_no_order_of_events_goes_the_room_to_somebody_else() {
+fn preempted_capacity_goes_to_its_beneficiary_in_any_order_of_events() {
     let (broken, states) = explore(ALL, None);
     assert!(broken.is_empty(), "{broken:?} in {states} states");
     assert!(states > 1000, "only {states} states");
--- a/crates/cleatfold-priority/tests/model.rs
+++ b/crates/cleatfold-priority/tests/model.rs
@@ -18,7 +18,7 @@
 
 proptest! {
     #[test]
-    fn moments_never_go_back_and_are_no_worse_than_the_worst_clock(
+    fn acceptance_times_never_decrease_and_err_no_more_than_the_worst_clock(
         pauses in prop::collection::vec(0..500u64, 1..40),
         off in prop::collection::vec(0..20_000u64, 40),
     ) {
--- a/crates/cleatfold-reachability/tests/reachability.rs
+++ b/crates/cleatfold-reachability/tests/reachability.rs
@@ -211,7 +211,7 @@
 /// sent after it was first asked, moves the pool. (Copies younger than the pause between two reports
 /// moved pools 7 to 12 times a minute.)
 #[test]
-fn a_pool_stays_where_its_zone_is_heard_unless_a_worker_is_astray_twice() {
+fn a_pool_keeps_an_owner_that_reaches_its_zone_unless_a_worker_is_misdirected_twice() {
     let (pool, owner) = (PoolId::parse("small/a").expect("a pool"), controller(0));
     let number = |n| (AgentEpoch(1), Seq(n));
     let (yes, no) = (|_: &PoolId, _: &ControllerId| true, |_: &PoolId, _: &ControllerId| false);
