--- a/crates/cleatfold-control/tests/boots.rs
+++ b/crates/cleatfold-control/tests/boots.rs
@@ -89,12 +89,12 @@
                 submit(&mut world, fell as usize + 1);
             }
             // The renter ends with the answer to a rental on its way.
-            if seed % 5 == 4 && world.cloud.asked.len() > asked && asked < 4 {
+            if seed % 5 == 4 && world.cloud.scale_out_log.len() > asked && asked < 4 {
                 if let Some(renter) = holder(&world, Role::ScaleOut) {
                     world.crash(renter, back_ms);
                 }
             }
-            asked = world.cloud.asked.len();
+            asked = world.cloud.scale_out_log.len();
         }
         met += fell;
         ends_well(&mut world, 400_000, &format!("seed {seed} {falls:?}"));
@@ -128,12 +128,12 @@
             run_for(&mut world, 50);
         }
         others += usize::from(owner != holder(&world, Role::ScaleOut));
-        let asked = world.cloud.asked.len();
+        let asked = world.cloud.scale_out_log.len();
         let mut spec = plain(&mut world, 1, 3.0);
         spec.zone = Some(zone);
         world.submit(0, spec);
         let from = world.now;
-        while world.cloud.asked.len() == asked {
+        while world.cloud.scale_out_log.len() == asked {
             run_for(&mut world, 50);
             let waited_ms = world.now.since(from);
             assert!(waited_ms < 15_000, "seed {seed}: nothing is rented");
--- a/crates/cleatfold-control/tests/commands.rs
+++ b/crates/cleatfold-control/tests/commands.rs
@@ -38,7 +38,7 @@
 }
 
 fn report(world: &mut World, machine: &MachineId) -> Heartbeat {
-    world.workers.get_mut(machine).expect("it is there").report()
+    world.workers.get_mut(machine).expect("it is there").heartbeat()
 }
 
 fn deliver_now(world: &mut World, report: &Heartbeat) {
@@ -89,7 +89,7 @@
         world.submit(0, first);
         run_for(&mut world, 18_000);
         let before: BTreeMap<MachineId, Heartbeat> =
-            world.workers.iter_mut().map(|(id, w)| (id.clone(), w.report())).collect();
+            world.workers.iter_mut().map(|(id, w)| (id.clone(), w.heartbeat())).collect();
         let spec = plain(&mut world, 1, 100.0);
         let task = TaskId { job: spec.id.clone(), ix: TaskIx(0) };
         world.submit(1, spec);
--- a/crates/cleatfold-control/tests/image_distribution.rs
+++ b/crates/cleatfold-control/tests/image_distribution.rs
@@ -173,11 +173,11 @@
         let id = world.workers.keys().next().expect("one").clone();
         let now = world.now;
         let worker = world.workers.get_mut(&id).expect("there");
-        let lost = worker.begin_anew(now);
+        let lost = worker.restart(now);
         let tasks: BTreeSet<TaskId> = lost
             .into_iter()
             .filter_map(|h| match h {
-                cleatfold_fakes::worker::Happening::Dropped(task) => Some(task),
+                cleatfold_fakes::worker::WorkerEvent::LeaseExpired(task) => Some(task),
                 _ => None,
             })
             .collect();
--- a/crates/cleatfold-control/tests/late_reports.rs
+++ b/crates/cleatfold-control/tests/late_reports.rs
@@ -110,7 +110,7 @@
         let mut most = world.workers.len();
         while world.workers.len() * 2 > most && world.now < Ms(120_000) {
             for (id, w) in &mut world.workers {
-                last.insert(id.clone(), w.report());
+                last.insert(id.clone(), w.heartbeat());
             }
             run_for(&mut world, 1_000);
             most = most.max(world.workers.len());
@@ -156,7 +156,7 @@
         let pool = world.pool_of(&machine).expect("there");
         let owner = world.holder(&pool).expect("held");
         let worker = world.workers.get_mut(&machine).expect("there");
-        let reports: Vec<_> = (0..15).map(|_| worker.report()).collect();
+        let reports: Vec<_> = (0..15).map(|_| worker.heartbeat()).collect();
         world.at(0, SimulationEvent::Die(machine.clone()));
         world.crash(owner, 10_000);
         for (i, report) in reports.into_iter().enumerate().filter(|_| copies) {
@@ -290,7 +290,7 @@
             let mut world = busy(seed, 90.0);
             let (before, until) = (world.dropped, world.now.plus(for_ms));
             world.outage = until;
-            world.store.renew_all(until);
+            world.store.renew_all_leases(until);
             world.run(until.plus(20_000));
             assert_eq!(world.dropped, before, "seed {seed}: {for_ms} ms cost leases");
             assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
--- a/crates/cleatfold-control/tests/repeats.rs
+++ b/crates/cleatfold-control/tests/repeats.rs
@@ -64,7 +64,7 @@
         let owner = world.holder(&pool).expect("held");
         let claims = world.claims();
         // Never arrived: the task had ended by itself.
-        let mut late = world.workers.get_mut(&machine).expect("there").report();
+        let mut late = world.workers.get_mut(&machine).expect("there").heartbeat();
         for told in &mut late.tasks {
             (told.state, told.why) = (TaskState::Exited, Some(exit));
         }
--- a/crates/cleatfold-control/tests/roles.rs
+++ b/crates/cleatfold-control/tests/roles.rs
@@ -43,14 +43,14 @@
     while world.now < Ms(22_000) {
         let now = world.now;
         world.run(now.plus(5));
-        if !fell && !world.cloud.asked.is_empty() {
+        if !fell && !world.cloud.scale_out_log.is_empty() {
             fell = true;
             let controller = holder(&world, Role::ScaleOut).expect("somebody rents");
             fall(&mut world, controller);
         }
     }
     assert!(fell && world.broken.is_empty(), "{:#?}", world.broken);
-    (world.cloud.asked.iter().map(|a| a.2).sum(), world)
+    (world.cloud.scale_out_log.iter().map(|a| a.2).sum(), world)
 }
 
 /// A new holder knew nothing of what the former one had asked for and was not listed yet, and
@@ -114,14 +114,15 @@
                 for intent in &book.open {
                     intents.entry(intent.name.clone()).or_insert(book.epoch);
                 }
-                for (_, request, _) in &world.cloud.asked[checked..] {
+                for (_, request, _) in &world.cloud.scale_out_log[checked..] {
                     assert!(intents.contains_key(&request.request), "{request:?} was no intent");
                 }
-                checked = world.cloud.asked.len();
+                checked = world.cloud.scale_out_log.len();
             }
         }
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
-        let names: BTreeSet<&String> = world.cloud.asked.iter().map(|a| &a.1.request).collect();
+        let names: BTreeSet<&String> =
+            world.cloud.scale_out_log.iter().map(|a| &a.1.request).collect();
         assert!(names.len() > 6, "seed {seed}: only {} requests", names.len());
         world.run(Ms(220_000));
         assert!(book(&world).open.is_empty(), "all is settled in the end");
--- a/crates/cleatfold-control/tests/seen_token.rs
+++ b/crates/cleatfold-control/tests/seen_token.rs
@@ -34,7 +34,7 @@
     let mut before = BTreeMap::new();
     while world.now < Ms(25_000) {
         let idle = world.workers.iter_mut().filter(|(_, w)| w.tasks.is_empty());
-        before.extend(idle.map(|(id, w)| (id.clone(), w.report())));
+        before.extend(idle.map(|(id, w)| (id.clone(), w.heartbeat())));
         run_for(&mut world, 100);
     }
     (world, before)
@@ -93,7 +93,7 @@
             orders,
             answered: false,
         });
-        let late = world.workers.get_mut(&machine).expect("it is there").report();
+        let late = world.workers.get_mut(&machine).expect("it is there").heartbeat();
         world.hung.insert(machine.clone(), renewed.plus(10_150));
 
         // Its owner orders in the next session what the claim calls for, and ends.
--- a/crates/cleatfold-fakes/src/images.rs
+++ b/crates/cleatfold-fakes/src/images.rs
@@ -7,26 +7,28 @@
 use cleatfold_wire::{Attempt, ImageId, MachineId, Ms, TaskId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// As good as never.
+/// A time that never comes.
 pub const NEVER: Ms = Ms(u64::MAX / 4);
 
 type Key = (TaskId, Attempt);
 
-/// A worker's side: which of its tasks wait for a large image, and what it was told about it.
+/// The worker's side: which of its tasks wait for a large image, and what it was told to fetch.
 #[derive(Default)]
 pub struct Images {
-    /// Smaller images take the usual time. 0: all do.
+    /// Smaller images take the time of `Worker::fetch_ms`. 0: all do.
     pub min_gb: f64,
     /// It knows of sources and lists what it holds.
     pub supports_peer_fetch: bool,
+    /// The images that it holds, whole or in part.
     pub held: Vec<HeldImage>,
     /// By task: the image, and how long it runs once that is there.
     pub waiting: BTreeMap<Key, (ImageId, u64)>,
     /// What it was told to fetch, how large it is and from where, since this was last taken.
-    pub asks: Vec<(ImageId, f64, Vec<String>)>,
+    pub fetch_requests: Vec<(ImageId, f64, Vec<String>)>,
 }
 
 impl Images {
+    /// What its heartbeat says of its images.
     pub fn reported(&self) -> Option<Vec<HeldImage>> {
         self.supports_peer_fetch.then(|| self.held.clone())
     }
@@ -35,6 +37,7 @@
         self.min_gb > 0.0 && gb >= self.min_gb
     }
 
+    /// A task's image is to be fetched from these sources.
     pub fn take_sources(&mut self, image: Option<(ImageId, f64)>, sources: &[String]) {
         let Some((image, gb)) = image.filter(|i| self.is_large(i.1)) else { return };
         // The protocol's workers do not read the field.
@@ -46,10 +49,11 @@
         let others = |h: &HeldImage| h.source.is_some() && h.source.as_ref() != sources.first();
         let moved = !sources.is_empty() && self.held.iter().any(|h| h.image == image && others(h));
         if stuck || !begun || moved {
-            self.asks.push((image, gb, sources));
+            self.fetch_requests.push((image, gb, sources));
         }
     }
 
+    /// Whether a task waits for a large image; if so it is noted.
     pub fn waits(&mut self, key: &Key, spec: &JobSpec, run_ms: u64) -> bool {
         let large = self.is_large(spec.image_gb);
         if large {
@@ -59,37 +63,48 @@
     }
 }
 
-/// What a machine holds, and what it does to others.
-pub struct Holder {
+/// What a machine holds, and how it serves others.
+pub struct ImageHolder {
+    /// Where it is.
     pub zone: ZoneId,
+    /// What it can receive, and send, a second.
     pub gb_per_s: f64,
+    /// What it has space for.
     pub cache_gb: f64,
+    /// The images it holds, with their sizes.
     pub images: BTreeMap<ImageId, (f64, Fetch)>,
     active: Option<ImageId>,
     credit: f64,
     /// Since when the present source is looked at, and what was there then.
     window: (Ms, u32),
-    /// Nothing reaches it, though it reports.
+    /// It reports, but sends nothing.
     pub black_hole: bool,
     /// Part of its rate at which it serves.
     pub speed: f64,
+    /// It sends bytes that are not the image's.
     pub lies: bool,
     /// Asked to exit: takes nobody new, and serves no longer than until then.
     pub leaves: Option<Ms>,
 }
 
 /// All machines' images and the origin.
-pub struct Net {
-    pub holders: BTreeMap<MachineId, Holder>,
+pub struct ImageNetwork {
+    /// All machines.
+    pub holders: BTreeMap<MachineId, ImageHolder>,
+    /// What the origin sends a second.
     pub origin_gb_per_s: f64,
+    /// The size of a piece.
     pub piece_gb: f64,
+    /// How many machines one machine sends to at a time.
     pub uploads: usize,
     serving: BTreeMap<MachineId, BTreeSet<MachineId>>,
-    /// What the origin gave, and the most that was asked of it at a time, in GB (a second).
+    /// What the origin has sent.
     pub origin_gb: f64,
-    /// What came to machines, from wherever, and was what it should be.
+    /// What machines have received, from wherever, that was what it should be.
     pub moved_gb: f64,
+    /// The most that was asked of the origin at a time.
     pub asked_gb_per_s: f64,
+    /// Pieces that were not what they should be.
     pub wrong: u32,
 }
 
@@ -99,7 +114,8 @@
 /// A source that has not begun itself is waited for.
 const BEGIN_MS: u64 = 25_000;
 
-impl Net {
+impl ImageNetwork {
+    /// A network without machines.
     pub fn new(origin_gb_per_s: f64, uploads: usize) -> Self {
         Self {
             holders: BTreeMap::new(),
@@ -114,8 +130,9 @@
         }
     }
 
+    /// A machine that comes up.
     pub fn add(&mut self, id: MachineId, zone: ZoneId, gb_per_s: f64, cache_gb: f64) {
-        let holder = Holder {
+        let holder = ImageHolder {
             zone,
             gb_per_s,
             cache_gb,
@@ -137,7 +154,8 @@
         Pieces { image: image.clone(), digests }
     }
 
-    pub fn ask(&mut self, now: Ms, id: &MachineId, image: &ImageId, gb: f64, sources: &[String]) {
+    /// A machine is told to fetch an image.
+    pub fn fetch(&mut self, now: Ms, id: &MachineId, image: &ImageId, gb: f64, sources: &[String]) {
         let pieces = self.pieces(image, gb);
         let Some(holder) = self.holders.get_mut(id) else { return };
         match holder.images.get_mut(image) {
@@ -145,7 +163,7 @@
             None => {
                 // What was used least is given up; names stand for ages here.
                 let room =
-                    |h: &Holder| h.cache_gb - gb - h.images.values().map(|i| i.0).sum::<f64>();
+                    |h: &ImageHolder| h.cache_gb - gb - h.images.values().map(|i| i.0).sum::<f64>();
                 while room(holder) < 0.0 && holder.images.pop_first().is_some() {}
                 holder.images.insert(image.clone(), (gb, Fetch::new(pieces, sources)));
             }
@@ -160,25 +178,27 @@
         }
     }
 
+    /// A machine is asked to exit.
     pub fn leave(&mut self, now: Ms, id: &MachineId) {
         if let Some(holder) = self.holders.get_mut(id) {
             holder.leaves = Some(now.plus(LEAVE_MS));
         }
     }
 
+    /// Whether a machine holds an image whole.
     pub fn has(&self, id: &MachineId, image: &ImageId) -> bool {
         self.holders.get(id).is_some_and(|h| h.whole(image))
     }
 
     /// Machines that fetch from the origin.
     pub fn at_origin(&self, now: Ms) -> Vec<&MachineId> {
-        let next = |h: &Holder| Some(h.images.get(h.active.as_ref()?)?.1.next(now));
-        let at = |h: &Holder| matches!(next(h), Some(Next::Origin(_)));
+        let next = |h: &ImageHolder| Some(h.images.get(h.active.as_ref()?)?.1.next(now));
+        let at = |h: &ImageHolder| matches!(next(h), Some(Next::Origin(_)));
         self.holders.iter().filter(|(_, h)| at(h)).map(|h| h.0).collect()
     }
 
     /// Lets time pass: pieces move.
-    pub fn step(&mut self, now: Ms, ms: u64) {
+    pub fn advance(&mut self, now: Ms, ms: u64) {
         let seconds = ms as f64 / 1000.0;
         let mut flows: Vec<(MachineId, ImageId, Option<MachineId>)> = Vec::new();
         let mut serving: BTreeMap<MachineId, BTreeSet<MachineId>> = BTreeMap::new();
@@ -305,9 +325,9 @@
 
     /// Tells the worker what has come, and takes what it was told to fetch. Whether tasks begin.
     pub fn serve(&mut self, now: Ms, worker: &mut Worker) -> bool {
-        for (image, gb, sources) in std::mem::take(&mut worker.images.asks) {
+        for (image, gb, sources) in std::mem::take(&mut worker.images.fetch_requests) {
             if !self.has(&worker.id, &image) {
-                self.ask(now, &worker.id, &image, gb, &sources);
+                self.fetch(now, &worker.id, &image, gb, &sources);
             }
         }
         let Some(holder) = self.holders.get(&worker.id) else { return false };
@@ -343,12 +363,13 @@
     }
 }
 
-impl Holder {
+impl ImageHolder {
     /// Fetches nothing.
     pub fn rest(&mut self) {
         self.active = None;
     }
 
+    /// How many pieces of an image it has.
     pub fn have(&self, image: &ImageId) -> u32 {
         self.images.get(image).map_or(0, |i| i.1.have)
     }
@@ -358,6 +379,7 @@
         self.whole(image) || self.active.as_ref() == Some(image)
     }
 
+    /// Whether it holds an image whole.
     pub fn whole(&self, image: &ImageId) -> bool {
         self.images.get(image).is_some_and(|i| i.1.part() >= 1.0)
     }
--- a/crates/cleatfold-fakes/src/lib.rs
+++ b/crates/cleatfold-fakes/src/lib.rs
@@ -1,5 +1,15 @@
-//! Plain models of the state service, a worker and the cloud, as the protocol describes them.
-//! Pure: they are given the time. For tests and first runs only.
+//! Fakes of the systems around a controller, as the protocol describes them: the state service, the
+//! cloud, the workers with their images and elastic members. Pure: they are given the time.
+//!
+//! For tests and experiments only.
+
+#![warn(
+    missing_docs,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::too_many_lines,
+    clippy::unwrap_used
+)]
 
 pub mod cloud;
 pub mod images;
--- a/crates/cleatfold-fakes/src/member.rs
+++ b/crates/cleatfold-fakes/src/member.rs
@@ -8,16 +8,20 @@
 const ASK_MS: u64 = 4000;
 const AGAIN_MS: u64 = 800;
 
+/// Why a member is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Left {
+pub enum MemberExit {
     /// It was told to stop, or there is nothing more to do.
     Ended,
     /// Its place belongs to another.
     Lost,
 }
 
+/// A fake of one member of an elastic job.
 pub struct Member {
+    /// Its task.
     pub task: TaskId,
+    /// The attempt of its task.
     pub attempt: Attempt,
     step_ms: u64,
     todo: VecDeque<u32>,
@@ -31,15 +35,17 @@
     stop_at: Option<Ms>,
     resting: u32,
     /// Its controller did not answer.
-    pub astray: bool,
-    pub left: Option<Left>,
+    pub on_no_reply: bool,
+    /// Set once it is gone.
+    pub exit: Option<MemberExit>,
     /// Steps worked through since this was last looked at.
-    pub worked: Vec<u32>,
+    pub finished_steps: Vec<u32>,
     /// Steps that it was told are finished by its work, likewise.
-    pub accepted: Vec<u32>,
+    pub accepted_steps: Vec<u32>,
 }
 
 impl Member {
+    /// A member that begins now and needs `step_ms` for a step.
     pub fn new(task: TaskId, attempt: Attempt, step_ms: u64, now: Ms) -> Self {
         Self {
             task,
@@ -52,36 +58,36 @@
             not_before: now,
             stop_at: None,
             resting: 0,
-            astray: false,
-            left: None,
-            worked: Vec::new(),
-            accepted: Vec::new(),
+            on_no_reply: false,
+            exit: None,
+            finished_steps: Vec::new(),
+            accepted_steps: Vec::new(),
         }
     }
 
     /// Lets time pass.
-    pub fn pass(&mut self, now: Ms) {
+    pub fn advance(&mut self, now: Ms) {
         if let Some((step, end)) = self.at {
             if end <= now {
                 self.at = None;
                 self.unsaid.insert(step);
-                self.worked.push(step);
+                self.finished_steps.push(step);
                 self.not_before = self.not_before.min(now);
             }
         }
         let stopping = self.stop_at.is_some();
-        if self.at.is_none() && !stopping && self.left.is_none() {
+        if self.at.is_none() && !stopping && self.exit.is_none() {
             if let Some(step) = self.todo.pop_front() {
                 self.at = Some((step, now.plus(self.step_ms)));
             }
         }
         if self.stop_at.is_some_and(|at| at <= now) {
-            self.left = Some(Left::Ended);
+            self.exit = Some(MemberExit::Ended);
         }
     }
 
     /// When it next has something to do by itself.
-    pub fn next(&self) -> Ms {
+    pub fn next_wakeup(&self) -> Ms {
         let asks = self.saying.is_none().then_some(self.not_before);
         let ends = self.at.map(|a| a.1);
         [asks, ends, self.stop_at].into_iter().flatten().min().unwrap_or(Ms(u64::MAX / 4))
@@ -96,13 +102,13 @@
             self.at = None;
         }
         if self.at.is_none() && self.unsaid.is_empty() {
-            self.left = Some(Left::Ended);
+            self.exit = Some(MemberExit::Ended);
         }
     }
 
     /// What it has to report now, if anything. It waits for the answer then.
     pub fn report(&mut self, now: Ms) -> Option<StepReport> {
-        if self.saying.is_some() || self.left.is_some() || now < self.not_before {
+        if self.saying.is_some() || self.exit.is_some() || now < self.not_before {
             return None;
         }
         let leaves = self.stop_at.is_some() && self.at.is_none();
@@ -112,17 +118,18 @@
             attempt: self.attempt,
             finished: self.unsaid.iter().map(|s| (*s, s + 1)).collect(),
             wants: if leaves { 0 } else { 2 },
-            generate_load: self.astray,
+            generate_load: self.on_no_reply,
         })
     }
 
+    /// The answer to its report.
     pub fn on_reply(&mut self, now: Ms, reply: &StepReply) {
-        self.astray = false;
+        self.on_no_reply = false;
         let refused = |s: &u32| reply.refused.iter().any(|r| r.0 <= *s && s < &r.1);
         for step in self.saying.take().unwrap_or_default() {
             self.unsaid.remove(&step);
             if !refused(&step) {
-                self.accepted.push(step);
+                self.accepted_steps.push(step);
             }
         }
         let holds: BTreeSet<u32> = reply.holds.iter().flat_map(|r| r.0..r.1).collect();
@@ -142,31 +149,32 @@
         }
         let stopped = self.stop_at.is_some() && idle;
         if reply.next_action == NextAction::Over || stopped || self.resting > 3 {
-            self.left = Some(Left::Ended);
+            self.exit = Some(MemberExit::Ended);
         }
-        self.pass(now);
+        self.advance(now);
     }
 
     /// The claim does not stand any more.
-    pub fn lost(&mut self) {
+    pub fn on_claim_lost(&mut self) {
         self.saying = None;
-        self.left = Some(Left::Lost);
+        self.exit = Some(MemberExit::Lost);
     }
 
     /// No answer, or one that says to come back.
-    pub fn unanswered(&mut self, now: Ms) {
+    pub fn on_no_reply(&mut self, now: Ms) {
         self.saying = None;
-        self.astray = true;
+        self.on_no_reply = true;
         self.not_before = now.plus(AGAIN_MS);
     }
 
     /// Sent to another controller.
-    pub fn redirected(&mut self, now: Ms) {
+    pub fn on_redirect(&mut self, now: Ms) {
         self.saying = None;
-        self.astray = false;
+        self.on_no_reply = false;
         self.not_before = now.plus(50);
     }
 
+    /// Whether a report of its own is unanswered.
     pub fn waits_for_answer(&self) -> bool {
         self.saying.is_some()
     }
--- a/crates/cleatfold-fakes/src/store.rs
+++ b/crates/cleatfold-fakes/src/store.rs
@@ -11,6 +11,7 @@
     lease: Option<LeaseId>,
 }
 
+/// A fake of the state service.
 #[derive(Default)]
 pub struct Store {
     entries: BTreeMap<String, Entry>,
@@ -20,13 +21,17 @@
     next_lease: u64,
 }
 
+/// Why a transaction was not committed.
 #[derive(Debug, PartialEq)]
 pub enum Refusal {
+    /// The keys whose versions are not as guarded.
     Conflict(Vec<String>),
+    /// A change is under a lease that has ended.
     NoSuchLease,
 }
 
 impl Store {
+    /// One key, if it is there.
     pub fn get(&self, key: &str) -> Option<Item> {
         self.entries.get(key).map(|e| Item {
             key: key.to_string(),
@@ -40,10 +45,12 @@
         self.leases.len()
     }
 
+    /// The number of the last change.
     pub fn revision(&self) -> Version {
         Version(self.revision)
     }
 
+    /// A page of the keys with this prefix, after `from`.
     pub fn list(&self, prefix: &str, from: Option<&str>, limit: usize) -> Page {
         let mut items: Vec<Item> = self
             .entries
@@ -58,6 +65,7 @@
         Page { items, more, revision: self.revision() }
     }
 
+    /// The changes with this prefix after `from`.
     pub fn changes(&self, prefix: &str, from: Version) -> Events {
         // The log is in the order of its revisions.
         let known = self.log.partition_point(|e| e.version <= from);
@@ -69,6 +77,11 @@
         Events { revision: self.revision(), events }
     }
 
+    /// Commits a transaction, all or nothing.
+    ///
+    /// # Errors
+    ///
+    /// A guard that does not hold, or a lease that has ended.
     pub fn txn(&mut self, txn: &Txn) -> Result<Version, Refusal> {
         let leases: Vec<LeaseId> = txn.changes.iter().filter_map(|c| c.lease).collect();
         if leases.iter().any(|l| !self.leases.contains_key(l)) {
@@ -113,11 +126,12 @@
     }
 
     /// Keys whose lease has ended.
-    pub fn beyond_lease(&self) -> impl Iterator<Item = &str> {
+    pub fn keys_of_ended_leases(&self) -> impl Iterator<Item = &str> {
         let ended = |e: &Entry| e.lease.is_some_and(|l| !self.leases.contains_key(&l));
         self.entries.iter().filter(move |(_, e)| ended(e)).map(|(k, _)| k.as_str())
     }
 
+    /// Grants a lease.
     pub fn grant(&mut self, now: Ms, ttl_ms: u64) -> LeaseId {
         self.next_lease += 1;
         let lease = LeaseId(self.next_lease);
@@ -125,6 +139,7 @@
         lease
     }
 
+    /// Renews a lease; `false` if it has ended.
     pub fn extend(&mut self, now: Ms, lease: LeaseId) -> bool {
         self.expire(now);
         match self.leases.get_mut(&lease) {
@@ -137,12 +152,13 @@
     }
 
     /// After an outage every lease has its full time again.
-    pub fn renew_all(&mut self, now: Ms) {
+    pub fn renew_all_leases(&mut self, now: Ms) {
         for (ttl, until) in self.leases.values_mut() {
             *until = now.plus(*ttl);
         }
     }
 
+    /// Ends leases whose time is over, and deletes their keys.
     pub fn expire(&mut self, now: Ms) {
         let over: Vec<LeaseId> =
             self.leases.iter().filter(|(_, l)| l.1 < now).map(|(id, _)| *id).collect();
--- a/crates/cleatfold-fakes/src/worker.rs
+++ b/crates/cleatfold-fakes/src/worker.rs
@@ -11,32 +11,50 @@
 };
 use std::collections::BTreeMap;
 
+/// A task that was launched on the worker.
 #[derive(Clone, Debug)]
 pub struct Task {
+    /// Which attempt of the task it is.
     pub attempt: Attempt,
     /// Fetching until then.
     pub ready: Ms,
     /// Running until then.
     pub ends: Ms,
+    /// How it ended, once it has.
     pub exit: Option<Exit>,
-    pub each: (f64, f64),
+    /// The processors and GB of memory it takes.
+    pub resources: (f64, f64),
 }
 
+/// A fake of one worker, the agent on a machine.
 pub struct Worker {
+    /// Its machine.
     pub id: MachineId,
+    /// The machine's type.
     pub machine_type: TypeId,
+    /// The machine's zone.
     pub zone: ZoneId,
+    /// Whether the machine may be reclaimed.
     pub spot: bool,
+    /// Its processors.
     pub cpus: f64,
+    /// Its memory.
     pub memory_gb: f64,
+    /// How long its tasks run on without an answer.
     pub lease_ms: u64,
+    /// How long it fetches an image.
     pub fetch_ms: u64,
+    /// The number of its restarts and expired leases.
     pub agent_epoch: u64,
+    /// The number of its last heartbeat.
     pub seq: u64,
+    /// The highest fencing token it has seen.
     pub token: FencingToken,
+    /// Its tasks, until it is told to forget them.
     pub tasks: BTreeMap<(TaskId, Attempt), Task>,
     /// Those of its tasks that are members of elastic jobs and run.
     pub members: BTreeMap<(TaskId, Attempt), Member>,
+    /// Where it takes direct orders.
     pub endpoint: Option<String>,
     /// When the last answered report of this session was sent.
     pub renewed: Ms,
@@ -46,14 +64,17 @@
 
 /// Something a watcher of the rules wants to know.
 #[derive(Debug, PartialEq)]
-pub enum Happening {
+pub enum WorkerEvent {
+    /// A task has begun to run or to fetch.
     Started(TaskId),
-    Ended(TaskId, Exit),
+    /// A task has exited.
+    Exited(TaskId, Exit),
     /// Killed with the lease.
-    Dropped(TaskId),
+    LeaseExpired(TaskId),
 }
 
 impl Worker {
+    /// A worker on a machine that has just booted.
     pub fn new(id: MachineId, machine_type: TypeId, zone: ZoneId, spot: bool, now: Ms) -> Self {
         Self {
             id,
@@ -75,7 +96,8 @@
         }
     }
 
-    pub fn report(&mut self) -> Heartbeat {
+    /// Its next heartbeat.
+    pub fn heartbeat(&mut self) -> Heartbeat {
         self.seq += 1;
         Heartbeat {
             machine: self.id.clone(),
@@ -108,14 +130,14 @@
 
     /// The answer to the report sent at `sent` in `agent_epoch`, executed at `now`. `job` finds a
     /// submitted job and how long its task runs.
-    pub fn answer(
+    pub fn on_response(
         &mut self,
         now: Ms,
         sent: Ms,
         agent_epoch: u64,
         reply: &HeartbeatResponse,
         job: impl Fn(&TaskId) -> Option<(JobSpec, u64, bool)>,
-    ) -> Vec<Happening> {
+    ) -> Vec<WorkerEvent> {
         if agent_epoch != self.agent_epoch || reply.token < self.token {
             return Vec::new();
         }
@@ -125,17 +147,17 @@
     }
 
     /// Direct orders: executed under the same token and session only.
-    pub fn orders(
+    pub fn on_orders(
         &mut self,
         now: Ms,
-        orders: &Orders,
+        on_orders: &Orders,
         job: impl Fn(&TaskId) -> Option<(JobSpec, u64, bool)>,
-    ) -> Option<Vec<Happening>> {
-        if orders.token < self.token || orders.agent_epoch.0 != self.agent_epoch {
+    ) -> Option<Vec<WorkerEvent>> {
+        if on_orders.token < self.token || on_orders.agent_epoch.0 != self.agent_epoch {
             return None;
         }
-        self.token = orders.token;
-        Some(self.execute(now, &orders.commands, job))
+        self.token = on_orders.token;
+        Some(self.execute(now, &on_orders.commands, job))
     }
 
     fn execute(
@@ -143,7 +165,7 @@
         now: Ms,
         commands: &[Command],
         job: impl Fn(&TaskId) -> Option<(JobSpec, u64, bool)>,
-    ) -> Vec<Happening> {
+    ) -> Vec<WorkerEvent> {
         let mut out = Vec::new();
         for command in commands {
             match command {
@@ -158,7 +180,7 @@
                     let key = (task.clone(), *attempt);
                     if let Some(member) = self.members.get_mut(&key) {
                         member.stop(now, *grace_s);
-                        if member.left.is_none() {
+                        if member.exit.is_none() {
                             continue;
                         }
                         self.members.remove(&key);
@@ -166,7 +188,7 @@
                     if let Some(t) = self.tasks.get_mut(&(task.clone(), *attempt)) {
                         if t.exit.is_none() {
                             t.exit = Some(Exit::Stopped);
-                            out.push(Happening::Ended(task.clone(), Exit::Stopped));
+                            out.push(WorkerEvent::Exited(task.clone(), Exit::Stopped));
                         }
                     }
                 }
@@ -187,18 +209,18 @@
         task: &TaskId,
         attempt: Attempt,
         job: &impl Fn(&TaskId) -> Option<(JobSpec, u64, bool)>,
-    ) -> Option<Happening> {
+    ) -> Option<WorkerEvent> {
         let key = (task.clone(), attempt);
         if self.tasks.contains_key(&key) {
             return None;
         }
-        let mut new = Task { attempt, ready: now, ends: now, exit: None, each: (0.0, 0.0) };
+        let mut new = Task { attempt, ready: now, ends: now, exit: None, resources: (0.0, 0.0) };
         let busy = self.tasks.iter().any(|((t, _), s)| t == task && s.exit.is_none());
         let used = self
             .tasks
             .values()
             .filter(|t| t.exit.is_none())
-            .fold((0.0, 0.0), |a, t| (a.0 + t.each.0, a.1 + t.each.1));
+            .fold((0.0, 0.0), |a, t| (a.0 + t.resources.0, a.1 + t.resources.1));
         match job(task) {
             None => new.exit = Some(Exit::Unknown),
             Some(_) if busy => new.exit = Some(Exit::Busy),
@@ -209,7 +231,7 @@
                 new.exit = Some(Exit::InsufficientResources)
             }
             Some((spec, run_ms, fails)) => {
-                new.each = (spec.cpus, spec.memory_gb);
+                new.resources = (spec.cpus, spec.memory_gb);
                 new.ready = now.plus(self.fetch_ms);
                 new.ends = new.ready.plus(run_ms);
                 if self.images.waits(&key, &spec, run_ms) {
@@ -228,46 +250,46 @@
         }
         let started = new.exit.is_none();
         self.tasks.insert(key, new);
-        started.then(|| Happening::Started(task.clone()))
+        started.then(|| WorkerEvent::Started(task.clone()))
     }
 
     /// When it next has something to do by itself.
-    pub fn next(&self) -> Ms {
+    pub fn next_wakeup(&self) -> Ms {
         let ends = self.tasks.values().filter(|t| t.exit.is_none()).map(|t| t.ends);
-        let members = self.members.values().map(Member::next);
+        let members = self.members.values().map(Member::next_wakeup);
         ends.chain(members).chain([self.renewed.plus(self.lease_ms + 1)]).min().unwrap_or_default()
     }
 
     /// All its tasks are gone, and it goes on with the next session.
-    pub fn begin_anew(&mut self, now: Ms) -> Vec<Happening> {
+    pub fn restart(&mut self, now: Ms) -> Vec<WorkerEvent> {
         self.members.clear();
         self.images.waiting.clear();
         let tasks = std::mem::take(&mut self.tasks).into_iter().filter(|(_, t)| t.exit.is_none());
-        let lost = tasks.map(|((task, _), _)| Happening::Dropped(task)).collect();
+        let lost = tasks.map(|((task, _), _)| WorkerEvent::LeaseExpired(task)).collect();
         self.agent_epoch += 1;
         self.renewed = now;
         lost
     }
 
     /// Lets time pass: tasks end, and so may the lease.
-    pub fn pass(&mut self, now: Ms) -> Vec<Happening> {
+    pub fn advance(&mut self, now: Ms) -> Vec<WorkerEvent> {
         let mut out = Vec::new();
         if now.since(self.renewed) > self.lease_ms {
-            out = self.begin_anew(now);
+            out = self.restart(now);
         }
         for (key, member) in &mut self.members {
-            member.pass(now);
-            if let (Some(_), Some(t)) = (member.left, self.tasks.get_mut(key)) {
+            member.advance(now);
+            if let (Some(_), Some(t)) = (member.exit, self.tasks.get_mut(key)) {
                 if t.exit.is_none() {
                     t.exit = Some(Exit::Stopped);
-                    out.push(Happening::Ended(key.0.clone(), Exit::Stopped));
+                    out.push(WorkerEvent::Exited(key.0.clone(), Exit::Stopped));
                 }
             }
         }
         for ((task, _), t) in &mut self.tasks {
             if t.exit.is_none() && t.ends <= now {
                 t.exit = Some(Exit::Done);
-                out.push(Happening::Ended(task.clone(), Exit::Done));
+                out.push(WorkerEvent::Exited(task.clone(), Exit::Done));
             }
         }
         out
--- a/crates/cleatfold-testbed/src/capacity/hollow.rs
+++ b/crates/cleatfold-testbed/src/capacity/hollow.rs
@@ -5,7 +5,7 @@
 use super::usage::of_this_thread;
 use crate::region::{json, problem, read, Answer};
 use bytes::Bytes;
-use cleatfold_fakes::worker::{Happening, Worker};
+use cleatfold_fakes::worker::{Worker, WorkerEvent};
 use cleatfold_wire::worker::{Exit, HeartbeatResponse, Orders, Redirect};
 use cleatfold_wire::{ControllerId, MachineId, Ms, TaskId, TypeId, ZoneId};
 use http_body_util::{BodyExt, Full};
@@ -241,7 +241,7 @@
         self.worker.renewed = self.now();
         self.due = Instant::now();
         loop {
-            let timer = self.start + Duration::from_millis(self.worker.next().0);
+            let timer = self.start + Duration::from_millis(self.worker.next_wakeup().0);
             let wake = if self.report.is_some() { timer } else { timer.min(self.due) };
             tokio::select! {
                 orders = self.orders.recv() => match orders {
@@ -258,35 +258,35 @@
                 _ = tokio::time::sleep_until(wake) => {}
             }
             let before = self.worker.agent_epoch;
-            let happenings = self.worker.pass(self.now());
+            let worker_events = self.worker.advance(self.now());
             if self.worker.agent_epoch > before {
                 self.setup.counters.sessions_lost.fetch_add(1, Relaxed);
             }
-            self.tell(happenings);
+            self.tell(worker_events);
             if self.report.is_none() && Instant::now() >= self.due {
                 self.send_report();
             }
         }
-        let lost = self.worker.begin_anew(self.now());
+        let lost = self.worker.restart(self.now());
         self.tell(lost);
     }
 
     /// Tells the watcher what happened; a change is to be reported soon.
-    fn tell(&mut self, happenings: Vec<Happening>) {
-        if !happenings.is_empty() {
+    fn tell(&mut self, worker_events: Vec<WorkerEvent>) {
+        if !worker_events.is_empty() {
             self.report_soon();
         }
-        for happening in happenings {
+        for worker_event in worker_events {
             let machine = self.worker.id.clone();
-            let event = match happening {
-                Happening::Started(task) => {
+            let event = match worker_event {
+                WorkerEvent::Started(task) => {
                     let at = Instant::now() + Duration::from_millis(FETCH_MS);
                     TaskEvent::Started { task, machine, at }
                 }
-                Happening::Ended(task, exit) => {
+                WorkerEvent::Exited(task, exit) => {
                     TaskEvent::Ended { task, machine, done: exit == Exit::Done }
                 }
-                Happening::Dropped(task) => TaskEvent::Ended { task, machine, done: false },
+                WorkerEvent::LeaseExpired(task) => TaskEvent::Ended { task, machine, done: false },
             };
             let _ = self.setup.events.send(event);
         }
@@ -297,7 +297,7 @@
     }
 
     fn send_report(&mut self) {
-        let body = serde_json::to_vec(&self.worker.report()).unwrap_or_default();
+        let body = serde_json::to_vec(&self.worker.heartbeat()).unwrap_or_default();
         self.setup.counters.reports.fetch_add(1, Relaxed);
         self.setup.counters.report_bytes.fetch_add(body.len() as u64, Relaxed);
         let address = self.setup.controllers[self.target].1.clone();
@@ -322,11 +322,11 @@
                 let (token, now) = (self.worker.token, self.now());
                 let traffic = self.setup.traffic.clone();
                 let find = |task: &TaskId| traffic.task(task).map(|(spec, ms)| (spec, ms, false));
-                let happenings = self.worker.answer(now, sent, agent_epoch, &reply, find);
+                let worker_events = self.worker.on_response(now, sent, agent_epoch, &reply, find);
                 if self.worker.token > token {
                     self.report_soon();
                 }
-                self.tell(happenings);
+                self.tell(worker_events);
             }
             Some((421, body)) => {
                 counters.redirected.fetch_add(1, Relaxed);
@@ -356,10 +356,10 @@
     fn obey(&mut self, body: &[u8]) -> Answer {
         self.setup.counters.orders.fetch_add(1, Relaxed);
         read(body, |orders: Orders| {
-            let happenings = self.worker.orders(self.now(), &orders, |_| None);
-            let code = if happenings.is_some() { 200 } else { 409 };
-            self.tell(happenings.unwrap_or_default());
-            json(code, &self.worker.report())
+            let worker_events = self.worker.on_orders(self.now(), &orders, |_| None);
+            let code = if worker_events.is_some() { 200 } else { 409 };
+            self.tell(worker_events.unwrap_or_default());
+            json(code, &self.worker.heartbeat())
         })
     }
 }
--- a/crates/cleatfold-testbed/src/capacity/state_service.rs
+++ b/crates/cleatfold-testbed/src/capacity/state_service.rs
@@ -317,7 +317,7 @@
 
     fn rent(&mut self, request: &ScaleOutRequest, boot_s: f64) -> Answer {
         let known = self.cloud.machines.len();
-        let Some(names) = self.cloud.rent(self.now(), request) else {
+        let Some(names) = self.cloud.scale_out(self.now(), request) else {
             return problem(503, "no capacity");
         };
         let new = self.cloud.machines.len() > known;
--- a/crates/cleatfold-testbed/src/history.rs
+++ b/crates/cleatfold-testbed/src/history.rs
@@ -31,10 +31,10 @@
     pub fn of_member(&mut self, member: &mut Member) {
         let by = (member.task.ix, member.attempt);
         let job = &member.task.job;
-        for step in member.worked.drain(..) {
+        for step in member.finished_steps.drain(..) {
             self.worked.entry((job.clone(), step)).or_default().insert(by);
         }
-        for step in member.accepted.drain(..) {
+        for step in member.accepted_steps.drain(..) {
             let step = (job.clone(), step);
             if self.counted.get(&step) != Some(&by) {
                 self.broken.push(format!("{step:?} told finished by {by:?}"));
--- a/crates/cleatfold-testbed/src/region.rs
+++ b/crates/cleatfold-testbed/src/region.rs
@@ -5,7 +5,7 @@
 use cleatfold_clients::http::Http;
 use cleatfold_fakes::cloud::Cloud;
 use cleatfold_fakes::store::{Refusal, Store};
-use cleatfold_fakes::worker::{Happening, Worker};
+use cleatfold_fakes::worker::{Worker, WorkerEvent};
 use cleatfold_wire::cloud::{MachineList, MachineType, MachineTypes, Machines, ScaleOutRequest};
 use cleatfold_wire::job::{JobSpec, Problem};
 use cleatfold_wire::steps::{StepReply, StepReport};
@@ -213,15 +213,15 @@
         let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
         for id in ids {
             let Some(worker) = self.workers.get_mut(&id) else { continue };
-            let happenings = worker.pass(now);
+            let worker_events = worker.advance(now);
             let mut asks = Vec::new();
             for (key, member) in &mut worker.members {
                 self.steps.of_member(member);
                 asks.extend(member.report(now).map(|r| (key.clone(), r)));
             }
-            worker.members.retain(|_, m| m.left.is_none());
-            let changed = !happenings.is_empty();
-            self.judge(&id, happenings);
+            worker.members.retain(|_, m| m.exit.is_none());
+            let changed = !worker_events.is_empty();
+            self.judge(&id, worker_events);
             for (key, report) in asks {
                 self.member_asks(&id, key, report);
             }
@@ -236,11 +236,11 @@
         }
     }
 
-    fn judge(&mut self, machine: &MachineId, happenings: Vec<Happening>) {
+    fn judge(&mut self, machine: &MachineId, worker_events: Vec<WorkerEvent>) {
         let now = self.now();
-        for happening in happenings {
-            match happening {
-                Happening::Started(task) => {
+        for worker_event in worker_events {
+            match worker_event {
+                WorkerEvent::Started(task) => {
                     self.started.entry(task.job.clone()).or_insert(now);
                     if let Some(other) = self.running.insert(task.clone(), machine.clone()) {
                         self.steps
@@ -248,7 +248,7 @@
                             .push(format!("ran_twice {task} on {other} and {machine}"));
                     }
                 }
-                Happening::Ended(task, _) | Happening::Dropped(task) => {
+                WorkerEvent::Exited(task, _) | WorkerEvent::LeaseExpired(task) => {
                     if self.running.get(&task) == Some(machine) {
                         self.running.remove(&task);
                     }
@@ -279,7 +279,7 @@
         else {
             return;
         };
-        let report: Heartbeat = worker.report();
+        let report: Heartbeat = worker.heartbeat();
         let agent_epoch = worker.agent_epoch;
         let body = serde_json::to_vec(&report).unwrap_or_default();
         self.call(line.target, "/hello".into(), body, move |answer| ToRegion::Reported {
@@ -311,12 +311,12 @@
                 };
                 let Some(worker) = self.workers.get_mut(&machine) else { return };
                 let before = worker.token;
-                let happenings = worker.answer(now, sent, agent_epoch, &reply, find);
+                let worker_events = worker.on_response(now, sent, agent_epoch, &reply, find);
                 // A change is reported soon, but no sooner than after half a second.
-                if worker.token > before || !happenings.is_empty() {
+                if worker.token > before || !worker_events.is_empty() {
                     pause = 500;
                 }
-                self.judge(&machine, happenings);
+                self.judge(&machine, worker_events);
             }
             Some((421, body)) => {
                 pause = 200;
@@ -360,16 +360,16 @@
         match answer {
             Some((200, body)) => match serde_json::from_slice::<StepReply>(&body) {
                 Ok(reply) => member.on_reply(now, &reply),
-                Err(_) => member.unanswered(now),
+                Err(_) => member.on_no_reply(now),
             },
-            Some((409, _)) => member.lost(),
+            Some((409, _)) => member.on_claim_lost(),
             _ if named.is_some() => {
                 *target = named.unwrap_or_default();
-                member.redirected(now);
+                member.on_redirect(now);
             }
             _ => {
                 *target = (*target + 1) % self.controllers.len();
-                member.unanswered(now);
+                member.on_no_reply(now);
             }
         }
         self.steps.of_member(member);
@@ -458,7 +458,9 @@
 
     fn rent(&mut self, request: &ScaleOutRequest) -> Answer {
         let now = self.now();
-        let Some(names) = self.cloud.rent(now, request) else { return problem(503, "no capacity") };
+        let Some(names) = self.cloud.scale_out(now, request) else {
+            return problem(503, "no capacity");
+        };
         for id in &names {
             let Some(kind) = self.cloud.types.iter().find(|t| t.name == request.machine_type)
             else {
@@ -482,7 +484,7 @@
     /// A machine goes with all that is on it.
     fn die(&mut self, id: &MachineId) {
         if let Some(worker) = self.workers.remove(id) {
-            let ended = worker.tasks.keys().map(|k| Happening::Ended(k.0.clone(), Exit::Other));
+            let ended = worker.tasks.keys().map(|k| WorkerEvent::Exited(k.0.clone(), Exit::Other));
             self.judge(id, ended.collect());
         }
         self.lines.remove(id);
@@ -491,13 +493,13 @@
     fn orders(&mut self, id: &MachineId, orders: &Orders) -> Answer {
         let now = self.now();
         let Some(worker) = self.workers.get_mut(id) else { return problem(404, "no such worker") };
-        let happenings = worker.orders(now, orders, |_| None);
-        let report = worker.report();
-        let code = if happenings.is_some() { 200 } else { 409 };
-        if let Some(line) = self.lines.get_mut(id).filter(|_| happenings.is_some()) {
+        let worker_events = worker.on_orders(now, orders, |_| None);
+        let report = worker.heartbeat();
+        let code = if worker_events.is_some() { 200 } else { 409 };
+        if let Some(line) = self.lines.get_mut(id).filter(|_| worker_events.is_some()) {
             line.due = line.due.min(now.plus(250));
         }
-        self.judge(id, happenings.unwrap_or_default());
+        self.judge(id, worker_events.unwrap_or_default());
         json(code, &report)
     }
 }
--- a/crates/cleatfold-testbed/src/world.rs
+++ b/crates/cleatfold-testbed/src/world.rs
@@ -47,7 +47,7 @@
 };
 use cleatfold_fakes::cloud::Cloud;
 use cleatfold_fakes::store::{Refusal, Store};
-use cleatfold_fakes::worker::{Happening, Worker};
+use cleatfold_fakes::worker::{Worker, WorkerEvent};
 use cleatfold_wire::cloud::MachineType;
 use cleatfold_wire::job::{JobSpec, JobState, Kind, Urgency};
 use cleatfold_wire::losses::TeamLosses;
@@ -296,7 +296,7 @@
     pub slow_answers: Vec<u64>,
     pub faults: faults::FaultState,
     /// Large images on the machines.
-    pub net: Option<cleatfold_fakes::images::Net>,
+    pub net: Option<cleatfold_fakes::images::ImageNetwork>,
     images_moved: Ms,
     pub polls: polls::Polls,
     pub priority_watch: priority_watch::PriorityWatch,
@@ -560,7 +560,7 @@
             SimulationEvent::Outage { until } => {
                 self.outage = self.outage.max(until);
                 // Whatever expired meanwhile has its full time again.
-                self.store.renew_all(self.outage);
+                self.store.renew_all_leases(self.outage);
             }
             SimulationEvent::Die(id) => self.machine_dies(&id),
             SimulationEvent::Wake(id) => self.wake(&id),
--- a/crates/cleatfold-testbed/src/world/arrivals.rs
+++ b/crates/cleatfold-testbed/src/world/arrivals.rs
@@ -50,7 +50,7 @@
             // Before it is up it answers nobody.
             let reached = reached && !cut;
             let there = reached && !hangs && w.renewed <= now;
-            there.then(|| w.report()).map(|r| (r.agent_epoch, r.seq))
+            there.then(|| w.heartbeat()).map(|r| (r.agent_epoch, r.seq))
         });
         let event = Event::Probed { machine: machine.clone(), answer: said };
         self.at(delay.min(1000), SimulationEvent::Controller(controller, life, Box::new(event)));
@@ -197,12 +197,12 @@
             let event = Box::new(Event::Ordered { machine, heartbeat: None });
             return self.at(4000, SimulationEvent::Controller(controller, life, event));
         }
-        let report = worker.orders(now, &orders, |_| None).map(|happenings| {
-            let report = worker.report();
-            (happenings, report)
+        let report = worker.on_orders(now, &orders, |_| None).map(|worker_events| {
+            let report = worker.heartbeat();
+            (worker_events, report)
         });
-        if let Some((happenings, report)) = report {
-            self.judge(&machine, happenings);
+        if let Some((worker_events, report)) = report {
+            self.judge(&machine, worker_events);
             self.wake(&machine);
             if !answered {
                 return;
--- a/crates/cleatfold-testbed/src/world/faults.rs
+++ b/crates/cleatfold-testbed/src/world/faults.rs
@@ -225,7 +225,7 @@
         let for_ms = self.rng.random_range(50..900);
         let now = self.now;
         let Some(worker) = self.workers.get_mut(machine) else { return };
-        let lost = worker.begin_anew(now.plus(for_ms));
+        let lost = worker.restart(now.plus(for_ms));
         self.judge(machine, lost);
         self.hung.insert(machine.clone(), now.plus(for_ms));
         self.reconnects(machine, for_ms);
--- a/crates/cleatfold-testbed/src/world/images.rs
+++ b/crates/cleatfold-testbed/src/world/images.rs
@@ -1,7 +1,7 @@
 //! Large images on the machines, and what watches the seats at their origin.
 
 use super::{records, Worker, World};
-use cleatfold_fakes::images::Net;
+use cleatfold_fakes::images::ImageNetwork;
 use cleatfold_image_distribution::{OriginRecord, Settings};
 
 const STEP_MS: u64 = 100;
@@ -31,8 +31,8 @@
         Settings { origin_gb_per_s, uploads: 2, min_gb: 2.0, hand_on }
     }
 
-    pub(super) fn net(&self) -> Net {
-        Net::new(self.origin_gb_per_s, 2)
+    pub(super) fn net(&self) -> ImageNetwork {
+        ImageNetwork::new(self.origin_gb_per_s, 2)
     }
 }
 
@@ -52,7 +52,7 @@
         self.images_moved = now;
         let workers = &self.workers;
         net.holders.retain(|id, _| workers.contains_key(id));
-        net.step(now, ms);
+        net.advance(now, ms);
         let mut come = Vec::new();
         for (id, worker) in &mut self.workers {
             if net.serve(now, worker) {
--- a/crates/cleatfold-testbed/src/world/services.rs
+++ b/crates/cleatfold-testbed/src/world/services.rs
@@ -80,7 +80,7 @@
                 let reused = |a: &&(Ms, ScaleOutRequest, usize)| {
                     a.1.request == request.request && a.1 != request
                 };
-                if let Some(before) = self.cloud.asked.iter().find(reused) {
+                if let Some(before) = self.cloud.scale_out_log.iter().find(reused) {
                     let what =
                         format!("{:?} name used again: {:?} {request:?}", self.now, before.1);
                     self.broken.push(what);
@@ -98,7 +98,7 @@
     }
 
     fn rented(&mut self, request: ScaleOutRequest) -> CloudReply {
-        match self.cloud.rent(self.now, &request) {
+        match self.cloud.scale_out(self.now, &request) {
             None => CloudReply::NoCapacity,
             Some(names) => {
                 for id in &names {
--- a/crates/cleatfold-testbed/src/world/starvation.rs
+++ b/crates/cleatfold-testbed/src/world/starvation.rs
@@ -169,7 +169,8 @@
             }
             // Tasks that still fetch their image hold their room as well.
             let runs = worker.tasks.values().filter(|task| task.exit.is_none());
-            let used = runs.fold((0.0, 0.0), |u, task| (u.0 + task.each.0, u.1 + task.each.1));
+            let used =
+                runs.fold((0.0, 0.0), |u, task| (u.0 + task.resources.0, u.1 + task.resources.1));
             machines.insert(id.clone(), (worker.cpus - used.0, worker.memory_gb - used.1));
         }
         machines
--- a/crates/cleatfold-testbed/src/world/watch.rs
+++ b/crates/cleatfold-testbed/src/world/watch.rs
@@ -1,8 +1,8 @@
 //! What watches for the rules.
 
 use super::{
-    records, Asked, BTreeMap, Exit, Happening, JobId, JobState, MachineId, Ms, Response, TaskId,
-    Txn, World, ZoneId,
+    records, Asked, BTreeMap, Exit, JobId, JobState, MachineId, Ms, Response, TaskId, Txn,
+    WorkerEvent, World, ZoneId,
 };
 
 impl World {
@@ -47,10 +47,10 @@
         }
     }
 
-    pub(super) fn judge(&mut self, machine: &MachineId, happenings: Vec<Happening>) {
-        for h in happenings {
+    pub(super) fn judge(&mut self, machine: &MachineId, worker_events: Vec<WorkerEvent>) {
+        for h in worker_events {
             match h {
-                Happening::Started(task) => {
+                WorkerEvent::Started(task) => {
                     self.started += 1;
                     let now = self.now;
                     if let Some(watch) = self.jobs.get_mut(&task.job) {
@@ -68,7 +68,7 @@
                     }
                     self.check_place(&task, machine);
                 }
-                Happening::Ended(task, exit) => {
+                WorkerEvent::Exited(task, exit) => {
                     self.gone(&task, machine);
                     if exit == Exit::Done {
                         if let Some(watch) = self.jobs.get_mut(&task.job) {
@@ -78,7 +78,7 @@
                     }
                     self.stopped += u32::from(exit == Exit::Stopped);
                 }
-                Happening::Dropped(task) => {
+                WorkerEvent::LeaseExpired(task) => {
                     self.dropped += 1;
                     self.gone(&task, machine)
                 }
--- a/crates/cleatfold-testbed/src/world/workers.rs
+++ b/crates/cleatfold-testbed/src/world/workers.rs
@@ -13,16 +13,16 @@
             return;
         }
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let happenings = worker.pass(now);
+        let worker_events = worker.advance(now);
         let mut asks = Vec::new();
         for (key, member) in &mut worker.members {
             self.steps.of_member(member);
             asks.extend(member.report(now).map(|report| (key.clone(), report)));
         }
-        worker.members.retain(|_, m| m.left.is_none());
+        worker.members.retain(|_, m| m.exit.is_none());
         self.broken.append(&mut self.steps.broken);
-        let next = worker.next();
-        self.judge(id, happenings);
+        let next = worker.next_wakeup();
+        self.judge(id, worker_events);
         for (key, report) in asks {
             self.member_asks(id, key, report);
         }
@@ -43,7 +43,7 @@
         if let Some(worker) = self.workers.get_mut(id) {
             let over = |w: &Worker| w.renewed.plus(w.lease_ms + 1);
             let lost = match over(worker) <= now {
-                true => worker.begin_anew(now),
+                true => worker.restart(now),
                 false => Vec::new(),
             };
             next = next.min(over(worker));
@@ -95,14 +95,14 @@
                 self.refused += reply.refused.iter().map(|r| r.1 - r.0).sum::<u32>();
                 member.on_reply(now, &reply);
             }
-            Some(Response::Refusal { code: 409, .. }) => member.lost(),
+            Some(Response::Refusal { code: 409, .. }) => member.on_claim_lost(),
             Some(Response::Redirect(Some(to))) => {
                 link.0 = (0..self.controllers.len()).find(|i| controller_id(*i) == to).unwrap_or(0);
-                member.redirected(now);
+                member.on_redirect(now);
             }
             _ => {
                 link.0 = (link.0 + 1) % self.controllers.len();
-                member.unanswered(now);
+                member.on_no_reply(now);
             }
         }
         self.wake(&machine);
@@ -147,7 +147,7 @@
         if link.waiting.is_some() {
             return;
         }
-        let report = worker.report();
+        let report = worker.heartbeat();
         let number = report.seq.0;
         link.waiting = Some(number);
         let controller = link.target;
@@ -212,8 +212,8 @@
                     })
                 };
                 let Some(worker) = self.workers.get_mut(&id) else { return };
-                let happenings = worker.answer(now, sent, agent_epoch, &reply, find);
-                self.judge(&id, happenings);
+                let worker_events = worker.on_response(now, sent, agent_epoch, &reply, find);
+                self.judge(&id, worker_events);
                 self.wake(&id);
                 let heartbeat_interval_ms = self.size.heartbeat_interval_ms;
                 let pause =
