--- a/crates/cleatfold-fakes/src/lib.rs
+++ b/crates/cleatfold-fakes/src/lib.rs
@@ -12,6 +12,7 @@
 )]
 
 pub mod cloud;
+pub mod explore;
 pub mod images;
 pub mod member;
 pub mod store;
--- a/crates/cleatfold-priority/tests/explored.rs
+++ b/crates/cleatfold-priority/tests/explored.rs
@@ -3,12 +3,13 @@
 //! replaced, restarted or frozen. The record, what stands in it and whom it bars are the service's own.
 //!
 //! One machine with one place, on which background runs; one urgent task wants it, and other background
-//! waits. (The search is a plain one through all states; no library for it could be had here.)
+//! waits. The search is that of `cleatfold_fakes::explore`.
 
+use cleatfold_fakes::explore::{explore, Exploration, ModelState};
 use cleatfold_priority::{PreemptionPlan, PreemptionRecord, Seen, Victim};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
-use std::collections::{BTreeSet, VecDeque};
+use std::collections::BTreeSet;
 
 const HANDS: u64 = 3;
 
@@ -236,31 +237,20 @@
     next
 }
 
-/// What can go wrong in any order, and how many states there are; or only whether `what` can.
-fn explore(g: Guards, what: Option<&str>) -> (BTreeSet<&'static str>, usize) {
-    let mut seen = BTreeSet::from([State::default()]);
-    let mut queue = VecDeque::from([State::default()]);
-    let mut broken = BTreeSet::new();
-    while let Some(state) = queue.pop_front() {
-        for next in step(&state, g) {
-            broken.extend(next.broken.iter().copied());
-            if what.is_some_and(|w| broken.contains(w)) {
-                return (broken, seen.len());
-            }
-            // A state in which something is broken is looked at no further.
-            if next.broken.is_empty() && seen.insert(next.clone()) {
-                queue.push_back(next);
-            }
-        }
-        assert!(seen.len() < 2_000_000, "too many states");
+impl ModelState for State {
+    fn violations(&self) -> &BTreeSet<&'static str> {
+        &self.broken
     }
-    (broken, seen.len())
+}
+
+fn explore_model(guards: Guards, wanted: Option<&str>) -> Exploration {
+    explore(|state| step(state, guards), wanted)
 }
 
 #[test]
 fn preempted_capacity_goes_to_its_beneficiary_in_any_order_of_events() {
-    let (broken, states) = explore(ALL, None);
-    assert!(broken.is_empty(), "{broken:?} in {states} states");
+    let Exploration { violations, states } = explore_model(ALL, None);
+    assert!(violations.is_empty(), "{violations:?} in {states} states");
     assert!(states > 1000, "only {states} states");
 }
 
@@ -273,7 +263,7 @@
         (Guards { count: false, ..ALL }, "room was made twice for one need"),
         (Guards { claims: false, ..ALL }, "two in one place"),
     ] {
-        let (broken, _) = explore(guards, Some(what));
-        assert!(broken.contains(what), "not seen without its guard: {what}; {broken:?}");
+        let Exploration { violations, .. } = explore_model(guards, Some(what));
+        assert!(violations.contains(what), "not seen without its guard: {what}; {violations:?}");
     }
 }
--- a/crates/cleatfold-roles/tests/explored.rs
+++ b/crates/cleatfold-roles/tests/explored.rs
@@ -2,11 +2,12 @@
 //! it, read, write and call, and any write or call may arrive after its sender was replaced or
 //! restarted. The record and the holder's memory are the service's own.
 //!
-//! (The search is a plain one through all states; no library for it could be had here.)
+//! The search is that of `cleatfold_fakes::explore`.
 
+use cleatfold_fakes::explore::{explore, Exploration, ModelState};
 use cleatfold_roles::{Answer, ScaleOutIntent, ScaleOutIntents, ScaleOutTracker};
 use cleatfold_wire::{Ms, TypeId, Version, ZoneId};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 
 const CONTROLLERS: usize = 2;
 /// How often the role may change hands, and how many requests a controller may name.
@@ -176,31 +177,20 @@
     next
 }
 
-/// What can go wrong in any order, and how many states there are; or only whether `what` can.
-fn explore(g: Guards, what: Option<&str>) -> (BTreeSet<&'static str>, usize) {
-    let mut seen = BTreeSet::from([State::default()]);
-    let mut queue = VecDeque::from([State::default()]);
-    let mut broken = BTreeSet::new();
-    while let Some(state) = queue.pop_front() {
-        for next in step(&state, g) {
-            broken.extend(next.broken.iter().copied());
-            if what.is_some_and(|w| broken.contains(w)) {
-                return (broken, seen.len());
-            }
-            // A state in which something is broken is looked at no further.
-            if next.broken.is_empty() && seen.insert(next.clone()) {
-                queue.push_back(next);
-            }
-        }
-        assert!(seen.len() < 2_000_000, "too many states");
+impl ModelState for State {
+    fn violations(&self) -> &BTreeSet<&'static str> {
+        &self.broken
     }
-    (broken, seen.len())
+}
+
+fn explore_model(guards: Guards, wanted: Option<&str>) -> Exploration {
+    explore(|state| step(state, guards), wanted)
 }
 
 #[test]
 fn no_order_of_events_rents_twice_or_asks_for_what_is_not_durable() {
-    let (broken, states) = explore(ALL, None);
-    assert!(broken.is_empty(), "{broken:?}");
+    let Exploration { violations, states } = explore_model(ALL, None);
+    assert!(violations.is_empty(), "{violations:?}");
     assert!(states > 1000, "only {states} states");
 }
 
@@ -212,7 +202,7 @@
         (Guards { count_intents: false, ..ALL }, "rented twice for one need"),
         (Guards { epoch: false, record: false, ..ALL }, "rented twice for one need"),
     ] {
-        let (broken, _) = explore(guards, Some(what));
-        assert!(broken.contains(what), "not seen without its guard: {what}; {broken:?}");
+        let Exploration { violations, .. } = explore_model(guards, Some(what));
+        assert!(violations.contains(what), "not seen without its guard: {what}; {violations:?}");
     }
 }
