--- a/crates/cleatfold-control/tests/answer_order.rs
+++ b/crates/cleatfold-control/tests/answer_order.rs
@@ -153,7 +153,7 @@
             }
             JobState::Aborted => {
                 started(&mut world, spec, 1);
-                withdraw(&mut world, 1, &job);
+                cancel(&mut world, 1, &job);
                 hold(&mut world, &what, |_, r| cancels(r, &job))
             }
             _ => {
@@ -190,7 +190,7 @@
     world.handle_event(request);
     let answer = take_answer(&mut world, &call).expect("answered");
     let durable = world.now;
-    withdraw(&mut world, 2, &job);
+    cancel(&mut world, 2, &job);
     while world.jobs[&job].answered_state != Some(JobState::Aborted) {
         run_for(&mut world, 1);
     }
@@ -253,7 +253,7 @@
                 }
                 Lost::Cancellation => {
                     started(&mut world, spec, 1);
-                    withdraw(&mut world, 1, &job);
+                    cancel(&mut world, 1, &job);
                     hold(&mut world, &what, |_, r| cancels(r, &job))
                 }
                 Lost::End => {
@@ -264,7 +264,7 @@
             lose_answer(&mut world, held);
             query_everywhere(&mut world, &job, 400);
             if cancelled {
-                (0..CONTROLLERS).for_each(|controller| withdraw(&mut world, controller, &job));
+                (0..CONTROLLERS).for_each(|controller| cancel(&mut world, controller, &job));
             }
             query_everywhere(&mut world, &job, 3_000);
             ends_well_asked(&mut world, 60_000, &what);
@@ -302,13 +302,13 @@
         let job = started(&mut world, spec, 1);
         let end = hold(&mut world, &what, |_, r| writes(r, Purpose::Archive));
         let other = (end.0.controller + 1) % CONTROLLERS;
-        withdraw(&mut world, other, &job);
+        cancel(&mut world, other, &job);
         let cancelled = hold(&mut world, &what, |n, r| n == other && cancels(r, &job));
         let (first, second) = if end_first { (end, cancelled) } else { (cancelled, end) };
         world.handle_event(first.1);
         query_everywhere(&mut world, &job, 200);
         world.handle_event(second.1);
-        (0..CONTROLLERS).for_each(|controller| withdraw(&mut world, controller, &job));
+        (0..CONTROLLERS).for_each(|controller| cancel(&mut world, controller, &job));
         query_everywhere(&mut world, &job, 3_000);
         ends_well_asked(&mut world, 30_000, &what);
         let expected = if end_first { JobState::Done } else { JobState::Aborted };
@@ -329,7 +329,7 @@
         }
         run_for(&mut world, after_ms);
         for controller in 0..CONTROLLERS {
-            withdraw(&mut world, controller, &job);
+            cancel(&mut world, controller, &job);
             world.at(
                 1,
                 SimulationEvent::Looks { controller, job: job.clone(), what: Query::Repeats },
@@ -369,13 +369,13 @@
                 hold(&mut world, &what, |n, r| n != owner && writes(r, Purpose::PoolAssignment));
             let others: Vec<usize> = (0..CONTROLLERS).filter(|n| *n != owner).collect();
             for (n, job) in jobs[..3].iter().enumerate() {
-                withdraw(&mut world, others[n % 2], job);
+                cancel(&mut world, others[n % 2], job);
             }
             run_for(&mut world, 300);
             world.handle_event(deal.1);
             run_for(&mut world, after_ms);
             for (n, job) in jobs[3..].iter().enumerate() {
-                withdraw(&mut world, others[n % 2], job);
+                cancel(&mut world, others[n % 2], job);
             }
             asking(&mut world, 60_000);
             assert_well(&world, &what);
@@ -497,7 +497,7 @@
             .map(|(task, _)| task.job.clone())
             .collect();
         for (n, job) in jobs.iter().enumerate() {
-            withdraw(&mut world, (most + 1 + n % 2) % CONTROLLERS, job);
+            cancel(&mut world, (most + 1 + n % 2) % CONTROLLERS, job);
         }
         run_for(&mut world, 1_800);
         let told = jobs.iter().filter(|j| world.jobs[*j].cancel_confirmed.is_some()).count();
@@ -526,7 +526,7 @@
     assert_eq!(world.jobs[&job].answered_state, Some(JobState::Done));
     let others: Vec<JobId> = world.jobs.keys().filter(|id| **id != job).cloned().collect();
     assert!(others.iter().all(|id| world.jobs[id].accepted));
-    others.iter().for_each(|id| withdraw(&mut world, 0, id));
+    others.iter().for_each(|id| cancel(&mut world, 0, id));
     ends_well_asked(&mut world, 60_000, "enormous");
 }
 
@@ -587,7 +587,7 @@
         }
         run_for(&mut world, 5_000);
         assert!(world.running.keys().any(|t| t.job == job), "{what}: runs");
-        withdraw(&mut world, 2, &job);
+        cancel(&mut world, 2, &job);
         let asked = world.now;
         let held = hold(&mut world, &what, |_, r| cancels(r, &job));
         late.extend(befall(&mut world, fate, held));
--- a/crates/cleatfold-control/tests/cancellations.rs
+++ b/crates/cleatfold-control/tests/cancellations.rs
@@ -1,9 +1,11 @@
 //! Cancelled jobs stop in time, whoever told the user so and whoever holds the workers.
 
-use cleatfold_control::Request;
-use cleatfold_testbed::world::{Asked, SimulationEvent, Size, World};
+mod scenario;
+
+use cleatfold_testbed::world::{SimulationEvent, Size, World};
 use cleatfold_wire::job::{JobSpec, JobState, Kind, Urgency};
 use cleatfold_wire::*;
+use scenario::{cancel, run_for};
 
 fn region(seed: u64) -> World {
     World::sized(seed, false, Size { most_jobs: 0, machines: 24, ..Size::SMALL })
@@ -19,20 +21,10 @@
     spec
 }
 
-fn run_for(world: &mut World, ms: u64) {
-    let now = world.now;
-    world.run(now.plus(ms));
-}
-
 fn running(world: &World, job: &JobId) -> usize {
     world.running.keys().filter(|t| t.job == *job).count()
 }
 
-fn cancel(world: &mut World, controller: usize, job: &JobId) {
-    world.jobs.get_mut(job).expect("known").cancel_asked = true;
-    world.ask(controller, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
-}
-
 /// The head of a job in parts says that it is cancelled, and none of its parts changes by that: a machine whose
 /// reports repeat was never looked at again, and its tasks ran on for ever.
 #[test]
--- a/crates/cleatfold-control/tests/commands.rs
+++ b/crates/cleatfold-control/tests/commands.rs
@@ -159,7 +159,7 @@
             |w: &World| !w.claims().values().flatten().any(|t| *t == (task.clone(), attempt));
         let recorded = run_until(&mut world, 2_000, 50, ended);
         assert!(recorded, "{what}: the exit was not taken from the answer");
-        withdraw(&mut world, (owning + 1) % CONTROLLERS, &cancelled);
+        cancel(&mut world, (owning + 1) % CONTROLLERS, &cancelled);
         if let Some(back_ms) = owner_ends {
             world.crash(owning, back_ms);
         }
--- a/crates/cleatfold-control/tests/handovers.rs
+++ b/crates/cleatfold-control/tests/handovers.rs
@@ -220,7 +220,7 @@
                 let job = world.submit((first + 1) % CONTROLLERS, spec);
                 asking(&mut world, 900 + 130 * step);
                 if n == 1 {
-                    withdraw(&mut world, (first + 1) % CONTROLLERS, &job);
+                    cancel(&mut world, (first + 1) % CONTROLLERS, &job);
                 }
             }
             asking(&mut world, 2_000);
@@ -260,7 +260,7 @@
         let on_it = world.running.iter().find(|r| mine(r.1)).map(|r| r.0.job.clone());
         let cancelled = on_it.unwrap_or_else(|| jobs[seed as usize % jobs.len()].clone());
         world.cloud_off = seed % 2 == 1;
-        withdraw(&mut world, other, &cancelled);
+        cancel(&mut world, other, &cancelled);
         while world.now < until && world.broken.is_empty() {
             run_for(&mut world, 500);
             world.ask_all_at(apart);
@@ -268,7 +268,7 @@
             let again = jobs[(world.now.0 / 500) as usize % jobs.len()].clone();
             world.submit_again(apart, &again);
             if world.jobs[&cancelled].cancel_confirmed.is_none() {
-                withdraw(&mut world, other, &cancelled);
+                cancel(&mut world, other, &cancelled);
             }
         }
         world.cloud_off = false;
--- a/crates/cleatfold-control/tests/late_reports.rs
+++ b/crates/cleatfold-control/tests/late_reports.rs
@@ -1,29 +1,17 @@
 //! The troubles that the operators added: copies of reports that come late, machines that nothing
 //! told reaches, a controller without the state service and its peers but with its workers.
 
+mod scenario;
+
 use cleatfold_testbed::world::{SimulationEvent, Size, World, CONTROLLERS};
-use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::*;
+use scenario::{plain, run_for};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn region(seed: u64) -> World {
     World::sized(seed, false, Size { most_jobs: 0, machines: 24, ..Size::SMALL })
 }
 
-fn plain(world: &mut World, tasks: u32, estimate_s: f64) -> JobSpec {
-    let mut spec = world.some_job();
-    (spec.team, spec.urgency, spec.kind) = (TeamId::new("free"), Urgency::Normal, Kind::Array);
-    (spec.tasks, spec.cpus, spec.memory_gb, spec.estimate_s) = (tasks, 2.0, 1.0, estimate_s);
-    (spec.one_zone, spec.spread, spec.types, spec.zone) = (false, false, None, None);
-    (spec.spot, spec.checkpoint_s, spec.elastic) = (true, 0.0, None);
-    spec
-}
-
-fn run_for(world: &mut World, ms: u64) {
-    let now = world.now;
-    world.run(now.plus(ms));
-}
-
 /// A region that has something to do on all of its machines, for `estimate_s` or so; a processor of
 /// each is left.
 fn busy(seed: u64, estimate_s: f64) -> World {
--- a/crates/cleatfold-control/tests/late_transactions.rs
+++ b/crates/cleatfold-control/tests/late_transactions.rs
@@ -3,6 +3,8 @@
 //! been there and gone. What was written is read in full by a watcher (`World::audit`). The argument for each kind is
 //! in `docs/safety.md`, "Late transactions".
 
+mod scenario;
+
 use cleatfold_control::records::*;
 use cleatfold_control::{Request, StoreRequest};
 use cleatfold_fakes::store::Refusal;
@@ -13,6 +15,7 @@
 use cleatfold_wire::job::{Elastic, JobSpec, JobState, Kind, Urgency};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::*;
+use scenario::{cancel, run_for};
 
 const FREE: &str = "free";
 
@@ -31,11 +34,6 @@
     spec
 }
 
-fn run_for(world: &mut World, ms: u64) {
-    let now = world.now;
-    world.run(now.plus(ms));
-}
-
 fn audited(world: &mut World, until: Ms) {
     while world.now < until {
         run_for(world, 500);
@@ -199,11 +197,6 @@
     world.ask(controller, Asked::Submit(spec.id.clone()), request);
 }
 
-fn cancel(world: &mut World, controller: usize, job: &JobId) {
-    world.jobs.get_mut(job).expect("known").cancel_asked = true;
-    world.ask(controller, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
-}
-
 /// The first of each of these is guarded by the absence of a key that stays: it comes when somebody has written that.
 /// Seen to fail without the version in assigning, which no day misses.
 #[test]
--- a/crates/cleatfold-control/tests/leaders.rs
+++ b/crates/cleatfold-control/tests/leaders.rs
@@ -300,7 +300,7 @@
         };
         let cancelled: Vec<JobId> = on_it(&world).into_iter().take(5).collect();
         assert!(cancelled.len() > 2, "seed {seed}: {} jobs run there", cancelled.len());
-        cancelled.iter().for_each(|job| withdraw(&mut world, next, job));
+        cancelled.iter().for_each(|job| cancel(&mut world, next, job));
         while world.now < until && world.broken.is_empty() {
             run_for(&mut world, 500);
             world.ask_all_at(apart);
@@ -308,7 +308,7 @@
             for job in &cancelled {
                 world.submit_again(apart, job);
                 if world.jobs[job].cancel_confirmed.is_none() {
-                    withdraw(&mut world, next, job);
+                    cancel(&mut world, next, job);
                 }
             }
         }
@@ -341,9 +341,9 @@
             world.run(Ms(25_000));
             let (leader, _) = world.leader().expect("somebody leads");
             let jobs: Vec<JobId> = world.jobs.keys().take(6).cloned().collect();
-            let cancel = |w: &mut World| {
+            let cancel_jobs = |w: &mut World| {
                 for (i, job) in jobs.iter().enumerate() {
-                    withdraw(w, (leader + i) % CONTROLLERS, job);
+                    cancel(w, (leader + i) % CONTROLLERS, job);
                 }
             };
             let refuse = |w: &mut World| {
@@ -353,14 +353,14 @@
             world.mesh_off = mesh_off;
             match around_ms < 0 {
                 true => {
-                    cancel(&mut world);
+                    cancel_jobs(&mut world);
                     run_for(&mut world, around_ms.unsigned_abs());
                     refuse(&mut world);
                 }
                 false => {
                     refuse(&mut world);
                     run_for(&mut world, around_ms.unsigned_abs());
-                    cancel(&mut world);
+                    cancel_jobs(&mut world);
                 }
             }
             run_for(&mut world, 1_000);
@@ -370,7 +370,7 @@
             // Whoever was not told asks again.
             for job in &jobs {
                 if world.jobs[job].cancel_confirmed.is_none() {
-                    withdraw(&mut world, (leader + 1) % CONTROLLERS, job);
+                    cancel(&mut world, (leader + 1) % CONTROLLERS, job);
                 }
             }
             ends_well_asked(&mut world, 300_000, &what);
--- a/crates/cleatfold-control/tests/quota.rs
+++ b/crates/cleatfold-control/tests/quota.rs
@@ -10,7 +10,7 @@
 };
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::*;
-use scenario::{ends_well, plain, run_for, withdraw, Loss};
+use scenario::{cancel, ends_well, plain, run_for, Loss};
 use std::collections::BTreeSet;
 
 /// Every team has a limit of a tenth of what it asks for.
@@ -109,20 +109,20 @@
         .collect();
     let first = leader(&world).or(world.most()).expect("somebody leads");
     let lose = |w: &mut World| machines.iter().for_each(|m| unreached.befall(w, m));
-    let cancel = |w: &mut World| {
-        victims.iter().for_each(|job| withdraw(w, (first + 1) % CONTROLLERS, job));
+    let cancel_victims = |w: &mut World| {
+        victims.iter().for_each(|job| cancel(w, (first + 1) % CONTROLLERS, job));
     };
     match order {
         Order::LeaderLast => {
             lose(&mut world);
-            cancel(&mut world);
+            cancel_victims(&mut world);
             run_for(&mut world, 300);
             loss.befall(&mut world, first);
         }
         Order::LeaderFirst => {
             loss.befall(&mut world, first);
             run_for(&mut world, 700);
-            cancel(&mut world);
+            cancel_victims(&mut world);
             lose(&mut world);
         }
         Order::CancelLast => {
@@ -130,7 +130,7 @@
             run_for(&mut world, 400);
             loss.befall(&mut world, first);
             run_for(&mut world, 900);
-            cancel(&mut world);
+            cancel_victims(&mut world);
         }
     }
     let mut held = 0;
@@ -140,7 +140,7 @@
         held = held
             .max(world.running.keys().filter(|t| victims.contains(&t.job) && told(&t.job)).count());
         for job in victims.iter().filter(|job| !told(job)).cloned().collect::<Vec<_>>() {
-            withdraw(&mut world, (first + 2) % CONTROLLERS, &job);
+            cancel(&mut world, (first + 2) % CONTROLLERS, &job);
         }
     }
     // What waits takes the places, and no place is lost for ever.
@@ -179,7 +179,7 @@
             let job = world.submit(n % CONTROLLERS, spec);
             run_for(&mut world, 900);
             if n % 5 == 3 {
-                withdraw(&mut world, (n + 1) % CONTROLLERS, &job);
+                cancel(&mut world, (n + 1) % CONTROLLERS, &job);
             }
             if n % 6 == 5 {
                 if let Some(leader) = leader(&world) {
--- a/crates/cleatfold-control/tests/repeats.rs
+++ b/crates/cleatfold-control/tests/repeats.rs
@@ -1,11 +1,13 @@
 //! Reports that repeat the last one's list of tasks, letter by letter: what calls for a command all the same. And
 //! reports of an earlier session, about an attempt that has been started once more.
 
-use cleatfold_control::Request;
-use cleatfold_testbed::world::{Asked, SimulationEvent, Size, World, CONTROLLERS};
+mod scenario;
+
+use cleatfold_testbed::world::{SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::worker::{Exit, TaskState};
 use cleatfold_wire::*;
+use scenario::cancel;
 
 fn region(seed: u64) -> World {
     World::sized(seed, false, Size { most_jobs: 0, ..Size::SMALL })
@@ -21,11 +23,6 @@
     spec
 }
 
-fn withdraw(world: &mut World, controller: usize, job: &JobId) {
-    world.jobs.get_mut(job).expect("known").cancel_asked = true;
-    world.ask(controller, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
-}
-
 /// A job's cancellation changes its record alone, not those of its parts, where the claims of a job in parts are:
 /// no machine's claims change, and its workers, that repeat themselves, were not told to stop.
 #[test]
@@ -38,7 +35,7 @@
         world.run(Ms(60_000));
         let runs = |world: &World| world.running.keys().filter(|t| t.job == job).count();
         assert_eq!(runs(&world), tasks as usize, "all of it runs");
-        withdraw(&mut world, 1 % CONTROLLERS, &job);
+        cancel(&mut world, 1 % CONTROLLERS, &job);
         world.run(Ms(70_000));
         assert!(world.jobs[&job].cancel_confirmed.is_some());
         assert_eq!(runs(&world), 0, "{tasks} tasks: still there after the next reports");
--- a/crates/cleatfold-control/tests/scenario/mod.rs
+++ b/crates/cleatfold-control/tests/scenario/mod.rs
@@ -28,7 +28,7 @@
 }
 
 /// Cancels the job at a controller.
-pub(crate) fn withdraw(world: &mut World, controller: usize, job: &JobId) {
+pub(crate) fn cancel(world: &mut World, controller: usize, job: &JobId) {
     use cleatfold_control::Request;
     use cleatfold_testbed::world::Asked;
     world.jobs.get_mut(job).expect("known").cancel_asked = true;
--- a/crates/cleatfold-control/tests/seen_token.rs
+++ b/crates/cleatfold-control/tests/seen_token.rs
@@ -2,10 +2,13 @@
 //! neither that a task is gone nor that an attempt is over. Late copies bring such reports. Both are guards of
 //! `claims.rs`, played here with the controllers themselves.
 
+mod scenario;
+
 use cleatfold_testbed::world::{SimulationEvent, Size, World};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::worker::{Command, Heartbeat, Orders};
 use cleatfold_wire::*;
+use scenario::run_for;
 use std::collections::BTreeMap;
 
 fn one_task(world: &mut World) -> JobSpec {
@@ -17,11 +20,6 @@
     spec
 }
 
-fn run_for(world: &mut World, ms: u64) {
-    let now = world.now;
-    world.run(now.plus(ms));
-}
-
 /// A region in which twelve jobs run; and what each machine last reported when it had nothing.
 fn busy(seed: u64) -> (World, BTreeMap<MachineId, Heartbeat>) {
     let mut world = World::sized(seed, false, Size { most_jobs: 0, machines: 24, ..Size::SMALL });
--- a/crates/cleatfold-control/tests/two_faults.rs
+++ b/crates/cleatfold-control/tests/two_faults.rs
@@ -17,7 +17,7 @@
         let job = world.submit(0, spec);
         run_for(&mut world, 40_000);
         assert!(world.running.len() > 50, "seed {seed}: {} run", world.running.len());
-        withdraw(&mut world, 1, &job);
+        cancel(&mut world, 1, &job);
         run_for(&mut world, 60_000);
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
         assert!(world.running.is_empty(), "seed {seed}: {} run", world.running.len());
@@ -63,7 +63,7 @@
             let slow = (seed as usize) % 3;
             world.slow_answers[slow] = 700;
             run_for(&mut world, after_ms);
-            withdraw(&mut world, slow, &job);
+            cancel(&mut world, slow, &job);
             run_for(&mut world, 4_000);
             world.slow_answers[slow] = 0;
             ends_well(&mut world, 120_000, &format!("seed {seed}, after {after_ms} ms"));
--- a/crates/cleatfold-control/tests/zones.rs
+++ b/crates/cleatfold-control/tests/zones.rs
@@ -6,7 +6,7 @@
 
 use cleatfold_testbed::world::{SimulationEvent, World, CONTROLLERS};
 use cleatfold_wire::*;
-use scenario::{ends_well, owner, plain, region, run_for, withdraw};
+use scenario::{cancel, ends_well, owner, plain, region, run_for};
 use std::collections::BTreeSet;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -78,7 +78,7 @@
         // Nothing can be rented any more.
         world.cloud.capacity = 0;
         let kept = keepers.iter().zip(ZONES).find(|k| zone == ZoneId::new(k.1)).expect("a zone").0;
-        withdraw(&mut world, 0, kept);
+        cancel(&mut world, 0, kept);
         let lost = world.workers.values().filter(|worker| worker.zone == zone);
         for machine in lost.map(|worker| worker.id.clone()).collect::<Vec<_>>() {
             world.handle_event(SimulationEvent::Die(machine));
@@ -188,7 +188,7 @@
         run_for(&mut world, 1_500 * (seed % 4) + 50);
         let outside = (inside + 1) % CONTROLLERS;
         for job in &cancelled {
-            withdraw(&mut world, outside, job);
+            cancel(&mut world, outside, job);
         }
         while world.now < until {
             run_for(&mut world, 500);
@@ -198,7 +198,7 @@
                 .cloned()
                 .collect::<Vec<_>>()
             {
-                withdraw(&mut world, outside, &job);
+                cancel(&mut world, outside, &job);
             }
         }
         ends_well(&mut world, 400_000, &format!("seed {seed}"));
