--- a/crates/cleatfold-fakes/src/explore.rs
+++ b/crates/cleatfold-fakes/src/explore.rs
@@ -24,7 +24,7 @@
 ///
 /// # Panics
 ///
-/// If there are more than [`MAX_STATES`] states.
+/// If the model has more than two million states.
 pub fn explore<S: ModelState>(
     successors: impl Fn(&S) -> Vec<S>,
     wanted: Option<&str>,
