--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -1,9 +1,9 @@
-//! Dealings with workers: reports, and what the answers order.
+//! Heartbeats of workers, and the commands in their answers.
 //!
 //! A `launch` is ordered only for a claim that stands in the state service under our present
 //! token, and only in the answer to a heartbeat that does not list the task: such an answer is
 //! never executed late. A claim is released only on proof, all of which is in this file and
-//! in `machines.rs` (deletion): an exit; absence from a heartbeat whose worker had seen our token;
+//! in `machines/watch.rs` (deletion): an exit; absence from a heartbeat whose worker had seen our token;
 //! a lease that has provably run out; deletion or failure of the machine.
 
 use crate::controller::Controller;
--- a/crates/cleatfold-control/tests/claims/commands.rs
+++ b/crates/cleatfold-control/tests/claims/commands.rs
@@ -11,7 +11,7 @@
 }
 
 impl World {
-    /// The owner stops a task of a claim directly, as `shrink.rs` does. (Without its guard it starts one.)
+    /// The owner stops a task of a claim directly, as `scheduling/preemption.rs` does. (Without its guard it starts one.)
     pub(super) fn send_directly(&self, t: &mut State, n: usize, m: usize, ix: u8) {
         if t.sent >= self.bounds.held || t.held.is_some() {
             return;
--- a/crates/cleatfold-control/tests/claims/steps.rs
+++ b/crates/cleatfold-control/tests/claims/steps.rs
@@ -1,4 +1,4 @@
-//! What can happen next, as `jobs.rs`, `workers.rs`, `machines.rs`, `submissions.rs` and `requests.rs` do it.
+//! What can happen next, as `jobs/`, `pools/heartbeats.rs` and `machines/watch.rs` do it.
 
 use super::commands::hear;
 use super::model::*;
--- a/crates/cleatfold-image-distribution/src/record.rs
+++ b/crates/cleatfold-image-distribution/src/record.rs
@@ -95,10 +95,9 @@
             return;
         }
         let names = Names::of(holders);
-        let in_ranges = names.in_ranges();
-        self.holders.insert(pool.clone(), names);
+        self.holders.insert(pool.clone(), names.clone());
         if self.bytes() > most {
-            self.holders.insert(pool.clone(), in_ranges);
+            self.holders.insert(pool.clone(), names.in_ranges());
         }
         if self.bytes() > most {
             let few = Names::of(holders.iter().take(Self::MAX_UNPACKED_NAMES));
