--- a/crates/cleatfold-control/src/effects.rs
+++ b/crates/cleatfold-control/src/effects.rs
@@ -1,7 +1,7 @@
-//! The controller's interface: the events that go in, and the effects that come out.
+//! The controller's interface: the events it takes and the effects it returns.
 //!
-//! An event is everything a controller is told; an effect is everything it asks to be done. The requests to the
-//! state service and the cloud and their replies are parts of both.
+//! An event is an input of the controller; an effect is an action that its caller performs. The
+//! requests to the state service and the cloud are part of effects, their replies part of events.
 
 use cleatfold_wire::cloud::{ListedMachine, MachineType, ScaleOutRequest};
 use cleatfold_wire::job::{JobSpec, JobStatus};
@@ -13,330 +13,332 @@
 use cleatfold_wire::worker::{Heartbeat, HeartbeatResponse, Orders, RawHeartbeat};
 use cleatfold_wire::{AgentEpoch, ControllerId, JobId, LeaseId, MachineId, Seq, TeamId, Version};
 
-/// What a user asks.
+/// A request of a user.
 #[derive(Clone, Debug)]
 pub enum Request {
     /// Accept a job.
     Submit(Box<JobSpec>),
-    /// Tell a job's state.
+    /// Return a job's state.
     Poll(JobId),
     /// Cancel a job.
     Withdraw(JobId),
-    /// Say whether this controller can serve users.
+    /// Report whether this controller can serve users.
     Ready,
-    /// What a team has lost.
+    /// Return the losses of a team.
     TeamLosses {
-        /// The team that asks.
+        /// The team.
         team: TeamId,
-        /// From which group of its log on.
+        /// The first group of its loss log to return.
         since: u64,
     },
-    /// What a team's workspace holds.
+    /// Return a view of a team's workspace.
     Team {
-        /// The team that asks.
+        /// The team.
         team: TeamId,
-        /// Which part of its workspace.
+        /// The view to return.
         what: TeamAsk,
-        /// From which place or number on.
+        /// The first queue position or history number to return.
         since: u64,
     },
-    /// A member of an elastic job reports.
+    /// Process the step report of a member of an elastic job.
     Steps(Box<StepReport>),
 }
 
-/// Which part of its workspace a team asks for.
+/// The views of a team's workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TeamAsk {
-    /// Its live jobs.
+    /// Jobs that have not ended.
     Jobs,
-    /// Those of its jobs that wait, and what for.
+    /// Queued jobs and the reasons why they wait.
     Queue,
-    /// Its ended jobs.
+    /// Ended jobs.
     History,
 }
 
-/// The part of its workspace that a team asked for.
+/// The contents of a requested workspace view.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 #[serde(untagged)]
 pub enum TeamAnswer {
-    /// Its live jobs.
+    /// Jobs that have not ended.
     Jobs(TeamJobs),
-    /// Those of its jobs that wait, and what for.
+    /// Queued jobs and the reasons why they wait.
     Queue(TeamQueue),
-    /// Its ended jobs.
+    /// Ended jobs.
     History(TeamHistory),
 }
 
-/// Something that a controller is told.
+/// An input of the controller.
 #[derive(Debug)]
 pub enum Event {
-    /// Time has passed.
+    /// Timer tick.
     Tick,
-    /// A user asks; the answer is a [`Effect::Reply`] with the same `rid`.
+    /// A user request; the response is an [`Effect::Reply`] with the same `rid`.
     Request {
-        /// The number of the request.
+        /// The request id.
         rid: u64,
-        /// What is asked.
+        /// The request.
         request: Request,
     },
-    /// A worker reports; the answer is a [`Effect::Reply`] with the same `rid`.
+    /// A worker's heartbeat; the response is an [`Effect::Reply`] with the same `rid`.
     Heartbeat {
-        /// The number of the request.
+        /// The request id.
         rid: u64,
-        /// What it reports.
+        /// The heartbeat as received.
         heartbeat: RawHeartbeat,
     },
-    /// The state service has answered, or not in time.
+    /// The reply to a call to the state service, or its timeout.
     Store {
-        /// The number of the call.
+        /// The id of the call.
         op: u64,
-        /// The answer.
+        /// The reply.
         reply: StoreReply,
     },
-    /// The cloud has answered, or not in time.
+    /// The reply to a call to the cloud, or its timeout.
     Cloud {
-        /// The number of the call.
+        /// The id of the call.
         op: u64,
-        /// The answer.
+        /// The reply.
         reply: CloudReply,
     },
-    /// A peer has sent a message.
+    /// A message from a peer.
     Mesh {
-        /// The peer.
+        /// The sender.
         from: ControllerId,
         /// The message.
         message: Message,
     },
-    /// A worker has executed direct orders, or has not.
+    /// The result of an [`Effect::Order`].
     Ordered {
         /// The worker's machine.
         machine: MachineId,
-        /// Its heartbeat after the orders; none: no answer, or not executed.
+        /// The worker's heartbeat after the orders; none: no response, or not executed.
         heartbeat: Option<Heartbeat>,
     },
-    /// A worker answered a question that only asked whether it is reached, or did not.
+    /// The result of an [`Effect::Probe`].
     Probed {
         /// The worker's machine.
         machine: MachineId,
-        /// The number of its newest message; none: no answer.
+        /// Epoch and sequence number of the worker's newest message; none: no response.
         answer: Option<(AgentEpoch, Seq)>,
     },
 }
 
-/// What a user or a worker is answered.
+/// The response to a user or a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
     /// A job's state.
     Status {
-        /// The HTTP status that says what came of the request.
+        /// The HTTP status.
         code: u16,
         /// The job's state.
         status: JobStatus,
     },
-    /// The request was not carried out.
+    /// The request was rejected.
     Refusal {
         /// The HTTP status.
         code: u16,
-        /// Why, in words.
+        /// The reason, as text.
         why: String,
-        /// After how many seconds to ask again, if that makes sense.
+        /// Seconds after which to retry; none: retrying is pointless.
         retry_after_s: Option<u32>,
     },
     /// This controller can serve users.
     Ready,
-    /// What a member of an elastic job should do.
+    /// Instructions for a member of an elastic job.
     Steps(StepReply),
-    /// What a team has lost.
+    /// The losses of a team.
     Losses(TeamLosses),
-    /// What a team's workspace holds.
+    /// A view of a team's workspace.
     Team(TeamAnswer),
-    /// Commands for a worker, under the fencing token that renews its lease.
+    /// Commands for a worker, with the fencing token that renews its lease.
     Worker(HeartbeatResponse),
-    /// 421; the worker should report there, or just elsewhere.
+    /// 421: the worker should report to this controller; none: to any other one.
     Redirect(Option<ControllerId>),
 }
 
 impl Response {
-    /// 503: what is asked needs the state service, which does not answer.
+    /// 503: the request needs the state service, which does not answer.
     pub fn store_unavailable() -> Self {
         Response::later("the state service does not answer")
     }
 
-    /// 503, to be asked again soon.
+    /// 503: a temporary failure, to be retried soon.
     pub fn later(why: &str) -> Self {
         Response::Refusal { code: 503, why: why.into(), retry_after_s: Some(2) }
     }
 
-    /// Refused with this code, for good.
+    /// Rejects the request permanently with this HTTP status.
     pub fn refuse(code: u16, why: impl Into<String>) -> Self {
         Response::Refusal { code, why: why.into(), retry_after_s: None }
     }
 }
 
-/// Which calls to the state service go first when the rate is short.
+/// The order in which calls to the state service are sent when its rate limit is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallPriority {
-    /// Leases, roles, and the reading that everything rests on.
+    /// Leases, roles, and the reads that keep the cache current.
     Renewal,
-    /// Claims, ends and cancellations.
+    /// Claims, ends of claims, and cancellations.
     Claim,
-    /// Acceptances of jobs.
+    /// Acceptance of submitted jobs.
     Submission,
-    /// Readings for users, and writing that can wait.
+    /// Reads for users, and writes that can be delayed.
     Poll,
 }
 
 /// A call to the state service.
 #[derive(Clone, Debug)]
 pub enum StoreRequest {
-    /// One key.
+    /// Read one key.
     Get(String),
-    /// A page of the keys.
+    /// Read a page of keys.
     List {
-        /// What the keys begin with.
+        /// The prefix of the keys.
         prefix: String,
-        /// The key after which the page begins; none: the first.
+        /// The key after which the page begins; none: from the first key.
         from: Option<String>,
-        /// How many keys at most; none: as many as the service gives.
+        /// Maximum number of keys; none: the service's own limit.
         most: Option<u32>,
     },
-    /// Changes that are made all or not at all, if the guards hold.
+    /// Apply a set of changes atomically if all guards hold.
     Txn(Txn),
-    /// A new lease.
+    /// Create a lease.
     Grant {
-        /// How long it lasts without renewal, in milliseconds.
+        /// Time to live without renewal, in milliseconds.
         ttl_ms: u64,
     },
-    /// Renewal of a lease.
+    /// Renew a lease.
     Extend(LeaseId),
-    /// Everything that has changed, at once.
+    /// Read all changes since a revision.
     Changes {
-        /// What the keys begin with.
+        /// The prefix of the keys.
         prefix: String,
-        /// The revision after which changes are wanted.
+        /// The revision after which changes are returned.
         from: Version,
     },
 }
 
-/// What came of a call to the state service.
+/// The result of a call to the state service.
 #[derive(Debug)]
 pub enum StoreReply {
-    /// The key that was asked for.
+    /// The requested key and its value.
     Item(Item),
-    /// No such key, or no such lease.
+    /// The key or the lease does not exist.
     Missing,
     /// A page of keys.
     Page(Page),
-    /// The transaction is durable, at this version.
+    /// The transaction is durable at this version.
     Committed(Version),
-    /// Not executed: the guards on these keys did not hold.
+    /// The transaction was not executed: the guards on these keys did not hold.
     Conflict(Vec<String>),
     /// The new lease.
     Granted(LeaseId),
     /// The lease was renewed.
     Extended,
-    /// What has changed.
+    /// The changes since the requested revision.
     Events(Events),
-    /// The watch's start is too old.
+    /// The requested revision is older than the service's change log.
     TooOld,
-    /// Certainly not executed.
+    /// The call was certainly not executed.
     Refused,
-    /// Perhaps executed, perhaps later.
+    /// The outcome is unknown: the call may have been executed, or may still be.
     Unknown,
-    /// The request itself is wrong.
+    /// The request is invalid.
     Bad(String),
 }
 
-/// A call to the cloud that machines are rented from.
+/// A call to the cloud provider.
 #[derive(Clone, Debug)]
 pub enum CloudRequest {
-    /// Machine types with their prices.
+    /// List the machine types with their prices.
     Types,
-    /// A page of the list of machines.
+    /// List a page of the machines.
     List {
-        /// The machine after which the page begins; none: the first.
+        /// The machine after which the page begins; none: from the first machine.
         from: Option<MachineId>,
     },
-    /// New machines.
+    /// Create machines.
     ScaleOut(ScaleOutRequest),
-    /// These machines are to be deleted.
+    /// Delete these machines.
     Delete(Vec<MachineId>),
 }
 
-/// What came of a call to the cloud.
+/// The result of a call to the cloud.
 #[derive(Debug)]
 pub enum CloudReply {
     /// Machine types with their prices.
     Types(Vec<MachineType>),
     /// A page of the list of machines.
     List {
-        /// The machines, in the order of their names.
+        /// The machines, sorted by name.
         machines: Vec<ListedMachine>,
-        /// Whether there are more after them.
+        /// Whether further pages follow.
         more: bool,
     },
-    /// The machines that were rented.
+    /// The machines that were created.
     Rented(Vec<MachineId>),
-    /// None of this kind is to be had now.
+    /// The requested machine type is not available at present.
     NoCapacity,
-    /// The machines and all on them are gone.
+    /// The machines and all tasks on them no longer exist.
     Deleted,
-    /// Outage, too many requests, or no answer.
+    /// Outage, rate limit, or timeout.
     Failed,
 }
 
-/// Something that a controller asks to be done.
+/// An action that the controller's caller performs.
 #[derive(Debug)]
 pub enum Effect {
-    /// The answer to a request or a heartbeat.
+    /// Send the response to a request or a heartbeat.
     Reply {
-        /// The number of the request.
+        /// The request id.
         rid: u64,
-        /// The answer.
+        /// The response.
         response: Response,
     },
-    /// A call to the state service; its reply comes as an event with the same `op`.
+    /// Call the state service; the reply is an [`Event::Store`] with the same `op`.
     Store {
-        /// The number of the call.
+        /// The id of the call.
         op: u64,
-        /// Which calls go first when the rate is short.
+        /// The priority of the call under the rate limit.
         priority: CallPriority,
-        /// What is asked for.
+        /// The call.
         request: StoreRequest,
     },
-    /// A call to the cloud; its reply comes as an event with the same `op`.
+    /// Call the cloud; the reply is an [`Event::Cloud`] with the same `op`.
     Cloud {
-        /// The number of the call.
+        /// The id of the call.
         op: u64,
-        /// What is asked for.
+        /// The call.
         request: CloudRequest,
-        /// At least so long after the call before, so that the controllers together keep the rate.
+        /// Minimum time since the previous call, which keeps all controllers together within the
+        /// cloud's rate limit.
         spacing_ms: u64,
     },
-    /// Straight to a worker. Only ever to stop tasks: it may be executed minutes late.
+    /// Send orders directly to a worker. They may only stop tasks, because they can be executed
+    /// minutes late.
     Order {
         /// The worker's machine.
         machine: MachineId,
-        /// Where the worker takes orders.
+        /// The worker's address for orders.
         endpoint: String,
-        /// What it is to do.
+        /// The orders.
         orders: Orders,
     },
-    /// A question to a worker that only asks whether it is reached.
+    /// Check whether a worker is reachable.
     Probe {
         /// The worker's machine.
         machine: MachineId,
-        /// Where the worker answers.
+        /// The worker's address for probes.
         endpoint: String,
     },
-    /// This program cannot work with what it found; it ends.
+    /// Exit: the stored records have a format that this program does not support.
     Refuse {
-        /// What it found.
+        /// The reason.
         why: String,
     },
-    /// To one peer, or to all.
+    /// Send a message to peers.
     Mesh {
-        /// The peer; none: all of them.
+        /// The recipient; none: all peers.
         to: Option<ControllerId>,
         /// The message.
         message: Message,
--- a/crates/cleatfold-control/src/lib.rs
+++ b/crates/cleatfold-control/src/lib.rs
@@ -1,18 +1,20 @@
-//! One controller as a state machine: events in, effects out, no I/O and no clock.
+//! The controller as a deterministic state machine: it takes events and returns effects, and
+//! performs no I/O and reads no clock.
 //!
-//! [`Controller`] owns all state of a process and routes each [`Event`] to the module it concerns:
+//! [`Controller`] owns all state of a process and routes each [`Event`] to the module that
+//! handles it:
 //!
-//! - `store`: the cache of the state service, the session that keeps it current, the records
-//! - `membership` and `leadership`: peers, who reaches whom, and roles of exactly one controller
+//! - `store`: the cache of the state service, the session that keeps it current, record formats
+//! - `membership` and `leadership`: peers, reachability, and roles held by one controller at a time
 //! - `pools`: ownership of pools and their workers' heartbeats
-//! - `scheduling`: the queue, reservations, claims to be made, preemption
-//! - `jobs`: users' requests and the transactions on jobs' records
-//! - `quota` and `admission`: teams' limits, and shares under lasting overload
-//! - `machines` and `images`: the inventory, scaling out and in, large images
+//! - `scheduling`: the queue, reservations, placement, preemption
+//! - `jobs`: user requests and the transactions on job records
+//! - `quota` and `admission`: team limits, and team shares under sustained overload
+//! - `machines` and `images`: the inventory, scaling out and in, distribution of large images
 //! - `namespaces`: each team's jobs, queue, history and losses
 //!
-//! Safety rests on the state service alone: every claim is one transaction guarded by the job's and
-//! the pool's version (`docs/safety.md`).
+//! Safety depends on the state service alone: every claim is one transaction guarded by the
+//! versions of the job and of the pool (`docs/safety.md`).
 
 #![warn(
     missing_docs,
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -1,4 +1,5 @@
-//! What waits for an answer: our calls to the services, and those who asked us.
+//! Pending calls to the state service and the cloud, and user requests waiting for a read of the
+//! state service.
 
 pub(crate) use crate::event_number::EventNumber;
 use crate::jobs::state::JobTransaction;
@@ -11,27 +12,32 @@
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::{JobId, MachineId, Ms, TeamId, Version};
 
-/// A call to the state service or the cloud that has no answer yet.
+/// A call to the state service or the cloud whose reply is pending, with what the handler of the
+/// reply needs.
 #[derive(Debug)]
 pub(crate) enum Pending {
+    /// The changes since the last read.
     Sync {
         sent: Ms,
         sent_at: EventNumber,
     },
+    /// A page of the listing that fills the cache.
     Load {
         sent: Ms,
     },
+    /// A transaction on a job's records.
     Job(Box<JobTransaction>),
+    /// Acceptance of a batch of jobs.
     Submit {
         batch: Vec<Submission>,
         txn: Txn,
         sent: Sent,
     },
-    /// How one job ended, if it did.
+    /// The archive record of one job, if there is one.
     Archive {
         job: JobId,
     },
-    /// How all jobs ended that did since the last such reading.
+    /// The archive records written since the last such read.
     Ended {
         from: Version,
     },
@@ -41,32 +47,33 @@
     Extend {
         sent: Ms,
     },
-    /// Writing our own key.
+    /// The write of this controller's own record.
     Registration,
-    /// Reading the marker of the records' version, and writing it.
+    /// The read of the format marker.
     Format,
+    /// The write of the format marker.
     FormatWritten,
-    /// Taking a role, or giving it back.
+    /// Acquisition or release of a role.
     Role(Role),
-    /// The record of rentals, and what to ask for once it is durable.
+    /// The record of scale-out intents, and the requests to send once it is durable.
     ScaleOutIntents(Box<cleatfold_roles::scale_out::Step>),
-    /// Any transaction on pool keys or slices: whatever comes of it, the next sync tells.
+    /// A transaction on pool keys or slices. The next sync shows its outcome.
     PoolAssignment,
     Slice(Box<crate::quota::SentSlice>),
     GarbageCollection,
-    /// Seats at the origin.
+    /// A change of the slots for fetches from the image origin.
     Origin {
         txn: Txn,
         record: OriginRecord,
     },
-    /// Who holds an image.
+    /// A change of an image's holders.
     Spread,
     OverloadQuota,
-    /// Room that is being made, and who leaves once that is durable.
+    /// A preemption, and the tasks to evict once it is durable.
     Preemption(Box<crate::scheduling::priority_state::UncommittedPreemption>),
-    /// What is in the teams' logs already.
+    /// The read of what the teams' loss logs already hold.
     LossLog,
-    /// A group of losses for a team's log.
+    /// The write of a group of losses to a team's log.
     LossGroup {
         team: TeamId,
         token: Version,
@@ -77,15 +84,15 @@
         rid: u64,
         since: u64,
     },
-    /// Taking workspaces, or giving one over.
+    /// Acquisition of workspaces, or the hand-over of one.
     Workspaces(Vec<TeamId>, HolderRecord),
     History(Box<crate::namespaces::workspace_state::Write>),
-    /// The oldest groups of a team's history.
+    /// The read of the oldest groups of a team's history.
     Oldest {
         team: TeamId,
         token: Version,
     },
-    /// The whole archive, for teams of which it is not known what has ended.
+    /// A page of the whole archive, for teams whose ended jobs are not known.
     ArchivePage,
     TeamHistory(Box<crate::namespaces::question_state::HistoryRead>),
     Types,
@@ -101,6 +108,7 @@
     },
 }
 
+/// A job submission whose acceptance is not durable yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Submission {
     pub rid: u64,
@@ -108,25 +116,27 @@
     pub arrived: Ms,
 }
 
-/// A user request that waits for a reading of the state service.
+/// A user request that waits for a read of the state service.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingRequest {
     pub rid: u64,
     pub job: JobId,
     pub arrived: Ms,
-    /// The event that brought it: only a reading that was sent at this one or later answers it.
+    /// The event it arrived with: only a read that was sent at this event or later answers it.
     pub arrived_at: EventNumber,
     pub kind: WaitReason,
 }
 
+/// What a waiting request asks for.
 #[derive(Clone, Debug)]
 pub(crate) enum WaitReason {
     Poll,
-    /// A submission that cannot run by today's settings: 422 unless it is known already.
+    /// A submission that cannot run under the current settings: 422 unless the job is already
+    /// known.
     Impossible(String),
-    /// A submission of a job that is known: 200 with its state.
+    /// A submission of a job that is already known: 200 with its state.
     Known(Box<JobSpec>),
     Withdraw,
-    /// A member whose claim we have not read.
+    /// A step report of a member whose claim is not in the cache.
     Steps(Box<StepReport>),
 }
