--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -1,4 +1,4 @@
-//! One controller: its state, and what it does at each event.
+//! The controller: its state, and the dispatch of each event.
 
 use crate::admission::state::Admission;
 use crate::config::Config;
@@ -33,27 +33,27 @@
 
 pub(crate) use crate::pending::{EventNumber, Pending, Submission, WaitReason, WaitingRequest};
 
-/// A tick that comes so much after the last one shows that this process was stalled.
-const STALLED_MS: u64 = 1_000;
-/// Between two messages that tell the peers of our contact with the state service.
-const ALIVE_INTERVAL_MS: u64 = 1_000;
+/// A gap between two ticks above this shows that this process was stalled.
+const STALL_THRESHOLD_MS: u64 = 1_000;
+/// Interval at which peers are sent the age of this controller's last read of the state service.
+const CONTACT_AGE_INTERVAL_MS: u64 = 1_000;
 
-/// One controller: it owns all state of its process, and hands each event to the module that the
-/// event concerns. What is in the parts is described where they are defined.
+/// One controller: it owns all state of its process and dispatches each event to the module that
+/// handles it. Each component of the state is documented at its type.
 pub struct Controller {
     pub(crate) cfg: Config,
-    /// Steady time of the event that is being handled.
+    /// Monotonic time of the event that is being handled.
     pub(crate) now: Ms,
-    /// The event that is being handled.
+    /// Number of the event that is being handled.
     pub(crate) event: EventNumber,
-    /// Time of day in milliseconds; orders the queue, decides nothing else.
+    /// Wall-clock time in milliseconds; used only to order the queue.
     pub(crate) wall_ms: u64,
-    /// How many times as long the pauses between costly things are.
+    /// Factor by which the intervals of expensive periodic work are stretched.
     pub(crate) backpressure: u64,
     started: Option<Ms>,
     last_tick: Ms,
-    alive_sent: Ms,
-    /// What the event that is being handled asks to be done.
+    contact_age_sent: Ms,
+    /// Effects of the event that is being handled.
     pub(crate) out: Vec<Effect>,
 
     // The state service.
@@ -74,29 +74,29 @@
     pub(crate) cloud_state: CloudState,
     pub(crate) scale_out: ScaleOutState,
     pub(crate) image_distribution: ImageDistribution,
-    /// When our machines were last looked at.
+    /// Time of the last check of the machines in owned pools.
     pub(crate) watched: Ms,
 
     // Scheduling.
     pub(crate) plans: Plans,
-    /// Something has changed since the last planning.
+    /// A change since the last planning pass requires another one.
     pub(crate) replan_needed: bool,
     pub(crate) evictions: Evictions,
     pub(crate) quota: QuotaState,
     pub(crate) admission: Admission,
 
-    // Jobs and whoever asks about them.
+    // Jobs and user requests.
     pub(crate) job_states: BTreeMap<JobId, LocalJobState>,
-    /// Something may be due to be recorded.
+    /// Some job may have updates that are due to be written.
     pub(crate) flush_due: bool,
-    /// Jobs that may have something to be recorded.
+    /// Jobs that may have updates to be written.
     pub(crate) unsent: BTreeSet<JobId>,
     pub(crate) submitting: Submitting,
     pub(crate) waiting: Vec<WaitingRequest>,
     pub(crate) terminal_jobs: TerminalJobCache,
     pub(crate) archive: ArchiveLookups,
     pub(crate) cancellations: Cancellations,
-    /// When it was last looked which jobs are complete.
+    /// Time of the last check for complete jobs.
     pub(crate) completed_at: Ms,
 
     // Namespaces.
@@ -106,7 +106,7 @@
 }
 
 impl Controller {
-    /// A controller that knows nothing but its settings.
+    /// A controller with empty state.
     pub fn new(cfg: Config) -> Self {
         let reachability = ReachabilityState::new(&cfg);
         let quota = QuotaState::new(&cfg.me);
@@ -118,7 +118,7 @@
             backpressure: 1,
             started: None,
             last_tick: Ms(0),
-            alive_sent: Ms(0),
+            contact_age_sent: Ms(0),
             out: Vec::new(),
             calls: Calls::default(),
             format_check: FormatCheck::default(),
@@ -154,18 +154,19 @@
         }
     }
 
-    /// Under pressure what costs much and is not urgent is done so many times less often.
+    /// Sets the factor by which expensive, non-urgent work is done less often under load.
     pub fn set_backpressure(&mut self, backpressure: u64) {
         self.backpressure = backpressure.max(1);
     }
 
-    /// Handles one event; returns what is to be done.
+    /// Handles one event and returns its effects.
     pub fn handle(&mut self, now: Ms, wall_ms: u64, event: Event) -> Vec<Effect> {
         self.now = now.max(self.now);
         self.event.0 += 1;
         self.started.get_or_insert(self.now);
         self.wall_ms = wall_ms;
-        // Looking for what is due costs by the number of jobs; most events make nothing due.
+        // The search for due updates costs time in proportion to the number of jobs, and most
+        // events make none due.
         self.flush_due |= matches!(event, Event::Tick | Event::Store { .. });
         match event {
             Event::Tick => self.tick(),
@@ -192,16 +193,16 @@
     }
 
     fn tick(&mut self) {
-        self.note_stall();
+        self.detect_stall();
         self.resend_due();
         self.fail_stale_waits();
         self.answer_long_polls(&[]);
         self.resolve_unanswered();
-        self.keep_format();
-        self.keep_lease();
-        self.keep_cache();
+        self.check_format();
+        self.maintain_lease();
+        self.maintain_cache();
         self.keep_cloud();
-        self.tell_alive();
+        self.broadcast_contact_age();
         self.keep_cancellations();
         if !self.serving() {
             return;
@@ -217,25 +218,27 @@
         self.keep_slices();
     }
 
-    /// A process that was stalled itself must not take its silence for the workers'.
-    fn note_stall(&mut self) {
+    /// Detects that this process itself was stalled. Heartbeats that were missed during the stall
+    /// must not count against the workers.
+    fn detect_stall(&mut self) {
         let gap_ms = self.now.since(self.last_tick);
-        if gap_ms > STALLED_MS && self.last_tick > Ms(0) {
+        if gap_ms > STALL_THRESHOLD_MS && self.last_tick > Ms(0) {
             tracing::info!(gap_ms, "event loop stalled");
-            for m in self.inventory.machines.values_mut() {
-                m.known = m.known.max(self.now);
-                m.partition_detector.excuse();
+            for machine in self.inventory.machines.values_mut() {
+                machine.known = machine.known.max(self.now);
+                machine.partition_detector.excuse();
             }
             self.reachability.view.stood_still(self.now);
         }
         self.last_tick = self.now;
     }
 
-    fn tell_alive(&mut self) {
-        if self.now.since(self.alive_sent) < ALIVE_INTERVAL_MS {
+    /// Sends all peers the age of this controller's last read of the state service.
+    fn broadcast_contact_age(&mut self) {
+        if self.now.since(self.contact_age_sent) < CONTACT_AGE_INTERVAL_MS {
             return;
         }
-        self.alive_sent = self.now;
+        self.contact_age_sent = self.now;
         if let Some(read) = self.session.last_read {
             let contact_age_ms = self.now.since(read);
             self.tell(None, Message::Alive { contact_age_ms });
@@ -243,12 +246,13 @@
         self.tell_images();
     }
 
-    /// When this controller began.
+    /// Time of the first event.
     pub(crate) fn started(&self) -> Option<Ms> {
         self.started
     }
 
-    /// Recovered, and entitled to act.
+    /// Whether recovery is complete: the cache is loaded, a lease was granted, and the machine
+    /// types are known.
     pub(crate) fn serving(&self) -> bool {
         self.session.is_loaded
             && self.session.incarnation.is_some()
@@ -260,16 +264,18 @@
         if !self.serving() {
             return false;
         }
-        // A worker that we let go was served elsewhere: the state service is there for others.
+        // A released worker was served by another controller, so other controllers reach the state
+        // service.
         if !self.in_contact() && self.reachability.view.worker_release.others_serve() {
             return false;
         }
-        // In an outage that all share, leaving would only lose the users their connections.
-        // Where a peer still reads the state service, the users are better served there.
+        // In an outage that affects every controller, becoming unready would only cut the users'
+        // connections. If a peer still reads the state service, users are served better there.
         self.in_contact() || !self.reachability.view.peers.someone_reads(self.now)
     }
 
-    /// Whether this controller gives the machine no new tasks because it is to be returned.
+    /// Whether the machine gets no new tasks from this controller because it is to be returned to
+    /// the cloud.
     pub fn empties(&self, machine: &MachineId) -> bool {
         self.inventory.machines.get(machine).is_some_and(|m| m.draining || m.deleting)
     }
@@ -280,7 +286,9 @@
         };
         match &reply {
             StoreReply::Refused | StoreReply::Unknown => self.session.last_failure = Some(self.now),
-            StoreReply::Bad(why) => tracing::error!(why, "state service refused a request"),
+            StoreReply::Bad(why) => {
+                tracing::error!(why, "state service rejected a request as invalid")
+            }
             _ => {}
         }
         match pending {
@@ -293,7 +301,7 @@
             Pending::Grant { sent } => self.on_lease_granted(sent, reply),
             Pending::Extend { sent } => self.on_lease_extended(sent, reply),
             Pending::Registration => self.on_registered(reply),
-            Pending::Format => self.on_format(reply),
+            Pending::Format => self.on_format_read(reply),
             Pending::FormatWritten => self.on_format_written(reply),
             Pending::Role(role) => self.on_role_written(role, reply),
             Pending::ScaleOutIntents(step) => self.on_scale_out_written(*step, reply),
@@ -310,11 +318,11 @@
             Pending::ArchivePage => self.on_archive_page(reply),
             Pending::TeamHistory(read) => self.on_team_history(*read, reply),
             Pending::OverloadQuota => self.on_overload_quota_written(),
-            Pending::Preemption(making) => self.on_preemption_written(*making, reply),
+            Pending::Preemption(preemption) => self.on_preemption_written(*preemption, reply),
             Pending::Origin { txn, record } => self.on_origin(op, txn, record, reply),
             Pending::Spread => self.on_spread(),
             Pending::GarbageCollection => self.on_garbage_collected(),
-            // The cloud's; its answers come as events of their own.
+            // Calls to the cloud; their replies arrive as `Event::Cloud`.
             Pending::Types
             | Pending::List { .. }
             | Pending::ScaleOut { .. }
--- a/crates/cleatfold-control/src/jobs/draft.rs
+++ b/crates/cleatfold-control/src/jobs/draft.rs
@@ -354,7 +354,7 @@
                 continue;
             }
             let own = &mut self.record.table;
-            own.losses.take(table.losses);
+            own.losses.merge(table.losses);
             own.ran_ms += table.ran_ms;
             own.begun_ms = own.begun_ms.into_iter().chain(table.begun_ms).min();
             self.record.parts_done.push(part);
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -168,7 +168,7 @@
         status.why = self.why(job, cached);
         if self.cache.lossy.contains(job) {
             let mut losses = LossList::default();
-            self.cache.tables(job).for_each(|t| losses.take(t.losses.clone()));
+            self.cache.tables(job).for_each(|t| losses.merge(t.losses.clone()));
             status.losses = losses.answer(job, state != JobState::Aborted);
         }
         Some(status)
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -378,7 +378,7 @@
     let job = &record.spec.id;
     let mut losses = record.table.losses.clone();
     for part in cache.parts.get(job).into_iter().flat_map(|p| p.values()) {
-        losses.take(part.value.losses.clone());
+        losses.merge(part.value.losses.clone());
     }
     ArchiveRecord {
         state,
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -1,8 +1,8 @@
 //! This controller's copy of the live prefix of the state service.
 //!
-//! It is fed from three sides: the listing at the start, the changes read since, and our own
-//! transactions. Each key's version only ever grows here, so a late or repeated piece of news
-//! cannot turn a key back.
+//! It is filled from three sources: the listing at the start, the changes read since, and this
+//! controller's own transactions. The version of each key only increases, so a late or repeated
+//! update cannot revert a key.
 
 use crate::store::records::{
     parse_key, ControllerRecord, HistoryHead, HolderRecord, JobRecord, Key, LossHead, OriginRecord,
@@ -32,12 +32,15 @@
     }
 }
 
-/// Keys whose removal is remembered.
+/// Maximum number of removed keys whose last version is kept.
 const MAX_REMOVED_KEYS: usize = 500;
 
+/// Task tables of a job by part.
 pub(crate) type PartMap = BTreeMap<u32, Versioned<Table>>;
+/// Progress of an elastic job by part.
 pub(crate) type ProgressMap = BTreeMap<u32, Versioned<Part>>;
 
+/// A job that has not ended, with totals over all its parts.
 #[derive(Clone, Debug)]
 pub(crate) struct CachedJob {
     pub record: JobRecord,
@@ -45,26 +48,26 @@
     pub each: Resources,
     pub done: u32,
     pub claimed: u32,
-    /// Of an elastic job: steps that are not finished.
+    /// Unfinished steps of an elastic job.
     pub steps_left: Option<u32>,
-    /// Of an elastic job: members from this one on are beyond its least width.
+    /// Of an elastic job: the first member beyond the job's minimum width.
     pub beyond: TaskIx,
-    /// How many of its claims stand in each pool.
+    /// Number of claims in each pool.
     pub by_pool: Vec<(PoolId, u32)>,
 }
 
 impl CachedJob {
-    /// Where it stands among jobs of its kind: the revision at which it was accepted.
+    /// The job's queue position among jobs of its kind: the revision at which it was accepted.
     pub(crate) fn place(&self) -> u64 {
         cleatfold_priority::place_of(self.record.place, self.version)
     }
 
-    /// Where a one-zone job has to stay while any task of it may run.
+    /// The zone in which a one-zone job has to stay while any of its tasks may run.
     pub(crate) fn bound_zone(&self) -> Option<&ZoneId> {
         self.record.zone.as_ref().filter(|_| self.claimed > 0)
     }
 
-    /// How wide an elastic job should run.
+    /// The width at which an elastic job should run.
     pub(crate) fn width(&self) -> Option<Width> {
         let elastic = self.record.spec.elastic.as_ref()?;
         Some(Width {
@@ -75,7 +78,7 @@
         })
     }
 
-    /// Tasks that are not done; of an elastic job the members it could still use.
+    /// Tasks that are not done; of an elastic job, the members that it can still use.
     pub(crate) fn unfinished(&self) -> u32 {
         match self.width() {
             Some(width) => width.useful(),
@@ -83,8 +86,8 @@
         }
     }
 
-    /// Tasks that wait for a place in the queue's order. What an elastic job may grow by beyond
-    /// that only takes holes.
+    /// Tasks that wait for placement in queue order. Members by which an elastic job may grow
+    /// beyond that only fill gaps.
     pub(crate) fn unclaimed(&self) -> u32 {
         match self.width() {
             Some(width) => width.base().saturating_sub(self.claimed),
@@ -92,12 +95,13 @@
         }
     }
 
-    /// Every step of an elastic job is finished: its members have nothing more to do.
+    /// Whether every step of an elastic job is finished, so that its members are no longer needed.
     pub(crate) fn is_complete(&self) -> bool {
         self.steps_left == Some(0)
     }
 }
 
+/// The owner of a pool and its fencing token.
 #[derive(Clone, Debug)]
 pub(crate) struct PoolOwnership {
     pub owner: ControllerId,
@@ -105,6 +109,7 @@
     pub token: FencingToken,
 }
 
+/// The claim of a task: its attempt and the fencing token under which it was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
     pub attempt: Attempt,
@@ -115,7 +120,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct MachineClaims {
     tasks: BTreeMap<(JobId, TaskIx), Claim>,
-    /// Tells two states of them apart: the number of the cache's last change to them.
+    /// Number of the last change to these claims in the cache; it distinguishes two states of them.
     pub stamp: u64,
 }
 
@@ -142,64 +147,69 @@
     }
 }
 
+/// The cached records of the live prefix, with indexes over them.
 #[derive(Debug, Default)]
 pub(crate) struct StateCache {
-    /// Every change up to this revision is in.
+    /// Every change up to this revision is included.
     pub applied: Version,
     pub jobs: BTreeMap<JobId, CachedJob>,
     pub parts: BTreeMap<JobId, PartMap>,
     pub progress: BTreeMap<JobId, ProgressMap>,
     pub pools: BTreeMap<PoolId, PoolOwnership>,
-    /// Live controllers, each with its incarnation.
+    /// Registered controllers, each with its incarnation.
     pub controllers: BTreeMap<ControllerId, Versioned<ControllerRecord>>,
-    /// Who holds what, and under which epoch.
+    /// The holder of each role, and its epoch.
     pub roles: BTreeMap<Role, Versioned<HolderRecord>>,
-    /// What was asked of the cloud, or is about to be.
+    /// Requests that were sent to the cloud or are about to be.
     pub scale_out_intents: Versioned<ScaleOutIntents>,
     pub slices: BTreeMap<TeamId, Versioned<SliceRecord>>,
-    /// What is agreed on while there is overload.
+    /// The team shares under overload.
     pub overload_quota: Versioned<OverloadQuota>,
     pub loss_heads: BTreeMap<TeamId, Versioned<LossHead>>,
-    /// Who keeps each team's workspace, and under which token.
+    /// The owner of each team's workspace, and its token.
     pub workspaces: BTreeMap<TeamId, Versioned<HolderRecord>>,
     pub histories: BTreeMap<TeamId, Versioned<HistoryHead>>,
-    /// Room that is being made, by pool.
+    /// Preemptions in progress, by pool.
     pub preemptions: BTreeMap<PoolId, Versioned<PreemptionRecord>>,
-    /// Images that are being spread.
+    /// Holders of the images that are being distributed.
     pub image_holders: BTreeMap<ImageId, Versioned<SpreadRecord>>,
-    /// The live jobs of each team, by place in the queue.
+    /// Each team's jobs that have not ended, by queue position.
     pub by_team: BTreeMap<TeamId, BTreeSet<(u64, JobId)>>,
-    /// Keys whose last value cannot be read: nobody acts on what they held before, nor writes over them.
+    /// Keys whose last value cannot be parsed: their previous values are not acted on, and they are
+    /// not overwritten.
     pub unreadable: BTreeSet<String>,
-    /// Who fetches from the origin.
+    /// Slots for fetches from the image origin.
     pub origin: Versioned<OriginRecord>,
-    /// Live jobs that have lost some run.
+    /// Jobs that have not ended and have losses.
     pub lossy: BTreeSet<JobId>,
     /// All claims, by machine.
     pub claims: BTreeMap<MachineId, MachineClaims>,
-    stamps: u64,
-    /// Elastic jobs among the live ones.
-    elastic: usize,
-    /// Versions of keys that are gone, newest last, against late news about them.
+    last_stamp: u64,
+    /// Number of elastic jobs that have not ended.
+    elastic_jobs: usize,
+    /// Versions at which keys were removed, against late updates of them.
     removed: BTreeMap<String, Version>,
+    /// The same keys, newest last.
     removed_order: VecDeque<String>,
-    /// Jobs that went since this was last looked at, and those that became cancelled.
+    /// Jobs whose record was removed since this list was last taken.
     pub gone: Vec<JobId>,
+    /// Jobs that became cancelled since this list was last taken.
     pub cancelled: Vec<JobId>,
 }
 
 impl StateCache {
-    /// Forgets everything, to be read again. Stamps go on: a report that was settled by one of before must not pass
-    /// for settled by a new one of the same number.
-    pub(crate) fn begin_anew(&mut self) {
-        *self = StateCache { stamps: self.stamps, ..StateCache::default() };
+    /// Clears the cache for a reload. Stamps continue to increase: a heartbeat that was settled
+    /// under an old stamp must not count as settled because a new stamp has the same number.
+    pub(crate) fn clear_for_reload(&mut self) {
+        *self = StateCache { last_stamp: self.last_stamp, ..StateCache::default() };
     }
 
-    /// Of a listing, which tells what stands now: also what has not changed since it began.
+    /// Applies an item of a listing, also if it has not changed since the listing began.
     pub(crate) fn apply_item(&mut self, item: &Item) {
         self.put(&item.key, item.value.get(), item.version);
     }
 
+    /// Applies a change that was read.
     pub(crate) fn apply_event(&mut self, event: &Event) {
         if event.version <= self.applied {
             return;
@@ -211,8 +221,9 @@
         }
     }
 
-    /// Everything up to `applied` is in, and what has gone since is gone: an answer to a change of ours that comes
-    /// after a reading that showed it would put back parts and claims that others have ended meanwhile.
+    /// Whether a change is newer than the last read. The cache includes every change up to
+    /// `applied`, removals as well: the reply to an own transaction that arrives after the read
+    /// that included it would restore parts and claims that other controllers have ended since.
     pub(crate) fn is_newer(&self, version: Version) -> bool {
         version > self.applied
     }
@@ -242,14 +253,16 @@
         live.or_else(|| self.removed.get(key).copied()).unwrap_or_default()
     }
 
-    /// A reading has shown the key at a later version than this one, or gone since. (What our own changes alone have
-    /// shown does not count: all that was done before is known of what was read.)
-    pub(crate) fn has_moved(&self, key: &str, since: Version) -> bool {
+    /// Whether a read has shown the key at a later version than `since`, or its removal. Versions
+    /// known only from own transactions do not count: only a read guarantees that every earlier
+    /// change is known as well.
+    pub(crate) fn changed_since(&self, key: &str, since: Version) -> bool {
         let Some(parsed) = parse_key(key) else { return false };
         let known = self.version_of(key, &parsed);
         known > since && known <= self.applied
     }
 
+    /// Applies a write of an own transaction.
     pub(crate) fn set(&mut self, key: &str, value: &str, version: Version) {
         if self.is_newer(version) {
             self.put(key, value, version);
@@ -322,6 +335,7 @@
         Ok(())
     }
 
+    /// Removes a key, by an own transaction or a change that was read.
     pub(crate) fn remove(&mut self, key: &str, version: Version) {
         let Some(parsed) = parse_key(key) else { return };
         if !self.is_newer(version) || version <= self.version_of(key, &parsed) {
@@ -345,28 +359,28 @@
             Key::OverloadQuota => self.overload_quota = Default::default(),
             Key::Origin => self.origin = Default::default(),
         }
-        self.note_removed(key, version);
+        self.record_removal(key, version);
     }
 
-    /// Remembers at which version a key went, against late news about it.
-    fn note_removed(&mut self, key: &str, version: Version) {
+    /// Keeps the version at which a key was removed, against late updates of it.
+    fn record_removal(&mut self, key: &str, version: Version) {
         if self.removed.insert(key.to_string(), version).is_none() {
             self.removed_order.push_back(key.to_string());
         }
         while self.removed_order.len() > MAX_REMOVED_KEYS {
-            if let Some(old) = self.removed_order.pop_front() {
-                self.removed.remove(&old);
+            if let Some(oldest) = self.removed_order.pop_front() {
+                self.removed.remove(&oldest);
             }
         }
     }
 
     fn remove_job(&mut self, id: JobId) {
-        // What is left of it in parts is over.
+        // Claims that remain in the job's parts are no longer valid.
         self.restamp(&id);
         if let Some(cached) = self.jobs.remove(&id) {
-            self.leave_team(&id, &cached);
-            self.elastic -= usize::from(cached.record.spec.elastic.is_some());
-            self.unindex(&id, &cached.record.table);
+            self.remove_from_team(&id, &cached);
+            self.elastic_jobs -= usize::from(cached.record.spec.elastic.is_some());
+            self.unindex_claims(&id, &cached.record.table);
             self.lossy.remove(&id);
             self.gone.push(id);
         }
@@ -375,7 +389,7 @@
     fn remove_part(&mut self, id: &JobId, part: u32) {
         let known = self.parts.get_mut(id).and_then(|parts| parts.remove(&part));
         if let Some(known) = known {
-            self.unindex(id, &known.value);
+            self.unindex_claims(id, &known.value);
         }
         if self.parts.get(id).is_some_and(|parts| parts.is_empty()) {
             self.parts.remove(id);
@@ -394,20 +408,20 @@
     }
 
     pub(crate) fn install_job(&mut self, id: JobId, record: JobRecord, version: Version) {
-        let mut aborted = false;
+        let mut was_aborted = false;
         if let Some(old) = self.jobs.remove(&id) {
-            aborted = old.record.aborted;
-            self.elastic -= usize::from(old.record.spec.elastic.is_some());
-            self.unindex(&id, &old.record.table);
-            self.leave_team(&id, &old);
+            was_aborted = old.record.aborted;
+            self.elastic_jobs -= usize::from(old.record.spec.elastic.is_some());
+            self.unindex_claims(&id, &old.record.table);
+            self.remove_from_team(&id, &old);
         }
-        self.elastic += usize::from(record.spec.elastic.is_some());
-        self.index(&id, &record.table);
+        self.elastic_jobs += usize::from(record.spec.elastic.is_some());
+        self.index_claims(&id, &record.table);
         if !record.table.losses.is_empty() {
             self.lossy.insert(id.clone());
         }
         let each = record.each();
-        let live = CachedJob {
+        let cached = CachedJob {
             record,
             version,
             each,
@@ -417,26 +431,26 @@
             beyond: TaskIx(u32::MAX),
             by_pool: Vec::new(),
         };
-        let team = live.record.spec.team.clone();
-        self.by_team.entry(team).or_default().insert((live.place(), id.clone()));
-        let cancelled = live.record.aborted && !aborted;
-        self.jobs.insert(id.clone(), live);
+        let team = cached.record.spec.team.clone();
+        self.by_team.entry(team).or_default().insert((cached.place(), id.clone()));
+        let newly_cancelled = cached.record.aborted && !was_aborted;
+        self.jobs.insert(id.clone(), cached);
         self.recount(&id);
-        // The claims of a job in parts are not in the record that says so.
-        if cancelled {
+        // The claims of a job in parts are not in the record that marks the job as cancelled.
+        if newly_cancelled {
             self.restamp(&id);
             self.cancelled.push(id);
         }
     }
 
-    fn leave_team(&mut self, id: &JobId, live: &CachedJob) {
-        if let Some(jobs) = self.by_team.get_mut(&live.record.spec.team) {
-            jobs.remove(&(live.place(), id.clone()));
+    fn remove_from_team(&mut self, id: &JobId, cached: &CachedJob) {
+        if let Some(jobs) = self.by_team.get_mut(&cached.record.spec.team) {
+            jobs.remove(&(cached.place(), id.clone()));
         }
     }
 
     pub(crate) fn install_part(&mut self, id: JobId, part: u32, table: Table, version: Version) {
-        self.index_replacing(&id, part, &table);
+        self.replace_indexed_part(&id, part, &table);
         if !table.losses.is_empty() {
             self.lossy.insert(id.clone());
         }
@@ -458,11 +472,12 @@
         self.recount(&id);
     }
 
+    /// Whether any job that has not ended is elastic.
     pub(crate) fn any_elastic(&self) -> bool {
-        self.elastic > 0
+        self.elastic_jobs > 0
     }
 
-    /// All that is known of an elastic job's steps.
+    /// The progress of an elastic job over all its parts.
     pub(crate) fn progress_of(&self, id: &JobId) -> Option<Progress> {
         let steps = self.jobs.get(id)?.record.spec.elastic.as_ref()?.steps;
         let mut progress = Progress::new(steps);
@@ -472,87 +487,91 @@
         Some(progress)
     }
 
-    fn index_replacing(&mut self, id: &JobId, part: u32, table: &Table) {
+    fn replace_indexed_part(&mut self, id: &JobId, part: u32, table: &Table) {
         let old = self.parts.get_mut(id).and_then(|p| p.remove(&part));
         if let Some(old) = old {
-            self.unindex(id, &old.value);
+            self.unindex_claims(id, &old.value);
         }
-        self.index(id, table);
+        self.index_claims(id, table);
     }
 
+    /// Recomputes the totals of a job from its record and its parts.
     fn recount(&mut self, id: &JobId) {
-        let Some(live) = self.jobs.get_mut(id) else {
+        let Some(cached) = self.jobs.get_mut(id) else {
             return;
         };
         let (mut done, mut claimed) = (0, 0);
-        for part in &live.record.parts_done {
-            let (from, to) = live.record.part_range(*part);
+        for part in &cached.record.parts_done {
+            let (from, to) = cached.record.part_range(*part);
             done += to - from;
         }
-        live.by_pool.clear();
+        cached.by_pool.clear();
         let parts = self.parts.get(id).into_iter().flat_map(|p| p.values().map(|p| &p.value));
-        for table in std::iter::once(&live.record.table).chain(parts) {
+        for table in std::iter::once(&cached.record.table).chain(parts) {
             done += table.done_count();
             for group in &table.claims {
                 let tasks = group.tasks.len() as u32;
                 claimed += tasks;
-                match live.by_pool.iter_mut().find(|(pool, _)| *pool == group.pool) {
-                    Some((_, known)) => *known += tasks,
-                    None => live.by_pool.push((group.pool.clone(), tasks)),
+                match cached.by_pool.iter_mut().find(|(pool, _)| *pool == group.pool) {
+                    Some((_, claims)) => *claims += tasks,
+                    None => cached.by_pool.push((group.pool.clone(), tasks)),
                 }
             }
         }
-        (live.done, live.claimed) = (done, claimed);
-        let Some(elastic) = &live.record.spec.elastic else { return };
+        (cached.done, cached.claimed) = (done, claimed);
+        let Some(elastic) = &cached.record.spec.elastic else { return };
         let parts = self.progress.get(id).into_iter().flat_map(|p| p.values());
         let finished: u64 = parts.map(|part| part.value.finished.len()).sum();
-        live.steps_left = Some(elastic.steps.saturating_sub(finished as u32));
-        let claims = live.record.table.claims.iter();
+        cached.steps_left = Some(elastic.steps.saturating_sub(finished as u32));
+        let claims = cached.record.table.claims.iter();
         let mut members: Vec<TaskIx> = claims.flat_map(|g| g.tasks.iter().map(|t| t.0)).collect();
         members.sort_unstable();
-        live.beyond = members.get(elastic.least as usize).copied().unwrap_or(TaskIx(u32::MAX));
+        cached.beyond = members.get(elastic.least as usize).copied().unwrap_or(TaskIx(u32::MAX));
     }
 
-    fn index(&mut self, id: &JobId, table: &Table) {
+    fn index_claims(&mut self, id: &JobId, table: &Table) {
         for group in &table.claims {
-            let on = self.claims.entry(group.machine.clone()).or_default();
-            self.stamps += 1;
-            on.stamp = self.stamps;
+            let machine_claims = self.claims.entry(group.machine.clone()).or_default();
+            self.last_stamp += 1;
+            machine_claims.stamp = self.last_stamp;
             for (ix, attempt) in &group.tasks {
-                on.tasks.insert((id.clone(), *ix), Claim { attempt: *attempt, token: group.token });
+                machine_claims
+                    .tasks
+                    .insert((id.clone(), *ix), Claim { attempt: *attempt, token: group.token });
             }
         }
     }
 
-    fn unindex(&mut self, id: &JobId, table: &Table) {
+    fn unindex_claims(&mut self, id: &JobId, table: &Table) {
         for group in &table.claims {
-            if let Some(on) = self.claims.get_mut(&group.machine) {
-                self.stamps += 1;
-                on.stamp = self.stamps;
+            if let Some(machine_claims) = self.claims.get_mut(&group.machine) {
+                self.last_stamp += 1;
+                machine_claims.stamp = self.last_stamp;
                 for (ix, _) in &group.tasks {
-                    on.tasks.remove(&(id.clone(), *ix));
+                    machine_claims.tasks.remove(&(id.clone(), *ix));
                 }
-                if on.is_empty() {
+                if machine_claims.is_empty() {
                     self.claims.remove(&group.machine);
                 }
             }
         }
     }
 
-    /// The job's claims call for something else than before, though none of them changed: whoever compares
-    /// stamps has to look at their machines again.
+    /// Gives the claims of a job new stamps. They require other actions than before although none
+    /// of them changed, so their machines have to be examined again.
     pub(crate) fn restamp(&mut self, id: &JobId) {
-        let Some(live) = self.jobs.get(id) else { return };
+        let Some(cached) = self.jobs.get(id) else { return };
         let parts = self.parts.get(id).into_iter().flat_map(|p| p.values()).map(|p| &p.value);
-        for group in std::iter::once(&live.record.table).chain(parts).flat_map(|t| &t.claims) {
-            if let Some(on) = self.claims.get_mut(&group.machine) {
-                self.stamps += 1;
-                on.stamp = self.stamps;
+        for group in std::iter::once(&cached.record.table).chain(parts).flat_map(|t| &t.claims) {
+            if let Some(machine_claims) = self.claims.get_mut(&group.machine) {
+                self.last_stamp += 1;
+                machine_claims.stamp = self.last_stamp;
             }
         }
     }
 
-    /// Changes whenever the claims on a machine do, or what they call for; 0: there are none.
+    /// A number that changes whenever the claims on a machine, or the actions they require, change;
+    /// 0: no claims.
     pub(crate) fn claims_stamp(&self, machine: &MachineId) -> u64 {
         self.claims.get(machine).map_or(0, |c| c.stamp)
     }
@@ -561,8 +580,8 @@
         self.claims.get(machine)?.get(&(task.job.clone(), task.ix)).copied()
     }
 
-    /// What an ended job's record keeps for its team's history. `record` is as it will be; parts that end
-    /// with it are in it already.
+    /// The summary that an ended job's archive record keeps for the team's history. `record` is the
+    /// job's final record, which already includes the parts that end with it.
     pub(crate) fn summary(&self, id: &JobId, record: &JobRecord, wall_ms: u64) -> Summary {
         let parts = self.parts.get(id).into_iter().flatten();
         let parts =
@@ -580,7 +599,7 @@
         }
     }
 
-    /// Every table of a job: its own, or its parts'.
+    /// Every task table of a job: its own, or those of its parts.
     pub(crate) fn tables<'a>(&'a self, id: &JobId) -> impl Iterator<Item = &'a Table> + 'a {
         let own = self.jobs.get(id).map(|j| &j.record.table);
         let parts = self.parts.get(id).into_iter().flat_map(|p| p.values().map(|p| &p.value));
--- a/crates/cleatfold-control/src/store/calls.rs
+++ b/crates/cleatfold-control/src/store/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the state service and the cloud that have no answer yet.
+//! Pending calls to the state service and the cloud, and scheduled resends of transactions.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, CloudRequest, Effect, StoreRequest};
@@ -6,7 +6,7 @@
 use cleatfold_wire::Ms;
 use std::collections::BTreeMap;
 
-/// A transaction that is to be sent once more.
+/// A transaction that will be sent again.
 #[derive(Debug)]
 struct Resend {
     at: Ms,
@@ -15,7 +15,7 @@
     txn: Txn,
 }
 
-/// Calls without an answer, by number.
+/// Pending calls by id.
 #[derive(Debug, Default)]
 pub(crate) struct Calls {
     last_op: u64,
@@ -24,32 +24,33 @@
 }
 
 impl Calls {
-    fn begin(&mut self, pending: Pending) -> u64 {
+    /// Stores a pending call under a new id.
+    fn register(&mut self, pending: Pending) -> u64 {
         self.last_op += 1;
         self.pending.insert(self.last_op, pending);
         self.last_op
     }
 
-    /// Whether the call waits to be sent once more.
-    pub(crate) fn is_resent_later(&self, op: u64) -> bool {
+    /// Whether a resend of the call is scheduled.
+    pub(crate) fn is_resend_scheduled(&self, op: u64) -> bool {
         self.resends.iter().any(|resend| resend.op == op)
     }
 
-    /// Its outcome is known: it is not sent once more.
-    pub(crate) fn forget_resend(&mut self, op: u64) {
+    /// Cancels a scheduled resend of a call whose outcome is known.
+    pub(crate) fn cancel_resend(&mut self, op: u64) {
         self.resends.retain(|resend| resend.op != op);
     }
 }
 
 impl Controller {
-    /// Calls the state service; returns the call's number.
+    /// Calls the state service and returns the id of the call.
     pub(crate) fn store(
         &mut self,
         priority: CallPriority,
         request: StoreRequest,
         pending: Pending,
     ) -> u64 {
-        let op = self.calls.begin(pending);
+        let op = self.calls.register(pending);
         if let StoreRequest::Txn(txn) = &request {
             self.rate_limiter.spend(txn.changes.len());
         }
@@ -59,12 +60,13 @@
 
     /// Calls the cloud.
     pub(crate) fn cloud(&mut self, request: CloudRequest, pending: Pending) {
-        let op = self.calls.begin(pending);
+        let op = self.calls.register(pending);
         let spacing_ms = self.cloud_spacing_ms();
         self.out.push(Effect::Cloud { op, request, spacing_ms });
     }
 
-    /// Sends a transaction with an unknown outcome once more: the same guards decide.
+    /// Schedules a resend of a transaction with an unknown outcome. This is safe because the guards
+    /// let it be applied only once.
     pub(crate) fn again(
         &mut self,
         op: u64,
@@ -78,7 +80,7 @@
         self.calls.resends.push(Resend { at, op, priority, txn });
     }
 
-    /// At each tick: sends what is due to be sent once more.
+    /// At each tick: sends the scheduled resends that are due.
     pub(crate) fn resend_due(&mut self) {
         let resends = std::mem::take(&mut self.calls.resends);
         let (due, later) = resends.into_iter().partition(|resend| resend.at <= self.now);
--- a/crates/cleatfold-control/src/store/format_check.rs
+++ b/crates/cleatfold-control/src/store/format_check.rs
@@ -1,30 +1,32 @@
-//! How far it is known that the records are in a version that this program reads.
+//! The state of the check that this program supports the format of the stored records.
 
 use cleatfold_wire::Ms;
 
-/// What is known of the version of the records.
+/// Progress of the format check.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) enum Format {
+pub(crate) enum FormatState {
+    /// The format marker has not been read.
     #[default]
     Unread,
-    Asked,
-    /// Ours; all else may begin.
-    Known,
-    /// Not ours.
-    Refused,
+    /// A read or a write of the marker is in flight.
+    Pending,
+    /// The format is supported; all other work may begin.
+    Supported,
+    /// The format is not supported, and the program exits.
+    Unsupported,
 }
 
-/// The check of the records' version, which comes before everything else.
+/// The check of the record format, which precedes all other use of the state service.
 #[derive(Debug, Default)]
 pub(crate) struct FormatCheck {
-    pub state: Format,
-    /// Not to be asked again before.
+    pub state: FormatState,
+    /// Earliest time of the next attempt.
     pub not_before: Ms,
 }
 
 impl FormatCheck {
-    /// The records are ours to read and write.
-    pub(crate) fn is_known(&self) -> bool {
-        self.state == Format::Known
+    /// Whether this program may read and write the records.
+    pub(crate) fn is_supported(&self) -> bool {
+        self.state == FormatState::Supported
     }
 }
--- a/crates/cleatfold-control/src/store/loss_records.rs
+++ b/crates/cleatfold-control/src/store/loss_records.rs
@@ -1,4 +1,4 @@
-//! Losses as the records hold them.
+//! Records of losses: starts of tasks that came to nothing.
 
 use crate::config::Config;
 use cleatfold_fault_attribution::Failure;
@@ -6,19 +6,20 @@
 use cleatfold_wire::{Attempt, JobId, MachineId, TaskId, TaskIx, TeamId};
 use serde::{Deserialize, Serialize};
 
-/// The teams' logs; outside of what controllers read at start and follow.
+/// Prefix of the teams' loss logs, outside of what controllers load at start and follow.
 pub const LOSS_LOG: &str = "lo/";
 
-/// The beginning of the keys of a team's log of losses.
+/// Prefix of the keys of a team's loss log.
 pub fn loss_log_prefix(team: &TeamId) -> String {
     format!("{LOSS_LOG}{team}/")
 }
-/// A group of a team's log of losses.
+
+/// Key of a group in a team's loss log.
 pub fn loss_log_key(team: &TeamId, number: u64) -> String {
     format!("{LOSS_LOG}{team}/{number:010}")
 }
 
-/// How long a team's log is.
+/// Length of a team's loss log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LossHead {
     /// The number of the next group.
@@ -26,9 +27,9 @@
     pub next: u64,
 }
 
-/// What was lost with one machine at one time.
+/// Starts that were lost on one machine within a second and for the same cause.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Group {
+struct LossGroup {
     #[serde(rename = "m")]
     machine: MachineId,
     #[serde(rename = "w")]
@@ -39,18 +40,19 @@
     tasks: Vec<(TaskIx, Attempt)>,
 }
 
-/// The lost starts of a table's tasks: all counted, the latest kept.
+/// The lost starts of a table's tasks: the total number, and details of the latest ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LossList {
-    /// All lost starts, also those that are not kept by name.
+    /// Number of lost starts, including those without kept details.
     #[serde(rename = "n", default)]
     pub total: u32,
     #[serde(rename = "g", default)]
-    groups: Vec<Group>,
+    groups: Vec<LossGroup>,
 }
 
 impl LossList {
-    /// Starts that are kept by name; a record that is full of claims still has room for them.
+    /// Maximum number of starts with kept details. A record that is full of claims still has room
+    /// for them.
     pub const MAX_KEPT: usize = 96;
 
     /// Whether nothing was lost.
@@ -68,10 +70,14 @@
     ) {
         self.total += 1;
         match self.groups.last_mut() {
-            Some(g) if g.machine == *machine && g.cause == cause && at_ms < g.at_ms + 1000 => {
-                g.tasks.push(task)
+            Some(group)
+                if group.machine == *machine
+                    && group.cause == cause
+                    && at_ms < group.at_ms + 1000 =>
+            {
+                group.tasks.push(task)
             }
-            _ => self.groups.push(Group {
+            _ => self.groups.push(LossGroup {
                 machine: machine.clone(),
                 cause,
                 at_ms,
@@ -81,16 +87,17 @@
         self.trim();
     }
 
-    /// Adds what another table of the same job lost.
-    pub fn take(&mut self, other: LossList) {
+    /// Adds the losses of another table of the same job.
+    pub fn merge(&mut self, other: LossList) {
         self.total += other.total;
         self.groups.extend(other.groups);
-        self.groups.sort_by_key(|g| g.at_ms);
+        self.groups.sort_by_key(|group| group.at_ms);
         self.trim();
     }
 
+    /// Drops the oldest details beyond the maximum.
     fn trim(&mut self) {
-        let mut kept: usize = self.groups.iter().map(|g| g.tasks.len()).sum();
+        let mut kept: usize = self.groups.iter().map(|group| group.tasks.len()).sum();
         while kept > Self::MAX_KEPT {
             let Some(oldest) = self.groups.first_mut() else { return };
             oldest.tasks.remove(0);
@@ -101,33 +108,33 @@
         }
     }
 
-    /// The kept ones by name, oldest first.
+    /// The losses with kept details, oldest first.
     pub fn entries<'a>(&'a self, job: &'a JobId) -> impl Iterator<Item = Loss> + 'a {
-        self.groups.iter().flat_map(move |g| {
-            g.tasks.iter().map(move |(ix, attempt)| Loss {
+        self.groups.iter().flat_map(move |group| {
+            group.tasks.iter().map(move |(ix, attempt)| Loss {
                 task: TaskId { job: job.clone(), ix: *ix },
                 attempt: *attempt,
-                machine: g.machine.clone(),
-                cause: g.cause,
-                at_ms: g.at_ms,
+                machine: group.machine.clone(),
+                cause: group.cause,
+                at_ms: group.at_ms,
             })
         })
     }
 
-    /// The kept starts whose task failed, in no order that matters.
+    /// The kept losses whose task failed. Callers must not depend on their order.
     pub fn failures(&self) -> impl Iterator<Item = Failure> + '_ {
-        let failed = self.groups.iter().filter(|g| g.cause == LossCause::Failed);
-        failed.flat_map(|g| {
-            g.tasks.iter().map(|(task, attempt)| Failure {
-                machine: g.machine.clone(),
+        let failed = self.groups.iter().filter(|group| group.cause == LossCause::Failed);
+        failed.flat_map(|group| {
+            group.tasks.iter().map(|(task, attempt)| Failure {
+                machine: group.machine.clone(),
                 task: *task,
                 attempt: *attempt,
-                at_ms: g.at_ms,
+                at_ms: group.at_ms,
             })
         })
     }
 
-    /// As part of a job's answer.
+    /// The losses for a job's status; none if there are none.
     pub fn answer(&self, job: &JobId, again: bool) -> Option<JobLosses> {
         (!self.is_empty()).then(|| {
             let mut recent: Vec<Loss> = self.entries(job).collect();
--- a/crates/cleatfold-control/src/store/mod.rs
+++ b/crates/cleatfold-control/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The state service as one controller sees it: the cache of its records, the session that keeps the
-//! cache current, the records' forms, and what is done about transactions without an answer.
+//! Access to the state service: the cache of its records, the session that keeps the cache current,
+//! the record formats, and the handling of transactions whose reply is missing.
 
 pub(crate) mod cache;
 pub(crate) mod calls;
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -1,9 +1,10 @@
-//! What the state service holds. Short field names: values are small there.
+//! Keys and values of the records in the state service. Serialized field names are short because
+//! the service limits the size of a value.
 //!
-//! A job of up to `PART` tasks lives in one record, `cf/j/<job>`. A larger one keeps its
-//! tasks in parts, `cf/p/<job>/<part>`, which come into being with their first claim; its
-//! head names the parts that are complete. Ended jobs move to `ar/<job>`, outside of what
-//! controllers read at start and follow.
+//! A job of up to `PART` tasks is stored in one record, `cf/j/<job>`. A larger one keeps its
+//! tasks in parts, `cf/p/<job>/<part>`, which are created with their first claim; its head
+//! record lists the parts that are complete. Ended jobs move to `ar/<job>`, outside of what
+//! controllers load at start and follow.
 
 pub use super::loss_records::*;
 
@@ -19,94 +20,107 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Tasks of one record. A record full of claims stays under 8 KiB.
+/// Number of tasks in one record. A record full of claims stays under 8 KiB.
 pub const PART: u32 = 256;
 
-/// The prefix of all that controllers read at their start and follow.
+/// Prefix of the keys that controllers load at start and follow.
 pub const LIVE: &str = "cf/";
-/// Ended jobs, outside of what controllers read at their start.
+/// Prefix of ended jobs, outside of what controllers load at start.
 pub const ARCHIVE: &str = "ar/";
-const JOBS: &str = "cf/j/";
-const PARTS: &str = "cf/p/";
-const PROGRESS: &str = "cf/e/";
-const POOLS: &str = "cf/pool/";
-const CONTROLLERS: &str = "cf/node/";
-const SLICES: &str = "cf/slice/";
-const LOSS_HEADS: &str = "cf/loss/";
-const WORKSPACES: &str = "cf/ws/";
-const HISTORIES: &str = "cf/hist/";
-const PREEMPTIONS: &str = "cf/made/";
-const IMAGE_HOLDERS: &str = "cf/w/";
-/// Groups of teams' histories, outside of what controllers read at their start.
+const JOB_PREFIX: &str = "cf/j/";
+const PART_PREFIX: &str = "cf/p/";
+const PROGRESS_PREFIX: &str = "cf/e/";
+const POOL_PREFIX: &str = "cf/pool/";
+const CONTROLLER_PREFIX: &str = "cf/node/";
+const SLICE_PREFIX: &str = "cf/slice/";
+const LOSS_HEAD_PREFIX: &str = "cf/loss/";
+const WORKSPACE_PREFIX: &str = "cf/ws/";
+const HISTORY_HEAD_PREFIX: &str = "cf/hist/";
+const PREEMPTION_PREFIX: &str = "cf/made/";
+const IMAGE_HOLDERS_PREFIX: &str = "cf/w/";
+/// Prefix of the groups of teams' histories, outside of what controllers load at start.
 pub const HISTORY_LOG: &str = "hist/";
-/// Which version of the records these are.
+/// Key of the format version of the records.
 pub const FORMAT_KEY: &str = "cf/format";
-/// What was asked of the cloud, or is about to be.
+/// Key of the requests that were sent to the cloud or are about to be.
 pub const SCALE_OUT_KEY: &str = "cf/rents";
-/// The shares under overload.
+/// Key of the team shares under overload.
 pub const OVERLOAD_QUOTA_KEY: &str = "cf/allotment";
-/// Who fetches from the origin of images.
+/// Key of the slots for fetches from the image origin.
 pub const ORIGIN_KEY: &str = "cf/origin";
 
-/// The record of a job that has not ended.
+/// Key of a job that has not ended.
 pub fn job_key(job: &JobId) -> String {
-    format!("{JOBS}{job}")
+    format!("{JOB_PREFIX}{job}")
 }
-/// The record of an ended job.
+
+/// Key of an ended job.
 pub fn archive_key(job: &JobId) -> String {
     format!("{ARCHIVE}{job}")
 }
-/// A part of a large job's tasks.
+
+/// Key of a part of a large job's tasks.
 pub fn part_key(job: &JobId, part: u32) -> String {
-    format!("{PARTS}{job}/{part:05}")
+    format!("{PART_PREFIX}{job}/{part:05}")
 }
-/// Progress of an elastic job. Apart from its record, so that neither what finishes steps nor
-/// what claims members makes the other write in vain.
+
+/// Key of a part of an elastic job's progress. It is separate from the job's record so that
+/// transactions that finish steps and transactions that claim members do not conflict.
 pub fn progress_key(job: &JobId, part: u32) -> String {
-    format!("{PROGRESS}{job}/{part:05}")
+    format!("{PROGRESS_PREFIX}{job}/{part:05}")
 }
-/// Who owns a pool. Its version is the fencing token.
+
+/// Key of the owner of a pool. Its version is the fencing token.
 pub fn pool_key(pool: &PoolId) -> String {
-    format!("{POOLS}{pool}")
+    format!("{POOL_PREFIX}{pool}")
 }
-/// A live controller, under its lease.
+
+/// Key of a registered controller, attached to its lease.
 pub fn controller_key(controller: &ControllerId) -> String {
-    format!("{CONTROLLERS}{controller}")
+    format!("{CONTROLLER_PREFIX}{controller}")
 }
-/// How long a team's log of losses is.
+
+/// Key of the length of a team's loss log.
 pub fn loss_head_key(team: &TeamId) -> String {
-    format!("{LOSS_HEADS}{team}")
+    format!("{LOSS_HEAD_PREFIX}{team}")
 }
-/// Who owns a team's workspace. Its version is the token of all the owner writes.
+
+/// Key of the owner of a team's workspace. Its version is the fencing token of the owner's writes.
 pub fn workspace_key(team: &TeamId) -> String {
-    format!("{WORKSPACES}{team}")
+    format!("{WORKSPACE_PREFIX}{team}")
 }
-/// How far a team's history is written.
+
+/// Key of the head of a team's history, which records how far it is written.
 pub fn history_head_key(team: &TeamId) -> String {
-    format!("{HISTORIES}{team}")
+    format!("{HISTORY_HEAD_PREFIX}{team}")
 }
-/// The beginning of the keys of a team's history.
+
+/// Prefix of the keys of a team's history.
 pub fn history_prefix(team: &TeamId) -> String {
     format!("{HISTORY_LOG}{team}/")
 }
-/// A group is named by the number of its first entry.
+
+/// Key of a group of a team's history, numbered by its first entry.
 pub fn history_group_key(team: &TeamId, number: u64) -> String {
     format!("{HISTORY_LOG}{team}/{number:012}")
 }
-/// Room that is being made in a pool.
+
+/// Key of the preemptions in progress in a pool.
 pub fn preemption_key(pool: &PoolId) -> String {
-    format!("{PREEMPTIONS}{pool}")
+    format!("{PREEMPTION_PREFIX}{pool}")
 }
-/// An image that is being spread.
+
+/// Key of the holders of an image that is being distributed.
 pub fn image_holders_key(image: &ImageId) -> String {
-    format!("{IMAGE_HOLDERS}{image}")
+    format!("{IMAGE_HOLDERS_PREFIX}{image}")
 }
-/// How a team's limit is cut into slices.
+
+/// Key of the division of a team's limit into slices.
 pub fn slice_key(team: &TeamId) -> String {
-    format!("{SLICES}{team}")
+    format!("{SLICE_PREFIX}{team}")
 }
 
-/// What a key of the live prefix is about.
+/// A parsed key of the live prefix.
 #[derive(Debug, PartialEq)]
 pub enum Key {
     /// A job's record.
@@ -117,55 +131,55 @@
     Progress(JobId, u32),
     /// The owner of a pool.
     Pool(PoolId),
-    /// A live controller.
+    /// A registered controller.
     Controller(ControllerId),
     /// The slices of a team's limit.
     Slice(TeamId),
-    /// The head of a team's log of losses.
+    /// The head of a team's loss log.
     LossHead(TeamId),
     /// The owner of a team's workspace.
     Workspace(TeamId),
     /// The head of a team's history.
     History(TeamId),
-    /// Preemptions under way in a pool.
+    /// Preemptions in progress in a pool.
     Preemption(PoolId),
-    /// Who holds an image that many want.
+    /// The holders of an image that is being distributed.
     ImageHolders(ImageId),
     /// The holder of a role.
     Role(Role),
-    /// What was asked of the cloud.
+    /// Requests that were sent to the cloud or are about to be.
     ScaleOutIntents,
-    /// The shares under overload.
+    /// The team shares under overload.
     OverloadQuota,
-    /// Who fetches from the origin of images.
+    /// Slots for fetches from the image origin.
     Origin,
 }
 
-/// What a key of the live prefix is about; none if it is unknown.
+/// Parses a key of the live prefix; none if it is unknown.
 pub fn parse_key(key: &str) -> Option<Key> {
-    if let Some(id) = key.strip_prefix(JOBS) {
+    if let Some(id) = key.strip_prefix(JOB_PREFIX) {
         Some(Key::Job(JobId::new(id)))
-    } else if let Some(rest) = key.strip_prefix(PARTS) {
+    } else if let Some(rest) = key.strip_prefix(PART_PREFIX) {
         let (id, part) = rest.rsplit_once('/')?;
         Some(Key::Part(JobId::new(id), part.parse().ok()?))
-    } else if let Some(rest) = key.strip_prefix(PROGRESS) {
+    } else if let Some(rest) = key.strip_prefix(PROGRESS_PREFIX) {
         let (id, part) = rest.rsplit_once('/')?;
         Some(Key::Progress(JobId::new(id), part.parse().ok()?))
-    } else if let Some(id) = key.strip_prefix(POOLS) {
+    } else if let Some(id) = key.strip_prefix(POOL_PREFIX) {
         Some(Key::Pool(PoolId::parse(id)?))
-    } else if let Some(id) = key.strip_prefix(CONTROLLERS) {
+    } else if let Some(id) = key.strip_prefix(CONTROLLER_PREFIX) {
         Some(Key::Controller(ControllerId::new(id)))
-    } else if let Some(id) = key.strip_prefix(SLICES) {
+    } else if let Some(id) = key.strip_prefix(SLICE_PREFIX) {
         Some(Key::Slice(TeamId::new(id)))
-    } else if let Some(id) = key.strip_prefix(LOSS_HEADS) {
+    } else if let Some(id) = key.strip_prefix(LOSS_HEAD_PREFIX) {
         Some(Key::LossHead(TeamId::new(id)))
-    } else if let Some(id) = key.strip_prefix(WORKSPACES) {
+    } else if let Some(id) = key.strip_prefix(WORKSPACE_PREFIX) {
         Some(Key::Workspace(TeamId::new(id)))
-    } else if let Some(id) = key.strip_prefix(HISTORIES) {
+    } else if let Some(id) = key.strip_prefix(HISTORY_HEAD_PREFIX) {
         Some(Key::History(TeamId::new(id)))
-    } else if let Some(id) = key.strip_prefix(PREEMPTIONS) {
+    } else if let Some(id) = key.strip_prefix(PREEMPTION_PREFIX) {
         Some(Key::Preemption(PoolId::parse(id)?))
-    } else if let Some(id) = key.strip_prefix(IMAGE_HOLDERS) {
+    } else if let Some(id) = key.strip_prefix(IMAGE_HOLDERS_PREFIX) {
         Some(Key::ImageHolders(ImageId::new(id)))
     } else if let Some(role) = Role::of_key(key) {
         Some(Key::Role(role))
@@ -180,56 +194,57 @@
     }
 }
 
-/// Who owns a pool, or holds a role. The incarnation tells a restarted owner from the one that was assigned the
-/// pool: a restart gets a new token, so nothing of the former life can speak for it.
+/// The owner of a pool or the holder of a role. The incarnation distinguishes a restarted owner
+/// from the one that was assigned the pool: a restarted owner gets a new fencing token, so messages
+/// of its former incarnation are not valid.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderRecord {
-    /// The controller that owns or holds it.
+    /// The controller that owns the pool or holds the role.
     #[serde(rename = "o")]
     pub owner: ControllerId,
-    /// The life of that controller.
+    /// The incarnation of that controller.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
 
-/// A live controller's own record.
+/// The record of a registered controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControllerRecord {
-    /// The life of that controller.
+    /// The incarnation of the controller.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
 
-/// A team's limit, cut into the part of each pool and what is still free.
+/// The division of a team's limit into a slice for each pool; the remainder is free.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SliceRecord {
-    /// Thousandths of CPUs and GPUs per pool.
+    /// Slice of each pool in thousandths of CPUs and of GPUs.
     #[serde(rename = "p")]
     pub pools: BTreeMap<PoolId, (i64, i64)>,
 }
 
-/// How a job ended.
+/// The record of an ended job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ArchiveRecord {
     /// `done` or `aborted`.
     #[serde(rename = "e")]
     pub state: JobState,
-    /// How many of its tasks, or steps, are done.
+    /// Number of tasks, or of steps of an elastic job, that are done.
     #[serde(rename = "n")]
     pub done: u32,
-    /// Its team.
+    /// The job's team.
     #[serde(rename = "q")]
     pub team: TeamId,
     /// Starts that were lost.
     #[serde(rename = "l", default, skip_serializing_if = "LossList::is_empty")]
     pub losses: LossList,
-    /// For its team's history; records of earlier versions have none.
+    /// Summary for the team's history; records of earlier versions have none.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     pub summary: Option<Summary>,
 }
 
 impl ArchiveRecord {
-    /// As its team's history has it.
+    /// The job's entry in its team's history.
     pub fn entry(&self, job: &JobId) -> Entry {
         let lost = self.losses.entries(job);
         let (done, total) = (self.done, self.losses.total);
@@ -237,13 +252,13 @@
     }
 }
 
-/// The claims on one machine under one token.
+/// The claims on one machine under one fencing token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimGroup {
-    /// The machine that they run on.
+    /// The machine that the tasks run on.
     #[serde(rename = "m")]
     pub machine: MachineId,
-    /// The fencing token under which they were made.
+    /// The fencing token under which the claims were made.
     #[serde(rename = "k")]
     pub token: FencingToken,
     /// The machine's pool.
@@ -260,7 +275,7 @@
     /// Tasks that are done, as ranges [from, to).
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<(u32, u32)>,
-    /// Claims, by machine and token.
+    /// Claims, grouped by machine and fencing token.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub claims: Vec<ClaimGroup>,
     /// The highest attempt of tasks that are neither claimed nor done.
@@ -269,10 +284,10 @@
     /// Starts that were lost.
     #[serde(rename = "l", default, skip_serializing_if = "LossList::is_empty")]
     pub losses: LossList,
-    /// Time of day of its first claim, in milliseconds.
+    /// Wall-clock time of the first claim, in milliseconds.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub begun_ms: Option<u64>,
-    /// Run time of all its starts that have ended, in milliseconds.
+    /// Total run time of all ended starts, in milliseconds.
     #[serde(rename = "r", default, skip_serializing_if = "is_zero")]
     pub ran_ms: u64,
 }
@@ -288,7 +303,7 @@
         self.done.get(i).is_some_and(|r| r.0 <= ix.0)
     }
 
-    /// How many tasks are done.
+    /// Number of tasks that are done.
     pub fn done_count(&self) -> u32 {
         self.done.iter().map(|r| r.1 - r.0).sum()
     }
@@ -308,7 +323,7 @@
         }
     }
 
-    /// Ends a claim, if it stands exactly so. Returns whether it did.
+    /// Ends the claim with exactly this machine, task and attempt. Returns whether it existed.
     pub fn end(&mut self, machine: &MachineId, ix: TaskIx, attempt: Attempt, done: bool) -> bool {
         let mut found = false;
         for group in &mut self.claims {
@@ -329,18 +344,18 @@
         found
     }
 
-    /// Tasks of `from..to` that may be claimed.
+    /// Tasks of `from..to` that are neither claimed nor done.
     pub fn free(&self, from: u32, to: u32) -> Vec<TaskIx> {
-        let mut taken: Vec<u32> =
+        let mut claimed: Vec<u32> =
             self.claims.iter().flat_map(|g| g.tasks.iter().map(|t| t.0 .0)).collect();
-        taken.sort_unstable();
+        claimed.sort_unstable();
         (from..to)
             .map(TaskIx)
-            .filter(|ix| taken.binary_search(&ix.0).is_err() && !self.is_done(*ix))
+            .filter(|ix| claimed.binary_search(&ix.0).is_err() && !self.is_done(*ix))
             .collect()
     }
 
-    /// Claims a free task with an attempt above all earlier ones.
+    /// Claims a task that is neither claimed nor done, with an attempt above all earlier ones.
     pub fn claim(
         &mut self,
         machine: &MachineId,
@@ -348,9 +363,9 @@
         pool: &PoolId,
         ix: TaskIx,
     ) -> Attempt {
-        let last = self.attempts.iter().filter(|a| a.0 == ix).map(|a| a.1).max();
+        let last_attempt = self.attempts.iter().filter(|a| a.0 == ix).map(|a| a.1).max();
         self.attempts.retain(|a| a.0 != ix);
-        let attempt = Attempt(last.unwrap_or_default().0 + 1);
+        let attempt = Attempt(last_attempt.unwrap_or_default().0 + 1);
         match self.claims.iter_mut().find(|g| g.machine == *machine && g.token == token) {
             Some(group) => group.tasks.push((ix, attempt)),
             None => self.claims.push(ClaimGroup {
@@ -370,22 +385,22 @@
     /// The job as it was submitted.
     #[serde(rename = "s")]
     pub spec: JobSpec,
-    /// Time of day of acceptance, in milliseconds. Only orders the queue.
+    /// Wall-clock time of acceptance, in milliseconds. Used only to order the queue.
     #[serde(rename = "at")]
     pub accepted_ms: u64,
     /// The revision at which it was accepted, once the record has been written again.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub place: Option<u64>,
-    /// It is cancelled.
+    /// Whether the job is cancelled.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub aborted: bool,
-    /// Of a one-zone job: where its first claim bound it.
+    /// Of a one-zone job: the zone of its first claim.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<ZoneId>,
-    /// Parts that are complete and have no record any more.
+    /// Parts that are complete and whose records were removed.
     #[serde(rename = "pd", default, skip_serializing_if = "Vec::is_empty")]
     pub parts_done: Vec<u32>,
-    /// The tasks, where the job has just one part.
+    /// The tasks of a job that is not kept in parts.
     #[serde(rename = "u", default)]
     pub table: Table,
 }
@@ -403,25 +418,29 @@
             table: Table::default(),
         }
     }
-    /// What one task takes.
+
+    /// Resources of one task.
     pub fn each(&self) -> Resources {
         Resources::new(self.spec.cpus, self.spec.gpus, self.spec.memory_gb)
     }
-    /// Whether its tasks are kept in parts.
+
+    /// Whether the job's tasks are kept in parts.
     pub fn in_parts(&self) -> bool {
         self.spec.tasks > PART
     }
-    /// How many parts it has, if it is kept in parts.
+
+    /// Number of parts of a job whose tasks are kept in parts.
     pub fn part_count(&self) -> u32 {
         self.spec.tasks.div_ceil(PART)
     }
+
     /// The tasks of a part, as a range [from, to).
     pub fn part_range(&self, part: u32) -> (u32, u32) {
         (part * PART, ((part + 1) * PART).min(self.spec.tasks))
     }
 }
 
-/// A job's status as users are told it, without details.
+/// A job's status as returned to users, without details.
 pub fn status(id: &JobId, state: JobState, done: u32, running: u32) -> JobStatus {
     JobStatus { id: id.clone(), state, done, running, why: None, steps: None, losses: None }
 }
--- a/crates/cleatfold-control/src/store/sent.rs
+++ b/crates/cleatfold-control/src/store/sent.rs
@@ -1,17 +1,17 @@
-//! When a transaction was sent, and what is done while its answer is missing.
+//! The sending status of a transaction, and the next action while its reply is missing.
 
 use cleatfold_wire::Ms;
 
-/// A transaction without an answer for so long is looked for in the next reading.
+/// Age at which a transaction without a reply is looked up in the next read.
 pub(crate) const UNANSWERED_AFTER_MS: u64 = 300;
 
-/// When a transaction was sent, and what was done about its answer since.
+/// When a transaction was sent, and which actions were taken since because its reply is missing.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Sent {
     pub at: Ms,
-    /// A reading was asked for to look for it.
+    /// A read was requested to look the transaction up.
     pub queried: bool,
-    /// It was sent once more.
+    /// The transaction was sent a second time.
     pub resent: bool,
 }
 
@@ -21,24 +21,35 @@
     }
 }
 
-/// What is to be done about a transaction without an answer.
+/// The next action for a transaction without a reply.
 #[derive(Debug, PartialEq)]
 pub(crate) enum UnansweredAction {
+    /// None for now.
     Wait,
+    /// Request a read of the state service.
     Read,
+    /// Determine the outcome from the cache.
     Resolve,
+    /// Send the transaction a second time.
     Resend,
 }
 
 impl Sent {
-    /// `read`: the sending time of the newest reading that is in; `decided`: it shows that the transaction is decided.
-    pub(crate) fn step(self, now: Ms, read: Option<Ms>, decided: bool) -> UnansweredAction {
-        let look_at = self.at.plus(UNANSWERED_AFTER_MS);
-        if now < look_at {
+    /// The next action. `last_read_at` is the sending time of the newest completed read;
+    /// `is_decided` says whether that read shows that the transaction can no longer be applied, or
+    /// was.
+    pub(crate) fn next_action(
+        self,
+        now: Ms,
+        last_read_at: Option<Ms>,
+        is_decided: bool,
+    ) -> UnansweredAction {
+        let overdue_at = self.at.plus(UNANSWERED_AFTER_MS);
+        if now < overdue_at {
             return UnansweredAction::Wait;
         }
-        match read.is_some_and(|read| read >= look_at) {
-            true if decided => UnansweredAction::Resolve,
+        match last_read_at.is_some_and(|read_at| read_at >= overdue_at) {
+            true if is_decided => UnansweredAction::Resolve,
             true if !self.resent => UnansweredAction::Resend,
             false if !self.queried => UnansweredAction::Read,
             _ => UnansweredAction::Wait,
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -1,5 +1,5 @@
-//! The session with the state service: the lease, this controller's own key, and the readings that
-//! keep the cache current.
+//! The session with the state service: the lease, this controller's registration, and the reads
+//! that keep the cache current.
 
 use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
@@ -7,62 +7,69 @@
 use cleatfold_wire::store::{Events, Txn};
 use cleatfold_wire::{JobId, LeaseId, Ms, Version};
 
-/// Between two requests for a lease, as long as there is none.
+/// Interval between requests for a lease while there is none.
 const LEASE_RETRY_MS: u64 = 300;
-/// A lease that has ended is asked for anew as if the last request had been so long ago.
+/// After a lease has expired, the last request counts as this old, so that a new lease is requested
+/// at once.
 const LEASE_LOST_MS: u64 = 1_000;
-/// Between two requests for a page of the listing that fills the cache.
+/// Interval between requests for a page of the listing that fills the cache.
 const PAGE_RETRY_MS: u64 = 200;
-/// The state service has answered lately: within a reading's interval and this.
-const CONTACT_MS: u64 = 2_500;
+/// The state service counts as reachable if the last read is no older than the read interval plus
+/// this.
+const CONTACT_TIMEOUT_MS: u64 = 2_500;
 
-/// What is known of the session.
+/// State of the session.
 #[derive(Debug, Default)]
 pub(crate) struct Session {
     pub lease: Option<LeaseId>,
+    /// A request for the lease or its renewal is in flight.
     pub lease_requested: bool,
     /// When the newest request for the lease or its renewal was sent.
-    pub lease_renewed_at: Ms,
-    /// This life of the controller: the number of its first lease.
+    pub lease_request_sent: Ms,
+    /// The incarnation of this controller: the id of its first lease.
     pub incarnation: Option<u64>,
-    /// Our own key is being written.
+    /// The write of this controller's record is in flight.
     registering: bool,
-    /// When that was last settled; what came of it shows in readings sent since.
+    /// When the last such write was answered; its outcome shows in reads sent since.
     registered_at: Option<Ms>,
-    /// The cache holds all that there is.
+    /// The listing that fills the cache is complete.
     pub is_loaded: bool,
+    /// A request for a page of the listing is in flight.
     page_requested: bool,
+    /// The key after which the next page begins.
     next_page_from: Option<String>,
     /// The revision of the listing's first page.
     load_revision: Option<Version>,
+    /// A read of the changes is in flight.
     sync_inflight: bool,
+    /// When the newest read, or the newest request for a page, was sent.
     sync_sent: Ms,
-    /// A reading is wanted sooner than usual.
+    /// A read is needed before the usual interval has passed.
     pub sync_wanted: bool,
-    /// The content of the state service was known as of this moment: when the newest reading was sent.
+    /// When the newest completed read was sent: the cache was complete as of this time.
     pub last_read: Option<Ms>,
-    /// The last call that the state service failed to answer.
+    /// Time of the last call that the state service failed to answer.
     pub last_failure: Option<Ms>,
 }
 
 impl Controller {
-    /// The state service has answered lately.
+    /// Whether the state service has answered a read recently.
     pub(crate) fn in_contact(&self) -> bool {
-        let contact_ms = CONTACT_MS + self.cfg.read_interval_ms;
+        let contact_ms = CONTACT_TIMEOUT_MS + self.cfg.read_interval_ms;
         self.session.last_read.is_some_and(|at| self.now.since(at) < contact_ms)
     }
 
-    // ---- the lease and our own key ----
+    // ---- the lease and the registration ----
 
-    /// Keeps the lease, and our own key under it.
-    pub(crate) fn keep_lease(&mut self) {
-        // Nothing is written before it is known that the records are ours to read.
-        if self.session.lease_requested || !self.format_check.is_known() {
+    /// At each tick: requests or renews the lease, and registers this controller under it.
+    pub(crate) fn maintain_lease(&mut self) {
+        // Nothing is written before the record format is known to be supported.
+        if self.session.lease_requested || !self.format_check.is_supported() {
             return;
         }
         let ttl_ms = self.cfg.controller_lease_ms;
-        let since = self.now.since(self.session.lease_renewed_at);
-        let is_first = self.session.lease_renewed_at == Ms(0);
+        let since = self.now.since(self.session.lease_request_sent);
+        let is_first = self.session.lease_request_sent == Ms(0);
         match self.session.lease {
             None if since >= LEASE_RETRY_MS || is_first => {
                 let pending = Pending::Grant { sent: self.now };
@@ -74,33 +81,35 @@
             }
             _ => {}
         }
-        self.keep_registration();
+        self.register_if_needed();
     }
 
     fn request_lease(&mut self, request: StoreRequest, pending: Pending) {
         self.session.lease_requested = true;
-        self.session.lease_renewed_at = self.now;
+        self.session.lease_request_sent = self.now;
         self.store(CallPriority::Renewal, request, pending);
     }
 
-    fn keep_registration(&mut self) {
+    /// Writes this controller's record unless the cache shows it.
+    fn register_if_needed(&mut self) {
         let (Some(lease), Some(incarnation)) = (self.session.lease, self.session.incarnation)
         else {
             return;
         };
-        let known = self.cache.controllers.get(&self.cfg.me);
+        let registered = self.cache.controllers.get(&self.cfg.me);
         let last_read = self.session.last_read;
         let is_read =
             self.session.registered_at.is_none_or(|at| last_read.is_some_and(|read| read >= at));
-        let is_registered = known.map(|n| n.value.incarnation) == Some(incarnation);
+        let is_registered = registered.map(|record| record.value.incarnation) == Some(incarnation);
         if self.session.registering || !self.session.is_loaded || !is_read || is_registered {
             return;
         }
         self.session.registering = true;
         let key = controller_key(&self.cfg.me);
         let mut txn = Txn::default();
-        // Guarded, or one of a former life that is executed late puts that life back.
-        txn.guard(key.clone(), known.map(|n| n.version).unwrap_or_default());
+        // Without the guard, a write of a former incarnation that is executed late would restore
+        // that incarnation.
+        txn.guard(key.clone(), registered.map(|record| record.version).unwrap_or_default());
         txn.put(key, &ControllerRecord { incarnation }, Some(lease));
         self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Registration);
     }
@@ -109,7 +118,7 @@
         self.session.lease_requested = false;
         if let StoreReply::Granted(lease) = reply {
             self.session.lease = Some(lease);
-            self.session.lease_renewed_at = sent;
+            self.session.lease_request_sent = sent;
             self.session.incarnation.get_or_insert(lease.0);
         }
     }
@@ -121,12 +130,12 @@
             StoreReply::Missing => {
                 tracing::info!("lease expired");
                 self.session.lease = None;
-                self.session.lease_renewed_at = Ms(sent.0.saturating_sub(LEASE_LOST_MS));
+                self.session.lease_request_sent = Ms(sent.0.saturating_sub(LEASE_LOST_MS));
             }
-            // Not renewed: ask again soon.
+            // Not renewed: retry soon.
             _ => {
-                let waited_ms = self.cfg.controller_lease_ms / 3 - LEASE_RETRY_MS;
-                self.session.lease_renewed_at = Ms(self.now.0.saturating_sub(waited_ms));
+                let elapsed_ms = self.cfg.controller_lease_ms / 3 - LEASE_RETRY_MS;
+                self.session.lease_request_sent = Ms(self.now.0.saturating_sub(elapsed_ms));
             }
         }
     }
@@ -142,8 +151,8 @@
 
     // ---- the cache ----
 
-    /// Loads the cache, or reads what has changed since.
-    pub(crate) fn keep_cache(&mut self) {
+    /// At each tick: loads the cache, or reads the changes since.
+    pub(crate) fn maintain_cache(&mut self) {
         if self.session.is_loaded {
             return self.sync_if_due();
         }
@@ -158,16 +167,16 @@
         self.store(CallPriority::Renewal, request, Pending::Load { sent: self.now });
     }
 
-    /// Reads what has changed, if that is due or somebody waits for it.
+    /// Reads the changes if that is due or a request waits for it.
     pub(crate) fn sync_if_due(&mut self) {
         if !self.session.is_loaded || self.session.sync_inflight {
             return;
         }
         let since = self.now.since(self.session.sync_sent);
-        let pressing = self.session.sync_wanted || !self.waiting.is_empty();
-        // Users' polls gather for a moment so that one reading answers many.
+        let is_urgent = self.session.sync_wanted || !self.waiting.is_empty();
+        // A third of the interval passes even then, so that one read answers many polls of users.
         if since >= self.cfg.read_interval_ms
-            || (pressing && since >= self.cfg.read_interval_ms / 3)
+            || (is_urgent && since >= self.cfg.read_interval_ms / 3)
         {
             self.session.sync_inflight = true;
             self.session.sync_wanted = false;
@@ -180,11 +189,12 @@
 
     fn reload(&mut self) {
         tracing::info!("state cache too old: loading it again");
-        self.cache.begin_anew();
+        self.cache.clear_for_reload();
         self.session.is_loaded = false;
         self.session.next_page_from = None;
         self.session.load_revision = None;
-        // A claim whose answer comes while we load is in no page read before, nor on its way any more.
+        // A claim whose reply arrives during the load is in no page that was read before, and is no
+        // longer in flight either.
         self.quota.blind = Some(self.event);
     }
 
@@ -195,7 +205,8 @@
             self.session.last_failure = Some(self.now);
             return;
         };
-        // What stood then is in these pages: an answer to an earlier change of ours adds nothing to them.
+        // The pages include every change up to this revision: the reply to an earlier transaction
+        // of this controller adds nothing to them.
         self.cache.applied = *self.session.load_revision.get_or_insert(page.revision);
         for item in &page.items {
             self.cache.apply_item(item);
@@ -208,46 +219,48 @@
 
     fn finish_load(&mut self, sent: Ms) {
         self.begin_ended();
-        let gone = |id: &&JobId| !self.cache.jobs.contains_key(*id);
-        let gone: Vec<JobId> = self.job_states.keys().filter(gone).cloned().collect();
-        gone.iter().for_each(|job| self.discard_job_state(job));
+        let has_ended = |id: &&JobId| !self.cache.jobs.contains_key(*id);
+        let ended: Vec<JobId> = self.job_states.keys().filter(has_ended).cloned().collect();
+        ended.iter().for_each(|job| self.discard_job_state(job));
         self.session.is_loaded = true;
-        // The pages are from different moments: only the next reading is complete.
+        // The pages were read at different times: only the next read is consistent.
         self.session.sync_wanted = true;
         self.session.sync_sent = Ms(sent.0.saturating_sub(self.cfg.read_interval_ms));
         let (jobs, revision) = (self.cache.jobs.len(), self.cache.applied.0);
         tracing::info!(jobs, revision, "state cache loaded");
     }
 
-    /// Everything that has changed since the last reading.
+    /// The changes since the last read.
     pub(crate) fn on_sync(&mut self, sent: Ms, sent_at: EventNumber, reply: StoreReply) {
         self.session.sync_inflight = false;
         match reply {
-            StoreReply::Events(events) => self.apply_reading(sent, sent_at, &events),
+            StoreReply::Events(events) => self.apply_changes(sent, sent_at, &events),
             StoreReply::TooOld => self.reload(),
             _ => self.session.last_failure = Some(self.now),
         }
     }
 
-    fn apply_reading(&mut self, sent: Ms, sent_at: EventNumber, events: &Events) {
+    fn apply_changes(&mut self, sent: Ms, sent_at: EventNumber, events: &Events) {
         self.replan_needed |= !events.events.is_empty();
         for event in &events.events {
             self.cache.apply_event(event);
         }
         self.cache.applied = self.cache.applied.max(events.revision);
-        self.session.last_read = Some(self.session.last_read.map_or(sent, |f| f.max(sent)));
+        self.session.last_read =
+            Some(self.session.last_read.map_or(sent, |last_read| last_read.max(sent)));
         self.reachability.view.worker_release.reset();
-        if self.quota.blind.is_some_and(|b| b <= sent_at) {
+        if self.quota.blind.is_some_and(|since| since <= sent_at) {
             self.quota.blind = None;
         }
         for job_state in self.job_states.values_mut() {
-            if job_state.stale_since.is_some_and(|s| s <= sent_at) {
+            if job_state.stale_since.is_some_and(|since| since <= sent_at) {
                 job_state.stale_since = None;
             }
         }
         self.after_sync(sent_at);
     }
 
+    /// Handles the consequences of a read.
     fn after_sync(&mut self, sent_at: EventNumber) {
         self.note_read_cancellations();
         for job in std::mem::take(&mut self.cache.gone) {
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -1,16 +1,19 @@
-//! Transactions whose answer is missing, settled within a user's second.
+//! Resolution of transactions whose reply is missing, within the second in which users expect a
+//! response.
 //!
-//! The client gives a call up after a time that suits readings and slow days; a user who waits for an acceptance or a
-//! cancellation has long counted it as late by then. Two things settle a transaction earlier, both safe whatever became
-//! of it:
+//! The client's timeout suits reads and a slow service; a user who waits for an acceptance or a
+//! cancellation counts it as late well before that. Two measures resolve a transaction earlier,
+//! both safe whatever its outcome was:
 //!
-//! - A reading that shows a key of its guards at a later version. The transaction can't be carried out any more, and
-//!   if it was, all it changed is part of that reading: what stands is known, and the job goes on from there.
-//! - Sending it again, once. Its guards let only one of the two be carried out. From then on a conflict may be the work
-//!   of the first, as after an answer "unknown".
+//! - A read that shows a guarded key at a later version. The transaction can no longer be applied,
+//!   and if it was, the read includes all its changes: the job continues from the state that was
+//!   read.
+//! - One resend. The guards let only one of the two copies be applied. After that, a conflict may
+//!   be caused by the first copy, as after an unknown outcome.
 //!
-//! A transaction is sent again only after a reading that was sent later than it has been answered, so a service that is
-//! slow for all is not asked twice; and only while changes are plenty, so what waits for its turn is not doubled.
+//! A transaction is resent only after a read that was sent later than the transaction has been
+//! answered, so a service that is slow for all calls does not get the load twice; and only while
+//! the change rate limit has ample budget, so that queued transactions are not duplicated.
 
 use crate::controller::{Controller, Pending, Submission, WaitReason};
 use crate::effects::{CallPriority, Effect, Response, StoreRequest};
@@ -20,7 +23,8 @@
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::Version;
 
-fn txn_of(pending: &Pending) -> Option<(&Txn, Sent)> {
+/// The transaction of a pending call that may be resolved early.
+fn resolvable_txn(pending: &Pending) -> Option<(&Txn, Sent)> {
     match pending {
         Pending::Submit { txn, sent, .. } => Some((txn, *sent)),
         Pending::Job(tx) => Some((&tx.txn, tx.sent)),
@@ -29,51 +33,53 @@
 }
 
 impl Controller {
-    /// A reading shows a key of the guards at a later version than the transaction needs.
+    /// Whether a read shows a guarded key at a later version than the guard requires.
     fn is_decided(&self, txn: &Txn) -> bool {
-        txn.guards.iter().any(|guard| self.cache.has_moved(&guard.key, guard.version))
+        txn.guards.iter().any(|guard| self.cache.changed_since(&guard.key, guard.version))
     }
 
-    /// At each tick and after each reading: takes care of transactions that have no answer yet.
+    /// At each tick and after each read: takes the next action for transactions without a reply.
     pub(crate) fn resolve_unanswered(&mut self) {
         if !self.session.is_loaded {
             return;
         }
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         for (op, pending) in &self.calls.pending {
-            let Some((txn, sent)) = txn_of(pending) else { continue };
+            let Some((txn, sent)) = resolvable_txn(pending) else { continue };
             if self.now.since(sent.at) < UNANSWERED_AFTER_MS {
                 continue;
             }
-            let step = sent.step(self.now, self.session.last_read, self.is_decided(txn));
-            if step != UnansweredAction::Wait {
-                steps.push((*op, step));
+            let action = sent.next_action(self.now, self.session.last_read, self.is_decided(txn));
+            if action != UnansweredAction::Wait {
+                actions.push((*op, action));
             }
         }
-        for (op, step) in steps {
-            match step {
+        for (op, action) in actions {
+            match action {
                 UnansweredAction::Read => {
                     self.session.sync_wanted = true;
-                    self.mark(op, |sent| sent.queried = true);
+                    self.update_sent(op, |sent| sent.queried = true);
                 }
-                UnansweredAction::Resend if self.rate_limiter.is_ample() => self.send_once_more(op),
-                UnansweredAction::Resolve => self.resolve_by_reading(op),
+                UnansweredAction::Resend if self.rate_limiter.is_ample() => {
+                    self.resend_unanswered(op)
+                }
+                UnansweredAction::Resolve => self.resolve_from_cache(op),
                 UnansweredAction::Resend | UnansweredAction::Wait => {}
             }
         }
     }
 
-    fn mark(&mut self, op: u64, change: impl FnOnce(&mut Sent)) {
+    fn update_sent(&mut self, op: u64, update: impl FnOnce(&mut Sent)) {
         match self.calls.pending.get_mut(&op) {
-            Some(Pending::Submit { sent, .. }) => change(sent),
-            Some(Pending::Job(tx)) => change(&mut tx.sent),
+            Some(Pending::Submit { sent, .. }) => update(sent),
+            Some(Pending::Job(tx)) => update(&mut tx.sent),
             _ => {}
         }
     }
 
-    /// The same transaction under the same number: whichever answer comes first counts.
-    fn send_once_more(&mut self, op: u64) {
-        self.mark(op, |sent| sent.resent = true);
+    /// Resends the transaction under the same call id: the first reply counts.
+    fn resend_unanswered(&mut self, op: u64) {
+        self.update_sent(op, |sent| sent.resent = true);
         let (priority, txn) = match self.calls.pending.get_mut(&op) {
             Some(Pending::Submit { txn, .. }) => (CallPriority::Submission, txn.clone()),
             Some(Pending::Job(tx)) => {
@@ -82,16 +88,16 @@
             }
             _ => return,
         };
-        if self.calls.is_resent_later(op) {
+        if self.calls.is_resend_scheduled(op) {
             return;
         }
         self.rate_limiter.spend(txn.changes.len());
         self.out.push(Effect::Store { op, priority, request: StoreRequest::Txn(txn) });
     }
 
-    /// What became of it was read. An answer that still comes finds nobody who waits for it.
-    fn resolve_by_reading(&mut self, op: u64) {
-        self.calls.forget_resend(op);
+    /// Resolves a transaction whose outcome is in the cache. A reply that still arrives is ignored.
+    fn resolve_from_cache(&mut self, op: u64) {
+        self.calls.cancel_resend(op);
         match self.calls.pending.remove(&op) {
             Some(Pending::Submit { batch, .. }) => self.resolve_submissions(batch),
             Some(Pending::Job(tx)) => self.resolve_job(*tx),
@@ -107,8 +113,8 @@
             let known = self.terminal_jobs.get(&job).or_else(|| self.live_status(&job));
             if let Some(status) = known {
                 self.reply(submission.rid, Response::Status { code: 200, status });
-            } else if self.cache.has_moved(&job_key(&job), Version(0)) {
-                // It was accepted and has ended since; the archive tells how.
+            } else if self.cache.changed_since(&job_key(&job), Version(0)) {
+                // The job was accepted and has ended since; its state is in the archive.
                 self.wait(submission.rid, job, WaitReason::Known(submission.spec));
             } else {
                 self.submitting.put_back(submission);
@@ -117,12 +123,12 @@
     }
 
     fn resolve_job(&mut self, tx: JobTransaction) {
-        tracing::debug!(job = %tx.job, "unknown outcome resolved by a reading");
+        tracing::debug!(job = %tx.job, "unknown outcome resolved by a read");
         let JobTransaction { job, mut withdrawals, steps, .. } = tx;
         let job_state = self.job_state(&job);
         job_state.busy = false;
         job_state.withdrawals.append(&mut withdrawals);
-        // Members are judged anew by what stands now.
+        // Step reports are evaluated again against the current state.
         job_state
             .member_reports
             .extend(steps.verdicts.into_iter().map(|(member_reports, _)| member_reports));
