--- a/crates/cleatfold-control/src/config.rs
+++ b/crates/cleatfold-control/src/config.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The id of this controller.
-    pub me: ControllerId,
+    pub controller_id: ControllerId,
     /// The zone that this controller runs in.
     pub zone: ZoneId,
     /// The other controllers and their zones.
@@ -114,7 +114,7 @@
     /// controller must have had time to try every other one: a request that times out takes it
     /// 4 s, the pause before the next controller 1 s. With a timeout of 6 s, an owner deleted a
     /// pool whose workers were still searching for it.
-    pub fn given_up_ms(&self) -> u64 {
+    pub fn machine_timeout_ms(&self) -> u64 {
         let full_round_ms = 5000 * (self.peers.len() as u64 + 1);
         (self.heartbeat_interval_ms * 5 / 2 + 4000).max(full_round_ms)
     }
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -109,7 +109,7 @@
     /// A controller with empty state.
     pub fn new(cfg: Config) -> Self {
         let reachability = ReachabilityState::new(&cfg);
-        let quota = QuotaState::new(&cfg.me);
+        let quota = QuotaState::new(&cfg.controller_id);
         Self {
             cfg,
             now: Ms(0),
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -67,7 +67,8 @@
         match self.inventory.machines.get(id) {
             Some(machine) => machine.expired,
             None => {
-                let known = self.cfg.list_lag_ms + self.cfg.lease_ms + self.cfg.given_up_ms();
+                let known =
+                    self.cfg.list_lag_ms + self.cfg.lease_ms + self.cfg.machine_timeout_ms();
                 let slot = self.cache.origin.value.slots.get(id);
                 let owned = slot.and_then(|s| self.pools.owned.get(&s.pool));
                 self.inventory.is_deleted(id)
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -26,12 +26,12 @@
             xxhash_rust::xxh3::xxh3_64(format!("{job}@{controller}").as_bytes())
         };
         let cached = self.cache.controllers.keys();
-        cached.max_by_key(|n| rank(n)).cloned().unwrap_or_else(|| self.cfg.me.clone())
+        cached.max_by_key(|n| rank(n)).cloned().unwrap_or_else(|| self.cfg.controller_id.clone())
     }
 
     pub(crate) fn on_steps(&mut self, rid: u64, report: Box<StepReport>) {
         let coordinator = self.coordinator(&report.member.job);
-        if coordinator != self.cfg.me && !report.generate_load {
+        if coordinator != self.cfg.controller_id && !report.generate_load {
             return self.reply(rid, Response::Redirect(Some(coordinator)));
         }
         if self.store_away() {
@@ -131,8 +131,11 @@
         // Whether any part of it has a record or not: cancelled before its first claim, it has none.
         let cancelled = |l: &CachedJob| l.record.aborted && l.record.in_parts() && l.claimed == 0;
         let parts = self.cache.jobs.iter().filter(|(_, l)| cancelled(l)).map(|(id, _)| id);
-        let over: Vec<JobId> =
-            steps.chain(parts).filter(|id| self.coordinator(id) == self.cfg.me).cloned().collect();
+        let over: Vec<JobId> = steps
+            .chain(parts)
+            .filter(|id| self.coordinator(id) == self.cfg.controller_id)
+            .cloned()
+            .collect();
         for job in over {
             self.job_state(&job).over = true;
             self.note_unsent(&job);
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -167,7 +167,7 @@
     /// Our place among the live controllers, and how many there are.
     pub(crate) fn rank(&self) -> (usize, usize) {
         let controllers = &self.cache.controllers;
-        let rank = controllers.keys().position(|n| *n == self.cfg.me).unwrap_or(0);
+        let rank = controllers.keys().position(|n| *n == self.cfg.controller_id).unwrap_or(0);
         (rank, controllers.len())
     }
 
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -218,7 +218,7 @@
 
     /// The live controller of a zone.
     fn home_of(&self, zone: &ZoneId) -> Option<ControllerId> {
-        std::iter::once((&self.cfg.me, &self.cfg.zone))
+        std::iter::once((&self.cfg.controller_id, &self.cfg.zone))
             .chain(self.cfg.peers.iter().map(|(n, z)| (n, z)))
             .find(|(n, z)| *z == zone && self.cache.controllers.contains_key(*n))
             .map(|(n, _)| n.clone())
@@ -297,7 +297,7 @@
         if recent || self.leadership.pending_assignment.is_some() || !self.in_contact() {
             return;
         }
-        let me = self.cfg.me.clone();
+        let me = self.cfg.controller_id.clone();
         self.reachability.view.left(owner, &pool.zone, self.now);
         tracing::info!(%pool, %owner, "taking pool over: its workers do not reach its owner");
         self.write_assignments(vec![PoolMove { pool, to: me }]);
@@ -367,7 +367,7 @@
             assigned.push((id.to_string(), chosen.iter().map(|&i| i as u16).collect()));
         }
         let names: Vec<String> = pools.iter().map(|p| p.to_string()).collect();
-        let me = self.cfg.me.clone();
+        let me = self.cfg.controller_id.clone();
         self.tell(None, Message::Assign { pools: names.clone(), jobs: assigned.clone() });
         self.on_assign(&me, names, assigned);
     }
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -19,8 +19,8 @@
     /// The version of a role's key while it is ours: every transaction of the role is guarded by it.
     pub(crate) fn epoch(&self, role: Role) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.roles.get(&role)?;
-        let ours =
-            holder.owner == self.cfg.me && Some(holder.incarnation) == self.session.incarnation;
+        let ours = holder.owner == self.cfg.controller_id
+            && Some(holder.incarnation) == self.session.incarnation;
         ours.then_some(*version)
     }
 
@@ -28,8 +28,8 @@
     /// under it is not known here, so it is taken anew, under a new epoch, rather than gone on with.
     fn former_life(&self, role: Role) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.roles.get(&role)?;
-        let former =
-            holder.owner == self.cfg.me && Some(holder.incarnation) != self.session.incarnation;
+        let former = holder.owner == self.cfg.controller_id
+            && Some(holder.incarnation) != self.session.incarnation;
         former.then_some(*version)
     }
 
@@ -39,14 +39,19 @@
             Role::ALL.iter().filter_map(|d| Some((*d, self.former_life(*d)?))).collect();
         let roles = &self.cache.roles;
         let controllers = self.cache.controllers.keys();
-        self.leadership.roles.see(now, &self.cfg.me, controllers, |d| roles.contains_key(&d));
+        self.leadership
+            .roles
+            .see(now, &self.cfg.controller_id, controllers, |d| roles.contains_key(&d));
         if self.in_contact() {
             if let (Some(lease), Some(incarnation)) = (self.session.lease, self.session.incarnation)
             {
                 let former_of = |d: Role| former.iter().find(|f| f.0 == d).map(|f| f.1);
                 let mine_before = |d: Role| former_of(d).is_some();
-                if let Some(role) = self.leadership.roles.take(now, &self.cfg.me, mine_before) {
-                    let holder = HolderRecord { owner: self.cfg.me.clone(), incarnation };
+                if let Some(role) =
+                    self.leadership.roles.take(now, &self.cfg.controller_id, mine_before)
+                {
+                    let holder =
+                        HolderRecord { owner: self.cfg.controller_id.clone(), incarnation };
                     let mut txn = Txn::default();
                     txn.guard(role.key(), former_of(role).unwrap_or_default());
                     txn.put(role.key(), &holder, Some(lease));
@@ -54,7 +59,8 @@
                 }
             }
             let mine: Vec<Role> = Role::ALL.into_iter().filter(|d| self.holds(*d)).collect();
-            if let Some(role) = self.leadership.roles.give(now, &self.cfg.me, |d| mine.contains(&d))
+            if let Some(role) =
+                self.leadership.roles.give(now, &self.cfg.controller_id, |d| mine.contains(&d))
             {
                 self.give_back(role);
             }
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -132,7 +132,10 @@
             self.scale_out.count += 1;
             tracing::info!(%pool, spot, count, lack, "scaling out");
             new.push(ScaleOutIntent {
-                name: format!("{}-{}-{}", self.cfg.me, incarnation, self.scale_out.count),
+                name: format!(
+                    "{}-{}-{}",
+                    self.cfg.controller_id, incarnation, self.scale_out.count
+                ),
                 machine_type: pool.machine_type,
                 zone: pool.zone,
                 spot,
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -38,7 +38,7 @@
     /// Without a heartbeat for so long its lease may have expired.
     quiet_ms: u64,
     /// Without a heartbeat for so long it is given up.
-    given_up_ms: u64,
+    machine_timeout_ms: u64,
     lease_ms: u64,
     idle_ms: u64,
 }
@@ -177,7 +177,7 @@
             Some(count) => count,
             None => self.zones.entry(zone.clone()).or_default(),
         };
-        if quiet_ms > times.given_up_ms {
+        if quiet_ms > times.machine_timeout_ms {
             count.unresponsive += 1;
             let silent = SilentMachine { id: id.clone(), zone: zone.clone(), silent_ms: quiet_ms };
             self.silent.push(silent);
@@ -227,7 +227,7 @@
         let times = WatchTimes {
             now: self.now,
             quiet_ms: self.silent_ms(),
-            given_up_ms: self.cfg.given_up_ms(),
+            machine_timeout_ms: self.cfg.machine_timeout_ms(),
             lease_ms: self.cfg.lease_ms,
             idle_ms: (self.cfg.idle_return_s * 1000.0) as u64,
         };
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -170,12 +170,12 @@
 
     /// Whether the controller may be given a share of a zone's machines: as far as we know it reaches them.
     pub(crate) fn may_hold(&self, controller: &ControllerId, zone: &ZoneId) -> bool {
-        self.reachability.view.may_hold(&self.cfg.me, controller, zone, self.now)
+        self.reachability.view.may_hold(&self.cfg.controller_id, controller, zone, self.now)
     }
 
     /// Controllers that reach the pool's workers where its owner, that lives, does not.
     pub(crate) fn takers(&self, owner: &ControllerId, pool: &PoolId) -> BTreeSet<ControllerId> {
-        let (view, me) = (&self.reachability.view, &self.cfg.me);
+        let (view, me) = (&self.reachability.view, &self.cfg.controller_id);
         let takes = |n: &&ControllerId| view.reaches_instead(me, n, owner, &pool.zone, self.now);
         self.cache.controllers.keys().filter(takes).cloned().collect()
     }
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -62,8 +62,8 @@
     /// Our token for a workspace, by what was read last.
     pub(crate) fn workspace(&self, team: &TeamId) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.workspaces.get(team)?;
-        let ours =
-            holder.owner == self.cfg.me && Some(holder.incarnation) == self.session.incarnation;
+        let ours = holder.owner == self.cfg.controller_id
+            && Some(holder.incarnation) == self.session.incarnation;
         (ours && self.readable(&workspace_key(team))).then_some(*version)
     }
 
@@ -74,7 +74,7 @@
     // ---- who keeps what ----
 
     fn keep_ownership(&mut self) {
-        let (now, me) = (self.now, self.cfg.me.clone());
+        let (now, me) = (self.now, self.cfg.controller_id.clone());
         let teams: Vec<TeamId> = self.cfg.teams.iter().map(|t| t.name.clone()).collect();
         let mut vacancies = std::mem::take(&mut self.workspaces.vacancies);
         let cache = &self.cache;
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -143,7 +143,7 @@
     fn redirect(&mut self, rid: u64, heartbeat: &RawHeartbeat, pool: &PoolId) {
         let owner = match (self.pools.hinted.get(pool), self.cache.pools.get(pool)) {
             (Some((controller, _)), _) => Some(controller.clone()),
-            (None, Some(h)) if h.owner != self.cfg.me => Some(h.owner.clone()),
+            (None, Some(h)) if h.owner != self.cfg.controller_id => Some(h.owner.clone()),
             _ => None,
         };
         if let Some(owner) = &owner {
--- a/crates/cleatfold-control/src/pools/ownership.rs
+++ b/crates/cleatfold-control/src/pools/ownership.rs
@@ -40,7 +40,7 @@
     /// Sees which pools came to us since, and under which token.
     pub(crate) fn note_ownership(&mut self) {
         self.note_holders();
-        let (me, incarnation) = (&self.cfg.me, self.session.incarnation);
+        let (me, incarnation) = (&self.cfg.controller_id, self.session.incarnation);
         let pools = self.cache.pools.iter();
         let mine = pools.filter(|(_, h)| h.owner == *me && Some(h.incarnation) == incarnation);
         let mine: Vec<(PoolId, FencingToken)> = mine.map(|(id, h)| (id.clone(), h.token)).collect();
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -199,7 +199,7 @@
         let known = self.cache.controllers.get(controller);
         let owner = Owner {
             stands: known.is_some_and(|n| n.value.incarnation == holding.incarnation)
-                && *controller != self.cfg.me,
+                && *controller != self.cfg.controller_id,
             silence_ms: peers.last_message(controller).map(|at| now.since(at)),
             read_ms: peers.contact(controller).map(|at| now.since(at)),
             lost_workers: peers.of_zone(controller, &pool.zone, now).is_some_and(|h| h.lost),
--- a/crates/cleatfold-control/src/scheduling/queue/tests.rs
+++ b/crates/cleatfold-control/src/scheduling/queue/tests.rs
@@ -23,7 +23,7 @@
         gpus_max: 0.0,
     };
     Controller::new(Config {
-        me: ControllerId::new(me),
+        controller_id: ControllerId::new(me),
         zone: ZoneId::new("a"),
         peers: vec![],
         teams: vec![team("promised", f64::from(GUARANTEED)), team("other", 0.0)],
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -96,7 +96,7 @@
         else {
             return;
         };
-        let registered = self.cache.controllers.get(&self.cfg.me);
+        let registered = self.cache.controllers.get(&self.cfg.controller_id);
         let last_read = self.session.last_read;
         let is_read =
             self.session.registered_at.is_none_or(|at| last_read.is_some_and(|read| read >= at));
@@ -105,7 +105,7 @@
             return;
         }
         self.session.registering = true;
-        let key = controller_key(&self.cfg.me);
+        let key = controller_key(&self.cfg.controller_id);
         let mut txn = Txn::default();
         // Without the guard, a write of a former incarnation that is executed late would restore
         // that incarnation.
--- a/crates/cleatfold-testbed/src/world/size.rs
+++ b/crates/cleatfold-testbed/src/world/size.rs
@@ -113,7 +113,7 @@
         gpus_max: 0.0,
     };
     Config {
-        me: controller_id(i),
+        controller_id: controller_id(i),
         zone: zone(i),
         peers: (0..size.controllers)
             .filter(|j| *j != i)
--- a/crates/cleatfold/src/settings.rs
+++ b/crates/cleatfold/src/settings.rs
@@ -222,7 +222,7 @@
         let c = &self.cluster;
         let ms = |s: f64| (s * 1000.0) as u64;
         Config {
-            me: self.controller.clone(),
+            controller_id: self.controller.clone(),
             zone: self.zone.clone(),
             peers: self.peers.iter().map(|p| (p.controller.clone(), p.zone.clone())).collect(),
             teams: c
