--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -4,7 +4,7 @@
 use crate::effects::{CallPriority, Request, Response, StoreReply, StoreRequest};
 use crate::jobs::archive::Joined;
 use crate::jobs::submissions::SUBMIT_MS;
-use crate::store::records::{archive_key, status, ArchiveRecord, LossList, ARCHIVE};
+use crate::store::records::{archive_key, status, ArchiveRecord, LossList, ARCHIVE_PREFIX};
 use cleatfold_wire::job::{JobState, JobStatus, StepCount};
 use cleatfold_wire::{JobId, Ms, Version};
 use std::collections::{BTreeMap, VecDeque};
@@ -268,7 +268,7 @@
             return;
         }
         let from = self.archive.read_to;
-        let request = StoreRequest::Changes { prefix: ARCHIVE.into(), from };
+        let request = StoreRequest::Changes { prefix: ARCHIVE_PREFIX.into(), from };
         self.store(CallPriority::Poll, request, Pending::Ended { from });
     }
 
@@ -283,7 +283,8 @@
             return;
         };
         for event in &events.events {
-            let job = event.put.as_deref().and_then(|k| k.strip_prefix(ARCHIVE)).map(JobId::new);
+            let job =
+                event.put.as_deref().and_then(|k| k.strip_prefix(ARCHIVE_PREFIX)).map(JobId::new);
             if let (Some(job), Some(value)) = (job, &event.value) {
                 self.note_archived(&job, value.get());
             }
--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -2,7 +2,7 @@
 
 use crate::event_number::EventNumber;
 use crate::jobs::step_reports::{JudgedReports, MemberReport};
-use crate::store::records::{ArchiveRecord, JobRecord, PART};
+use crate::store::records::{ArchiveRecord, JobRecord, TASKS_PER_PART};
 use crate::store::sent::Sent;
 use cleatfold_wire::losses::LossCause;
 use cleatfold_wire::store::Txn;
@@ -174,5 +174,5 @@
 
 /// The part of a job in parts that has the task; none of a job in one record.
 pub(crate) fn part_of(record: &JobRecord, ix: TaskIx) -> Option<u32> {
-    record.in_parts().then_some(ix.0 / PART)
+    record.in_parts().then_some(ix.0 / TASKS_PER_PART)
 }
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -138,7 +138,7 @@
         let cached = self.cache.jobs.get(job).filter(|l| l.record.in_parts())?;
         let mut parts: BTreeMap<u32, PendingPartUpdates> = BTreeMap::new();
         for end in &job_state.ends {
-            let part = parts.entry(end.ix.0 / crate::store::records::PART).or_default();
+            let part = parts.entry(end.ix.0 / crate::store::records::TASKS_PER_PART).or_default();
             *if end.done { &mut part.done } else { &mut part.lost } += 1;
         }
         let tables = self.cache.parts.get(job);
--- a/crates/cleatfold-control/src/lib.rs
+++ b/crates/cleatfold-control/src/lib.rs
@@ -48,5 +48,5 @@
     StoreRequest, TeamAnswer, TeamAsk,
 };
 pub use machines::deleted::DeletedMachines;
-pub use store::format::FORMAT;
+pub use store::format::FORMAT_VERSION;
 pub use store::records;
--- a/crates/cleatfold-control/src/namespaces/loss_logs.rs
+++ b/crates/cleatfold-control/src/namespaces/loss_logs.rs
@@ -1,6 +1,6 @@
 //! What is known of the teams' logs of lost starts: what is in them, and what has still to be written.
 
-use crate::store::records::{LossList, LOSS_LOG};
+use crate::store::records::{LossList, LOSS_LOG_PREFIX};
 use cleatfold_wire::losses::Loss;
 use cleatfold_wire::store::Event;
 use cleatfold_wire::{Attempt, JobId, Ms, TaskIx, TeamId, Version};
@@ -64,7 +64,7 @@
         for event in events {
             let value = event.value.as_ref().filter(|_| event.put.is_some());
             let group = value.and_then(|v| serde_json::from_str::<Vec<Loss>>(v.get()).ok());
-            let key = event.put.as_deref().and_then(|k| k.strip_prefix(LOSS_LOG));
+            let key = event.put.as_deref().and_then(|k| k.strip_prefix(LOSS_LOG_PREFIX));
             let team = key.and_then(|k| k.rsplit_once('/')).map(|(team, _)| TeamId::new(team));
             let log = team.and_then(|team| self.logs.get_mut(&team));
             if let (Some(log), Some(group)) = (log, group) {
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -10,7 +10,8 @@
 use crate::effects::{CallPriority, Response, StoreReply, StoreRequest};
 use crate::store::cache::Versioned;
 use crate::store::records::{
-    loss_head_key, loss_log_key, loss_log_prefix, workspace_key, ArchiveRecord, LossHead, LOSS_LOG,
+    loss_head_key, loss_log_key, loss_log_prefix, workspace_key, ArchiveRecord, LossHead,
+    LOSS_LOG_PREFIX,
 };
 use cleatfold_wire::losses::{Loss, TeamLosses};
 use cleatfold_wire::store::Txn;
@@ -38,7 +39,7 @@
     pub(crate) fn keep_losses(&mut self) {
         if self.losses.begin_reading() {
             let from = Version(self.cache.applied.0.saturating_sub(BACK));
-            let request = StoreRequest::Changes { prefix: LOSS_LOG.into(), from };
+            let request = StoreRequest::Changes { prefix: LOSS_LOG_PREFIX.into(), from };
             self.store(CallPriority::Poll, request, Pending::LossLog);
         }
         if self.losses.back && !self.archive.following {
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -11,7 +11,7 @@
 use crate::store::cache::Versioned;
 use crate::store::records::{
     history_group_key, history_head_key, history_prefix, workspace_key, ArchiveRecord,
-    HistoryGroup, HistoryHead, HolderRecord, ARCHIVE,
+    HistoryGroup, HistoryHead, HolderRecord, ARCHIVE_PREFIX,
 };
 use cleatfold_wire::store::{Events, Item, Txn};
 use cleatfold_wire::{JobId, TeamId, Version};
@@ -38,7 +38,7 @@
 
 /// Unreadable ones are skipped by everybody alike, so numbers agree. Whoever polls them is told nothing.
 fn ended(item: &Item) -> Option<(JobId, ArchiveRecord)> {
-    let job = item.key.strip_prefix(ARCHIVE)?;
+    let job = item.key.strip_prefix(ARCHIVE_PREFIX)?;
     Some((JobId::new(job), serde_json::from_str(item.value.get()).ok()?))
 }
 
@@ -229,7 +229,7 @@
 
     pub(crate) fn note_ended(&mut self, from: Version, events: &Events) {
         let records = events.events.iter().filter_map(|e| {
-            let job = JobId::new(e.put.as_deref()?.strip_prefix(ARCHIVE)?);
+            let job = JobId::new(e.put.as_deref()?.strip_prefix(ARCHIVE_PREFIX)?);
             // Most are among those that have just been noted.
             let archive = match self.terminal_jobs.record(&job) {
                 Some(known) => return Some(end(&job, known, e.version)),
@@ -266,7 +266,7 @@
         }
         if let Some(listing) = self.workspaces.listing.as_mut().filter(|l| !l.asked) {
             listing.asked = true;
-            let (prefix, from) = (ARCHIVE.to_string(), listing.from.clone());
+            let (prefix, from) = (ARCHIVE_PREFIX.to_string(), listing.from.clone());
             let request = StoreRequest::List { prefix, from, most: None };
             self.store(CallPriority::Poll, request, Pending::ArchivePage);
         }
--- a/crates/cleatfold-control/src/store/format.rs
+++ b/crates/cleatfold-control/src/store/format.rs
@@ -17,7 +17,7 @@
 
 /// The supported version. It changes when an earlier program would misread the records of this one,
 /// or this one those of an earlier program.
-pub const FORMAT: u64 = 1;
+pub const FORMAT_VERSION: u64 = 1;
 
 /// Pause before the marker is read again.
 const RETRY_MS: u64 = 200;
@@ -46,16 +46,16 @@
     pub(crate) fn on_format_read(&mut self, reply: StoreReply) {
         self.format_check.state = match reply {
             StoreReply::Item(item) => match serde_json::from_str::<Marker>(item.value.get()) {
-                Ok(Marker { version: FORMAT }) => FormatState::Supported,
+                Ok(Marker { version: FORMAT_VERSION }) => FormatState::Supported,
                 Ok(Marker { version }) => self.reject_format(&format!(
-                    "the records of the state service have format version {version}, this program supports version {FORMAT}"
+                    "the records of the state service have format version {version}, this program supports version {FORMAT_VERSION}"
                 )),
                 Err(error) => self.reject_format(&format!("{FORMAT_KEY} cannot be read: {error}")),
             },
             StoreReply::Missing => {
                 let mut txn = Txn::default();
                 txn.guard(FORMAT_KEY, Version(0));
-                txn.put(FORMAT_KEY, &Marker { version: FORMAT }, None);
+                txn.put(FORMAT_KEY, &Marker { version: FORMAT_VERSION }, None);
                 self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::FormatWritten);
                 FormatState::Pending
             }
--- a/crates/cleatfold-control/src/store/loss_records.rs
+++ b/crates/cleatfold-control/src/store/loss_records.rs
@@ -7,16 +7,16 @@
 use serde::{Deserialize, Serialize};
 
 /// Prefix of the teams' loss logs, outside of what controllers load at start and follow.
-pub const LOSS_LOG: &str = "lo/";
+pub const LOSS_LOG_PREFIX: &str = "lo/";
 
 /// Prefix of the keys of a team's loss log.
 pub fn loss_log_prefix(team: &TeamId) -> String {
-    format!("{LOSS_LOG}{team}/")
+    format!("{LOSS_LOG_PREFIX}{team}/")
 }
 
 /// Key of a group in a team's loss log.
 pub fn loss_log_key(team: &TeamId, number: u64) -> String {
-    format!("{LOSS_LOG}{team}/{number:010}")
+    format!("{LOSS_LOG_PREFIX}{team}/{number:010}")
 }
 
 /// Length of a team's loss log.
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -1,7 +1,7 @@
 //! Keys and values of the records in the state service. Serialized field names are short because
 //! the service limits the size of a value.
 //!
-//! A job of up to `PART` tasks is stored in one record, `cf/j/<job>`. A larger one keeps its
+//! A job of up to `TASKS_PER_PART` tasks is stored in one record, `cf/j/<job>`. A larger one keeps its
 //! tasks in parts, `cf/p/<job>/<part>`, which are created with their first claim; its head
 //! record lists the parts that are complete. Ended jobs move to `ar/<job>`, outside of what
 //! controllers load at start and follow.
@@ -21,12 +21,12 @@
 use std::collections::BTreeMap;
 
 /// Number of tasks in one record. A record full of claims stays under 8 KiB.
-pub const PART: u32 = 256;
+pub const TASKS_PER_PART: u32 = 256;
 
 /// Prefix of the keys that controllers load at start and follow.
-pub const LIVE: &str = "cf/";
+pub const LIVE_PREFIX: &str = "cf/";
 /// Prefix of ended jobs, outside of what controllers load at start.
-pub const ARCHIVE: &str = "ar/";
+pub const ARCHIVE_PREFIX: &str = "ar/";
 const JOB_PREFIX: &str = "cf/j/";
 const PART_PREFIX: &str = "cf/p/";
 const PROGRESS_PREFIX: &str = "cf/e/";
@@ -39,7 +39,7 @@
 const PREEMPTION_PREFIX: &str = "cf/made/";
 const IMAGE_HOLDERS_PREFIX: &str = "cf/w/";
 /// Prefix of the groups of teams' histories, outside of what controllers load at start.
-pub const HISTORY_LOG: &str = "hist/";
+pub const HISTORY_LOG_PREFIX: &str = "hist/";
 /// Key of the format version of the records.
 pub const FORMAT_KEY: &str = "cf/format";
 /// Key of the requests that were sent to the cloud or are about to be.
@@ -56,7 +56,7 @@
 
 /// Key of an ended job.
 pub fn archive_key(job: &JobId) -> String {
-    format!("{ARCHIVE}{job}")
+    format!("{ARCHIVE_PREFIX}{job}")
 }
 
 /// Key of a part of a large job's tasks.
@@ -97,12 +97,12 @@
 
 /// Prefix of the keys of a team's history.
 pub fn history_prefix(team: &TeamId) -> String {
-    format!("{HISTORY_LOG}{team}/")
+    format!("{HISTORY_LOG_PREFIX}{team}/")
 }
 
 /// Key of a group of a team's history, numbered by its first entry.
 pub fn history_group_key(team: &TeamId, number: u64) -> String {
-    format!("{HISTORY_LOG}{team}/{number:012}")
+    format!("{HISTORY_LOG_PREFIX}{team}/{number:012}")
 }
 
 /// Key of the preemptions in progress in a pool.
@@ -426,17 +426,17 @@
 
     /// Whether the job's tasks are kept in parts.
     pub fn in_parts(&self) -> bool {
-        self.spec.tasks > PART
+        self.spec.tasks > TASKS_PER_PART
     }
 
     /// Number of parts of a job whose tasks are kept in parts.
     pub fn part_count(&self) -> u32 {
-        self.spec.tasks.div_ceil(PART)
+        self.spec.tasks.div_ceil(TASKS_PER_PART)
     }
 
     /// The tasks of a part, as a range [from, to).
     pub fn part_range(&self, part: u32) -> (u32, u32) {
-        (part * PART, ((part + 1) * PART).min(self.spec.tasks))
+        (part * TASKS_PER_PART, ((part + 1) * TASKS_PER_PART).min(self.spec.tasks))
     }
 }
 
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -3,7 +3,7 @@
 
 use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
-use crate::store::records::{controller_key, ControllerRecord, LIVE};
+use crate::store::records::{controller_key, ControllerRecord, LIVE_PREFIX};
 use cleatfold_wire::store::{Events, Txn};
 use cleatfold_wire::{JobId, LeaseId, Ms, Version};
 
@@ -163,7 +163,7 @@
         self.session.page_requested = true;
         self.session.sync_sent = self.now;
         let from = self.session.next_page_from.clone();
-        let request = StoreRequest::List { prefix: LIVE.into(), from, most: None };
+        let request = StoreRequest::List { prefix: LIVE_PREFIX.into(), from, most: None };
         self.store(CallPriority::Renewal, request, Pending::Load { sent: self.now });
     }
 
@@ -181,7 +181,8 @@
             self.session.sync_inflight = true;
             self.session.sync_wanted = false;
             self.session.sync_sent = self.now;
-            let request = StoreRequest::Changes { prefix: LIVE.into(), from: self.cache.applied };
+            let request =
+                StoreRequest::Changes { prefix: LIVE_PREFIX.into(), from: self.cache.applied };
             let (sent, sent_at) = (self.now, self.event);
             self.store(CallPriority::Renewal, request, Pending::Sync { sent, sent_at });
         }
--- a/crates/cleatfold-control/tests/format.rs
+++ b/crates/cleatfold-control/tests/format.rs
@@ -1,7 +1,7 @@
 //! The marker of the records' version: a controller that does not know it changes nothing and ends.
 
 use cleatfold_control::records::FORMAT_KEY;
-use cleatfold_control::FORMAT;
+use cleatfold_control::FORMAT_VERSION;
 use cleatfold_testbed::world::{SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::Ms;
@@ -38,8 +38,8 @@
 #[test]
 fn a_later_version_of_the_records_is_left_alone() {
     let mut world = region();
-    mark(&mut world, &serde_json::json!({ "version": FORMAT + 1, "more": true }));
-    refused(&mut world, &format!("version {}", FORMAT + 1));
+    mark(&mut world, &serde_json::json!({ "version": FORMAT_VERSION + 1, "more": true }));
+    refused(&mut world, &format!("version {}", FORMAT_VERSION + 1));
 }
 
 #[test]
@@ -58,14 +58,14 @@
 fn a_store_without_a_marker_gets_ours() {
     let mut world = region();
     world.run(Ms(60_000));
-    assert_eq!(marked(&world), Some(FORMAT));
+    assert_eq!(marked(&world), Some(FORMAT_VERSION));
     assert!(world.started > 0);
     let mut txn = Txn::default();
     txn.delete(FORMAT_KEY);
     world.store.txn(&txn).expect("no guards");
     (0..CONTROLLERS).for_each(|i| world.crash(i, 500));
     world.run(Ms(600_000));
-    assert_eq!(marked(&world), Some(FORMAT));
+    assert_eq!(marked(&world), Some(FORMAT_VERSION));
     assert!(world.refused_starts.is_empty() && world.broken.is_empty(), "{:#?}", world.broken);
     assert_eq!(world.unfinished(), vec![]);
 }
@@ -76,7 +76,7 @@
     for known in [true, false] {
         let mut world = region();
         if known {
-            mark(&mut world, &serde_json::json!({ "version": FORMAT }));
+            mark(&mut world, &serde_json::json!({ "version": FORMAT_VERSION }));
         }
         let before = world.store.revision();
         world.handle_event(SimulationEvent::Outage { until: Ms(30_000) });
@@ -84,7 +84,7 @@
         assert_eq!(world.store.revision(), before);
         assert!(world.controllers.iter().flatten().all(|n| !n.is_ready()));
         world.run(Ms(600_000));
-        assert_eq!(marked(&world), Some(FORMAT));
+        assert_eq!(marked(&world), Some(FORMAT_VERSION));
         assert!(world.refused_starts.is_empty() && world.broken.is_empty(), "{:#?}", world.broken);
         assert!(world.started > 0);
     }
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -19,14 +19,14 @@
 
 /// The plain model: the team's ended jobs in the order of the revisions that ended them.
 fn model(world: &World, team: &str) -> Vec<(Version, JobId)> {
-    let items = world.store.list(ARCHIVE, None, usize::MAX - 1).items;
+    let items = world.store.list(ARCHIVE_PREFIX, None, usize::MAX - 1).items;
     let mut all: Vec<(Version, JobId)> = items
         .iter()
         .filter(|i| {
             let record: ArchiveRecord = serde_json::from_str(i.value.get()).expect("a record");
             record.team.as_str() == team
         })
-        .map(|i| (i.version, JobId::new(&i.key[ARCHIVE.len()..])))
+        .map(|i| (i.version, JobId::new(&i.key[ARCHIVE_PREFIX.len()..])))
         .collect();
     all.sort();
     all
--- a/crates/cleatfold-testbed/src/capacity/state_service.rs
+++ b/crates/cleatfold-testbed/src/capacity/state_service.rs
@@ -22,7 +22,7 @@
 const BOOT_S: f64 = 2.0;
 const LEADER: &str = "cf/leader";
 /// What controllers cache.
-const LIVE: &str = "cf/";
+const LIVE_PREFIX: &str = "cf/";
 
 /// What the state service has done so far and what it holds.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -65,7 +65,7 @@
 
 /// A key's family: `cf/j` of `cf/j/run-1`, `ar` of `ar/run-1`.
 fn family(key: &str) -> String {
-    let segments = if key.starts_with(LIVE) { 2 } else { 1 };
+    let segments = if key.starts_with(LIVE_PREFIX) { 2 } else { 1 };
     key.split('/').take(segments).collect::<Vec<_>>().join("/")
 }
 
--- a/crates/cleatfold-testbed/src/world/late.rs
+++ b/crates/cleatfold-testbed/src/world/late.rs
@@ -58,7 +58,7 @@
         let puts = || txn.changes.iter().filter_map(|c| c.put.as_deref());
         let guarded =
             |key: &str, version| txn.guards.iter().any(|g| g.key == key && g.version == version);
-        if puts().any(|k| k.starts_with(records::ARCHIVE)) {
+        if puts().any(|k| k.starts_with(records::ARCHIVE_PREFIX)) {
             return Some(Purpose::Archive);
         }
         let of_key = |key: &str| {
@@ -204,11 +204,11 @@
     fn see(&mut self, now: Ms, event: &Written) {
         let Some(key) = event.put.as_ref().or(event.delete.as_ref()) else { return };
         let put = event.put.is_some();
-        if let Some(job) = key.strip_prefix(records::ARCHIVE).map(JobId::new) {
+        if let Some(job) = key.strip_prefix(records::ARCHIVE_PREFIX).map(JobId::new) {
             if !put || self.archived.insert(job, event.version).is_some() {
                 self.wrong.push(format!("{key} written twice or removed"));
             }
-        } else if let Some(group) = key.strip_prefix(records::HISTORY_LOG) {
+        } else if let Some(group) = key.strip_prefix(records::HISTORY_LOG_PREFIX) {
             self.see_group(group, event);
         }
         match records::parse_key(key) {
--- a/crates/cleatfold-testbed/src/world/services.rs
+++ b/crates/cleatfold-testbed/src/world/services.rs
@@ -12,7 +12,7 @@
         match request {
             StoreRequest::Get(key) => {
                 self.archive_reads +=
-                    u64::from(key.starts_with(cleatfold_control::records::ARCHIVE));
+                    u64::from(key.starts_with(cleatfold_control::records::ARCHIVE_PREFIX));
                 self.store.get(&key).map_or(StoreReply::Missing, StoreReply::Item)
             }
             StoreRequest::List { prefix, from, most } => {
--- a/crates/cleatfold-testbed/src/world/written.rs
+++ b/crates/cleatfold-testbed/src/world/written.rs
@@ -86,10 +86,10 @@
     let Some(key) = change.put.as_ref().or(change.delete.as_ref()) else {
         return ChangeKind::Control;
     };
-    if key.starts_with(records::ARCHIVE) {
+    if key.starts_with(records::ARCHIVE_PREFIX) {
         return ChangeKind::Archive;
     }
-    if key.starts_with(records::HISTORY_LOG) || key.starts_with(records::LOSS_LOG) {
+    if key.starts_with(records::HISTORY_LOG_PREFIX) || key.starts_with(records::LOSS_LOG_PREFIX) {
         return ChangeKind::History;
     }
     let before = store.get(key);
