--- a/crates/cleatfold-control/src/jobs/draft.rs
+++ b/crates/cleatfold-control/src/jobs/draft.rs
@@ -6,7 +6,7 @@
 
 use crate::jobs::state::{part_of, ClaimEnd, Fence, PlacementRequest};
 use crate::store::cache::{CachedJob, PartMap};
-use crate::store::records::{job_key, part_key, pool_key, JobRecord, Table};
+use crate::store::records::{job_key, part_key, pool_key, JobRecord, TaskTable};
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::{Attempt, FencingToken, JobId, PoolId, TaskIx, Version, ZoneId};
@@ -54,7 +54,7 @@
     pub done: u32,
     pub claimed: u32,
     /// Tables of parts as they will be.
-    touched: BTreeMap<u32, Table>,
+    touched: BTreeMap<u32, TaskTable>,
     /// How many parts this transaction may change.
     max_parts: usize,
     wall_ms: u64,
@@ -149,13 +149,13 @@
         let part = part_of(&self.record, end.ix);
         let wall_ms = self.wall_ms;
         let table = self.table_mut(part);
-        if !table.end(&end.machine, end.ix, end.attempt, end.done) {
+        if !table.end_claim(&end.machine, end.ix, end.attempt, end.done) {
             outcome.void.push(end);
             return;
         }
         table.ran_ms += end.ran_ms;
         if let Some(cause) = end.loss() {
-            table.losses.note(&end.machine, cause, wall_ms, (end.ix, end.attempt));
+            table.losses.record(&end.machine, cause, wall_ms, (end.ix, end.attempt));
         }
         self.head_changed |= part.is_none();
         self.claimed -= 1;
@@ -167,7 +167,7 @@
     }
 
     /// The table of a part, or of a job in one record, to be changed.
-    fn table_mut(&mut self, part: Option<u32>) -> &mut Table {
+    fn table_mut(&mut self, part: Option<u32>) -> &mut TaskTable {
         let Some(part) = part else { return &mut self.record.table };
         let known = || self.parts.and_then(|p| p.get(&part)).map(|p| p.value.clone());
         self.touched.entry(part).or_insert_with(|| known().unwrap_or_default())
@@ -281,7 +281,7 @@
         let tasks = self.record.spec.tasks;
         let wall_ms = self.wall_ms;
         let table = &mut self.record.table;
-        let free = table.free(0, tasks).into_iter().filter(|ix| !pausing.contains(ix));
+        let free = table.claimable_tasks(0, tasks).into_iter().filter(|ix| !pausing.contains(ix));
         let mut made = Vec::new();
         for ix in free.take(wanted as usize) {
             let attempt = table.claim(&placement.machine, placement.token, &placement.pool, ix);
@@ -334,7 +334,7 @@
         let (from, to) = self.record.part_range(part);
         let known = self.parts.and_then(|p| p.get(&part)).map(|p| &p.value);
         match self.touched.get(&part).or(known) {
-            Some(table) => table.free(from, to),
+            Some(table) => table.claimable_tasks(from, to),
             None => (from..to).map(TaskIx).collect(),
         }
     }
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -36,8 +36,8 @@
 
     pub(crate) fn get(&self, job: &JobId) -> Option<JobStatus> {
         self.states.get(job).map(|archive| {
-            let mut status = status(job, archive.state, archive.done, 0);
-            status.losses = archive.losses.answer(job, archive.state == JobState::Done);
+            let mut status = job_status(job, archive.state, archive.done, 0);
+            status.losses = archive.losses.to_job_losses(job, archive.state == JobState::Done);
             status
         })
     }
@@ -159,7 +159,7 @@
             (false, 0) => JobState::Queued,
             _ => JobState::Running,
         };
-        let mut status = status(job, state, cached.done, cached.claimed);
+        let mut status = job_status(job, state, cached.done, cached.claimed);
         if let (Some(elastic), Some(left)) = (&cached.record.spec.elastic, cached.steps_left) {
             let finished = elastic.steps.saturating_sub(left);
             status.done = finished;
@@ -169,7 +169,7 @@
         if self.cache.lossy.contains(job) {
             let mut losses = LossList::default();
             self.cache.tables(job).for_each(|t| losses.merge(t.losses.clone()));
-            status.losses = losses.answer(job, state != JobState::Aborted);
+            status.losses = losses.to_job_losses(job, state != JobState::Aborted);
         }
         Some(status)
     }
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -202,7 +202,7 @@
         let job = spec.id.clone();
         let accepted = |status| Response::Status { code: 201, status };
         if self.cache.jobs.get(&job).is_some_and(|cached| cached.version == version) {
-            self.reply(rid, accepted(status(&job, JobState::Queued, 0, 0)));
+            self.reply(rid, accepted(job_status(&job, JobState::Queued, 0, 0)));
         } else if let Some(status) = self.terminal_jobs.get(&job).or_else(|| self.live_status(&job))
         {
             self.reply(rid, accepted(status));
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -116,7 +116,7 @@
             // Nothing left to say (an abort of an aborted job, an end that was settled).
             job_state.abort = false;
             let state = if draft.record.aborted { JobState::Aborted } else { JobState::Queued };
-            let status = status(job, state, draft.done, draft.claimed);
+            let status = job_status(job, state, draft.done, draft.claimed);
             self.answer_withdrawals(withdrawals, &status);
             // What these steps rest on was read from the state service: it is durable.
             self.answer_steps(std::mem::take(&mut steps.verdicts));
@@ -271,11 +271,11 @@
                 let state = if aborted { JobState::Aborted } else { JobState::Running };
                 let cached = self.cache.jobs.get(job);
                 let (done, claimed) = cached.map_or((0, 0), |cached| (cached.done, cached.claimed));
-                status(job, state, done, claimed)
+                job_status(job, state, done, claimed)
             }
             Outcome::Ended(archive) => {
                 tracing::info!(%job, state = ?archive.state, "job ended");
-                let status = status(job, archive.state, archive.done, 0);
+                let status = job_status(job, archive.state, archive.done, 0);
                 self.find_ended_losses(job, &archive);
                 self.terminal_jobs.insert(job.clone(), archive);
                 status
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -33,7 +33,7 @@
 const MAX_EARLY_WORKSPACES: usize = 4;
 
 fn end(job: &JobId, archive: &ArchiveRecord, version: Version) -> JobEnd {
-    JobEnd { version: version.0, team: archive.team.clone(), entry: archive.entry(job) }
+    JobEnd { version: version.0, team: archive.team.clone(), entry: archive.history_entry(job) }
 }
 
 /// Unreadable ones are skipped by everybody alike, so numbers agree. Whoever polls them is told nothing.
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -6,7 +6,7 @@
 
 use crate::store::records::{
     parse_key, ControllerRecord, HistoryHead, HolderRecord, JobRecord, Key, LossHead, OriginRecord,
-    PreemptionRecord, SliceRecord, SpreadRecord, Summary, Table,
+    PreemptionRecord, SliceRecord, SpreadRecord, Summary, TaskTable,
 };
 use cleatfold_admission::OverloadQuota;
 use cleatfold_backfill::Resources;
@@ -36,7 +36,7 @@
 const MAX_REMOVED_KEYS: usize = 500;
 
 /// Task tables of a job by part.
-pub(crate) type PartMap = BTreeMap<u32, Versioned<Table>>;
+pub(crate) type PartMap = BTreeMap<u32, Versioned<TaskTable>>;
 /// Progress of an elastic job by part.
 pub(crate) type ProgressMap = BTreeMap<u32, Versioned<Part>>;
 
@@ -449,7 +449,13 @@
         }
     }
 
-    pub(crate) fn install_part(&mut self, id: JobId, part: u32, table: Table, version: Version) {
+    pub(crate) fn install_part(
+        &mut self,
+        id: JobId,
+        part: u32,
+        table: TaskTable,
+        version: Version,
+    ) {
         self.replace_indexed_part(&id, part, &table);
         if !table.losses.is_empty() {
             self.lossy.insert(id.clone());
@@ -487,7 +493,7 @@
         Some(progress)
     }
 
-    fn replace_indexed_part(&mut self, id: &JobId, part: u32, table: &Table) {
+    fn replace_indexed_part(&mut self, id: &JobId, part: u32, table: &TaskTable) {
         let old = self.parts.get_mut(id).and_then(|p| p.remove(&part));
         if let Some(old) = old {
             self.unindex_claims(id, &old.value);
@@ -529,7 +535,7 @@
         cached.beyond = members.get(elastic.least as usize).copied().unwrap_or(TaskIx(u32::MAX));
     }
 
-    fn index_claims(&mut self, id: &JobId, table: &Table) {
+    fn index_claims(&mut self, id: &JobId, table: &TaskTable) {
         for group in &table.claims {
             let machine_claims = self.claims.entry(group.machine.clone()).or_default();
             self.last_stamp += 1;
@@ -542,7 +548,7 @@
         }
     }
 
-    fn unindex_claims(&mut self, id: &JobId, table: &Table) {
+    fn unindex_claims(&mut self, id: &JobId, table: &TaskTable) {
         for group in &table.claims {
             if let Some(machine_claims) = self.claims.get_mut(&group.machine) {
                 self.last_stamp += 1;
@@ -600,7 +606,7 @@
     }
 
     /// Every task table of a job: its own, or those of its parts.
-    pub(crate) fn tables<'a>(&'a self, id: &JobId) -> impl Iterator<Item = &'a Table> + 'a {
+    pub(crate) fn tables<'a>(&'a self, id: &JobId) -> impl Iterator<Item = &'a TaskTable> + 'a {
         let own = self.jobs.get(id).map(|j| &j.record.table);
         let parts = self.parts.get(id).into_iter().flat_map(|p| p.values().map(|p| &p.value));
         own.into_iter().chain(parts)
--- a/crates/cleatfold-control/src/store/loss_records.rs
+++ b/crates/cleatfold-control/src/store/loss_records.rs
@@ -61,7 +61,7 @@
     }
 
     /// Adds a lost start.
-    pub fn note(
+    pub fn record(
         &mut self,
         machine: &MachineId,
         cause: LossCause,
@@ -135,7 +135,7 @@
     }
 
     /// The losses for a job's status; none if there are none.
-    pub fn answer(&self, job: &JobId, again: bool) -> Option<JobLosses> {
+    pub fn to_job_losses(&self, job: &JobId, again: bool) -> Option<JobLosses> {
         (!self.is_empty()).then(|| {
             let mut recent: Vec<Loss> = self.entries(job).collect();
             recent.drain(..recent.len().saturating_sub(Config::MAX_REPORTED_LOSSES));
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -245,7 +245,7 @@
 
 impl ArchiveRecord {
     /// The job's entry in its team's history.
-    pub fn entry(&self, job: &JobId) -> Entry {
+    pub fn history_entry(&self, job: &JobId) -> Entry {
         let lost = self.losses.entries(job);
         let (done, total) = (self.done, self.losses.total);
         Entry::new(job.clone(), self.state, done, self.summary.clone(), total, lost)
@@ -271,7 +271,7 @@
 
 /// The tasks of a job, or of a part of one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Table {
+pub struct TaskTable {
     /// Tasks that are done, as ranges [from, to).
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<(u32, u32)>,
@@ -296,7 +296,7 @@
     *n == 0
 }
 
-impl Table {
+impl TaskTable {
     /// Whether the task is done.
     pub fn is_done(&self, ix: TaskIx) -> bool {
         let i = self.done.partition_point(|r| r.1 <= ix.0);
@@ -324,7 +324,13 @@
     }
 
     /// Ends the claim with exactly this machine, task and attempt. Returns whether it existed.
-    pub fn end(&mut self, machine: &MachineId, ix: TaskIx, attempt: Attempt, done: bool) -> bool {
+    pub fn end_claim(
+        &mut self,
+        machine: &MachineId,
+        ix: TaskIx,
+        attempt: Attempt,
+        done: bool,
+    ) -> bool {
         let mut found = false;
         for group in &mut self.claims {
             if group.machine == *machine {
@@ -345,7 +351,7 @@
     }
 
     /// Tasks of `from..to` that are neither claimed nor done.
-    pub fn free(&self, from: u32, to: u32) -> Vec<TaskIx> {
+    pub fn claimable_tasks(&self, from: u32, to: u32) -> Vec<TaskIx> {
         let mut claimed: Vec<u32> =
             self.claims.iter().flat_map(|g| g.tasks.iter().map(|t| t.0 .0)).collect();
         claimed.sort_unstable();
@@ -402,7 +408,7 @@
     pub parts_done: Vec<u32>,
     /// The tasks of a job that is not kept in parts.
     #[serde(rename = "u", default)]
-    pub table: Table,
+    pub table: TaskTable,
 }
 
 impl JobRecord {
@@ -415,7 +421,7 @@
             aborted: false,
             zone: None,
             parts_done: Vec::new(),
-            table: Table::default(),
+            table: TaskTable::default(),
         }
     }
 
@@ -441,6 +447,6 @@
 }
 
 /// A job's status as returned to users, without details.
-pub fn status(id: &JobId, state: JobState, done: u32, running: u32) -> JobStatus {
+pub fn job_status(id: &JobId, state: JobState, done: u32, running: u32) -> JobStatus {
     JobStatus { id: id.clone(), state, done, running, why: None, steps: None, losses: None }
 }
--- a/crates/cleatfold-control/tests/claims.rs
+++ b/crates/cleatfold-control/tests/claims.rs
@@ -1,7 +1,7 @@
 //! The protocol of claims, explored in every order of what can happen: acceptance, claim, launch, exit, reap,
 //! take-over, cancellation and archive, with two controllers, one or two machines in one pool, one or two
 //! tasks, and a state service whose transactions may go unanswered and be executed late. `model.rs` has the
-//! states, `steps.rs` what can happen; claims, ends and free tasks are the service's own `Table`. An outage is
+//! states, `steps.rs` what can happen; claims, ends and free tasks are the service's own `TaskTable`. An outage is
 //! any stretch without a step of the state service, so all of them are in it.
 //!
 //! Bounds: those of each search are in the table below; all are searched exhaustively within them. Beyond them
--- a/crates/cleatfold-control/tests/claims/model.rs
+++ b/crates/cleatfold-control/tests/claims/model.rs
@@ -1,7 +1,7 @@
 //! The states: what the state service holds, what controllers have read and remember, what is on the
 //! machines, what is on its way.
 
-use cleatfold_control::records::Table;
+use cleatfold_control::records::TaskTable;
 use cleatfold_wire::{Attempt, FencingToken, MachineId, PoolId, TaskIx};
 
 pub(crate) const CONTROLLERS: usize = 2;
@@ -277,16 +277,16 @@
 
 /// The record's tasks as the service's own table.
 pub(crate) struct Claims {
-    table: Table,
+    table: TaskTable,
     tasks: usize,
     pool: PoolId,
 }
 
 impl Claims {
     pub(crate) fn of(job: &Job, tasks: usize) -> Self {
-        let mut table = Table::default();
+        let mut table = TaskTable::default();
         let pool = PoolId { machine_type: "t".into(), zone: "z".into() };
-        let mut claims = Self { table: Table::default(), tasks, pool: pool.clone() };
+        let mut claims = Self { table: TaskTable::default(), tasks, pool: pool.clone() };
         for (ix, task) in job.tasks.iter().enumerate().take(tasks) {
             let ix = TaskIx(ix as u32);
             match *task {
@@ -301,7 +301,7 @@
                 Task::Done => {
                     let m = machine_id(0);
                     let attempt = table.claim(&m, FencingToken(0), &pool, ix);
-                    assert!(table.end(&m, ix, attempt, true));
+                    assert!(table.end_claim(&m, ix, attempt, true));
                 }
             }
         }
@@ -311,11 +311,11 @@
 
     pub(crate) fn end(&mut self, ix: usize, end: &End) -> bool {
         let attempt = Attempt(end.attempt.into());
-        self.table.end(&machine_id(end.machine), TaskIx(ix as u32), attempt, end.done)
+        self.table.end_claim(&machine_id(end.machine), TaskIx(ix as u32), attempt, end.done)
     }
 
     pub(crate) fn free(&self) -> Vec<TaskIx> {
-        self.table.free(0, self.tasks as u32)
+        self.table.claimable_tasks(0, self.tasks as u32)
     }
 
     pub(crate) fn claim(&mut self, machine: u8, token: u8, ix: TaskIx) -> u8 {
--- a/crates/cleatfold-control/tests/formats.rs
+++ b/crates/cleatfold-control/tests/formats.rs
@@ -49,7 +49,7 @@
 fn rewritten_live_record(fixture: &Fixture, key: &Key) {
     match key {
         Key::Job(_) => rewritten::<JobRecord>(fixture),
-        Key::Part(..) => rewritten::<Table>(fixture),
+        Key::Part(..) => rewritten::<TaskTable>(fixture),
         Key::Progress(..) => rewritten::<cleatfold_elastic::PartRecord>(fixture),
         Key::Pool(_) | Key::Role(_) | Key::Workspace(_) => rewritten::<HolderRecord>(fixture),
         Key::Controller(_) => rewritten::<ControllerRecord>(fixture),
--- a/crates/cleatfold-control/tests/late_transactions.rs
+++ b/crates/cleatfold-control/tests/late_transactions.rs
@@ -429,7 +429,7 @@
     let spec = plain(&mut world, 300, 1.0, 2.0);
     let (job, part) = (spec.id.clone(), part_key(&spec.id, 0));
     let mut txn = Txn::default();
-    txn.put(part.clone(), &Table::default(), None);
+    txn.put(part.clone(), &TaskTable::default(), None);
     world.store.txn(&txn).expect("unguarded");
     keep(&mut world, Purpose::CleanUp);
     let late = kept(&mut world);
--- a/crates/cleatfold-testbed/src/world/fault_schedule.rs
+++ b/crates/cleatfold-testbed/src/world/fault_schedule.rs
@@ -4,7 +4,7 @@
     Asked, Attempt, BTreeMap, BTreeSet, JobId, JobState, MachineId, Ms, Request, Response, Rng,
     TaskId, Txn, World,
 };
-use cleatfold_control::records::{self, Key, Table};
+use cleatfold_control::records::{self, Key, TaskTable};
 
 #[derive(Default)]
 pub struct FaultSchedule {
@@ -120,7 +120,7 @@
                     Some(change) => change.value.as_ref(),
                     None => Some(&item.value),
                 };
-                let table = value.and_then(|v| serde_json::from_str::<Table>(v.get()).ok());
+                let table = value.and_then(|v| serde_json::from_str::<TaskTable>(v.get()).ok());
                 if table.is_some_and(|t| !t.claims.is_empty()) {
                     broken.push(format!("{:?} {} ended with claims in it", self.now, item.key));
                 }
--- a/crates/cleatfold-testbed/src/world/late.rs
+++ b/crates/cleatfold-testbed/src/world/late.rs
@@ -2,7 +2,7 @@
 //! controller; and what of all that was ever written would show one that should have failed.
 
 use super::{BTreeMap, BTreeSet, JobId, Ms, Rng, StoreReply, StoreRequest, Txn, Version, World};
-use cleatfold_control::records::{self, HistoryGroup, Key, Table};
+use cleatfold_control::records::{self, HistoryGroup, Key, TaskTable};
 use cleatfold_wire::store::Event as Written;
 
 /// What a transaction is for, by what it writes.
@@ -234,7 +234,7 @@
             Some(Key::Part(job, _) | Key::Progress(job, _)) if put => {
                 let value = event.value.as_ref().map_or("{}", |v| v.get());
                 // Steps are no table; they hold no claims.
-                let table: Table = serde_json::from_str(value).unwrap_or_default();
+                let table: TaskTable = serde_json::from_str(value).unwrap_or_default();
                 let claims = table.claims.iter().map(|g| g.tasks.len()).sum();
                 if self.live.contains(&job) {
                     self.parts.entry(job).or_default().insert(key.clone(), claims);
--- a/crates/cleatfold-testbed/src/world/written.rs
+++ b/crates/cleatfold-testbed/src/world/written.rs
@@ -3,7 +3,7 @@
 //! The service limits puts and deletes, however many of them a transaction joins. So what a job costs is the number
 //! of keys that are written for it.
 
-use cleatfold_control::records::{self, JobRecord, Key, Table};
+use cleatfold_control::records::{self, JobRecord, Key, TaskTable};
 use cleatfold_fakes::store::Store;
 use cleatfold_wire::store::{Change, Txn};
 use cleatfold_wire::{Attempt, TaskIx};
@@ -105,7 +105,7 @@
         Some(Key::Part(..)) => match after {
             None => ChangeKind::End,
             Some(after) => {
-                kind_of_table(&before.map(read::<Table>).unwrap_or_default(), &read(after))
+                kind_of_table(&before.map(read::<TaskTable>).unwrap_or_default(), &read(after))
             }
         },
         Some(Key::Progress(..)) => ChangeKind::Steps,
@@ -126,14 +126,14 @@
     kind_of_table(&before.table, &after.table)
 }
 
-fn kind_of_table(before: &Table, after: &Table) -> ChangeKind {
+fn kind_of_table(before: &TaskTable, after: &TaskTable) -> ChangeKind {
     match claims(after).is_subset(&claims(before)) {
         true => ChangeKind::End,
         false => ChangeKind::Claim,
     }
 }
 
-fn claims(table: &Table) -> BTreeSet<(TaskIx, Attempt)> {
+fn claims(table: &TaskTable) -> BTreeSet<(TaskIx, Attempt)> {
     table.claims.iter().flat_map(|group| group.tasks.iter().copied()).collect()
 }
 
