--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -190,7 +190,7 @@
             limit.part = limit.part.max(floor / capacity.max(1.0)).min(1.0);
             let rest = spec.cpus * f64::from(cached.unfinished());
             let begun = cached.claimed + cached.done > 0;
-            let job = (!begun, cached.place(), id, rest);
+            let job = (!begun, cached.accepted_revision(), id, rest);
             jobs.entry(&spec.team).or_default().push(job);
             let known = long.limits.entry(spec.team.clone()).or_insert(limit);
             known.part = known.part.max(limit.part);
--- a/crates/cleatfold-control/src/admission/state.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -100,19 +100,19 @@
     begin_ms: u64,
 ) -> size_classes::Waiting {
     let spec = &cached.record.spec;
-    let each = cached.each.cpus;
+    let each = cached.task_resources.cpus;
     let within_s = entry.patience_ms.max(begin_ms) as f64 / 1000.0;
     size_classes::Waiting {
         accepted_ms: cached.record.accepted_ms,
         turn: xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes()),
         begun: cached.claimed + cached.done > 0,
-        has: cached.each.times(cached.claimed).cpus,
-        needs: cached.each.times(cached.unclaimed()).cpus,
+        has: cached.task_resources.times(cached.claimed).cpus,
+        needs: cached.task_resources.times(cached.unclaimed()).cpus,
         each,
         work: work(spec, spec.tasks) as u64,
         // A gang is whole or nothing.
         width: match spec.kind {
-            Kind::Gang => cached.each.times(spec.tasks).cpus,
+            Kind::Gang => cached.task_resources.times(spec.tasks).cpus,
             _ => size_classes::width(spec.tasks, each, spec.estimate_s, within_s),
         },
     }
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -103,7 +103,7 @@
                     image: spec.image.clone(),
                     urgency: spec.urgency as u8,
                     gang: spec.kind == Kind::Gang,
-                    place: cached.place(),
+                    place: cached.accepted_revision(),
                     mb_per_s: settings.slot(kind.map_or(1.0, |t| t.fetch_gb_per_s)),
                     // Of others' machines nothing is known: they decide themselves.
                     supports_peer_fetch: images.is_none_or(|i| i.is_some()),
--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -24,7 +24,7 @@
     /// Our transaction has cancelled the job.
     pub(crate) fn note_confirmed(&mut self, job: &JobId) {
         let cached = self.cache.jobs.get(job);
-        let pools = cached.into_iter().flat_map(|l| &l.by_pool).filter(|p| p.1 > 0);
+        let pools = cached.into_iter().flat_map(|l| &l.claims_by_pool).filter(|p| p.1 > 0);
         let holders = pools.filter_map(|p| self.cache.pools.get(&p.0));
         let owners: Vec<ControllerId> = holders.map(|h| h.owner.clone()).collect();
         let mut broadcast = std::mem::take(&mut self.cancellations.broadcast);
--- a/crates/cleatfold-control/src/jobs/draft.rs
+++ b/crates/cleatfold-control/src/jobs/draft.rs
@@ -86,7 +86,7 @@
     ) -> Self {
         let mut record = cached.record.clone();
         // From now on the record's version is another: its place in the queue stays.
-        record.place = Some(cached.place());
+        record.accepted_revision = Some(cached.accepted_revision());
         let mut txn = Txn::default();
         txn.guard(job_key(job), cached.version);
         let (done, claimed) = (cached.done, cached.claimed);
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -85,7 +85,7 @@
         let done = job_state.ends.iter().filter(|e| e.done).count() as u32;
         let starts = job_state.placement_requests.iter().map(|w| w.tasks).sum();
         let mine: u32 = cached
-            .by_pool
+            .claims_by_pool
             .iter()
             .filter(|(p, _)| self.pools.owned.contains_key(p))
             .map(|p| p.1)
--- a/crates/cleatfold-control/src/pools/long_polls.rs
+++ b/crates/cleatfold-control/src/pools/long_polls.rs
@@ -35,7 +35,7 @@
             .flatten()
             .filter(|((job, ix), claim)| !self.is_ending(job, *ix, claim.attempt))
             .filter_map(|((job, _), _)| self.cache.jobs.get(job))
-            .map(|cached| cached.each.cpus)
+            .map(|cached| cached.task_resources.cpus)
             .sum();
         let share = match used * 4 {
             0 => 80,
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -127,7 +127,8 @@
             let Some(team) = team.filter(|_| cached.claimed > 0) else { continue };
             for group in self.cache.tables(id).flat_map(|t| &t.claims) {
                 if let Some(pool) = own.iter().position(|p| **p == group.pool) {
-                    used[team * own.len() + pool] += cached.each.times(group.tasks.len() as u32);
+                    used[team * own.len() + pool] +=
+                        cached.task_resources.times(group.tasks.len() as u32);
                 }
             }
         }
@@ -139,7 +140,7 @@
             for placement in &job_state.placement_requests {
                 if let Some(cached) = self.cache.jobs.get(id) {
                     let key = (cached.record.spec.team.clone(), placement.pool.clone());
-                    *usage.entry(key).or_default() += cached.each.times(placement.tasks);
+                    *usage.entry(key).or_default() += cached.task_resources.times(placement.tasks);
                 }
             }
         }
@@ -150,7 +151,7 @@
             };
             for (pool, tasks) in tx.claimed() {
                 let key = (cached.record.spec.team.clone(), pool);
-                *usage.entry(key).or_default() += cached.each.times(tasks);
+                *usage.entry(key).or_default() += cached.task_resources.times(tasks);
             }
         }
         usage
@@ -196,19 +197,19 @@
         };
         let mut used = 0;
         for (id, cached) in self.cache.jobs.iter().filter(|(_, l)| long(l)) {
-            let here = cached.by_pool.iter().find(|(p, _)| p == pool).map_or(0, |p| p.1);
+            let here = cached.claims_by_pool.iter().find(|(p, _)| p == pool).map_or(0, |p| p.1);
             // What has ended holds nothing, whether that is recorded or not.
             let ends = self.job_states.get(id).into_iter().flat_map(|l| &l.ends);
             let in_pool =
                 |m: &MachineId| self.inventory.machines.get(m).is_some_and(|m| m.pool == *pool);
             let ended = ends.filter(|e| in_pool(&e.machine)).count() as u32;
-            used += cached.each.times(here.saturating_sub(ended)).cpus;
+            used += cached.task_resources.times(here.saturating_sub(ended)).cpus;
         }
         for pending in self.calls.pending.values() {
             let Pending::Job(tx) = pending else { continue };
             let Some(cached) = self.cache.jobs.get(&tx.job).filter(long) else { continue };
             let claimed = tx.claimed().filter(|(p, _)| p == pool).map(|p| p.1);
-            used += cached.each.times(claimed.sum()).cpus;
+            used += cached.task_resources.times(claimed.sum()).cpus;
         }
         used
     }
@@ -241,7 +242,7 @@
                 let team = &cached.record.spec.team;
                 if self.cfg.team(team).is_some_and(|t| t.is_limited()) {
                     let key = (team.clone(), plan.pool.clone());
-                    *soon.entry(key).or_default() += cached.each.times(r.tasks);
+                    *soon.entry(key).or_default() += cached.task_resources.times(r.tasks);
                 }
             }
         }
@@ -392,7 +393,7 @@
             let spec = &cached.record.spec;
             if self.cfg.team(&spec.team).is_some_and(|t| t.is_limited()) {
                 let at_once = if spec.kind == Kind::Gang { spec.tasks } else { 1 };
-                let each = cached.each.times(at_once);
+                let each = cached.task_resources.times(at_once);
                 let need = needs.entry(spec.team.clone()).or_default();
                 (need.cpus, need.gpus) = (need.cpus.max(each.cpus), need.gpus.max(each.gpus));
             }
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -237,15 +237,15 @@
             // left every place empty for seconds when changes run short.)
             if job_state.is_some_and(|l| l.is_ending(*ix, claim.attempt)) {
                 if let Some(limit) = limit {
-                    binding[limit].ends(now, now.plus(1000), cached.each);
+                    binding[limit].ends(now, now.plus(1000), cached.task_resources);
                 }
                 continue;
             }
             let end = self.expected_end(id, machine, (job, *ix), cached, job_state);
             if let Some(limit) = limit {
-                binding[limit].ends(now, end, cached.each);
+                binding[limit].ends(now, end, cached.task_resources);
             }
-            profile.carve(now, end, cached.each);
+            profile.carve(now, end, cached.task_resources);
             let image = &cached.record.spec.image;
             if noted != Some(job) && !profile.images.iter().any(|(i, _)| i == image) {
                 let ready = now.plus_s(cached.record.spec.image_gb / kind.fetch_gb_per_s);
@@ -285,7 +285,7 @@
         if let Some(width) = cached.width() {
             // Beyond the least width it gives way when somebody's reservation comes near, so
             // it delays none.
-            let beyond = ix >= cached.beyond;
+            let beyond = ix >= cached.first_surplus_member;
             return self.now.plus(if beyond { width.yield_ms(YIELD_MS) } else { run });
         }
         let saved = job_state.and_then(|l| l.saved.get(&ix)).copied().unwrap_or(0);
@@ -309,7 +309,7 @@
         spec.types.as_ref().is_none_or(|t| t.contains(&pool.machine_type))
             && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
             && cached.bound_zone().is_none_or(|z| *z == pool.zone)
-            && cached.each.within(&self.inventory.total(&pool.machine_type))
+            && cached.task_resources.within(&self.inventory.total(&pool.machine_type))
     }
 
     fn requests_for(
@@ -349,7 +349,7 @@
             plan.jobs.push(id.clone());
             plan.growth.push(*growth);
             plan.requests.push(Request {
-                each: cached.each,
+                each: cached.task_resources,
                 tasks,
                 // A member beyond the base may leave at the end of any step.
                 run_ms: cached
@@ -460,7 +460,7 @@
         let (plan, job) = (start.plan, start.job().clone());
         let Some(cached) = self.cache.jobs.get(&job) else { return 0 };
         let wanted = start.reservation.tasks.min(remaining);
-        let (team, each) = (cached.record.spec.team.clone(), cached.each);
+        let (team, each) = (cached.record.spec.team.clone(), cached.task_resources);
         let tasks = self.within_slice(&team, &plan.pool, usage, each, wanted);
         if tasks < wanted {
             let short = self.quota.short.entry((team, plan.pool.clone())).or_default();
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -123,12 +123,12 @@
         // Stopping what has run long costs more than a start that is in time gives: a whole run
         // time as the bound lost kerbrev's rough days 0.03, a quarter of it nothing.
         let worth = if preempts {
-            (spec.estimate_s * 250.0) as u64 * cached.each.cpus.max(1) as u64 / 1000
+            (spec.estimate_s * 250.0) as u64 * cached.task_resources.cpus.max(1) as u64 / 1000
         } else {
             u64::MAX
         };
         let need = Need {
-            each: cached.each,
+            each: cached.task_resources,
             urgency: spec.urgency,
             team: spec.team.clone(),
             within_guarantee,
@@ -202,7 +202,7 @@
                 if self.is_ending(job, *ix, claim.attempt) {
                     continue;
                 }
-                seat.free -= cached.each;
+                seat.free -= cached.task_resources;
                 let task = Named { job: job.clone(), ix: *ix, attempt: claim.attempt };
                 let mut running = self.as_victim(id, machine, cached, &task, save_ms);
                 running.beyond_guarantee = !within.contains(job);
@@ -236,7 +236,7 @@
             .unwrap_or(0);
         let started = machine.started.get(&(task.job.clone(), task.ix));
         let ran = started.map_or(0, |s| self.now.since(*s));
-        let yields = cached.width().is_some() && task.ix >= cached.beyond;
+        let yields = cached.width().is_some() && task.ix >= cached.first_surplus_member;
         let gained = yields || evictions == 0 || ran >= GAIN_MS * u64::from(evictions + 1);
         let interval = (spec.checkpoint_s * 1000.0) as u64;
         let lost_ms = match cached.width() {
@@ -247,7 +247,7 @@
         };
         Running {
             id: 0,
-            each: cached.each,
+            each: cached.task_resources,
             urgency: spec.urgency,
             team: spec.team.clone(),
             beyond_guarantee: true,
@@ -256,7 +256,7 @@
                 && spec.kind == Kind::Array
                 && !cached.record.aborted
                 && self.evictions.get(id, &task.job, task.ix).is_none(),
-            loss: lost_ms * cached.each.cpus.max(1) as u64 / 1000,
+            loss: lost_ms * cached.task_resources.cpus.max(1) as u64 / 1000,
         }
     }
 
--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -45,12 +45,13 @@
         let mut arrivals: Vec<(&JobId, &CachedJob)> =
             self.cache.jobs.iter().filter(|(_, j)| !j.record.aborted).collect();
         // By the revisions that accepted them: by the times of day, the clock that was ahead came last.
-        arrivals.sort_by(|a, b| (a.1.place(), a.0).cmp(&(b.1.place(), b.0)));
+        arrivals
+            .sort_by(|a, b| (a.1.accepted_revision(), a.0).cmp(&(b.1.accepted_revision(), b.0)));
         let accepted_ms = acceptance_times(arrivals.iter().map(|(_, j)| j.record.accepted_ms));
         let mut guarantees = self.guarantees();
         let mut draft = QueueDraft { wall_ms: self.wall_ms, ..QueueDraft::default() };
         for ((id, cached), accepted_ms) in arrivals.into_iter().zip(accepted_ms) {
-            let unfinished = cached.each.times(cached.unfinished());
+            let unfinished = cached.task_resources.times(cached.unfinished());
             let is_guaranteed = guarantees.admit(&cached.record.spec.team, unfinished);
             if is_guaranteed {
                 draft.guaranteed.insert(id.clone());
@@ -128,7 +129,7 @@
             urgency: spec.urgency,
             beyond_guarantee: !job.is_guaranteed || gives_way,
             arrival,
-            turn: cached.place(),
+            turn: cached.accepted_revision(),
             id: job.id.clone(),
         };
         self.candidates.push(Candidate { place, tasks: job.tasks, growth: false });
@@ -146,7 +147,7 @@
             urgency: cached.record.spec.urgency,
             beyond_guarantee: true,
             arrival: u64::MAX,
-            turn: cached.place(),
+            turn: cached.accepted_revision(),
             id: id.clone(),
         };
         self.candidates.push(Candidate { place, tasks, growth: true });
@@ -163,12 +164,12 @@
             entry.sizes.as_ref().map_or(SizeClass::Small, |s| s.size_class(work, spec.tasks));
         if let (Some(sizes), Some(larger)) = (&entry.sizes, class.larger_mut(size_class)) {
             let mut demand = size_class_demand(entry, job.id, cached, sizes.begin_ms);
-            demand.needs = demand.needs.min(cached.each.times(job.tasks).cpus);
+            demand.needs = demand.needs.min(cached.task_resources.times(job.tasks).cpus);
             let candidate = (job.tasks > 0).then_some(self.candidates.len());
             larger.push(LargerJob { demand, candidate });
             return false;
         }
-        class.has += cached.each.times(cached.claimed).cpus;
+        class.has += cached.task_resources.times(cached.claimed).cpus;
         true
     }
 
@@ -188,7 +189,7 @@
         };
         let moment = order::place(entry, waiting, self.wall_ms);
         if is_small {
-            let needs = cached.each.times(cached.unclaimed()).cpus;
+            let needs = cached.task_resources.times(cached.unclaimed()).cpus;
             let candidate = self.candidates.len();
             let class = self.overloaded.entry(&spec.class).or_default();
             class.small.push(SmallJob { moment, candidate, needs });
--- a/crates/cleatfold-control/src/scheduling/queue/tests.rs
+++ b/crates/cleatfold-control/src/scheduling/queue/tests.rs
@@ -110,7 +110,7 @@
             if rewritten[n] {
                 // As `build` does: the place is kept, the version is another.
                 later += 1;
-                r.place = Some(one.cache.jobs[&r.spec.id].place());
+                r.accepted_revision = Some(one.cache.jobs[&r.spec.id].accepted_revision());
                 one.cache.install_job(r.spec.id.clone(), r.clone(), Version(later));
             }
         }
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -45,21 +45,21 @@
 pub(crate) struct CachedJob {
     pub record: JobRecord,
     pub version: Version,
-    pub each: Resources,
+    pub task_resources: Resources,
     pub done: u32,
     pub claimed: u32,
     /// Unfinished steps of an elastic job.
     pub steps_left: Option<u32>,
     /// Of an elastic job: the first member beyond the job's minimum width.
-    pub beyond: TaskIx,
+    pub first_surplus_member: TaskIx,
     /// Number of claims in each pool.
-    pub by_pool: Vec<(PoolId, u32)>,
+    pub claims_by_pool: Vec<(PoolId, u32)>,
 }
 
 impl CachedJob {
     /// The job's queue position among jobs of its kind: the revision at which it was accepted.
-    pub(crate) fn place(&self) -> u64 {
-        cleatfold_priority::place_of(self.record.place, self.version)
+    pub(crate) fn accepted_revision(&self) -> u64 {
+        cleatfold_priority::place_of(self.record.accepted_revision, self.version)
     }
 
     /// The zone in which a one-zone job has to stay while any of its tasks may run.
@@ -420,19 +420,19 @@
         if !record.table.losses.is_empty() {
             self.lossy.insert(id.clone());
         }
-        let each = record.each();
+        let task_resources = record.task_resources();
         let cached = CachedJob {
             record,
             version,
-            each,
+            task_resources,
             done: 0,
             claimed: 0,
             steps_left: None,
-            beyond: TaskIx(u32::MAX),
-            by_pool: Vec::new(),
+            first_surplus_member: TaskIx(u32::MAX),
+            claims_by_pool: Vec::new(),
         };
         let team = cached.record.spec.team.clone();
-        self.by_team.entry(team).or_default().insert((cached.place(), id.clone()));
+        self.by_team.entry(team).or_default().insert((cached.accepted_revision(), id.clone()));
         let newly_cancelled = cached.record.aborted && !was_aborted;
         self.jobs.insert(id.clone(), cached);
         self.recount(&id);
@@ -445,7 +445,7 @@
 
     fn remove_from_team(&mut self, id: &JobId, cached: &CachedJob) {
         if let Some(jobs) = self.by_team.get_mut(&cached.record.spec.team) {
-            jobs.remove(&(cached.place(), id.clone()));
+            jobs.remove(&(cached.accepted_revision(), id.clone()));
         }
     }
 
@@ -511,16 +511,16 @@
             let (from, to) = cached.record.part_range(*part);
             done += to - from;
         }
-        cached.by_pool.clear();
+        cached.claims_by_pool.clear();
         let parts = self.parts.get(id).into_iter().flat_map(|p| p.values().map(|p| &p.value));
         for table in std::iter::once(&cached.record.table).chain(parts) {
             done += table.done_count();
             for group in &table.claims {
                 let tasks = group.tasks.len() as u32;
                 claimed += tasks;
-                match cached.by_pool.iter_mut().find(|(pool, _)| *pool == group.pool) {
+                match cached.claims_by_pool.iter_mut().find(|(pool, _)| *pool == group.pool) {
                     Some((_, claims)) => *claims += tasks,
-                    None => cached.by_pool.push((group.pool.clone(), tasks)),
+                    None => cached.claims_by_pool.push((group.pool.clone(), tasks)),
                 }
             }
         }
@@ -532,7 +532,8 @@
         let claims = cached.record.table.claims.iter();
         let mut members: Vec<TaskIx> = claims.flat_map(|g| g.tasks.iter().map(|t| t.0)).collect();
         members.sort_unstable();
-        cached.beyond = members.get(elastic.least as usize).copied().unwrap_or(TaskIx(u32::MAX));
+        cached.first_surplus_member =
+            members.get(elastic.least as usize).copied().unwrap_or(TaskIx(u32::MAX));
     }
 
     fn index_claims(&mut self, id: &JobId, table: &TaskTable) {
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -396,7 +396,7 @@
     pub accepted_ms: u64,
     /// The revision at which it was accepted, once the record has been written again.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
-    pub place: Option<u64>,
+    pub accepted_revision: Option<u64>,
     /// Whether the job is cancelled.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub aborted: bool,
@@ -417,7 +417,7 @@
         Self {
             spec,
             accepted_ms,
-            place: None,
+            accepted_revision: None,
             aborted: false,
             zone: None,
             parts_done: Vec::new(),
@@ -426,7 +426,7 @@
     }
 
     /// Resources of one task.
-    pub fn each(&self) -> Resources {
+    pub fn task_resources(&self) -> Resources {
         Resources::new(self.spec.cpus, self.spec.gpus, self.spec.memory_gb)
     }
 
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -240,7 +240,7 @@
         .iter()
         .filter_map(|i| {
             let record: JobRecord = serde_json::from_str(i.value.get()).expect("a record");
-            let place = record.place.unwrap_or(i.version.0);
+            let place = record.accepted_revision.unwrap_or(i.version.0);
             (record.spec.team.as_str() == team).then_some((place, record.spec.id))
         })
         .collect();
--- a/crates/cleatfold-testbed/src/world/priority_watch.rs
+++ b/crates/cleatfold-testbed/src/world/priority_watch.rs
@@ -172,7 +172,7 @@
                 job: id.clone(),
                 urgency: spec.urgency,
                 since: *since,
-                each: record.each(),
+                each: record.task_resources(),
                 types: spec.types.clone(),
                 zone: spec.zone.clone().or_else(|| record.zone.clone()),
                 barred: [zone].into_iter().filter(|z| spec.spread && full(z)).cloned().collect(),
