--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -35,7 +35,7 @@
 
     /// Cancellations that a reading brought.
     pub(crate) fn note_read_cancellations(&mut self) {
-        let read = std::mem::take(&mut self.cache.cancelled);
+        let read = std::mem::take(&mut self.cache.newly_cancelled);
         if read.is_empty() {
             return;
         }
@@ -66,7 +66,7 @@
         for job in jobs.iter().map(JobId::new) {
             if broadcast.received(&job, &from, self.peers(), self.now) {
                 // Its machines' reports call for orders now, though they say what they said before.
-                self.cache.restamp(&job);
+                self.cache.renew_stamps(&job);
             }
         }
         self.cancellations.broadcast = broadcast;
--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -14,7 +14,7 @@
     /// are on their way there.
     fn failures(&self, id: &JobId, job_state: Option<&LocalJobState>) -> Vec<Failure> {
         let mut failures = Vec::new();
-        if self.cache.lossy.contains(id) {
+        if self.cache.jobs_with_losses.contains(id) {
             self.cache.tables(id).for_each(|t| failures.extend(t.losses.failures()));
         }
         for end in job_state
@@ -87,7 +87,7 @@
 
     /// It fails wherever it runs, and its record says so.
     pub(crate) fn is_suspect(&self, id: &JobId, cached: &CachedJob) -> bool {
-        self.cache.lossy.contains(id)
+        self.cache.jobs_with_losses.contains(id)
             && matches!(self.verdict(id, cached, None), Some(Verdict::Suspect { .. }))
     }
 
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -166,7 +166,7 @@
             status.steps = Some(StepCount { finished, total: elastic.steps });
         }
         status.why = self.why(job, cached);
-        if self.cache.lossy.contains(job) {
+        if self.cache.jobs_with_losses.contains(job) {
             let mut losses = LossList::default();
             self.cache.tables(job).for_each(|t| losses.merge(t.losses.clone()));
             status.losses = losses.to_job_losses(job, state != JobState::Aborted);
@@ -264,7 +264,7 @@
     /// Jobs left the live records by others' hands: reads how they ended, all of them at once, so
     /// that no poll has to ask for each.
     pub(crate) fn follow_archive(&mut self) {
-        if !self.archive.follow(&self.cache.applied) {
+        if !self.archive.follow(&self.cache.applied_revision) {
             return;
         }
         let from = self.archive.read_to;
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -105,7 +105,7 @@
             draft.record.aborted = true;
             draft.head_changed = true;
         }
-        let end = final_state(&draft, cached, &steps, self.cache.applied);
+        let end = final_state(&draft, cached, &steps, self.cache.applied_revision);
         draft.write_parts();
 
         let mut withdrawals = Vec::new();
@@ -255,7 +255,7 @@
         if is_gone {
             self.discard_job_state(&job);
         }
-        for other in std::mem::take(&mut self.cache.gone) {
+        for other in std::mem::take(&mut self.cache.removed_jobs) {
             self.discard_job_state(&other);
         }
         let claimed: Vec<MachineId> = tx.claims.iter().map(|c| c.0.machine.clone()).collect();
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -38,14 +38,14 @@
     /// Now and then, once we serve.
     pub(crate) fn keep_losses(&mut self) {
         if self.losses.begin_reading() {
-            let from = Version(self.cache.applied.0.saturating_sub(BACK));
+            let from = Version(self.cache.applied_revision.0.saturating_sub(BACK));
             let request = StoreRequest::Changes { prefix: LOSS_LOG_PREFIX.into(), from };
             self.store(CallPriority::Poll, request, Pending::LossLog);
         }
         if self.losses.back && !self.archive.following {
             // What ended while nobody kept the team.
             self.losses.back = false;
-            let back = Version(self.cache.applied.0.saturating_sub(BACK_ENDED));
+            let back = Version(self.cache.applied_revision.0.saturating_sub(BACK_ENDED));
             self.archive.read_to = self.archive.read_to.min(back);
             self.archive.stale = true;
             self.follow_archive();
@@ -53,7 +53,7 @@
         let now = self.now;
         if now.since(self.losses.last_checked) >= LOSS_SCAN_INTERVAL_MS {
             self.losses.last_checked = now;
-            for id in &self.cache.lossy {
+            for id in &self.cache.jobs_with_losses {
                 let Some(cached) = self.cache.jobs.get(id) else { continue };
                 let Some(log) = self.losses.log(&cached.record.spec.team) else { continue };
                 for table in self.cache.tables(id) {
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -53,7 +53,7 @@
         if self.teams.waiting.is_empty() {
             return;
         }
-        let applied = self.cache.applied.0;
+        let applied = self.cache.applied_revision.0;
         let read = self.workspaces.ended.to();
         let mut behind = false;
         for mut question in std::mem::take(&mut self.teams.waiting) {
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -205,7 +205,7 @@
 
     /// Everything was read: what ended is read from where the histories stand, as far back as that goes.
     pub(crate) fn begin_ended(&mut self) {
-        let applied = self.cache.applied.0;
+        let applied = self.cache.applied_revision.0;
         let upto = |t: &crate::config::Team| self.head(&t.name).value.upto;
         let near = self.cfg.teams.iter().map(upto).filter(|u| u + BACK >= applied);
         let from = near.min().unwrap_or(applied).min(applied);
@@ -222,7 +222,7 @@
             self.archive.stale = true;
             return;
         }
-        let applied = self.cache.applied;
+        let applied = self.cache.applied_revision;
         self.archive.read_to = applied;
         self.workspaces.ended.read(applied.0, applied.0, []);
     }
@@ -244,7 +244,7 @@
         for (team, head) in &self.cache.histories {
             self.workspaces.ended.forget(team, &head.value);
         }
-        let behind = self.workspaces.ended.to().is_none_or(|to| to < self.cache.applied.0);
+        let behind = self.workspaces.ended.to().is_none_or(|to| to < self.cache.applied_revision.0);
         if behind && self.now.since(self.workspaces.followed) >= FOLLOW_MS {
             self.workspaces.followed = self.now;
             self.archive.stale = true;
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -151,7 +151,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct StateCache {
     /// Every change up to this revision is included.
-    pub applied: Version,
+    pub applied_revision: Version,
     pub jobs: BTreeMap<JobId, CachedJob>,
     pub parts: BTreeMap<JobId, PartMap>,
     pub progress: BTreeMap<JobId, ProgressMap>,
@@ -181,7 +181,7 @@
     /// Slots for fetches from the image origin.
     pub origin: Versioned<OriginRecord>,
     /// Jobs that have not ended and have losses.
-    pub lossy: BTreeSet<JobId>,
+    pub jobs_with_losses: BTreeSet<JobId>,
     /// All claims, by machine.
     pub claims: BTreeMap<MachineId, MachineClaims>,
     last_stamp: u64,
@@ -192,9 +192,9 @@
     /// The same keys, newest last.
     removed_order: VecDeque<String>,
     /// Jobs whose record was removed since this list was last taken.
-    pub gone: Vec<JobId>,
+    pub removed_jobs: Vec<JobId>,
     /// Jobs that became cancelled since this list was last taken.
-    pub cancelled: Vec<JobId>,
+    pub newly_cancelled: Vec<JobId>,
 }
 
 impl StateCache {
@@ -211,7 +211,7 @@
 
     /// Applies a change that was read.
     pub(crate) fn apply_event(&mut self, event: &Event) {
-        if event.version <= self.applied {
+        if event.version <= self.applied_revision {
             return;
         }
         if let (Some(key), Some(value)) = (&event.put, &event.value) {
@@ -222,10 +222,10 @@
     }
 
     /// Whether a change is newer than the last read. The cache includes every change up to
-    /// `applied`, removals as well: the reply to an own transaction that arrives after the read
+    /// `applied_revision`, removals as well: the reply to an own transaction that arrives after the read
     /// that included it would restore parts and claims that other controllers have ended since.
     pub(crate) fn is_newer(&self, version: Version) -> bool {
-        version > self.applied
+        version > self.applied_revision
     }
 
     fn version_of(&self, key: &str, parsed: &Key) -> Version {
@@ -259,7 +259,7 @@
     pub(crate) fn changed_since(&self, key: &str, since: Version) -> bool {
         let Some(parsed) = parse_key(key) else { return false };
         let known = self.version_of(key, &parsed);
-        known > since && known <= self.applied
+        known > since && known <= self.applied_revision
     }
 
     /// Applies a write of an own transaction.
@@ -376,13 +376,13 @@
 
     fn remove_job(&mut self, id: JobId) {
         // Claims that remain in the job's parts are no longer valid.
-        self.restamp(&id);
+        self.renew_stamps(&id);
         if let Some(cached) = self.jobs.remove(&id) {
             self.remove_from_team(&id, &cached);
             self.elastic_jobs -= usize::from(cached.record.spec.elastic.is_some());
             self.unindex_claims(&id, &cached.record.table);
-            self.lossy.remove(&id);
-            self.gone.push(id);
+            self.jobs_with_losses.remove(&id);
+            self.removed_jobs.push(id);
         }
     }
 
@@ -418,7 +418,7 @@
         self.elastic_jobs += usize::from(record.spec.elastic.is_some());
         self.index_claims(&id, &record.table);
         if !record.table.losses.is_empty() {
-            self.lossy.insert(id.clone());
+            self.jobs_with_losses.insert(id.clone());
         }
         let task_resources = record.task_resources();
         let cached = CachedJob {
@@ -438,8 +438,8 @@
         self.recount(&id);
         // The claims of a job in parts are not in the record that marks the job as cancelled.
         if newly_cancelled {
-            self.restamp(&id);
-            self.cancelled.push(id);
+            self.renew_stamps(&id);
+            self.newly_cancelled.push(id);
         }
     }
 
@@ -458,7 +458,7 @@
     ) {
         self.replace_indexed_part(&id, part, &table);
         if !table.losses.is_empty() {
-            self.lossy.insert(id.clone());
+            self.jobs_with_losses.insert(id.clone());
         }
         self.parts.entry(id.clone()).or_default().insert(part, Versioned::new(version, table));
         self.recount(&id);
@@ -566,7 +566,7 @@
 
     /// Gives the claims of a job new stamps. They require other actions than before although none
     /// of them changed, so their machines have to be examined again.
-    pub(crate) fn restamp(&mut self, id: &JobId) {
+    pub(crate) fn renew_stamps(&mut self, id: &JobId) {
         let Some(cached) = self.jobs.get(id) else { return };
         let parts = self.parts.get(id).into_iter().flat_map(|p| p.values()).map(|p| &p.value);
         for group in std::iter::once(&cached.record.table).chain(parts).flat_map(|t| &t.claims) {
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -181,8 +181,10 @@
             self.session.sync_inflight = true;
             self.session.sync_wanted = false;
             self.session.sync_sent = self.now;
-            let request =
-                StoreRequest::Changes { prefix: LIVE_PREFIX.into(), from: self.cache.applied };
+            let request = StoreRequest::Changes {
+                prefix: LIVE_PREFIX.into(),
+                from: self.cache.applied_revision,
+            };
             let (sent, sent_at) = (self.now, self.event);
             self.store(CallPriority::Renewal, request, Pending::Sync { sent, sent_at });
         }
@@ -208,7 +210,7 @@
         };
         // The pages include every change up to this revision: the reply to an earlier transaction
         // of this controller adds nothing to them.
-        self.cache.applied = *self.session.load_revision.get_or_insert(page.revision);
+        self.cache.applied_revision = *self.session.load_revision.get_or_insert(page.revision);
         for item in &page.items {
             self.cache.apply_item(item);
         }
@@ -227,7 +229,7 @@
         // The pages were read at different times: only the next read is consistent.
         self.session.sync_wanted = true;
         self.session.sync_sent = Ms(sent.0.saturating_sub(self.cfg.read_interval_ms));
-        let (jobs, revision) = (self.cache.jobs.len(), self.cache.applied.0);
+        let (jobs, revision) = (self.cache.jobs.len(), self.cache.applied_revision.0);
         tracing::info!(jobs, revision, "state cache loaded");
     }
 
@@ -246,7 +248,7 @@
         for event in &events.events {
             self.cache.apply_event(event);
         }
-        self.cache.applied = self.cache.applied.max(events.revision);
+        self.cache.applied_revision = self.cache.applied_revision.max(events.revision);
         self.session.last_read =
             Some(self.session.last_read.map_or(sent, |last_read| last_read.max(sent)));
         self.reachability.view.worker_release.reset();
@@ -264,7 +266,7 @@
     /// Handles the consequences of a read.
     fn after_sync(&mut self, sent_at: EventNumber) {
         self.note_read_cancellations();
-        for job in std::mem::take(&mut self.cache.gone) {
+        for job in std::mem::take(&mut self.cache.removed_jobs) {
             self.archive.stale |= self.terminal_jobs.get(&job).is_none();
             self.discard_job_state(&job);
         }
