--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -344,13 +344,13 @@
         txn.put(OVERLOAD_QUOTA_KEY, &next, None);
         self.admission.inflight = true;
         self.admission.written = self.now;
-        self.store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::OverloadQuota);
+        self.call_store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::OverloadQuota);
     }
 
     /// Whatever came of it, the next reading tells.
     pub(crate) fn on_overload_quota_written(&mut self) {
         self.admission.inflight = false;
         self.session.sync_wanted = true;
-        self.tell(None, cleatfold_wire::mesh::Message::Changed);
+        self.send_to_peers(None, cleatfold_wire::mesh::Message::Changed);
     }
 }
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -54,7 +54,7 @@
     last_tick: Ms,
     contact_age_sent: Ms,
     /// Effects of the event that is being handled.
-    pub(crate) out: Vec<Effect>,
+    pub(crate) effects: Vec<Effect>,
 
     // The state service.
     pub(crate) calls: Calls,
@@ -119,7 +119,7 @@
             started: None,
             last_tick: Ms(0),
             contact_age_sent: Ms(0),
-            out: Vec::new(),
+            effects: Vec::new(),
             calls: Calls::default(),
             format_check: FormatCheck::default(),
             session: Session::default(),
@@ -181,15 +181,15 @@
         if std::mem::take(&mut self.flush_due) {
             self.flush();
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
     pub(crate) fn reply(&mut self, rid: u64, response: Response) {
-        self.out.push(Effect::Reply { rid, response });
+        self.effects.push(Effect::Reply { rid, response });
     }
 
-    pub(crate) fn tell(&mut self, to: Option<ControllerId>, message: Message) {
-        self.out.push(Effect::Mesh { to, message });
+    pub(crate) fn send_to_peers(&mut self, to: Option<ControllerId>, message: Message) {
+        self.effects.push(Effect::Mesh { to, message });
     }
 
     fn tick(&mut self) {
@@ -241,7 +241,7 @@
         self.contact_age_sent = self.now;
         if let Some(read) = self.session.last_read {
             let contact_age_ms = self.now.since(read);
-            self.tell(None, Message::Alive { contact_age_ms });
+            self.send_to_peers(None, Message::Alive { contact_age_ms });
         }
         self.tell_images();
     }
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -266,7 +266,7 @@
         self.image_distribution.slots_inflight = true;
         self.image_distribution.slots_at = self.now;
         let request = StoreRequest::Txn(txn.clone());
-        self.store(CallPriority::Claim, request, Pending::Origin { txn, record });
+        self.call_store(CallPriority::Claim, request, Pending::Origin { txn, record });
     }
 
     pub(crate) fn on_origin(&mut self, op: u64, txn: Txn, record: OriginRecord, reply: StoreReply) {
@@ -274,7 +274,7 @@
             // It may yet be executed: until that is decided what it gives back is not used.
             StoreReply::Unknown | StoreReply::Refused => {
                 let again = txn.clone();
-                return self.again(
+                return self.schedule_resend(
                     op,
                     CallPriority::Claim,
                     again,
@@ -361,7 +361,7 @@
             }
             self.image_distribution.holders_inflight = true;
             self.image_distribution.holders_at = self.now;
-            self.store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::Spread);
+            self.call_store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::Spread);
             return;
         }
     }
@@ -383,7 +383,7 @@
             }
         }
         if !machines.is_empty() {
-            self.tell(None, Message::Images { machines });
+            self.send_to_peers(None, Message::Images { machines });
         }
     }
 }
--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -57,7 +57,7 @@
         let due = self.cancellations.broadcast.due(self.now, keep_ms, |n| peers.contact(n));
         for (peer, jobs) in due {
             let jobs = jobs.iter().map(|j| j.to_string()).collect();
-            self.tell(Some(peer), Message::Cancelled { jobs });
+            self.send_to_peers(Some(peer), Message::Cancelled { jobs });
         }
     }
 
@@ -70,7 +70,7 @@
             }
         }
         self.cancellations.broadcast = broadcast;
-        self.tell(Some(from), Message::CancelledAck { jobs });
+        self.send_to_peers(Some(from), Message::CancelledAck { jobs });
         self.tell_cancelled();
     }
 
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -187,7 +187,7 @@
         self.submitting.inflight = true;
         let changes = txn.changes.len();
         let request = StoreRequest::Txn(txn.clone());
-        self.store(
+        self.call_store(
             CallPriority::Submission,
             request,
             Pending::Submit { batch, txn, sent: Sent::now(self.now) },
@@ -231,7 +231,7 @@
                     self.answer_accepted(submission, version);
                 }
                 self.replan_needed = true;
-                self.tell(None, Message::Changed);
+                self.send_to_peers(None, Message::Changed);
             }
             StoreReply::Conflict(failed) => {
                 // Those that are known get their state; the others go again.
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -174,12 +174,12 @@
             StoreReply::Unknown => {
                 tx.doubtful = true;
                 let txn = tx.txn.clone();
-                self.again(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 200);
+                self.schedule_resend(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 200);
             }
             // Not executed this time, but an earlier sending may yet be.
             StoreReply::Refused if tx.doubtful => {
                 let txn = tx.txn.clone();
-                self.again(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 500);
+                self.schedule_resend(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 500);
             }
             reply => {
                 let conflict = matches!(reply, StoreReply::Conflict(_));
@@ -261,7 +261,7 @@
         let claimed: Vec<MachineId> = tx.claims.iter().map(|c| c.0.machine.clone()).collect();
         self.answer_long_polls(&claimed);
         self.replan_needed = true;
-        self.tell(None, Message::Changed);
+        self.send_to_peers(None, Message::Changed);
     }
 
     /// What the job's user is told after a transaction.
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -195,6 +195,6 @@
         job_state.busy = true;
         job_state.unsent_since = None;
         let txn = tx.txn.clone();
-        self.store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::Job(Box::new(tx)));
+        self.call_store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::Job(Box::new(tx)));
     }
 }
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -273,7 +273,8 @@
         if txn.changes.is_empty() {
             return;
         }
-        let op = self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::PoolAssignment);
+        let op =
+            self.call_store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::PoolAssignment);
         self.leadership.pending_assignment = Some(op);
     }
 
@@ -283,7 +284,7 @@
         self.leadership.assignment_confirmed_at = self.now;
         self.session.sync_wanted = true;
         if matches!(reply, StoreReply::Committed(_)) {
-            self.tell(None, Message::Changed);
+            self.send_to_peers(None, Message::Changed);
         }
     }
 
@@ -368,7 +369,7 @@
         }
         let names: Vec<String> = pools.iter().map(|p| p.to_string()).collect();
         let me = self.cfg.controller_id.clone();
-        self.tell(None, Message::Assign { pools: names.clone(), jobs: assigned.clone() });
+        self.send_to_peers(None, Message::Assign { pools: names.clone(), jobs: assigned.clone() });
         self.on_assign(&me, names, assigned);
     }
 
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -55,7 +55,11 @@
                     let mut txn = Txn::default();
                     txn.guard(role.key(), former_of(role).unwrap_or_default());
                     txn.put(role.key(), &holder, Some(lease));
-                    self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Role(role));
+                    self.call_store(
+                        CallPriority::Renewal,
+                        StoreRequest::Txn(txn),
+                        Pending::Role(role),
+                    );
                 }
             }
             let mine: Vec<Role> = Role::ALL.into_iter().filter(|d| self.holds(*d)).collect();
@@ -80,7 +84,7 @@
         let mut txn = Txn::default();
         txn.guard(role.key(), epoch);
         txn.delete(role.key());
-        self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Role(role));
+        self.call_store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Role(role));
     }
 
     /// Whatever came of it, the next reading tells.
@@ -88,7 +92,7 @@
         self.leadership.roles.settled(role);
         self.session.sync_wanted = true;
         if matches!(reply, StoreReply::Committed(_)) {
-            self.tell(None, cleatfold_wire::mesh::Message::Changed);
+            self.send_to_peers(None, cleatfold_wire::mesh::Message::Changed);
         }
     }
 
@@ -118,7 +122,7 @@
             let Some(epoch) = self.epoch(Role::GarbageCollection) else { return };
             txn.guard(Role::GarbageCollection.key(), epoch);
             self.leadership.garbage_collection_inflight = true;
-            self.store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::GarbageCollection);
+            self.call_store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::GarbageCollection);
         }
     }
 
--- a/crates/cleatfold-control/src/machines/cloud.rs
+++ b/crates/cleatfold-control/src/machines/cloud.rs
@@ -43,7 +43,7 @@
         let types_due = self.cloud_state.types_at.is_none_or(|at| self.now.since(at) > 60_000);
         if types_due && !self.cloud_state.types_requested {
             self.cloud_state.types_requested = true;
-            self.cloud(CloudRequest::Types, Pending::Types);
+            self.call_cloud(CloudRequest::Types, Pending::Types);
         }
         let list_due =
             self.cloud_state.list_at.is_none_or(|at| self.now.since(at) > self.list_ms());
@@ -51,7 +51,7 @@
             self.cloud_state.list_requested = true;
             let sent = self.now;
             self.cloud_state.listed.clear();
-            self.cloud(CloudRequest::List { from: None }, Pending::List { sent });
+            self.call_cloud(CloudRequest::List { from: None }, Pending::List { sent });
         }
     }
 
@@ -75,9 +75,10 @@
             (Some(Pending::List { sent }), CloudReply::List { machines, more }) => {
                 self.cloud_state.listed.extend(machines);
                 match self.cloud_state.listed.last().map(|m| m.id.clone()) {
-                    Some(last) if more => {
-                        self.cloud(CloudRequest::List { from: Some(last) }, Pending::List { sent })
-                    }
+                    Some(last) if more => self.call_cloud(
+                        CloudRequest::List { from: Some(last) },
+                        Pending::List { sent },
+                    ),
                     _ => {
                         self.cloud_state.list_requested = false;
                         self.cloud_state.list_at = Some(self.now);
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -103,7 +103,7 @@
         txn.guard(Role::ScaleOut.key(), epoch);
         txn.put(SCALE_OUT_KEY, &step.book, None);
         self.scale_out.writing = true;
-        self.store(
+        self.call_store(
             CallPriority::Renewal,
             StoreRequest::Txn(txn),
             Pending::ScaleOutIntents(Box::new(step)),
@@ -160,7 +160,7 @@
                     }
                     let request = intent.request();
                     let pending = Pending::ScaleOut { request: request.clone(), tries: 0 };
-                    self.cloud(CloudRequest::ScaleOut(request), pending);
+                    self.call_cloud(CloudRequest::ScaleOut(request), pending);
                 }
             }
             // Perhaps it is durable: then the intents stand, and are met like a former holder's.
@@ -181,7 +181,7 @@
                 let names = machines.iter().map(|m| m.to_string()).collect();
                 let message =
                     Message::Rented { pool: pool.to_string(), spot: request.spot, machines: names };
-                self.tell(None, message);
+                self.send_to_peers(None, message);
                 self.note_created_machines(&pool, request.spot, machines);
                 if short {
                     Answer::Short
@@ -193,7 +193,7 @@
             // The same name again creates nothing twice.
             _ if tries < 3 => {
                 let pending = Pending::ScaleOut { request: request.clone(), tries: tries + 1 };
-                return self.cloud(CloudRequest::ScaleOut(request), pending);
+                return self.call_cloud(CloudRequest::ScaleOut(request), pending);
             }
             _ => Answer::Unknown,
         };
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -347,7 +347,7 @@
         if !batch.is_empty() {
             tracing::info!(machines = ?batch, "deleting machines");
             let pending = Pending::Delete { machines: batch.clone() };
-            self.cloud(CloudRequest::Delete(batch), pending);
+            self.call_cloud(CloudRequest::Delete(batch), pending);
         }
     }
 
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -40,7 +40,7 @@
             let endpoint =
                 self.inventory.machines.get(&probe.machine).and_then(|m| m.endpoint.clone());
             if let Some(endpoint) = endpoint {
-                self.out.push(Effect::Probe { machine: probe.machine, endpoint });
+                self.effects.push(Effect::Probe { machine: probe.machine, endpoint });
             }
         }
         let lost: BTreeSet<ZoneId> = self
@@ -60,7 +60,7 @@
             let contact =
                 |(z, h): (&ZoneId, ZoneContact)| (z.to_string(), self.now.since(h.at), h.lost);
             let zones = self.reachability.view.zone_contacts().map(contact).collect();
-            self.tell(None, Message::ZoneContact { zones });
+            self.send_to_peers(None, Message::ZoneContact { zones });
         }
     }
 
@@ -119,7 +119,7 @@
         );
         let endpoint = heartbeat.endpoint.clone().filter(|_| came == Came::Ask);
         if let Some(endpoint) = endpoint {
-            self.out.push(Effect::Probe { machine: heartbeat.machine.clone(), endpoint });
+            self.effects.push(Effect::Probe { machine: heartbeat.machine.clone(), endpoint });
         }
     }
 
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -40,7 +40,7 @@
         if self.losses.begin_reading() {
             let from = Version(self.cache.applied_revision.0.saturating_sub(BACK));
             let request = StoreRequest::Changes { prefix: LOSS_LOG_PREFIX.into(), from };
-            self.store(CallPriority::Poll, request, Pending::LossLog);
+            self.call_store(CallPriority::Poll, request, Pending::LossLog);
         }
         if self.losses.back && !self.archive.following {
             // What ended while nobody kept the team.
@@ -99,7 +99,7 @@
         txn.put(loss_head_key(&team), &LossHead { next: head.next + 1 }, None);
         txn.put(loss_log_key(&team, head.next), &group, None);
         let pending = Pending::LossGroup { team, token, count: group.len(), txn: txn.clone() };
-        self.store(CallPriority::Poll, StoreRequest::Txn(txn), pending);
+        self.call_store(CallPriority::Poll, StoreRequest::Txn(txn), pending);
     }
 
     pub(crate) fn on_loss_log(&mut self, reply: StoreReply) {
@@ -131,7 +131,7 @@
             // fails and the group is written once more under the next number.
             StoreReply::Unknown => {
                 let pending = Pending::LossGroup { team, token, count, txn: txn.clone() };
-                return self.again(op, CallPriority::Poll, txn, pending, 500);
+                return self.schedule_resend(op, CallPriority::Poll, txn, pending, 500);
             }
             _ => {}
         }
@@ -147,7 +147,7 @@
         }
         let prefix = loss_log_prefix(&team);
         let from = since.checked_sub(1).map(|last| loss_log_key(&team, last));
-        self.store(
+        self.call_store(
             CallPriority::Poll,
             StoreRequest::List { prefix, from, most: None },
             Pending::TeamLosses { rid, since },
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -222,7 +222,7 @@
     fn read_history_page(&mut self, read: HistoryRead, from: Option<String>) {
         let prefix = history_prefix(&read.team);
         let request = StoreRequest::List { prefix, from, most: Some(GROUPS) };
-        self.store(CallPriority::Poll, request, Pending::TeamHistory(Box::new(read)));
+        self.call_store(CallPriority::Poll, request, Pending::TeamHistory(Box::new(read)));
     }
 
     pub(crate) fn on_team_history(&mut self, read: HistoryRead, reply: StoreReply) {
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -144,7 +144,7 @@
         } else {
             CallPriority::Claim
         };
-        self.store(priority, StoreRequest::Txn(txn), Pending::Workspaces(teams, holder));
+        self.call_store(priority, StoreRequest::Txn(txn), Pending::Workspaces(teams, holder));
     }
 
     pub(crate) fn on_workspaces(
@@ -170,7 +170,7 @@
         }
         self.session.sync_wanted = true;
         if committed.is_some() {
-            self.tell(None, cleatfold_wire::mesh::Message::Changed);
+            self.send_to_peers(None, cleatfold_wire::mesh::Message::Changed);
         }
     }
 
@@ -268,7 +268,7 @@
             listing.asked = true;
             let (prefix, from) = (ARCHIVE_PREFIX.to_string(), listing.from.clone());
             let request = StoreRequest::List { prefix, from, most: None };
-            self.store(CallPriority::Poll, request, Pending::ArchivePage);
+            self.call_store(CallPriority::Poll, request, Pending::ArchivePage);
         }
     }
 
@@ -359,7 +359,11 @@
         gone.iter().for_each(|number| txn.delete(history_group_key(&team, *number)));
         kept.writing = true;
         let write = Write { token: kept.token, team, head: next, txn: txn.clone() };
-        self.store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::History(Box::new(write)));
+        self.call_store(
+            CallPriority::Poll,
+            StoreRequest::Txn(txn),
+            Pending::History(Box::new(write)),
+        );
     }
 
     pub(crate) fn on_history(&mut self, op: u64, write: Write, reply: StoreReply) {
@@ -381,7 +385,7 @@
             StoreReply::Unknown if self.workspace(&write.team) == Some(write.token) => {
                 let txn = write.txn.clone();
                 let pending = Pending::History(Box::new(write));
-                return self.again(op, CallPriority::Poll, txn, pending, 500);
+                return self.schedule_resend(op, CallPriority::Poll, txn, pending, 500);
             }
             _ => {
                 if let Some(kept) = self.workspaces.kept.get_mut(&write.team) {
@@ -406,7 +410,7 @@
         (kept.retention_running, kept.retention_checked_at) = (true, self.now);
         let pending = Pending::Oldest { team: team.clone(), token: kept.token };
         let prefix = history_prefix(team);
-        self.store(
+        self.call_store(
             CallPriority::Poll,
             StoreRequest::List { prefix, from: None, most: Some(OLDEST) },
             pending,
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -322,7 +322,7 @@
             self.quota.inflight.insert(team.clone());
             let request = StoreRequest::Txn(txn.clone());
             let sent = SentSlice { team, txn, record, doubtful: false };
-            self.store(CallPriority::Claim, request, Pending::Slice(Box::new(sent)));
+            self.call_store(CallPriority::Claim, request, Pending::Slice(Box::new(sent)));
         }
     }
 
@@ -440,6 +440,12 @@
     fn resend_slice(&mut self, op: u64, sent: SentSlice) {
         let pause_ms = self.quota.pacer.resend(&sent.team);
         let txn = sent.txn.clone();
-        self.again(op, CallPriority::Claim, txn, Pending::Slice(Box::new(sent)), pause_ms);
+        self.schedule_resend(
+            op,
+            CallPriority::Claim,
+            txn,
+            Pending::Slice(Box::new(sent)),
+            pause_ms,
+        );
     }
 }
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -545,7 +545,7 @@
                 .collect();
             let message =
                 Message::Promises { pool: plan.pool.to_string(), token: plan.token.0, promises };
-            self.out.push(Effect::Mesh { to: None, message });
+            self.effects.push(Effect::Mesh { to: None, message });
         }
     }
 }
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -348,7 +348,7 @@
         };
         // At the next report it would be as safe, but up to an interval later.
         let orders = Orders { token, agent_epoch: heartbeat.agent_epoch, commands };
-        self.out.push(Effect::Order { machine: id, endpoint, orders });
+        self.effects.push(Effect::Order { machine: id, endpoint, orders });
     }
 
     /// What the answer to a report says to a task that is to leave: told once more, for direct
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -118,7 +118,7 @@
         txn.put(preemption_key(pool), &record, None);
         self.priority.writing.insert(pool.clone());
         let uncommitted = UncommittedPreemption { pool: pool.clone(), token, record, preemptions };
-        self.store(
+        self.call_store(
             CallPriority::Claim,
             StoreRequest::Txn(txn),
             Pending::Preemption(Box::new(uncommitted)),
--- a/crates/cleatfold-control/src/store/calls.rs
+++ b/crates/cleatfold-control/src/store/calls.rs
@@ -44,7 +44,7 @@
 
 impl Controller {
     /// Calls the state service and returns the id of the call.
-    pub(crate) fn store(
+    pub(crate) fn call_store(
         &mut self,
         priority: CallPriority,
         request: StoreRequest,
@@ -54,20 +54,20 @@
         if let StoreRequest::Txn(txn) = &request {
             self.rate_limiter.spend(txn.changes.len());
         }
-        self.out.push(Effect::Store { op, priority, request });
+        self.effects.push(Effect::Store { op, priority, request });
         op
     }
 
     /// Calls the cloud.
-    pub(crate) fn cloud(&mut self, request: CloudRequest, pending: Pending) {
+    pub(crate) fn call_cloud(&mut self, request: CloudRequest, pending: Pending) {
         let op = self.calls.register(pending);
         let spacing_ms = self.cloud_spacing_ms();
-        self.out.push(Effect::Cloud { op, request, spacing_ms });
+        self.effects.push(Effect::Cloud { op, request, spacing_ms });
     }
 
     /// Schedules a resend of a transaction with an unknown outcome. This is safe because the guards
     /// let it be applied only once.
-    pub(crate) fn again(
+    pub(crate) fn schedule_resend(
         &mut self,
         op: u64,
         priority: CallPriority,
@@ -89,7 +89,7 @@
         for Resend { op, priority, txn, .. } in due {
             self.rate_limiter.spend(txn.changes.len());
             let request = StoreRequest::Txn(txn);
-            self.out.push(Effect::Store { op, priority, request });
+            self.effects.push(Effect::Store { op, priority, request });
         }
     }
 }
--- a/crates/cleatfold-control/src/store/format.rs
+++ b/crates/cleatfold-control/src/store/format.rs
@@ -35,7 +35,7 @@
             && self.now >= self.format_check.not_before
         {
             self.format_check.state = FormatState::Pending;
-            self.store(
+            self.call_store(
                 CallPriority::Renewal,
                 StoreRequest::Get(FORMAT_KEY.into()),
                 Pending::Format,
@@ -56,7 +56,7 @@
                 let mut txn = Txn::default();
                 txn.guard(FORMAT_KEY, Version(0));
                 txn.put(FORMAT_KEY, &Marker { version: FORMAT_VERSION }, None);
-                self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::FormatWritten);
+                self.call_store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::FormatWritten);
                 FormatState::Pending
             }
             _ => self.retry_format_check(),
@@ -79,7 +79,7 @@
 
     fn reject_format(&mut self, reason: &str) -> FormatState {
         tracing::error!("{reason}");
-        self.out.push(Effect::Refuse { why: reason.into() });
+        self.effects.push(Effect::Refuse { why: reason.into() });
         FormatState::Unsupported
     }
 }
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -87,7 +87,7 @@
     fn request_lease(&mut self, request: StoreRequest, pending: Pending) {
         self.session.lease_requested = true;
         self.session.lease_request_sent = self.now;
-        self.store(CallPriority::Renewal, request, pending);
+        self.call_store(CallPriority::Renewal, request, pending);
     }
 
     /// Writes this controller's record unless the cache shows it.
@@ -111,7 +111,7 @@
         // that incarnation.
         txn.guard(key.clone(), registered.map(|record| record.version).unwrap_or_default());
         txn.put(key, &ControllerRecord { incarnation }, Some(lease));
-        self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Registration);
+        self.call_store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Registration);
     }
 
     pub(crate) fn on_lease_granted(&mut self, sent: Ms, reply: StoreReply) {
@@ -164,7 +164,7 @@
         self.session.sync_sent = self.now;
         let from = self.session.next_page_from.clone();
         let request = StoreRequest::List { prefix: LIVE_PREFIX.into(), from, most: None };
-        self.store(CallPriority::Renewal, request, Pending::Load { sent: self.now });
+        self.call_store(CallPriority::Renewal, request, Pending::Load { sent: self.now });
     }
 
     /// Reads the changes if that is due or a request waits for it.
@@ -186,7 +186,7 @@
                 from: self.cache.applied_revision,
             };
             let (sent, sent_at) = (self.now, self.event);
-            self.store(CallPriority::Renewal, request, Pending::Sync { sent, sent_at });
+            self.call_store(CallPriority::Renewal, request, Pending::Sync { sent, sent_at });
         }
     }
 
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -92,7 +92,7 @@
             return;
         }
         self.rate_limiter.spend(txn.changes.len());
-        self.out.push(Effect::Store { op, priority, request: StoreRequest::Txn(txn) });
+        self.effects.push(Effect::Store { op, priority, request: StoreRequest::Txn(txn) });
     }
 
     /// Resolves a transaction whose outcome is in the cache. A reply that still arrives is ignored.
