--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -149,7 +149,7 @@
         self.admission.note_capacity(self.now, self.processors());
         self.admission.note_asks(wall_s);
         if self.holds(Role::OverloadQuota)
-            && self.in_contact()
+            && self.has_store_contact()
             && self.cloud_state.list_at.is_some()
         {
             self.decide_overload_quota();
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -75,7 +75,7 @@
     pub(crate) scale_out: ScaleOutState,
     pub(crate) image_distribution: ImageDistribution,
     /// Time of the last check of the machines in owned pools.
-    pub(crate) watched: Ms,
+    pub(crate) machines_checked_at: Ms,
 
     // Scheduling.
     pub(crate) plans: Plans,
@@ -90,14 +90,14 @@
     /// Some job may have updates that are due to be written.
     pub(crate) flush_due: bool,
     /// Jobs that may have updates to be written.
-    pub(crate) unsent: BTreeSet<JobId>,
+    pub(crate) dirty_jobs: BTreeSet<JobId>,
     pub(crate) submitting: Submitting,
-    pub(crate) waiting: Vec<WaitingRequest>,
+    pub(crate) waiting_requests: Vec<WaitingRequest>,
     pub(crate) terminal_jobs: TerminalJobCache,
     pub(crate) archive: ArchiveLookups,
     pub(crate) cancellations: Cancellations,
     /// Time of the last check for complete jobs.
-    pub(crate) completed_at: Ms,
+    pub(crate) completion_checked_at: Ms,
 
     // Namespaces.
     pub(crate) workspaces: Workspaces,
@@ -133,7 +133,7 @@
             cloud_state: CloudState::default(),
             scale_out: ScaleOutState::default(),
             image_distribution: ImageDistribution::default(),
-            watched: Ms(0),
+            machines_checked_at: Ms(0),
             plans: Plans::default(),
             replan_needed: false,
             evictions: Evictions::default(),
@@ -141,13 +141,13 @@
             admission: Admission::default(),
             job_states: BTreeMap::new(),
             flush_due: false,
-            unsent: BTreeSet::new(),
+            dirty_jobs: BTreeSet::new(),
             submitting: Submitting::default(),
-            waiting: Vec::new(),
+            waiting_requests: Vec::new(),
             terminal_jobs: TerminalJobCache::default(),
             archive: ArchiveLookups::default(),
             cancellations: Cancellations::default(),
-            completed_at: Ms(0),
+            completion_checked_at: Ms(0),
             workspaces: Workspaces::default(),
             teams: Teams::default(),
             losses: Losses::default(),
@@ -204,7 +204,7 @@
         self.keep_cloud();
         self.broadcast_contact_age();
         self.keep_cancellations();
-        if !self.serving() {
+        if !self.is_serving() {
             return;
         }
         self.maintain_reachability();
@@ -253,7 +253,7 @@
 
     /// Whether recovery is complete: the cache is loaded, a lease was granted, and the machine
     /// types are known.
-    pub(crate) fn serving(&self) -> bool {
+    pub(crate) fn is_serving(&self) -> bool {
         self.session.is_loaded
             && self.session.incarnation.is_some()
             && self.cloud_state.types_at.is_some()
@@ -261,22 +261,22 @@
 
     /// Whether this controller can serve users.
     pub fn is_ready(&self) -> bool {
-        if !self.serving() {
+        if !self.is_serving() {
             return false;
         }
         // A released worker was served by another controller, so other controllers reach the state
         // service.
-        if !self.in_contact() && self.reachability.view.worker_release.others_serve() {
+        if !self.has_store_contact() && self.reachability.view.worker_release.others_serve() {
             return false;
         }
         // In an outage that affects every controller, becoming unready would only cut the users'
         // connections. If a peer still reads the state service, users are served better there.
-        self.in_contact() || !self.reachability.view.peers.someone_reads(self.now)
+        self.has_store_contact() || !self.reachability.view.peers.someone_reads(self.now)
     }
 
     /// Whether the machine gets no new tasks from this controller because it is to be returned to
     /// the cloud.
-    pub fn empties(&self, machine: &MachineId) -> bool {
+    pub fn is_draining(&self, machine: &MachineId) -> bool {
         self.inventory.machines.get(machine).is_some_and(|m| m.draining || m.deleting)
     }
 
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -26,7 +26,7 @@
         let Some(settings) = self.cfg.image_distribution.clone() else { return };
         if self.now.since(self.image_distribution.last_checked)
             < DISTRIBUTION_INTERVAL_MS * self.backpressure
-            || !self.in_contact()
+            || !self.has_store_contact()
         {
             return;
         }
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -57,7 +57,7 @@
             };
             return self.reply(rid, response);
         }
-        if !self.serving() {
+        if !self.is_serving() {
             return self.reply(rid, Response::later("this node is starting"));
         }
         match request {
@@ -92,7 +92,7 @@
             return self.reply(rid, Response::later("the state service does not answer"));
         }
         let (arrived, arrived_at) = (self.now, self.event);
-        self.waiting.push(WaitingRequest { rid, job, arrived, arrived_at, kind });
+        self.waiting_requests.push(WaitingRequest { rid, job, arrived, arrived_at, kind });
         self.sync_if_due();
     }
 
@@ -101,7 +101,7 @@
         let away = self.store_away();
         let now = self.now;
         let mut late = Vec::new();
-        self.waiting.retain(|w| {
+        self.waiting_requests.retain(|w| {
             let limit = if matches!(w.kind, WaitReason::Poll) { POLL_MS } else { REQUEST_MS };
             let give_up = away || now.since(w.arrived) > limit;
             if give_up {
@@ -129,9 +129,10 @@
     /// A reading sent at event `sent_at` is in: it answers everyone who asked before. By events, not by the clock: who
     /// asks later in the same millisecond may have been told by another controller of what this reading does not show.
     pub(crate) fn answer_waiting(&mut self, sent_at: EventNumber) {
-        let (ripe, rest) =
-            std::mem::take(&mut self.waiting).into_iter().partition(|w| w.arrived_at <= sent_at);
-        self.waiting = rest;
+        let (ripe, rest) = std::mem::take(&mut self.waiting_requests)
+            .into_iter()
+            .partition(|w| w.arrived_at <= sent_at);
+        self.waiting_requests = rest;
         let mut unknown: BTreeMap<JobId, Vec<WaitingRequest>> = BTreeMap::new();
         for w in ripe {
             let w: WaitingRequest = w;
@@ -224,7 +225,7 @@
                     let known = self.cache.jobs.contains_key(&job)
                         || self.terminal_jobs.get(&job).is_some();
                     if later || known {
-                        self.waiting.push(w);
+                        self.waiting_requests.push(w);
                         continue;
                     }
                     match w.kind {
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -120,10 +120,10 @@
     /// ended the last ones in different parts at the same time each still saw the other's, and the job stayed
     /// for ever. So its coordinator looks.
     pub(crate) fn complete_jobs(&mut self) {
-        if self.now.since(self.completed_at) < COMPLETE_MS {
+        if self.now.since(self.completion_checked_at) < COMPLETE_MS {
             return;
         }
-        self.completed_at = self.now;
+        self.completion_checked_at = self.now;
         let cached = |id: &JobId| self.cache.jobs.get(id).filter(|l| l.claimed == 0);
         let steps = self.cache.progress.keys();
         let steps =
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -193,7 +193,7 @@
                         self.quota.blind = Some(event);
                     }
                 }
-                let contact = self.in_contact();
+                let contact = self.has_store_contact();
                 let job_state = self.job_state(&tx.job);
                 job_state.busy = false;
                 if conflict {
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -18,7 +18,7 @@
     /// Sends what is due, as far as our part of the state service's changes goes: what weighs
     /// most goes first, the rest gathers until its turn.
     pub(crate) fn flush(&mut self) {
-        let controllers = if self.in_contact() { self.cache.controllers.len() } else { 0 };
+        let controllers = if self.has_store_contact() { self.cache.controllers.len() } else { 0 };
         let controllers = if controllers == 0 { self.cfg.peers.len() + 1 } else { controllers };
         self.rate_limiter.refill(self.now.0, self.cfg.changes_per_s, controllers);
         while self.rate_limiter.is_open() {
@@ -46,7 +46,7 @@
         let now = self.now;
         let ample = self.rate_limiter.is_ample();
         let mut best: Option<((bool, u64), JobId)> = None;
-        let mut unsent = std::mem::take(&mut self.unsent);
+        let mut unsent = std::mem::take(&mut self.dirty_jobs);
         unsent.retain(|id| self.job_states.get(id).is_some_and(|l| l.busy || l.has_updates()));
         for id in &unsent {
             let Some(job_state) = self.job_states.get_mut(id) else { continue };
@@ -71,7 +71,7 @@
                 best = Some((weight, id.clone()));
             }
         }
-        self.unsent = unsent;
+        self.dirty_jobs = unsent;
         best.map(|b| b.1)
     }
 
@@ -174,8 +174,8 @@
     /// Something of the job waits to be recorded.
     pub(crate) fn note_unsent(&mut self, job: &JobId) {
         self.flush_due = true;
-        if !self.unsent.contains(job) {
-            self.unsent.insert(job.clone());
+        if !self.dirty_jobs.contains(job) {
+            self.dirty_jobs.insert(job.clone());
         }
     }
 
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -107,7 +107,7 @@
             tracing::info!("pool assignment role acquired");
             self.now
         });
-        if self.in_contact() && self.may_assign_pools(since) {
+        if self.has_store_contact() && self.may_assign_pools(since) {
             self.assign_pools();
         }
         if self.now.since(self.leadership.jobs_assigned_at) >= 500 * self.backpressure {
@@ -295,7 +295,7 @@
             .pool_assigned_at
             .get(&pool)
             .is_some_and(|at| self.now.since(*at) < REASSIGNMENT_PAUSE_MS);
-        if recent || self.leadership.pending_assignment.is_some() || !self.in_contact() {
+        if recent || self.leadership.pending_assignment.is_some() || !self.has_store_contact() {
             return;
         }
         let me = self.cfg.controller_id.clone();
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -42,7 +42,7 @@
         self.leadership
             .roles
             .see(now, &self.cfg.controller_id, controllers, |d| roles.contains_key(&d));
-        if self.in_contact() {
+        if self.has_store_contact() {
             if let (Some(lease), Some(incarnation)) = (self.session.lease, self.session.incarnation)
             {
                 let former_of = |d: Role| former.iter().find(|f| f.0 == d).map(|f| f.1);
@@ -99,7 +99,7 @@
     /// Parts whose job is gone are removed a few at a time. That it is gone is guarded: what is there of a
     /// job that we have only not read yet holds its claims.
     fn collect_garbage(&mut self) {
-        if self.leadership.garbage_collection_inflight || !self.in_contact() {
+        if self.leadership.garbage_collection_inflight || !self.has_store_contact() {
             return;
         }
         let parts = self.cache.parts.iter().flat_map(|(id, parts)| {
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -78,7 +78,7 @@
             >= SCALE_OUT_INTERVAL_MS * self.backpressure;
         if !due
             || !self.holds(Role::ScaleOut)
-            || !self.in_contact()
+            || !self.has_store_contact()
             || self.cloud_state.list_at.is_none()
         {
             return;
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -217,11 +217,12 @@
     /// failed, silent or idle.
     pub(crate) fn watch_machines(&mut self) {
         // Cut off, we would take our own silence for the machines'. Others may hear them.
-        let is_due = self.now.since(self.watched) >= WATCH_INTERVAL_MS * self.backpressure;
-        if !self.in_contact() || !is_due {
+        let is_due =
+            self.now.since(self.machines_checked_at) >= WATCH_INTERVAL_MS * self.backpressure;
+        if !self.has_store_contact() || !is_due {
             return;
         }
-        self.watched = self.now;
+        self.machines_checked_at = self.now;
         self.adopt_claimed_machines();
         self.judge_machines();
         let times = WatchTimes {
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -95,7 +95,7 @@
             self.workspaces.unsure.is_some_and(|t| self.session.last_read.is_none_or(|f| f < t));
         let incarnation = self.session.incarnation.filter(|i| known == Some(*i) && !unsure);
         if let Some(incarnation) =
-            incarnation.filter(|_| self.in_contact() && self.rate_limiter.is_open())
+            incarnation.filter(|_| self.has_store_contact() && self.rate_limiter.is_open())
         {
             self.workspaces.unsure = None;
             let rank = |team: &TeamId, cached: &_| owner::rank(team, &me, cached);
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -75,7 +75,7 @@
 
 impl Controller {
     pub(crate) fn on_heartbeat(&mut self, rid: u64, heartbeat: RawHeartbeat) {
-        if !self.serving() || self.inventory.is_deleted(&heartbeat.machine) {
+        if !self.is_serving() || self.inventory.is_deleted(&heartbeat.machine) {
             return self.reply(rid, Response::Redirect(None));
         }
         let pool =
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -304,7 +304,8 @@
     /// start right now: asking for all that waits let a pool whose machines the waiting jobs
     /// could not use keep the whole limit, and the team stood still.
     pub(crate) fn keep_slices(&mut self) {
-        if self.now.since(self.quota.last_checked) < SLICE_INTERVAL_MS || !self.in_contact() {
+        if self.now.since(self.quota.last_checked) < SLICE_INTERVAL_MS || !self.has_store_contact()
+        {
             return;
         }
         self.quota.last_checked = self.now;
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -100,7 +100,7 @@
         self.plans.planned = self.now;
         self.replan_needed = false;
         // What is not on its way yet is wished anew, by what is known now.
-        for job in &self.unsent {
+        for job in &self.dirty_jobs {
             if let Some(job_state) = self.job_states.get_mut(job) {
                 job_state.placement_requests.clear();
             }
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -54,7 +54,7 @@
 
 impl Controller {
     /// Whether the state service has answered a read recently.
-    pub(crate) fn in_contact(&self) -> bool {
+    pub(crate) fn has_store_contact(&self) -> bool {
         let contact_ms = CONTACT_TIMEOUT_MS + self.cfg.read_interval_ms;
         self.session.last_read.is_some_and(|at| self.now.since(at) < contact_ms)
     }
@@ -173,7 +173,7 @@
             return;
         }
         let since = self.now.since(self.session.sync_sent);
-        let is_urgent = self.session.sync_wanted || !self.waiting.is_empty();
+        let is_urgent = self.session.sync_wanted || !self.waiting_requests.is_empty();
         // A third of the interval passes even then, so that one read answers many polls of users.
         if since >= self.cfg.read_interval_ms
             || (is_urgent && since >= self.cfg.read_interval_ms / 3)
--- a/crates/cleatfold-testbed/src/world/starvation.rs
+++ b/crates/cleatfold-testbed/src/world/starvation.rs
@@ -215,7 +215,7 @@
     fn is_emptied(&self, machine: &MachineId) -> bool {
         let owner = self.pool_of(machine).and_then(|pool| self.holder(&pool));
         let owner = owner.and_then(|i| self.controllers[i].as_ref());
-        owner.is_some_and(|controller| controller.empties(machine))
+        owner.is_some_and(|controller| controller.is_draining(machine))
     }
 
     fn could_start_on<'a>(
