--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -292,7 +292,7 @@
             _ => {}
         }
         match pending {
-            Pending::Sync { sent, sent_at } => self.on_sync(sent, sent_at, reply),
+            Pending::Sync { sent, sent_event } => self.on_sync(sent, sent_event, reply),
             Pending::Load { sent } => self.on_load(sent, reply),
             Pending::Job(tx) => self.on_job_tx(op, *tx, reply),
             Pending::Submit { batch, txn, .. } => self.on_submitted(batch, txn, reply),
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -91,8 +91,8 @@
         if self.store_away() {
             return self.reply(rid, Response::later("the state service does not answer"));
         }
-        let (arrived, arrived_at) = (self.now, self.event);
-        self.waiting_requests.push(WaitingRequest { rid, job, arrived, arrived_at, kind });
+        let (arrived, arrival_event) = (self.now, self.event);
+        self.waiting_requests.push(WaitingRequest { rid, job, arrived, arrival_event, kind });
         self.sync_if_due();
     }
 
@@ -126,12 +126,12 @@
         }
     }
 
-    /// A reading sent at event `sent_at` is in: it answers everyone who asked before. By events, not by the clock: who
+    /// A reading sent at event `sent_event` is in: it answers everyone who asked before. By events, not by the clock: who
     /// asks later in the same millisecond may have been told by another controller of what this reading does not show.
-    pub(crate) fn answer_waiting(&mut self, sent_at: EventNumber) {
+    pub(crate) fn answer_waiting(&mut self, sent_event: EventNumber) {
         let (ripe, rest) = std::mem::take(&mut self.waiting_requests)
             .into_iter()
-            .partition(|w| w.arrived_at <= sent_at);
+            .partition(|w| w.arrival_event <= sent_event);
         self.waiting_requests = rest;
         let mut unknown: BTreeMap<JobId, Vec<WaitingRequest>> = BTreeMap::new();
         for w in ripe {
@@ -150,7 +150,7 @@
         for (job, waiting) in unknown {
             self.query_archive(job, waiting);
         }
-        self.answer_teams(Some(sent_at));
+        self.answer_teams(Some(sent_event));
     }
 
     pub(crate) fn live_status(&self, job: &JobId) -> Option<JobStatus> {
@@ -206,7 +206,7 @@
     }
 
     pub(crate) fn on_archive(&mut self, job: JobId, reply: StoreReply) {
-        let (sent_at, waiting) = self.archive.leave(&job);
+        let (sent_event, waiting) = self.archive.leave(&job);
         match reply {
             StoreReply::Item(item) => {
                 if !self.note_archived(&job, item.value.get()) {
@@ -221,7 +221,7 @@
             StoreReply::Missing => {
                 for w in waiting {
                     // It may have been accepted since we looked: then it waits once more.
-                    let later = w.arrived_at > sent_at;
+                    let later = w.arrival_event > sent_event;
                     let known = self.cache.jobs.contains_key(&job)
                         || self.terminal_jobs.get(&job).is_some();
                     if later || known {
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -19,7 +19,7 @@
     /// The changes since the last read.
     Sync {
         sent: Ms,
-        sent_at: EventNumber,
+        sent_event: EventNumber,
     },
     /// A page of the listing that fills the cache.
     Load {
@@ -123,7 +123,7 @@
     pub job: JobId,
     pub arrived: Ms,
     /// The event it arrived with: only a read that was sent at this event or later answers it.
-    pub arrived_at: EventNumber,
+    pub arrival_event: EventNumber,
     pub kind: WaitReason,
 }
 
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -185,8 +185,8 @@
                 prefix: LIVE_PREFIX.into(),
                 from: self.cache.applied_revision,
             };
-            let (sent, sent_at) = (self.now, self.event);
-            self.call_store(CallPriority::Renewal, request, Pending::Sync { sent, sent_at });
+            let (sent, sent_event) = (self.now, self.event);
+            self.call_store(CallPriority::Renewal, request, Pending::Sync { sent, sent_event });
         }
     }
 
@@ -234,16 +234,16 @@
     }
 
     /// The changes since the last read.
-    pub(crate) fn on_sync(&mut self, sent: Ms, sent_at: EventNumber, reply: StoreReply) {
+    pub(crate) fn on_sync(&mut self, sent: Ms, sent_event: EventNumber, reply: StoreReply) {
         self.session.sync_inflight = false;
         match reply {
-            StoreReply::Events(events) => self.apply_changes(sent, sent_at, &events),
+            StoreReply::Events(events) => self.apply_changes(sent, sent_event, &events),
             StoreReply::TooOld => self.reload(),
             _ => self.session.last_failure = Some(self.now),
         }
     }
 
-    fn apply_changes(&mut self, sent: Ms, sent_at: EventNumber, events: &Events) {
+    fn apply_changes(&mut self, sent: Ms, sent_event: EventNumber, events: &Events) {
         self.replan_needed |= !events.events.is_empty();
         for event in &events.events {
             self.cache.apply_event(event);
@@ -252,19 +252,19 @@
         self.session.last_read =
             Some(self.session.last_read.map_or(sent, |last_read| last_read.max(sent)));
         self.reachability.view.worker_release.reset();
-        if self.quota.blind.is_some_and(|since| since <= sent_at) {
+        if self.quota.blind.is_some_and(|since| since <= sent_event) {
             self.quota.blind = None;
         }
         for job_state in self.job_states.values_mut() {
-            if job_state.stale_since.is_some_and(|since| since <= sent_at) {
+            if job_state.stale_since.is_some_and(|since| since <= sent_event) {
                 job_state.stale_since = None;
             }
         }
-        self.after_sync(sent_at);
+        self.after_sync(sent_event);
     }
 
     /// Handles the consequences of a read.
-    fn after_sync(&mut self, sent_at: EventNumber) {
+    fn after_sync(&mut self, sent_event: EventNumber) {
         self.note_read_cancellations();
         for job in std::mem::take(&mut self.cache.removed_jobs) {
             self.archive.stale |= self.terminal_jobs.get(&job).is_none();
@@ -273,7 +273,7 @@
         self.follow_archive();
         self.note_ownership();
         self.resolve_unanswered();
-        self.answer_waiting(sent_at);
+        self.answer_waiting(sent_event);
         self.sync_if_due();
     }
 }
