--- a/crates/cleatfold-control/src/effects.rs
+++ b/crates/cleatfold-control/src/effects.rs
@@ -32,11 +32,11 @@
         since: u64,
     },
     /// Return a view of a team's workspace.
-    Team {
+    Workspace {
         /// The team.
         team: TeamId,
         /// The view to return.
-        what: TeamAsk,
+        view: WorkspaceView,
         /// The first queue position or history number to return.
         since: u64,
     },
@@ -46,7 +46,7 @@
 
 /// The views of a team's workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TeamAsk {
+pub enum WorkspaceView {
     /// Jobs that have not ended.
     Jobs,
     /// Queued jobs and the reasons why they wait.
@@ -58,7 +58,7 @@
 /// The contents of a requested workspace view.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 #[serde(untagged)]
-pub enum TeamAnswer {
+pub enum WorkspaceContents {
     /// Jobs that have not ended.
     Jobs(TeamJobs),
     /// Queued jobs and the reasons why they wait.
@@ -149,7 +149,7 @@
     /// The losses of a team.
     Losses(TeamLosses),
     /// A view of a team's workspace.
-    Team(TeamAnswer),
+    Workspace(WorkspaceContents),
     /// Commands for a worker, with the fencing token that renews its lease.
     Worker(HeartbeatResponse),
     /// 421: the worker should report to this controller; none: to any other one.
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -72,7 +72,7 @@
             },
             Request::Steps(report) => self.on_steps(rid, report),
             Request::TeamLosses { team, since } => self.on_team_losses(rid, team, since),
-            Request::Team { team, what, since } => self.on_team(rid, team, what, since),
+            Request::Workspace { team, view, since } => self.on_team(rid, team, view, since),
             Request::Ready => unreachable!("answered above"),
         }
     }
--- a/crates/cleatfold-control/src/lib.rs
+++ b/crates/cleatfold-control/src/lib.rs
@@ -45,7 +45,7 @@
 pub use controller::Controller;
 pub use effects::{
     CallPriority, CloudReply, CloudRequest, Effect, Event, Request, Response, StoreReply,
-    StoreRequest, TeamAnswer, TeamAsk,
+    StoreRequest, WorkspaceContents, WorkspaceView,
 };
 pub use machines::deleted::DeletedMachines;
 pub use store::format::FORMAT_VERSION;
--- a/crates/cleatfold-control/src/namespaces/question_state.rs
+++ b/crates/cleatfold-control/src/namespaces/question_state.rs
@@ -1,6 +1,6 @@
 //! What teams have asked of their workspaces and is not answered yet.
 
-use crate::effects::TeamAsk;
+use crate::effects::WorkspaceView;
 use crate::event_number::EventNumber;
 use cleatfold_wire::{JobId, Ms, TeamId};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 pub(crate) struct Question {
     pub rid: u64,
     pub team: TeamId,
-    pub what: TeamAsk,
+    pub view: WorkspaceView,
     pub since: u64,
     pub arrived: Ms,
     /// The event that brought it.
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -5,7 +5,9 @@
 //! a reading. A team is told of nobody else: no ids, no names, no numbers.
 
 use crate::controller::{Controller, EventNumber, Pending};
-use crate::effects::{CallPriority, Response, StoreReply, StoreRequest, TeamAnswer, TeamAsk};
+use crate::effects::{
+    CallPriority, Response, StoreReply, StoreRequest, WorkspaceContents, WorkspaceView,
+};
 use crate::namespaces::question_state::{HistoryRead, Question, Ranks};
 use crate::namespaces::workspace_state::read_group;
 use crate::store::cache::CachedJob;
@@ -30,7 +32,7 @@
         self.store_away().then(Response::store_unavailable)
     }
 
-    pub(crate) fn on_team(&mut self, rid: u64, team: TeamId, what: TeamAsk, since: u64) {
+    pub(crate) fn on_team(&mut self, rid: u64, team: TeamId, view: WorkspaceView, since: u64) {
         if let Some(refusal) = self.refuse_team(&team) {
             return self.reply(rid, refusal);
         }
@@ -38,7 +40,7 @@
             return self.reply(rid, Response::later("too many such questions"));
         }
         let (arrived, arrived_at) = (self.now, self.event);
-        let question = Question { rid, team, what, since, arrived, arrived_at, upto: None };
+        let question = Question { rid, team, view, since, arrived, arrived_at, upto: None };
         self.teams.waiting.push(question);
         self.session.sync_wanted = true;
         self.sync_if_due();
@@ -60,16 +62,16 @@
             if question.upto.is_none() && sent_at.is_some_and(|s| question.arrived_at <= s) {
                 question.upto = Some(applied);
             }
-            match (question.upto, question.what) {
-                (Some(_), TeamAsk::Jobs) => {
+            match (question.upto, question.view) {
+                (Some(_), WorkspaceView::Jobs) => {
                     let jobs = self.team_jobs(&question.team, question.since);
-                    self.reply(question.rid, Response::Team(TeamAnswer::Jobs(jobs)));
+                    self.reply(question.rid, Response::Workspace(WorkspaceContents::Jobs(jobs)));
                 }
-                (Some(_), TeamAsk::Queue) => {
+                (Some(_), WorkspaceView::Queue) => {
                     let queue = self.team_queue(&question.team, question.since);
-                    self.reply(question.rid, Response::Team(TeamAnswer::Queue(queue)));
+                    self.reply(question.rid, Response::Workspace(WorkspaceContents::Queue(queue)));
                 }
-                (Some(upto), TeamAsk::History) if read.is_some_and(|r| r >= upto) => {
+                (Some(upto), WorkspaceView::History) if read.is_some_and(|r| r >= upto) => {
                     self.tell_history(question)
                 }
                 (ripe, _) => {
@@ -211,7 +213,7 @@
         let since = since.max(head.first);
         if since >= head.entries {
             let history = self.beyond_groups(&team, since, AnswerPage::default());
-            return self.reply(rid, Response::Team(TeamAnswer::History(history)));
+            return self.reply(rid, Response::Workspace(WorkspaceContents::History(history)));
         }
         // The group that has it begins at most so far before it.
         let from = since.checked_sub(GROUP_MOST as u64);
@@ -240,7 +242,7 @@
                 }
                 if answer_page.fit(vec![entry.to_ended_job(number)]).is_err() {
                     let history = TeamHistory { ended: answer_page.entries, next, more: true };
-                    let answer = Response::Team(TeamAnswer::History(history));
+                    let answer = Response::Workspace(WorkspaceContents::History(history));
                     return self.reply(read.rid, answer);
                 }
                 next = number + 1;
@@ -252,10 +254,10 @@
                 return self.read_history_page(read, from);
             }
             let history = TeamHistory { ended: answer_page.entries, next, more: true };
-            return self.reply(read.rid, Response::Team(TeamAnswer::History(history)));
+            return self.reply(read.rid, Response::Workspace(WorkspaceContents::History(history)));
         }
         let history = self.beyond_groups(&read.team, next.max(read.entries), answer_page);
-        self.reply(read.rid, Response::Team(TeamAnswer::History(history)));
+        self.reply(read.rid, Response::Workspace(WorkspaceContents::History(history)));
     }
 
     /// What has ended and is in no group yet, from `next` on. Every controller numbers it alike.
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -1,7 +1,7 @@
 //! Teams' workspaces while their keepers are killed, frozen, cut off and replaced.
 
 use cleatfold_control::records::*;
-use cleatfold_control::{Event, Request, Response, StoreReply, StoreRequest, TeamAnswer, TeamAsk};
+use cleatfold_control::{Event, Request, Response, StoreReply, StoreRequest, WorkspaceContents, WorkspaceView};
 use cleatfold_testbed::world::{
     controller_id, Asked, JobWatch, SimulationEvent, Size, World, CONTROLLERS,
 };
@@ -62,12 +62,12 @@
     world: &mut World,
     controller: usize,
     team: &str,
-    what: TeamAsk,
+    view: WorkspaceView,
     since: u64,
 ) -> Option<Response> {
     for _ in 0..12 {
         world.team_answer = None;
-        world.ask(controller, Asked::Team, Request::Team { team: TeamId::new(team), what, since });
+        world.ask(controller, Asked::Team, Request::Workspace { team: TeamId::new(team), view, since });
         let until = world.now.plus(4200);
         while world.team_answer.is_none() && world.now < until {
             let now = world.now;
@@ -88,8 +88,8 @@
 fn history(world: &mut World, controller: usize, team: &str) -> Vec<EndedJob> {
     let (mut all, mut since) = (Vec::new(), 0);
     for _ in 0..500 {
-        let answer = ask(world, controller, team, TeamAsk::History, since);
-        let Some(Response::Team(TeamAnswer::History(page))) = answer else {
+        let answer = ask(world, controller, team, WorkspaceView::History, since);
+        let Some(Response::Workspace(WorkspaceContents::History(page))) = answer else {
             panic!("{team}: {answer:?}");
         };
         assert!(serde_json::to_string(&page).unwrap().len() <= 64 * 1024);
@@ -271,8 +271,8 @@
         let mut told = Vec::new();
         let (mut since, mut pages) = (0, 0);
         loop {
-            let answer = ask(&mut world, pages % CONTROLLERS, team, TeamAsk::Jobs, since);
-            let Some(Response::Team(TeamAnswer::Jobs(page))) = answer else { panic!("{answer:?}") };
+            let answer = ask(&mut world, pages % CONTROLLERS, team, WorkspaceView::Jobs, since);
+            let Some(Response::Workspace(WorkspaceContents::Jobs(page))) = answer else { panic!("{answer:?}") };
             let text = serde_json::to_string(&page).unwrap();
             assert!(text.len() <= 64 * 1024 && other.iter().all(|id| !text.contains(id.as_str())));
             told.extend(page.jobs.into_iter().map(|j| (j.place, j.id)));
@@ -282,8 +282,8 @@
             }
         }
         assert_eq!(told, live(&world, team), "by place, each once");
-        let answer = ask(&mut world, 0, team, TeamAsk::Queue, 0);
-        let Some(Response::Team(TeamAnswer::Queue(queue))) = answer else { panic!("{answer:?}") };
+        let answer = ask(&mut world, 0, team, WorkspaceView::Queue, 0);
+        let Some(Response::Workspace(WorkspaceContents::Queue(queue))) = answer else { panic!("{answer:?}") };
         let text = serde_json::to_string(&queue).unwrap();
         assert!(text.len() <= 64 * 1024 && other.iter().all(|id| !text.contains(id.as_str())));
         let ranks: BTreeSet<u32> = queue.waiting.iter().filter_map(|w| w.rank).collect();
@@ -295,10 +295,10 @@
         by_rank.sort_by_key(|w| w.rank);
         assert!(by_rank.windows(2).filter(|w| w[0].urgency > w[1].urgency).count() <= 2);
     }
-    let answer = ask(&mut world, 1, "nobody", TeamAsk::Queue, 0);
+    let answer = ask(&mut world, 1, "nobody", WorkspaceView::Queue, 0);
     assert!(matches!(answer, Some(Response::Refusal { code: 404, .. })), "{answer:?}");
     world.outage = Ms(world.now.0 + 600_000);
-    let answer = ask(&mut world, 1, "free", TeamAsk::Jobs, 0);
+    let answer = ask(&mut world, 1, "free", WorkspaceView::Jobs, 0);
     assert!(answer.is_none(), "told to come back, each time: {answer:?}");
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
 }
--- a/crates/cleatfold-testbed/src/world/digest.rs
+++ b/crates/cleatfold-testbed/src/world/digest.rs
@@ -6,7 +6,7 @@
 //! numbers given here, never of names in the code, so that renaming something does not change it.
 
 use bitcode::Encode;
-use cleatfold_control::{CloudRequest, Effect, Response, StoreRequest, TeamAnswer};
+use cleatfold_control::{CloudRequest, Effect, Response, StoreRequest, WorkspaceContents};
 use cleatfold_wire::Ms;
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
@@ -86,9 +86,9 @@
             Response::Ready => self.number(3),
             Response::Steps(reply) => self.tagged_json(4, reply),
             Response::Losses(losses) => self.tagged_json(5, losses),
-            Response::Team(TeamAnswer::Jobs(jobs)) => self.tagged_json(6, jobs),
-            Response::Team(TeamAnswer::Queue(queue)) => self.tagged_json(7, queue),
-            Response::Team(TeamAnswer::History(history)) => self.tagged_json(8, history),
+            Response::Workspace(WorkspaceContents::Jobs(jobs)) => self.tagged_json(6, jobs),
+            Response::Workspace(WorkspaceContents::Queue(queue)) => self.tagged_json(7, queue),
+            Response::Workspace(WorkspaceContents::History(history)) => self.tagged_json(8, history),
             Response::Worker(reply) => self.tagged_json(9, reply),
             Response::Redirect(report_to) => self.tagged_json(10, report_to),
         }
--- a/crates/cleatfold/src/serve.rs
+++ b/crates/cleatfold/src/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::actor::{CoreHandle, IncomingRequest, RequestPayload};
 use bytes::{Buf, Bytes, BytesMut};
-use cleatfold_control::{Request, Response, TeamAsk};
+use cleatfold_control::{Request, Response, WorkspaceView};
 use cleatfold_ingress::{ConnectionId, ConnectionTable, PollSchedule};
 use cleatfold_wire::job::{is_job_id, JobSpec, Problem, SpecError, MAX_BODY};
 use cleatfold_wire::steps::StepReport;
@@ -233,9 +233,9 @@
             Some(since) => {
                 let team = TeamId::new(team);
                 let request = match *which {
-                    "jobs" => Request::Team { team, what: TeamAsk::Jobs, since },
-                    "queue" => Request::Team { team, what: TeamAsk::Queue, since },
-                    "history" => Request::Team { team, what: TeamAsk::History, since },
+                    "jobs" => Request::Workspace { team, view: WorkspaceView::Jobs, since },
+                    "queue" => Request::Workspace { team, view: WorkspaceView::Queue, since },
+                    "history" => Request::Workspace { team, view: WorkspaceView::History, since },
                     _ => Request::TeamLosses { team, since },
                 };
                 ask_core(core, request).await
@@ -287,7 +287,7 @@
         Response::Ready => json(200, &serde_json::json!({ "ready": true })),
         Response::Steps(reply) => json(200, &reply),
         Response::Losses(told) => json(200, &told),
-        Response::Team(told) => json(200, &told),
+        Response::Workspace(told) => json(200, &told),
         Response::Worker(reply) => json(200, &reply),
         Response::Redirect(report_to) => json(421, &Redirect { report_to }),
     }
