--- a/crates/cleatfold-clients/src/cloud.rs
+++ b/crates/cleatfold-clients/src/cloud.rs
@@ -77,7 +77,7 @@
         (200, CloudRequest::List { .. }) => serde_json::from_slice::<MachineList>(&body)
             .map(|l| CloudReply::List { machines: l.machines, more: l.more }),
         (200, CloudRequest::ScaleOut(_)) => {
-            serde_json::from_slice::<Machines>(&body).map(|m| CloudReply::Rented(m.machines))
+            serde_json::from_slice::<Machines>(&body).map(|m| CloudReply::Created(m.machines))
         }
         (200, CloudRequest::Delete(_)) => Ok(CloudReply::Deleted),
         (503, CloudRequest::ScaleOut(_)) => {
--- a/crates/cleatfold-clients/src/store.rs
+++ b/crates/cleatfold-clients/src/store.rs
@@ -260,9 +260,9 @@
 async fn execute(http: &Http, request: &StoreRequest) -> Called {
     let (method, path, body) = match request {
         StoreRequest::Get(key) => (Method::GET, format!("/store/{key}"), None),
-        StoreRequest::List { prefix, from, most } => {
+        StoreRequest::List { prefix, from, limit } => {
             let from = from.as_ref().map(|f| format!("&from={f}")).unwrap_or_default();
-            let page = most.unwrap_or(500);
+            let page = limit.unwrap_or(500);
             (Method::GET, format!("/store?prefix={prefix}{from}&page={page}"), None)
         }
         StoreRequest::Txn(txn) => (Method::POST, "/multi".into(), serde_json::to_vec(txn).ok()),
@@ -284,7 +284,7 @@
             Err(_) => return Called::Unknown,
         },
         Ok((410, _)) => StoreReply::TooOld,
-        Ok((400, body)) => StoreReply::Bad(String::from_utf8_lossy(&body).into_owned()),
+        Ok((400, body)) => StoreReply::Invalid(String::from_utf8_lossy(&body).into_owned()),
         Ok((429, _)) => return Called::Busy,
         Ok((503, _)) | Err(NoAnswer::NotSent) => return Called::Away,
         Ok(_) | Err(NoAnswer::Unknown) => return Called::Unknown,
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -175,8 +175,8 @@
             Event::Store { op, reply } => self.on_store(op, reply),
             Event::Cloud { op, reply } => self.on_cloud(op, reply),
             Event::Mesh { from, message } => self.on_mesh(from, message),
-            Event::Ordered { machine, heartbeat } => self.on_ordered(machine, heartbeat),
-            Event::Probed { machine, answer } => self.on_probed(machine, answer),
+            Event::OrderResult { machine, heartbeat } => self.on_ordered(machine, heartbeat),
+            Event::ProbeResult { machine, answer } => self.on_probed(machine, answer),
         }
         if std::mem::take(&mut self.flush_due) {
             self.flush();
@@ -286,7 +286,7 @@
         };
         match &reply {
             StoreReply::Refused | StoreReply::Unknown => self.session.last_failure = Some(self.now),
-            StoreReply::Bad(why) => {
+            StoreReply::Invalid(why) => {
                 tracing::error!(why, "state service rejected a request as invalid")
             }
             _ => {}
--- a/crates/cleatfold-control/src/effects.rs
+++ b/crates/cleatfold-control/src/effects.rs
@@ -108,14 +108,14 @@
         message: Message,
     },
     /// The result of an [`Effect::Order`].
-    Ordered {
+    OrderResult {
         /// The worker's machine.
         machine: MachineId,
         /// The worker's heartbeat after the orders; none: no response, or not executed.
         heartbeat: Option<Heartbeat>,
     },
     /// The result of an [`Effect::Probe`].
-    Probed {
+    ProbeResult {
         /// The worker's machine.
         machine: MachineId,
         /// Epoch and sequence number of the worker's newest message; none: no response.
@@ -159,16 +159,16 @@
 impl Response {
     /// 503: the request needs the state service, which does not answer.
     pub fn store_unavailable() -> Self {
-        Response::later("the state service does not answer")
+        Response::retry_later("the state service does not answer")
     }
 
     /// 503: a temporary failure, to be retried soon.
-    pub fn later(why: &str) -> Self {
+    pub fn retry_later(why: &str) -> Self {
         Response::Refusal { code: 503, why: why.into(), retry_after_s: Some(2) }
     }
 
     /// Rejects the request permanently with this HTTP status.
-    pub fn refuse(code: u16, why: impl Into<String>) -> Self {
+    pub fn rejection(code: u16, why: impl Into<String>) -> Self {
         Response::Refusal { code, why: why.into(), retry_after_s: None }
     }
 }
@@ -198,7 +198,7 @@
         /// The key after which the page begins; none: from the first key.
         from: Option<String>,
         /// Maximum number of keys; none: the service's own limit.
-        most: Option<u32>,
+        limit: Option<u32>,
     },
     /// Apply a set of changes atomically if all guards hold.
     Txn(Txn),
@@ -244,7 +244,7 @@
     /// The outcome is unknown: the call may have been executed, or may still be.
     Unknown,
     /// The request is invalid.
-    Bad(String),
+    Invalid(String),
 }
 
 /// A call to the cloud provider.
@@ -276,7 +276,7 @@
         more: bool,
     },
     /// The machines that were created.
-    Rented(Vec<MachineId>),
+    Created(Vec<MachineId>),
     /// The requested machine type is not available at present.
     NoCapacity,
     /// The machines and all tasks on them no longer exist.
@@ -332,9 +332,9 @@
         endpoint: String,
     },
     /// Exit: the stored records have a format that this program does not support.
-    Refuse {
+    Exit {
         /// The reason.
-        why: String,
+        reason: String,
     },
     /// Send a message to peers.
     Mesh {
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -53,12 +53,12 @@
             let response = if self.is_ready() {
                 Response::Ready
             } else {
-                Response::later("this node is not ready")
+                Response::retry_later("this node is not ready")
             };
             return self.reply(rid, response);
         }
         if !self.is_serving() {
-            return self.reply(rid, Response::later("this node is starting"));
+            return self.reply(rid, Response::retry_later("this node is starting"));
         }
         match request {
             Request::Submit(spec) => self.on_submit(rid, spec),
@@ -89,7 +89,7 @@
 
     pub(crate) fn wait(&mut self, rid: u64, job: JobId, kind: WaitReason) {
         if self.store_away() {
-            return self.reply(rid, Response::later("the state service does not answer"));
+            return self.reply(rid, Response::retry_later("the state service does not answer"));
         }
         let (arrived, arrival_event) = (self.now, self.event);
         self.waiting_requests.push(WaitingRequest { rid, job, arrived, arrival_event, kind });
@@ -122,7 +122,7 @@
             now.since(w.arrived) > limit
         }));
         for rid in late {
-            self.reply(rid, Response::later("the state service does not answer"));
+            self.reply(rid, Response::retry_later("the state service does not answer"));
         }
     }
 
@@ -199,7 +199,7 @@
             Joined::UnderWay => {}
             Joined::Full(waiting) => {
                 for w in waiting {
-                    self.reply(w.rid, Response::later("too many such questions"));
+                    self.reply(w.rid, Response::retry_later("too many such questions"));
                 }
             }
         }
@@ -230,19 +230,19 @@
                     }
                     match w.kind {
                         WaitReason::Impossible(why) => {
-                            self.reply(w.rid, Response::refuse(422, why))
+                            self.reply(w.rid, Response::rejection(422, why))
                         }
                         WaitReason::Known(spec) => {
                             let (rid, arrived) = (w.rid, w.arrived);
                             self.submitting.push(Submission { rid, spec, arrived });
                         }
-                        _ => self.reply(w.rid, Response::refuse(404, "no such job")),
+                        _ => self.reply(w.rid, Response::rejection(404, "no such job")),
                     }
                 }
             }
             _ => {
                 for w in waiting {
-                    self.reply(w.rid, Response::later("the state service does not answer"));
+                    self.reply(w.rid, Response::retry_later("the state service does not answer"));
                 }
             }
         }
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -68,7 +68,7 @@
         };
         if let Some(why) = why {
             tracing::info!(member = %report.member, attempt = report.attempt.0, why, "step report refused");
-            return self.reply(rid, Response::refuse(409, why));
+            return self.reply(rid, Response::rejection(409, why));
         }
         let idle = report.wants > 0 && self.runs_out(&report);
         let arrived = self.now;
@@ -92,7 +92,7 @@
                 Verdict::Lost(why) => {
                     let member = &member_reports.report.member;
                     tracing::info!(%member, attempt = member_reports.report.attempt.0, why, "step report refused");
-                    Response::refuse(409, why)
+                    Response::rejection(409, why)
                 }
             };
             self.reply(member_reports.rid, response);
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -69,7 +69,7 @@
             return self.wait(rid, job, WaitReason::Impossible(why));
         }
         if self.store_away() {
-            return self.reply(rid, Response::later("the state service does not answer"));
+            return self.reply(rid, Response::retry_later("the state service does not answer"));
         }
         let wait_s = self.submitting.submission_queue.wait_s(&spec.team, self.submissions_per_s());
         if wait_s > SUBMIT_QUEUE_S {
@@ -168,7 +168,7 @@
                 break;
             }
             if length > self.cfg.max_value_bytes {
-                self.reply(next.rid, Response::refuse(400, "the description is too long"));
+                self.reply(next.rid, Response::rejection(400, "the description is too long"));
                 continue;
             }
             if batch.iter().any(|b| b.spec.id == job) {
@@ -248,20 +248,23 @@
             StoreReply::Unknown => {
                 // It may be accepted yet; the users are told to ask again, which will tell.
                 for submission in &batch {
-                    self.reply(submission.rid, Response::later("the outcome is not known yet"));
+                    self.reply(
+                        submission.rid,
+                        Response::retry_later("the outcome is not known yet"),
+                    );
                 }
                 self.session.sync_wanted = true;
             }
-            StoreReply::Bad(why) => {
+            StoreReply::Invalid(why) => {
                 for submission in batch {
-                    self.reply(submission.rid, Response::refuse(503, why.clone()));
+                    self.reply(submission.rid, Response::rejection(503, why.clone()));
                 }
             }
             _ => {
                 for submission in batch {
                     self.reply(
                         submission.rid,
-                        Response::later("the state service does not answer"),
+                        Response::retry_later("the state service does not answer"),
                     );
                 }
             }
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -214,7 +214,7 @@
                     tx.steps.verdicts.into_iter().map(|(member_reports, _)| member_reports),
                 );
                 for rid in tx.withdrawals {
-                    self.reply(rid, Response::later("the state service does not answer"));
+                    self.reply(rid, Response::retry_later("the state service does not answer"));
                 }
                 self.note_unsent(&tx.job);
                 if !self.cache.jobs.contains_key(&tx.job) {
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -175,7 +175,7 @@
         let pool =
             PoolId { machine_type: request.machine_type.clone(), zone: request.zone.clone() };
         let answer = match reply {
-            CloudReply::Rented(machines) => {
+            CloudReply::Created(machines) => {
                 tracing::info!(%pool, spot = request.spot, ?machines, "machines created");
                 let short = (machines.len() as u32) < request.count;
                 let names = machines.iter().map(|m| m.to_string()).collect();
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -149,7 +149,7 @@
         let from = since.checked_sub(1).map(|last| loss_log_key(&team, last));
         self.call_store(
             CallPriority::Poll,
-            StoreRequest::List { prefix, from, most: None },
+            StoreRequest::List { prefix, from, limit: None },
             Pending::TeamLosses { rid, since },
         );
     }
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -27,7 +27,7 @@
     /// What a team's question is answered with at once, if it cannot be answered now.
     pub(crate) fn refuse_team(&self, team: &TeamId) -> Option<Response> {
         if self.cfg.team(team).is_none() {
-            return Some(Response::refuse(404, "no such team"));
+            return Some(Response::rejection(404, "no such team"));
         }
         self.store_away().then(Response::store_unavailable)
     }
@@ -37,7 +37,7 @@
             return self.reply(rid, refusal);
         }
         if self.teams.is_full(&team) {
-            return self.reply(rid, Response::later("too many such questions"));
+            return self.reply(rid, Response::retry_later("too many such questions"));
         }
         let (arrived, arrived_at) = (self.now, self.event);
         let question = Question { rid, team, view, since, arrived, arrived_at, upto: None };
@@ -208,7 +208,8 @@
         let head = self.head(&team).value;
         let unreadable = self.cache.unreadable.contains(&history_head_key(&team));
         if unreadable || !self.workspaces.ended.covers(&team, &head) {
-            return self.reply(rid, Response::later("the history is being brought up to date"));
+            return self
+                .reply(rid, Response::retry_later("the history is being brought up to date"));
         }
         let since = since.max(head.first);
         if since >= head.entries {
@@ -223,7 +224,7 @@
 
     fn read_history_page(&mut self, read: HistoryRead, from: Option<String>) {
         let prefix = history_prefix(&read.team);
-        let request = StoreRequest::List { prefix, from, most: Some(GROUPS) };
+        let request = StoreRequest::List { prefix, from, limit: Some(GROUPS) };
         self.call_store(CallPriority::Poll, request, Pending::TeamHistory(Box::new(read)));
     }
 
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -267,7 +267,7 @@
         if let Some(listing) = self.workspaces.listing.as_mut().filter(|l| !l.asked) {
             listing.asked = true;
             let (prefix, from) = (ARCHIVE_PREFIX.to_string(), listing.from.clone());
-            let request = StoreRequest::List { prefix, from, most: None };
+            let request = StoreRequest::List { prefix, from, limit: None };
             self.call_store(CallPriority::Poll, request, Pending::ArchivePage);
         }
     }
@@ -412,7 +412,7 @@
         let prefix = history_prefix(team);
         self.call_store(
             CallPriority::Poll,
-            StoreRequest::List { prefix, from: None, most: Some(OLDEST) },
+            StoreRequest::List { prefix, from: None, limit: Some(OLDEST) },
             pending,
         );
     }
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -97,7 +97,7 @@
         let known = machine.and_then(|m| m.heartbeat.as_ref());
         if known.is_some_and(|k| (k.agent_epoch, k.seq) >= (heartbeat.agent_epoch, heartbeat.seq)) {
             // Late or repeated. Its worker does not wait for this answer any more.
-            return self.reply(rid, Response::later("an old report"));
+            return self.reply(rid, Response::retry_later("an old report"));
         }
         if machine.is_none() && heartbeat.token != token {
             // Perhaps a copy of what a machine said that has long been returned; another owner, or our own
@@ -119,7 +119,8 @@
                     self.take_heartbeat(&pool, token, heartbeat.with_tasks(tasks), text)
                 }
                 Err(error) => {
-                    return self.reply(rid, Response::refuse(400, format!("not a report: {error}")))
+                    return self
+                        .reply(rid, Response::rejection(400, format!("not a report: {error}")))
                 }
             }
         };
--- a/crates/cleatfold-control/src/pools/long_polls.rs
+++ b/crates/cleatfold-control/src/pools/long_polls.rs
@@ -75,7 +75,7 @@
     /// A newer heartbeat came: its worker gave up on the answer to the one before.
     pub(super) fn abandon_long_poll(&mut self, id: &MachineId) {
         if let Some(old) = self.pools.long_polls.remove(id) {
-            self.reply(old.rid, Response::later("a newer report came"));
+            self.reply(old.rid, Response::retry_later("a newer report came"));
         }
     }
 
--- a/crates/cleatfold-control/src/pools/worker_authority.rs
+++ b/crates/cleatfold-control/src/pools/worker_authority.rs
@@ -35,7 +35,7 @@
         };
         let unread_ms = self.session.last_read.map_or(u64::MAX, |sent| self.now.since(sent));
         if unread_ms > self.cfg.stale_read_limit_ms() {
-            return Err(Response::later("cut off from the state service"));
+            return Err(Response::retry_later("cut off from the state service"));
         }
         Ok(WorkerAuthority { token })
     }
--- a/crates/cleatfold-control/src/store/format.rs
+++ b/crates/cleatfold-control/src/store/format.rs
@@ -79,7 +79,7 @@
 
     fn reject_format(&mut self, reason: &str) -> FormatState {
         tracing::error!("{reason}");
-        self.effects.push(Effect::Refuse { why: reason.into() });
+        self.effects.push(Effect::Exit { reason: reason.into() });
         FormatState::Unsupported
     }
 }
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -143,7 +143,7 @@
     pub(crate) fn on_registered(&mut self, reply: StoreReply) {
         self.session.registering = false;
         self.session.registered_at = Some(self.now);
-        if let StoreReply::Bad(_) = reply {
+        if let StoreReply::Invalid(_) = reply {
             self.session.lease = None;
         }
         self.session.sync_wanted = true;
@@ -163,7 +163,7 @@
         self.session.page_requested = true;
         self.session.sync_sent = self.now;
         let from = self.session.next_page_from.clone();
-        let request = StoreRequest::List { prefix: LIVE_PREFIX.into(), from, most: None };
+        let request = StoreRequest::List { prefix: LIVE_PREFIX.into(), from, limit: None };
         self.call_store(CallPriority::Renewal, request, Pending::Load { sent: self.now });
     }
 
--- a/crates/cleatfold-testbed/src/world.rs
+++ b/crates/cleatfold-testbed/src/world.rs
@@ -478,11 +478,11 @@
                 }
                 Effect::Probe { machine, .. } => self.send_probe(controller, &machine),
                 Effect::Mesh { to, message } => self.on_mesh(controller, to, &message),
-                Effect::Refuse { why } => {
+                Effect::Exit { reason } => {
                     // Its process ends; whoever started it sees why.
                     self.controllers[controller] = None;
                     self.lives[controller] += 1;
-                    self.refused_starts.push((controller, why));
+                    self.refused_starts.push((controller, reason));
                 }
             }
         }
--- a/crates/cleatfold-testbed/src/world/arrivals.rs
+++ b/crates/cleatfold-testbed/src/world/arrivals.rs
@@ -52,7 +52,7 @@
             let there = reached && !hangs && w.renewed <= now;
             there.then(|| w.heartbeat()).map(|r| (r.agent_epoch, r.seq))
         });
-        let event = Event::Probed { machine: machine.clone(), answer: said };
+        let event = Event::ProbeResult { machine: machine.clone(), answer: said };
         self.at(delay.min(1000), SimulationEvent::Controller(controller, life, Box::new(event)));
     }
 
@@ -194,7 +194,7 @@
         let lost = self.order_answer_lost();
         let Some(worker) = self.workers.get_mut(&machine) else { return };
         if cut || self.faults.is_partitioned(worker, now) {
-            let event = Box::new(Event::Ordered { machine, heartbeat: None });
+            let event = Box::new(Event::OrderResult { machine, heartbeat: None });
             return self.at(4000, SimulationEvent::Controller(controller, life, event));
         }
         let report = worker.on_orders(now, &orders, |_| None).map(|worker_events| {
@@ -207,7 +207,7 @@
             if !answered {
                 return;
             }
-            let event = Event::Ordered { machine, heartbeat: Some(report).filter(|_| !lost) };
+            let event = Event::OrderResult { machine, heartbeat: Some(report).filter(|_| !lost) };
             let delay = self.delay(controller);
             self.at(delay, SimulationEvent::Controller(controller, life, Box::new(event)));
         }
--- a/crates/cleatfold-testbed/src/world/commands.rs
+++ b/crates/cleatfold-testbed/src/world/commands.rs
@@ -174,7 +174,7 @@
                 SimulationEvent::Orders { controller, life, machine, orders, answered: true },
             );
         }
-        let unanswered = Event::Ordered { machine: machine.clone(), heartbeat: None };
+        let unanswered = Event::OrderResult { machine: machine.clone(), heartbeat: None };
         self.at(
             COMMAND_TIMEOUT_MS,
             SimulationEvent::Controller(controller, life, Box::new(unanswered)),
--- a/crates/cleatfold-testbed/src/world/digest.rs
+++ b/crates/cleatfold-testbed/src/world/digest.rs
@@ -61,9 +61,9 @@
                 self.number(5);
                 self.json(&(machine, endpoint));
             }
-            Effect::Refuse { why } => {
+            Effect::Exit { reason } => {
                 self.number(6);
-                self.json(why);
+                self.json(reason);
             }
             Effect::Mesh { to, message } => {
                 self.number(7);
@@ -97,8 +97,8 @@
     fn store_request(&mut self, request: &StoreRequest) {
         match request {
             StoreRequest::Get(key) => self.tagged_json(1, key),
-            StoreRequest::List { prefix, from, most } => {
-                self.tagged_json(2, &(prefix, from, most));
+            StoreRequest::List { prefix, from, limit } => {
+                self.tagged_json(2, &(prefix, from, limit));
             }
             StoreRequest::Txn(txn) => self.tagged_json(3, txn),
             StoreRequest::Grant { ttl_ms } => self.tagged(4, *ttl_ms),
--- a/crates/cleatfold-testbed/src/world/meetings.rs
+++ b/crates/cleatfold-testbed/src/world/meetings.rs
@@ -110,7 +110,7 @@
         let (controller, life, machine, orders) =
             (*controller, *life, machine.clone(), orders.clone());
         self.meetings.held_orders += 1;
-        let answer = Box::new(Event::Ordered { machine: machine.clone(), heartbeat: None });
+        let answer = Box::new(Event::OrderResult { machine: machine.clone(), heartbeat: None });
         self.at(ORDER_MS, SimulationEvent::Controller(controller, life, answer));
         let ms = until.since(self.now) + 1;
         self.at(ms, SimulationEvent::Orders { controller, life, machine, orders, answered: false });
--- a/crates/cleatfold-testbed/src/world/services.rs
+++ b/crates/cleatfold-testbed/src/world/services.rs
@@ -15,9 +15,9 @@
                     u64::from(key.starts_with(cleatfold_control::records::ARCHIVE_PREFIX));
                 self.store.get(&key).map_or(StoreReply::Missing, StoreReply::Item)
             }
-            StoreRequest::List { prefix, from, most } => {
-                let most = most.map_or(20, |m| m as usize);
-                StoreReply::Page(self.store.list(&prefix, from.as_deref(), most))
+            StoreRequest::List { prefix, from, limit } => {
+                let limit = limit.map_or(20, |m| m as usize);
+                StoreReply::Page(self.store.list(&prefix, from.as_deref(), limit))
             }
             StoreRequest::Txn(txn) => {
                 assert!(txn.changes.len() <= 16 && txn.guards.len() <= 64, "within the limits");
@@ -44,7 +44,7 @@
                         self.written.add_conflict(&txn);
                         StoreReply::Conflict(failed)
                     }
-                    Err(Refusal::NoSuchLease) => StoreReply::Bad("no such lease".into()),
+                    Err(Refusal::NoSuchLease) => StoreReply::Invalid("no such lease".into()),
                 }
             }
             StoreRequest::Grant { ttl_ms } => StoreReply::Granted(self.store.grant(now, ttl_ms)),
@@ -108,7 +108,7 @@
                         self.boot(id.clone(), &request.machine_type, &request.zone, request.spot);
                     }
                 }
-                CloudReply::Rented(names)
+                CloudReply::Created(names)
             }
         }
     }
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -101,7 +101,7 @@
                 let _ = self.workers.send(workers::WorkerCall { machine, endpoint, request });
             }
             Effect::Mesh { to, message } => self.send(to, &message),
-            Effect::Refuse { why } => self.refused = Some(why),
+            Effect::Exit { reason } => self.refused = Some(reason),
         }
     }
 
@@ -179,8 +179,8 @@
     let to_core = events.clone();
     tokio::task::spawn_local(workers::run(worker_calls, move |machine, reply| {
         let _ = to_core.send(match reply {
-            workers::WorkerReply::Ordered(heartbeat) => Event::Ordered { machine, heartbeat },
-            workers::WorkerReply::Inspected(answer) => Event::Probed { machine, answer },
+            workers::WorkerReply::Ordered(heartbeat) => Event::OrderResult { machine, heartbeat },
+            workers::WorkerReply::Inspected(answer) => Event::ProbeResult { machine, answer },
         });
     }));
     let to_core = events.clone();
--- a/crates/cleatfold/src/serve.rs
+++ b/crates/cleatfold/src/serve.rs
@@ -169,7 +169,7 @@
         if path == "/ready" {
             return Some(match status.ready {
                 true => render(Response::Ready),
-                false => render(Response::later("this node is not ready")),
+                false => render(Response::retry_later("this node is not ready")),
             });
         }
         let job = path.strip_prefix("/v1/jobs/")?;
