--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -3,7 +3,7 @@
 use crate::event_number::EventNumber;
 use crate::jobs::step_reports::{JudgedReports, MemberReport};
 use crate::store::records::{ArchiveRecord, JobRecord, TASKS_PER_PART};
-use crate::store::sent::Sent;
+use crate::store::send_status::SendStatus;
 use cleatfold_wire::losses::LossCause;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::worker::Exit;
@@ -146,7 +146,7 @@
     /// The outcome of an earlier sending is unknown.
     pub doubtful: bool,
     /// When it was sent first.
-    pub sent: Sent,
+    pub sent: SendStatus,
     pub ends: Vec<ClaimEnd>,
     pub claims: Vec<(PlacementRequest, Vec<(TaskIx, Attempt)>)>,
     pub withdrawals: Vec<u64>,
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -3,7 +3,7 @@
 use crate::controller::{Controller, Pending, Submission, WaitReason};
 use crate::effects::{CallPriority, Response, StoreReply, StoreRequest};
 use crate::store::records::{archive_key, job_key, status, JobRecord};
-use crate::store::sent::Sent;
+use crate::store::send_status::SendStatus;
 use cleatfold_backfill::Resources;
 use cleatfold_ingress::SubmissionQueue;
 use cleatfold_wire::job::{JobSpec, JobState, Kind};
@@ -190,7 +190,7 @@
         self.call_store(
             CallPriority::Submission,
             request,
-            Pending::Submit { batch, txn, sent: Sent::now(self.now) },
+            Pending::Submit { batch, txn, sent: SendStatus::sent_at(self.now) },
         );
         changes
     }
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -11,7 +11,7 @@
 use crate::jobs::step_reports::{judge, write, JudgedReports};
 use crate::store::cache::{CachedJob, ProgressMap, StateCache};
 use crate::store::records::{archive_key, job_key, status, ArchiveRecord};
-use crate::store::sent::Sent;
+use crate::store::send_status::SendStatus;
 use cleatfold_elastic::{Progress, Verdict};
 use cleatfold_wire::job::{JobState, JobStatus};
 use cleatfold_wire::mesh::Message;
@@ -127,7 +127,7 @@
             job: job.clone(),
             txn: draft.txn,
             doubtful: false,
-            sent: Sent::now(self.now),
+            sent: SendStatus::sent_at(self.now),
             ends: ends.recorded,
             claims,
             withdrawals,
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -4,7 +4,7 @@
 pub(crate) use crate::event_number::EventNumber;
 use crate::jobs::state::JobTransaction;
 use crate::store::records::{HolderRecord, OriginRecord};
-use crate::store::sent::Sent;
+use crate::store::send_status::SendStatus;
 use cleatfold_roles::Role;
 use cleatfold_wire::cloud::ScaleOutRequest;
 use cleatfold_wire::job::JobSpec;
@@ -31,7 +31,7 @@
     Submit {
         batch: Vec<Submission>,
         txn: Txn,
-        sent: Sent,
+        sent: SendStatus,
     },
     /// The archive record of one job, if there is one.
     Archive {
--- a/crates/cleatfold-control/src/store/mod.rs
+++ b/crates/cleatfold-control/src/store/mod.rs
@@ -7,6 +7,6 @@
 pub(crate) mod format_check;
 mod loss_records;
 pub mod records;
-pub(crate) mod sent;
+pub(crate) mod send_status;
 pub(crate) mod session;
 mod unknown_outcomes;
--- a/crates/cleatfold-control/src/store/sent.rs
+++ b/crates/cleatfold-control/src/store/send_status.rs
@@ -7,7 +7,7 @@
 
 /// When a transaction was sent, and which actions were taken since because its reply is missing.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Sent {
+pub(crate) struct SendStatus {
     pub at: Ms,
     /// A read was requested to look the transaction up.
     pub queried: bool,
@@ -15,8 +15,8 @@
     pub resent: bool,
 }
 
-impl Sent {
-    pub(crate) fn now(at: Ms) -> Self {
+impl SendStatus {
+    pub(crate) fn sent_at(at: Ms) -> Self {
         Self { at, ..Self::default() }
     }
 }
@@ -34,7 +34,7 @@
     Resend,
 }
 
-impl Sent {
+impl SendStatus {
     /// The next action. `last_read_at` is the sending time of the newest completed read;
     /// `is_decided` says whether that read shows that the transaction can no longer be applied, or
     /// was.
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -19,12 +19,12 @@
 use crate::effects::{CallPriority, Effect, Response, StoreRequest};
 use crate::jobs::state::JobTransaction;
 use crate::store::records::job_key;
-use crate::store::sent::{Sent, UnansweredAction, UNANSWERED_AFTER_MS};
+use crate::store::send_status::{SendStatus, UnansweredAction, UNANSWERED_AFTER_MS};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::Version;
 
 /// The transaction of a pending call that may be resolved early.
-fn resolvable_txn(pending: &Pending) -> Option<(&Txn, Sent)> {
+fn resolvable_txn(pending: &Pending) -> Option<(&Txn, SendStatus)> {
     match pending {
         Pending::Submit { txn, sent, .. } => Some((txn, *sent)),
         Pending::Job(tx) => Some((&tx.txn, tx.sent)),
@@ -69,7 +69,7 @@
         }
     }
 
-    fn update_sent(&mut self, op: u64, update: impl FnOnce(&mut Sent)) {
+    fn update_sent(&mut self, op: u64, update: impl FnOnce(&mut SendStatus)) {
         match self.calls.pending.get_mut(&op) {
             Some(Pending::Submit { sent, .. }) => update(sent),
             Some(Pending::Job(tx)) => update(&mut tx.sent),
