--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -296,8 +296,8 @@
             Pending::Load { sent } => self.on_load(sent, reply),
             Pending::Job(tx) => self.on_job_tx(op, *tx, reply),
             Pending::Submit { batch, txn, .. } => self.on_submitted(batch, txn, reply),
-            Pending::Archive { job } => self.on_archive(job, reply),
-            Pending::Ended { from } => self.on_ended(from, reply),
+            Pending::ArchivedJob { job } => self.on_archive(job, reply),
+            Pending::EndedJobs { from } => self.on_ended(from, reply),
             Pending::Grant { sent } => self.on_lease_granted(sent, reply),
             Pending::Extend { sent } => self.on_lease_extended(sent, reply),
             Pending::Registration => self.on_registered(reply),
@@ -306,7 +306,7 @@
             Pending::Role(role) => self.on_role_written(role, reply),
             Pending::ScaleOutIntents(step) => self.on_scale_out_written(*step, reply),
             Pending::PoolAssignment => self.on_assignment_written(reply),
-            Pending::Slice(sent) => self.on_slice(op, *sent, reply),
+            Pending::QuotaSlice(sent) => self.on_slice(op, *sent, reply),
             Pending::LossLog => self.on_loss_log(reply),
             Pending::LossGroup { team, token, count, txn } => {
                 self.on_loss_group(op, (team, token), count, txn, reply)
@@ -314,13 +314,13 @@
             Pending::TeamLosses { rid, since } => self.on_team_losses_read(rid, since, reply),
             Pending::Workspaces(teams, holder) => self.on_workspaces(teams, holder, reply),
             Pending::History(write) => self.on_history(op, *write, reply),
-            Pending::Oldest { team, token } => self.on_oldest(team, token, reply),
+            Pending::OldestHistory { team, token } => self.on_oldest(team, token, reply),
             Pending::ArchivePage => self.on_archive_page(reply),
             Pending::TeamHistory(read) => self.on_team_history(*read, reply),
             Pending::OverloadQuota => self.on_overload_quota_written(),
             Pending::Preemption(preemption) => self.on_preemption_written(*preemption, reply),
             Pending::Origin { txn, record } => self.on_origin(op, txn, record, reply),
-            Pending::Spread => self.on_spread(),
+            Pending::ImageHolders => self.on_spread(),
             Pending::GarbageCollection => self.on_garbage_collected(),
             // Calls to the cloud; their replies arrive as `Event::Cloud`.
             Pending::Types
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -361,7 +361,7 @@
             }
             self.image_distribution.holders_inflight = true;
             self.image_distribution.holders_at = self.now;
-            self.call_store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::Spread);
+            self.call_store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::ImageHolders);
             return;
         }
     }
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -194,7 +194,7 @@
         match self.archive.join(&job, waiting, self.event) {
             Joined::Ask => {
                 let request = StoreRequest::Get(archive_key(&job));
-                self.call_store(CallPriority::Poll, request, Pending::Archive { job });
+                self.call_store(CallPriority::Poll, request, Pending::ArchivedJob { job });
             }
             Joined::UnderWay => {}
             Joined::Full(waiting) => {
@@ -270,7 +270,7 @@
         }
         let from = self.archive.read_to;
         let request = StoreRequest::Changes { prefix: ARCHIVE_PREFIX.into(), from };
-        self.call_store(CallPriority::Poll, request, Pending::Ended { from });
+        self.call_store(CallPriority::Poll, request, Pending::EndedJobs { from });
     }
 
     pub(crate) fn on_ended(&mut self, from: Version, reply: StoreReply) {
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -408,7 +408,7 @@
             return;
         }
         (kept.retention_running, kept.retention_checked_at) = (true, self.now);
-        let pending = Pending::Oldest { team: team.clone(), token: kept.token };
+        let pending = Pending::OldestHistory { team: team.clone(), token: kept.token };
         let prefix = history_prefix(team);
         self.call_store(
             CallPriority::Poll,
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -34,11 +34,11 @@
         sent: SendStatus,
     },
     /// The archive record of one job, if there is one.
-    Archive {
+    ArchivedJob {
         job: JobId,
     },
     /// The archive records written since the last such read.
-    Ended {
+    EndedJobs {
         from: Version,
     },
     Grant {
@@ -59,7 +59,7 @@
     ScaleOutIntents(Box<cleatfold_roles::scale_out::Step>),
     /// A transaction on pool keys or slices. The next sync shows its outcome.
     PoolAssignment,
-    Slice(Box<crate::quota::SentSlice>),
+    QuotaSlice(Box<crate::quota::SentSlice>),
     GarbageCollection,
     /// A change of the slots for fetches from the image origin.
     Origin {
@@ -67,7 +67,7 @@
         record: OriginRecord,
     },
     /// A change of an image's holders.
-    Spread,
+    ImageHolders,
     OverloadQuota,
     /// A preemption, and the tasks to evict once it is durable.
     Preemption(Box<crate::scheduling::priority_state::UncommittedPreemption>),
@@ -88,7 +88,7 @@
     Workspaces(Vec<TeamId>, HolderRecord),
     History(Box<crate::namespaces::workspace_state::Write>),
     /// The read of the oldest groups of a team's history.
-    Oldest {
+    OldestHistory {
         team: TeamId,
         token: Version,
     },
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -323,7 +323,7 @@
             self.quota.inflight.insert(team.clone());
             let request = StoreRequest::Txn(txn.clone());
             let sent = SentSlice { team, txn, record, doubtful: false };
-            self.call_store(CallPriority::Claim, request, Pending::Slice(Box::new(sent)));
+            self.call_store(CallPriority::Claim, request, Pending::QuotaSlice(Box::new(sent)));
         }
     }
 
@@ -445,7 +445,7 @@
             op,
             CallPriority::Claim,
             txn,
-            Pending::Slice(Box::new(sent)),
+            Pending::QuotaSlice(Box::new(sent)),
             pause_ms,
         );
     }
