--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -46,12 +46,14 @@
     pub(crate) now: Ms,
     /// Number of the event that is being handled.
     pub(crate) event: EventNumber,
-    /// Wall-clock time in milliseconds; used only to order the queue.
+    /// Wall-clock time in milliseconds. It orders the queue and affects no other decision.
     pub(crate) wall_ms: u64,
     /// Factor by which the intervals of expensive periodic work are stretched.
     pub(crate) backpressure: u64,
+    /// Time of the first event.
     started: Option<Ms>,
     last_tick: Ms,
+    /// When peers were last sent the age of the last read of the state service.
     contact_age_sent: Ms,
     /// Effects of the event that is being handled.
     pub(crate) effects: Vec<Effect>,
@@ -184,10 +186,12 @@
         std::mem::take(&mut self.effects)
     }
 
+    /// Sends the response to a request or a heartbeat.
     pub(crate) fn reply(&mut self, rid: u64, response: Response) {
         self.effects.push(Effect::Reply { rid, response });
     }
 
+    /// Sends a message to one peer, or to all of them.
     pub(crate) fn send_to_peers(&mut self, to: Option<ControllerId>, message: Message) {
         self.effects.push(Effect::Mesh { to, message });
     }
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -190,7 +190,7 @@
         self.call_store(
             CallPriority::Submission,
             request,
-            Pending::Submit { batch, txn, sent: SendStatus::sent_at(self.now) },
+            Pending::Submit { batch, txn, sent: SendStatus::new(self.now) },
         );
         changes
     }
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -127,7 +127,7 @@
             job: job.clone(),
             txn: draft.txn,
             doubtful: false,
-            sent: SendStatus::sent_at(self.now),
+            sent: SendStatus::new(self.now),
             ends: ends.recorded,
             claims,
             withdrawals,
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -17,36 +17,21 @@
 #[derive(Debug)]
 pub(crate) enum Pending {
     /// The changes since the last read.
-    Sync {
-        sent: Ms,
-        sent_event: EventNumber,
-    },
+    Sync { sent: Ms, sent_event: EventNumber },
     /// A page of the listing that fills the cache.
-    Load {
-        sent: Ms,
-    },
+    Load { sent: Ms },
     /// A transaction on a job's records.
     Job(Box<JobTransaction>),
     /// Acceptance of a batch of jobs.
-    Submit {
-        batch: Vec<Submission>,
-        txn: Txn,
-        sent: SendStatus,
-    },
+    Submit { batch: Vec<Submission>, txn: Txn, sent: SendStatus },
     /// The archive record of one job, if there is one.
-    ArchivedJob {
-        job: JobId,
-    },
+    ArchivedJob { job: JobId },
     /// The archive records written since the last such read.
-    EndedJobs {
-        from: Version,
-    },
-    Grant {
-        sent: Ms,
-    },
-    Extend {
-        sent: Ms,
-    },
+    EndedJobs { from: Version },
+    /// The creation of a lease.
+    Grant { sent: Ms },
+    /// The renewal of the lease.
+    Extend { sent: Ms },
     /// The write of this controller's own record.
     Registration,
     /// The read of the format marker.
@@ -59,53 +44,42 @@
     ScaleOutIntents(Box<cleatfold_roles::scale_out::Step>),
     /// A transaction on pool keys or slices. The next sync shows its outcome.
     PoolAssignment,
+    /// A change of a team's quota slices.
     QuotaSlice(Box<crate::quota::SentSlice>),
+    /// The removal of records whose job has ended.
     GarbageCollection,
     /// A change of the slots for fetches from the image origin.
-    Origin {
-        txn: Txn,
-        record: OriginRecord,
-    },
+    Origin { txn: Txn, record: OriginRecord },
     /// A change of an image's holders.
     ImageHolders,
+    /// A change of the team shares under overload.
     OverloadQuota,
     /// A preemption, and the tasks to evict once it is durable.
     Preemption(Box<crate::scheduling::priority_state::UncommittedPreemption>),
     /// The read of what the teams' loss logs already hold.
     LossLog,
     /// The write of a group of losses to a team's log.
-    LossGroup {
-        team: TeamId,
-        token: Version,
-        count: usize,
-        txn: Txn,
-    },
-    TeamLosses {
-        rid: u64,
-        since: u64,
-    },
+    LossGroup { team: TeamId, token: Version, count: usize, txn: Txn },
+    /// The read of a team's loss log for a user.
+    TeamLosses { rid: u64, since: u64 },
     /// Acquisition of workspaces, or the hand-over of one.
     Workspaces(Vec<TeamId>, HolderRecord),
+    /// A write of a team's history.
     History(Box<crate::namespaces::workspace_state::Write>),
     /// The read of the oldest groups of a team's history.
-    OldestHistory {
-        team: TeamId,
-        token: Version,
-    },
+    OldestHistory { team: TeamId, token: Version },
     /// A page of the whole archive, for teams whose ended jobs are not known.
     ArchivePage,
+    /// The read of a team's history for a user.
     TeamHistory(Box<crate::namespaces::question_state::HistoryRead>),
+    /// The machine types, from the cloud.
     Types,
-    List {
-        sent: Ms,
-    },
-    ScaleOut {
-        request: ScaleOutRequest,
-        tries: u32,
-    },
-    Delete {
-        machines: Vec<MachineId>,
-    },
+    /// A page of the machine list, from the cloud.
+    List { sent: Ms },
+    /// The creation of machines.
+    ScaleOut { request: ScaleOutRequest, tries: u32 },
+    /// The deletion of machines.
+    Delete { machines: Vec<MachineId> },
 }
 
 /// A job submission whose acceptance is not durable yet.
@@ -130,12 +104,14 @@
 /// What a waiting request asks for.
 #[derive(Clone, Debug)]
 pub(crate) enum WaitReason {
+    /// The state of a job.
     Poll,
     /// A submission that cannot run under the current settings: 422 unless the job is already
     /// known.
     Impossible(String),
     /// A submission of a job that is already known: 200 with its state.
     Known(Box<JobSpec>),
+    /// The cancellation of a job.
     Withdraw,
     /// A step report of a member whose claim is not in the cache.
     Steps(Box<StepReport>),
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -184,6 +184,7 @@
     pub jobs_with_losses: BTreeSet<JobId>,
     /// All claims, by machine.
     pub claims: BTreeMap<MachineId, MachineClaims>,
+    /// The newest stamp of any machine's claims.
     last_stamp: u64,
     /// Number of elastic jobs that have not ended.
     elastic_jobs: usize,
@@ -222,14 +223,16 @@
     }
 
     /// Whether a change is newer than the last read. The cache includes every change up to
-    /// `applied_revision`, removals as well: the reply to an own transaction that arrives after the read
-    /// that included it would restore parts and claims that other controllers have ended since.
+    /// `applied_revision`, removals as well: the reply to a transaction of this controller that
+    /// arrives after the read that included it would restore parts and claims that other
+    /// controllers have ended since.
     pub(crate) fn is_newer(&self, version: Version) -> bool {
         version > self.applied_revision
     }
 
+    /// The version at which a key was last changed or removed, as far as it is known.
     fn version_of(&self, key: &str, parsed: &Key) -> Version {
-        let live = match parsed {
+        let cached = match parsed {
             Key::Job(id) => self.jobs.get(id).map(|j| j.version),
             Key::Part(id, part) => self.parts.get(id).and_then(|p| p.get(part)).map(|p| p.version),
             Key::Progress(id, part) => {
@@ -250,25 +253,26 @@
             Key::OverloadQuota => Some(self.overload_quota.version).filter(|v| *v > Version(0)),
             Key::Origin => Some(self.origin.version).filter(|v| *v > Version(0)),
         };
-        live.or_else(|| self.removed.get(key).copied()).unwrap_or_default()
+        cached.or_else(|| self.removed.get(key).copied()).unwrap_or_default()
     }
 
     /// Whether a read has shown the key at a later version than `since`, or its removal. Versions
-    /// known only from own transactions do not count: only a read guarantees that every earlier
-    /// change is known as well.
+    /// known only from this controller's transactions do not count: only a read guarantees that
+    /// every earlier change is known as well.
     pub(crate) fn changed_since(&self, key: &str, since: Version) -> bool {
         let Some(parsed) = parse_key(key) else { return false };
         let known = self.version_of(key, &parsed);
         known > since && known <= self.applied_revision
     }
 
-    /// Applies a write of an own transaction.
+    /// Applies a write of a key if it is newer than the last read.
     pub(crate) fn set(&mut self, key: &str, value: &str, version: Version) {
         if self.is_newer(version) {
             self.put(key, value, version);
         }
     }
 
+    /// Applies a write of a key if it is newer than the key's known version.
     fn put(&mut self, key: &str, value: &str, version: Version) {
         let Some(parsed) = parse_key(key) else { return };
         if version <= self.version_of(key, &parsed) {
@@ -335,7 +339,7 @@
         Ok(())
     }
 
-    /// Removes a key, by an own transaction or a change that was read.
+    /// Applies the removal of a key if it is newer than the last read.
     pub(crate) fn remove(&mut self, key: &str, version: Version) {
         let Some(parsed) = parse_key(key) else { return };
         if !self.is_newer(version) || version <= self.version_of(key, &parsed) {
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -391,7 +391,7 @@
     /// The job as it was submitted.
     #[serde(rename = "s")]
     pub spec: JobSpec,
-    /// Wall-clock time of acceptance, in milliseconds. Used only to order the queue.
+    /// Wall-clock time of acceptance, in milliseconds. It only orders the queue.
     #[serde(rename = "at")]
     pub accepted_ms: u64,
     /// The revision at which it was accepted, once the record has been written again.
--- a/crates/cleatfold-control/src/store/send_status.rs
+++ b/crates/cleatfold-control/src/store/send_status.rs
@@ -16,7 +16,7 @@
 }
 
 impl SendStatus {
-    pub(crate) fn sent_at(at: Ms) -> Self {
+    pub(crate) fn new(at: Ms) -> Self {
         Self { at, ..Self::default() }
     }
 }
@@ -36,8 +36,8 @@
 
 impl SendStatus {
     /// The next action. `last_read_at` is the sending time of the newest completed read;
-    /// `is_decided` says whether that read shows that the transaction can no longer be applied, or
-    /// was.
+    /// `is_decided` says whether that read shows that the transaction was applied or no longer can
+    /// be.
     pub(crate) fn next_action(
         self,
         now: Ms,
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -11,7 +11,7 @@
 const LEASE_RETRY_MS: u64 = 300;
 /// After a lease has expired, the last request counts as this old, so that a new lease is requested
 /// at once.
-const LEASE_LOST_MS: u64 = 1_000;
+const LEASE_LOST_AGE_MS: u64 = 1_000;
 /// Interval between requests for a page of the listing that fills the cache.
 const PAGE_RETRY_MS: u64 = 200;
 /// The state service counts as reachable if the last read is no older than the read interval plus
@@ -41,12 +41,12 @@
     /// The revision of the listing's first page.
     load_revision: Option<Version>,
     /// A read of the changes is in flight.
-    sync_inflight: bool,
+    sync_in_flight: bool,
     /// When the newest read, or the newest request for a page, was sent.
     sync_sent: Ms,
     /// A read is needed before the usual interval has passed.
     pub sync_wanted: bool,
-    /// When the newest completed read was sent: the cache was complete as of this time.
+    /// When the newest completed read was sent. The cache includes every change made before.
     pub last_read: Option<Ms>,
     /// Time of the last call that the state service failed to answer.
     pub last_failure: Option<Ms>,
@@ -130,7 +130,7 @@
             StoreReply::Missing => {
                 tracing::info!("lease expired");
                 self.session.lease = None;
-                self.session.lease_request_sent = Ms(sent.0.saturating_sub(LEASE_LOST_MS));
+                self.session.lease_request_sent = Ms(sent.0.saturating_sub(LEASE_LOST_AGE_MS));
             }
             // Not renewed: retry soon.
             _ => {
@@ -169,7 +169,7 @@
 
     /// Reads the changes if that is due or a request waits for it.
     pub(crate) fn sync_if_due(&mut self) {
-        if !self.session.is_loaded || self.session.sync_inflight {
+        if !self.session.is_loaded || self.session.sync_in_flight {
             return;
         }
         let since = self.now.since(self.session.sync_sent);
@@ -178,7 +178,7 @@
         if since >= self.cfg.read_interval_ms
             || (is_urgent && since >= self.cfg.read_interval_ms / 3)
         {
-            self.session.sync_inflight = true;
+            self.session.sync_in_flight = true;
             self.session.sync_wanted = false;
             self.session.sync_sent = self.now;
             let request = StoreRequest::Changes {
@@ -235,7 +235,7 @@
 
     /// The changes since the last read.
     pub(crate) fn on_sync(&mut self, sent: Ms, sent_event: EventNumber, reply: StoreReply) {
-        self.session.sync_inflight = false;
+        self.session.sync_in_flight = false;
         match reply {
             StoreReply::Events(events) => self.apply_changes(sent, sent_event, &events),
             StoreReply::TooOld => self.reload(),
