--- a/crates/cleatfold-control/src/store/format.rs
+++ b/crates/cleatfold-control/src/store/format.rs
@@ -48,7 +48,8 @@
             StoreReply::Item(item) => match serde_json::from_str::<Marker>(item.value.get()) {
                 Ok(Marker { version: FORMAT_VERSION }) => FormatState::Supported,
                 Ok(Marker { version }) => self.reject_format(&format!(
-                    "the records of the state service have format version {version}, this program supports version {FORMAT_VERSION}"
+                    "the records of the state service have format version {version}, \
+                     this program supports version {FORMAT_VERSION}"
                 )),
                 Err(error) => self.reject_format(&format!("{FORMAT_KEY} cannot be read: {error}")),
             },
@@ -56,7 +57,11 @@
                 let mut txn = Txn::default();
                 txn.guard(FORMAT_KEY, Version(0));
                 txn.put(FORMAT_KEY, &Marker { version: FORMAT_VERSION }, None);
-                self.call_store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::FormatWritten);
+                self.call_store(
+                    CallPriority::Renewal,
+                    StoreRequest::Txn(txn),
+                    Pending::FormatWritten,
+                );
                 FormatState::Pending
             }
             _ => self.retry_format_check(),
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -1,8 +1,8 @@
 //! Keys and values of the records in the state service. Serialized field names are short because
 //! the service limits the size of a value.
 //!
-//! A job of up to `TASKS_PER_PART` tasks is stored in one record, `cf/j/<job>`. A larger one keeps its
-//! tasks in parts, `cf/p/<job>/<part>`, which are created with their first claim; its head
+//! A job of up to `TASKS_PER_PART` tasks is stored in one record, `cf/j/<job>`. A larger one keeps
+//! its tasks in parts, `cf/p/<job>/<part>`, which are created with their first claim; its head
 //! record lists the parts that are complete. Ended jobs move to `ar/<job>`, outside of what
 //! controllers load at start and follow.
 
