--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -4,7 +4,7 @@
 use crate::effects::{CallPriority, Request, Response, StoreReply, StoreRequest};
 use crate::jobs::archive::Joined;
 use crate::jobs::submissions::SUBMIT_MS;
-use crate::store::records::{archive_key, status, ArchiveRecord, LossList, ARCHIVE_PREFIX};
+use crate::store::records::{archive_key, job_status, ArchiveRecord, LossList, ARCHIVE_PREFIX};
 use cleatfold_wire::job::{JobState, JobStatus, StepCount};
 use cleatfold_wire::{JobId, Ms, Version};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::{Controller, Pending, Submission, WaitReason};
 use crate::effects::{CallPriority, Response, StoreReply, StoreRequest};
-use crate::store::records::{archive_key, job_key, status, JobRecord};
+use crate::store::records::{archive_key, job_key, job_status, JobRecord};
 use crate::store::send_status::SendStatus;
 use cleatfold_backfill::Resources;
 use cleatfold_ingress::SubmissionQueue;
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -10,7 +10,7 @@
 use crate::jobs::state::{ClaimEnd, JobTransaction, LocalJobState, Outcome};
 use crate::jobs::step_reports::{judge, write, JudgedReports};
 use crate::store::cache::{CachedJob, ProgressMap, StateCache};
-use crate::store::records::{archive_key, job_key, status, ArchiveRecord};
+use crate::store::records::{archive_key, job_key, job_status, ArchiveRecord};
 use crate::store::send_status::SendStatus;
 use cleatfold_elastic::{Progress, Verdict};
 use cleatfold_wire::job::{JobState, JobStatus};
--- a/crates/cleatfold-control/tests/records.rs
+++ b/crates/cleatfold-control/tests/records.rs
@@ -43,7 +43,12 @@
     let job = JobId::new("run-000001");
     for i in 0..300u32 {
         let machine = MachineId::new(format!("vm-{:06}", i / 10));
-        list.record(&machine, LossCause::Machine, 1000 + u64::from(i / 10), (TaskIx(i), Attempt(1)));
+        list.record(
+            &machine,
+            LossCause::Machine,
+            1000 + u64::from(i / 10),
+            (TaskIx(i), Attempt(1)),
+        );
     }
     assert_eq!(list.total, 300);
     let entries: Vec<Loss> = list.entries(&job).collect();
@@ -54,7 +59,7 @@
     assert!(serde_json::to_string(&list).unwrap().len() < 2048);
     let mut other = LossList::default();
     other.record(&MachineId::new("vm-1"), LossCause::Lease, 5, (TaskIx(7), Attempt(3)));
-    list.take(other);
+    list.merge(other);
     assert_eq!(list.total, 301);
     assert_eq!(list.to_job_losses(&job, true).unwrap().recent.len(), Config::MAX_REPORTED_LOSSES);
     assert!(LossList::default().to_job_losses(&job, true).is_none());
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -1,7 +1,9 @@
 //! Teams' workspaces while their keepers are killed, frozen, cut off and replaced.
 
 use cleatfold_control::records::*;
-use cleatfold_control::{Event, Request, Response, StoreReply, StoreRequest, WorkspaceContents, WorkspaceView};
+use cleatfold_control::{
+    Event, Request, Response, StoreReply, StoreRequest, WorkspaceContents, WorkspaceView,
+};
 use cleatfold_testbed::world::{
     controller_id, Asked, JobWatch, SimulationEvent, Size, World, CONTROLLERS,
 };
@@ -67,7 +69,11 @@
 ) -> Option<Response> {
     for _ in 0..12 {
         world.team_answer = None;
-        world.ask(controller, Asked::Team, Request::Workspace { team: TeamId::new(team), view, since });
+        world.ask(
+            controller,
+            Asked::Team,
+            Request::Workspace { team: TeamId::new(team), view, since },
+        );
         let until = world.now.plus(4200);
         while world.team_answer.is_none() && world.now < until {
             let now = world.now;
@@ -272,7 +278,9 @@
         let (mut since, mut pages) = (0, 0);
         loop {
             let answer = ask(&mut world, pages % CONTROLLERS, team, WorkspaceView::Jobs, since);
-            let Some(Response::Workspace(WorkspaceContents::Jobs(page))) = answer else { panic!("{answer:?}") };
+            let Some(Response::Workspace(WorkspaceContents::Jobs(page))) = answer else {
+                panic!("{answer:?}")
+            };
             let text = serde_json::to_string(&page).unwrap();
             assert!(text.len() <= 64 * 1024 && other.iter().all(|id| !text.contains(id.as_str())));
             told.extend(page.jobs.into_iter().map(|j| (j.place, j.id)));
@@ -283,7 +291,9 @@
         }
         assert_eq!(told, live(&world, team), "by place, each once");
         let answer = ask(&mut world, 0, team, WorkspaceView::Queue, 0);
-        let Some(Response::Workspace(WorkspaceContents::Queue(queue))) = answer else { panic!("{answer:?}") };
+        let Some(Response::Workspace(WorkspaceContents::Queue(queue))) = answer else {
+            panic!("{answer:?}")
+        };
         let text = serde_json::to_string(&queue).unwrap();
         assert!(text.len() <= 64 * 1024 && other.iter().all(|id| !text.contains(id.as_str())));
         let ranks: BTreeSet<u32> = queue.waiting.iter().filter_map(|w| w.rank).collect();
--- a/crates/cleatfold-testbed/src/world/digest.rs
+++ b/crates/cleatfold-testbed/src/world/digest.rs
@@ -88,7 +88,9 @@
             Response::Losses(losses) => self.tagged_json(5, losses),
             Response::Workspace(WorkspaceContents::Jobs(jobs)) => self.tagged_json(6, jobs),
             Response::Workspace(WorkspaceContents::Queue(queue)) => self.tagged_json(7, queue),
-            Response::Workspace(WorkspaceContents::History(history)) => self.tagged_json(8, history),
+            Response::Workspace(WorkspaceContents::History(history)) => {
+                self.tagged_json(8, history)
+            }
             Response::Worker(reply) => self.tagged_json(9, reply),
             Response::Redirect(report_to) => self.tagged_json(10, report_to),
         }
