--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -149,7 +149,7 @@
         self.admission.note_capacity(self.now, self.processors());
         self.admission.note_asks(wall_s);
         if self.holds(Role::OverloadQuota)
-            && self.in_contact()
+            && self.has_store_contact()
             && self.cloud_state.list_at.is_some()
         {
             self.decide_overload_quota();
@@ -190,7 +190,7 @@
             limit.part = limit.part.max(floor / capacity.max(1.0)).min(1.0);
             let rest = spec.cpus * f64::from(cached.unfinished());
             let begun = cached.claimed + cached.done > 0;
-            let job = (!begun, cached.place(), id, rest);
+            let job = (!begun, cached.accepted_revision(), id, rest);
             jobs.entry(&spec.team).or_default().push(job);
             let known = long.limits.entry(spec.team.clone()).or_insert(limit);
             known.part = known.part.max(limit.part);
@@ -344,13 +344,13 @@
         txn.put(OVERLOAD_QUOTA_KEY, &next, None);
         self.admission.inflight = true;
         self.admission.written = self.now;
-        self.store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::OverloadQuota);
+        self.call_store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::OverloadQuota);
     }
 
     /// Whatever came of it, the next reading tells.
     pub(crate) fn on_overload_quota_written(&mut self) {
         self.admission.inflight = false;
         self.session.sync_wanted = true;
-        self.tell(None, cleatfold_wire::mesh::Message::Changed);
+        self.send_to_peers(None, cleatfold_wire::mesh::Message::Changed);
     }
 }
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -26,7 +26,7 @@
         let Some(settings) = self.cfg.image_distribution.clone() else { return };
         if self.now.since(self.image_distribution.last_checked)
             < DISTRIBUTION_INTERVAL_MS * self.backpressure
-            || !self.in_contact()
+            || !self.has_store_contact()
         {
             return;
         }
@@ -67,7 +67,8 @@
         match self.inventory.machines.get(id) {
             Some(machine) => machine.expired,
             None => {
-                let known = self.cfg.list_lag_ms + self.cfg.lease_ms + self.cfg.given_up_ms();
+                let known =
+                    self.cfg.list_lag_ms + self.cfg.lease_ms + self.cfg.machine_timeout_ms();
                 let slot = self.cache.origin.value.slots.get(id);
                 let owned = slot.and_then(|s| self.pools.owned.get(&s.pool));
                 self.inventory.is_deleted(id)
@@ -102,7 +103,7 @@
                     image: spec.image.clone(),
                     urgency: spec.urgency as u8,
                     gang: spec.kind == Kind::Gang,
-                    place: cached.place(),
+                    place: cached.accepted_revision(),
                     mb_per_s: settings.slot(kind.map_or(1.0, |t| t.fetch_gb_per_s)),
                     // Of others' machines nothing is known: they decide themselves.
                     supports_peer_fetch: images.is_none_or(|i| i.is_some()),
@@ -265,7 +266,7 @@
         self.image_distribution.slots_inflight = true;
         self.image_distribution.slots_at = self.now;
         let request = StoreRequest::Txn(txn.clone());
-        self.store(CallPriority::Claim, request, Pending::Origin { txn, record });
+        self.call_store(CallPriority::Claim, request, Pending::Origin { txn, record });
     }
 
     pub(crate) fn on_origin(&mut self, op: u64, txn: Txn, record: OriginRecord, reply: StoreReply) {
@@ -273,7 +274,7 @@
             // It may yet be executed: until that is decided what it gives back is not used.
             StoreReply::Unknown | StoreReply::Refused => {
                 let again = txn.clone();
-                return self.again(
+                return self.schedule_resend(
                     op,
                     CallPriority::Claim,
                     again,
@@ -360,7 +361,7 @@
             }
             self.image_distribution.holders_inflight = true;
             self.image_distribution.holders_at = self.now;
-            self.store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::Spread);
+            self.call_store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::ImageHolders);
             return;
         }
     }
@@ -382,7 +383,7 @@
             }
         }
         if !machines.is_empty() {
-            self.tell(None, Message::Images { machines });
+            self.send_to_peers(None, Message::Images { machines });
         }
     }
 }
--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -24,7 +24,7 @@
     /// Our transaction has cancelled the job.
     pub(crate) fn note_confirmed(&mut self, job: &JobId) {
         let cached = self.cache.jobs.get(job);
-        let pools = cached.into_iter().flat_map(|l| &l.by_pool).filter(|p| p.1 > 0);
+        let pools = cached.into_iter().flat_map(|l| &l.claims_by_pool).filter(|p| p.1 > 0);
         let holders = pools.filter_map(|p| self.cache.pools.get(&p.0));
         let owners: Vec<ControllerId> = holders.map(|h| h.owner.clone()).collect();
         let mut broadcast = std::mem::take(&mut self.cancellations.broadcast);
@@ -35,7 +35,7 @@
 
     /// Cancellations that a reading brought.
     pub(crate) fn note_read_cancellations(&mut self) {
-        let read = std::mem::take(&mut self.cache.cancelled);
+        let read = std::mem::take(&mut self.cache.newly_cancelled);
         if read.is_empty() {
             return;
         }
@@ -57,7 +57,7 @@
         let due = self.cancellations.broadcast.due(self.now, keep_ms, |n| peers.contact(n));
         for (peer, jobs) in due {
             let jobs = jobs.iter().map(|j| j.to_string()).collect();
-            self.tell(Some(peer), Message::Cancelled { jobs });
+            self.send_to_peers(Some(peer), Message::Cancelled { jobs });
         }
     }
 
@@ -66,11 +66,11 @@
         for job in jobs.iter().map(JobId::new) {
             if broadcast.received(&job, &from, self.peers(), self.now) {
                 // Its machines' reports call for orders now, though they say what they said before.
-                self.cache.restamp(&job);
+                self.cache.renew_stamps(&job);
             }
         }
         self.cancellations.broadcast = broadcast;
-        self.tell(Some(from), Message::CancelledAck { jobs });
+        self.send_to_peers(Some(from), Message::CancelledAck { jobs });
         self.tell_cancelled();
     }
 
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -4,7 +4,7 @@
 use crate::effects::{CallPriority, Request, Response, StoreReply, StoreRequest};
 use crate::jobs::archive::Joined;
 use crate::jobs::submissions::SUBMIT_MS;
-use crate::store::records::{archive_key, status, ArchiveRecord, LossList, ARCHIVE};
+use crate::store::records::{archive_key, job_status, ArchiveRecord, LossList, ARCHIVE_PREFIX};
 use cleatfold_wire::job::{JobState, JobStatus, StepCount};
 use cleatfold_wire::{JobId, Ms, Version};
 use std::collections::{BTreeMap, VecDeque};
@@ -36,8 +36,8 @@
 
     pub(crate) fn get(&self, job: &JobId) -> Option<JobStatus> {
         self.states.get(job).map(|archive| {
-            let mut status = status(job, archive.state, archive.done, 0);
-            status.losses = archive.losses.answer(job, archive.state == JobState::Done);
+            let mut status = job_status(job, archive.state, archive.done, 0);
+            status.losses = archive.losses.to_job_losses(job, archive.state == JobState::Done);
             status
         })
     }
@@ -53,12 +53,12 @@
             let response = if self.is_ready() {
                 Response::Ready
             } else {
-                Response::later("this node is not ready")
+                Response::retry_later("this node is not ready")
             };
             return self.reply(rid, response);
         }
-        if !self.serving() {
-            return self.reply(rid, Response::later("this node is starting"));
+        if !self.is_serving() {
+            return self.reply(rid, Response::retry_later("this node is starting"));
         }
         match request {
             Request::Submit(spec) => self.on_submit(rid, spec),
@@ -72,7 +72,7 @@
             },
             Request::Steps(report) => self.on_steps(rid, report),
             Request::TeamLosses { team, since } => self.on_team_losses(rid, team, since),
-            Request::Team { team, what, since } => self.on_team(rid, team, what, since),
+            Request::Workspace { team, view, since } => self.on_team(rid, team, view, since),
             Request::Ready => unreachable!("answered above"),
         }
     }
@@ -89,10 +89,10 @@
 
     pub(crate) fn wait(&mut self, rid: u64, job: JobId, kind: WaitReason) {
         if self.store_away() {
-            return self.reply(rid, Response::later("the state service does not answer"));
+            return self.reply(rid, Response::retry_later("the state service does not answer"));
         }
-        let (arrived, arrived_at) = (self.now, self.event);
-        self.waiting.push(WaitingRequest { rid, job, arrived, arrived_at, kind });
+        let (arrived, arrival_event) = (self.now, self.event);
+        self.waiting_requests.push(WaitingRequest { rid, job, arrived, arrival_event, kind });
         self.sync_if_due();
     }
 
@@ -101,7 +101,7 @@
         let away = self.store_away();
         let now = self.now;
         let mut late = Vec::new();
-        self.waiting.retain(|w| {
+        self.waiting_requests.retain(|w| {
             let limit = if matches!(w.kind, WaitReason::Poll) { POLL_MS } else { REQUEST_MS };
             let give_up = away || now.since(w.arrived) > limit;
             if give_up {
@@ -122,16 +122,17 @@
             now.since(w.arrived) > limit
         }));
         for rid in late {
-            self.reply(rid, Response::later("the state service does not answer"));
+            self.reply(rid, Response::retry_later("the state service does not answer"));
         }
     }
 
-    /// A reading sent at event `sent_at` is in: it answers everyone who asked before. By events, not by the clock: who
+    /// A reading sent at event `sent_event` is in: it answers everyone who asked before. By events, not by the clock: who
     /// asks later in the same millisecond may have been told by another controller of what this reading does not show.
-    pub(crate) fn answer_waiting(&mut self, sent_at: EventNumber) {
-        let (ripe, rest) =
-            std::mem::take(&mut self.waiting).into_iter().partition(|w| w.arrived_at <= sent_at);
-        self.waiting = rest;
+    pub(crate) fn answer_waiting(&mut self, sent_event: EventNumber) {
+        let (ripe, rest) = std::mem::take(&mut self.waiting_requests)
+            .into_iter()
+            .partition(|w| w.arrival_event <= sent_event);
+        self.waiting_requests = rest;
         let mut unknown: BTreeMap<JobId, Vec<WaitingRequest>> = BTreeMap::new();
         for w in ripe {
             let w: WaitingRequest = w;
@@ -149,7 +150,7 @@
         for (job, waiting) in unknown {
             self.query_archive(job, waiting);
         }
-        self.answer_teams(Some(sent_at));
+        self.answer_teams(Some(sent_event));
     }
 
     pub(crate) fn live_status(&self, job: &JobId) -> Option<JobStatus> {
@@ -159,17 +160,17 @@
             (false, 0) => JobState::Queued,
             _ => JobState::Running,
         };
-        let mut status = status(job, state, cached.done, cached.claimed);
+        let mut status = job_status(job, state, cached.done, cached.claimed);
         if let (Some(elastic), Some(left)) = (&cached.record.spec.elastic, cached.steps_left) {
             let finished = elastic.steps.saturating_sub(left);
             status.done = finished;
             status.steps = Some(StepCount { finished, total: elastic.steps });
         }
         status.why = self.why(job, cached);
-        if self.cache.lossy.contains(job) {
+        if self.cache.jobs_with_losses.contains(job) {
             let mut losses = LossList::default();
-            self.cache.tables(job).for_each(|t| losses.take(t.losses.clone()));
-            status.losses = losses.answer(job, state != JobState::Aborted);
+            self.cache.tables(job).for_each(|t| losses.merge(t.losses.clone()));
+            status.losses = losses.to_job_losses(job, state != JobState::Aborted);
         }
         Some(status)
     }
@@ -193,19 +194,19 @@
         match self.archive.join(&job, waiting, self.event) {
             Joined::Ask => {
                 let request = StoreRequest::Get(archive_key(&job));
-                self.store(CallPriority::Poll, request, Pending::Archive { job });
+                self.call_store(CallPriority::Poll, request, Pending::ArchivedJob { job });
             }
             Joined::UnderWay => {}
             Joined::Full(waiting) => {
                 for w in waiting {
-                    self.reply(w.rid, Response::later("too many such questions"));
+                    self.reply(w.rid, Response::retry_later("too many such questions"));
                 }
             }
         }
     }
 
     pub(crate) fn on_archive(&mut self, job: JobId, reply: StoreReply) {
-        let (sent_at, waiting) = self.archive.leave(&job);
+        let (sent_event, waiting) = self.archive.leave(&job);
         match reply {
             StoreReply::Item(item) => {
                 if !self.note_archived(&job, item.value.get()) {
@@ -220,28 +221,28 @@
             StoreReply::Missing => {
                 for w in waiting {
                     // It may have been accepted since we looked: then it waits once more.
-                    let later = w.arrived_at > sent_at;
+                    let later = w.arrival_event > sent_event;
                     let known = self.cache.jobs.contains_key(&job)
                         || self.terminal_jobs.get(&job).is_some();
                     if later || known {
-                        self.waiting.push(w);
+                        self.waiting_requests.push(w);
                         continue;
                     }
                     match w.kind {
                         WaitReason::Impossible(why) => {
-                            self.reply(w.rid, Response::refuse(422, why))
+                            self.reply(w.rid, Response::rejection(422, why))
                         }
                         WaitReason::Known(spec) => {
                             let (rid, arrived) = (w.rid, w.arrived);
                             self.submitting.push(Submission { rid, spec, arrived });
                         }
-                        _ => self.reply(w.rid, Response::refuse(404, "no such job")),
+                        _ => self.reply(w.rid, Response::rejection(404, "no such job")),
                     }
                 }
             }
             _ => {
                 for w in waiting {
-                    self.reply(w.rid, Response::later("the state service does not answer"));
+                    self.reply(w.rid, Response::retry_later("the state service does not answer"));
                 }
             }
         }
@@ -264,12 +265,12 @@
     /// Jobs left the live records by others' hands: reads how they ended, all of them at once, so
     /// that no poll has to ask for each.
     pub(crate) fn follow_archive(&mut self) {
-        if !self.archive.follow(&self.cache.applied) {
+        if !self.archive.follow(&self.cache.applied_revision) {
             return;
         }
         let from = self.archive.read_to;
-        let request = StoreRequest::Changes { prefix: ARCHIVE.into(), from };
-        self.store(CallPriority::Poll, request, Pending::Ended { from });
+        let request = StoreRequest::Changes { prefix: ARCHIVE_PREFIX.into(), from };
+        self.call_store(CallPriority::Poll, request, Pending::EndedJobs { from });
     }
 
     pub(crate) fn on_ended(&mut self, from: Version, reply: StoreReply) {
@@ -283,7 +284,8 @@
             return;
         };
         for event in &events.events {
-            let job = event.put.as_deref().and_then(|k| k.strip_prefix(ARCHIVE)).map(JobId::new);
+            let job =
+                event.put.as_deref().and_then(|k| k.strip_prefix(ARCHIVE_PREFIX)).map(JobId::new);
             if let (Some(job), Some(value)) = (job, &event.value) {
                 self.note_archived(&job, value.get());
             }
--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -2,8 +2,8 @@
 
 use crate::event_number::EventNumber;
 use crate::jobs::step_reports::{JudgedReports, MemberReport};
-use crate::store::records::{ArchiveRecord, JobRecord, PART};
-use crate::store::sent::Sent;
+use crate::store::records::{ArchiveRecord, JobRecord, TASKS_PER_PART};
+use crate::store::send_status::SendStatus;
 use cleatfold_wire::losses::LossCause;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::worker::Exit;
@@ -146,7 +146,7 @@
     /// The outcome of an earlier sending is unknown.
     pub doubtful: bool,
     /// When it was sent first.
-    pub sent: Sent,
+    pub sent: SendStatus,
     pub ends: Vec<ClaimEnd>,
     pub claims: Vec<(PlacementRequest, Vec<(TaskIx, Attempt)>)>,
     pub withdrawals: Vec<u64>,
@@ -174,5 +174,5 @@
 
 /// The part of a job in parts that has the task; none of a job in one record.
 pub(crate) fn part_of(record: &JobRecord, ix: TaskIx) -> Option<u32> {
-    record.in_parts().then_some(ix.0 / PART)
+    record.in_parts().then_some(ix.0 / TASKS_PER_PART)
 }
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -26,12 +26,12 @@
             xxhash_rust::xxh3::xxh3_64(format!("{job}@{controller}").as_bytes())
         };
         let cached = self.cache.controllers.keys();
-        cached.max_by_key(|n| rank(n)).cloned().unwrap_or_else(|| self.cfg.me.clone())
+        cached.max_by_key(|n| rank(n)).cloned().unwrap_or_else(|| self.cfg.controller_id.clone())
     }
 
     pub(crate) fn on_steps(&mut self, rid: u64, report: Box<StepReport>) {
         let coordinator = self.coordinator(&report.member.job);
-        if coordinator != self.cfg.me && !report.generate_load {
+        if coordinator != self.cfg.controller_id && !report.generate_load {
             return self.reply(rid, Response::Redirect(Some(coordinator)));
         }
         if self.store_away() {
@@ -68,7 +68,7 @@
         };
         if let Some(why) = why {
             tracing::info!(member = %report.member, attempt = report.attempt.0, why, "step report refused");
-            return self.reply(rid, Response::refuse(409, why));
+            return self.reply(rid, Response::rejection(409, why));
         }
         let idle = report.wants > 0 && self.runs_out(&report);
         let arrived = self.now;
@@ -92,7 +92,7 @@
                 Verdict::Lost(why) => {
                     let member = &member_reports.report.member;
                     tracing::info!(%member, attempt = member_reports.report.attempt.0, why, "step report refused");
-                    Response::refuse(409, why)
+                    Response::rejection(409, why)
                 }
             };
             self.reply(member_reports.rid, response);
@@ -120,10 +120,10 @@
     /// ended the last ones in different parts at the same time each still saw the other's, and the job stayed
     /// for ever. So its coordinator looks.
     pub(crate) fn complete_jobs(&mut self) {
-        if self.now.since(self.completed_at) < COMPLETE_MS {
+        if self.now.since(self.completion_checked_at) < COMPLETE_MS {
             return;
         }
-        self.completed_at = self.now;
+        self.completion_checked_at = self.now;
         let cached = |id: &JobId| self.cache.jobs.get(id).filter(|l| l.claimed == 0);
         let steps = self.cache.progress.keys();
         let steps =
@@ -131,8 +131,11 @@
         // Whether any part of it has a record or not: cancelled before its first claim, it has none.
         let cancelled = |l: &CachedJob| l.record.aborted && l.record.in_parts() && l.claimed == 0;
         let parts = self.cache.jobs.iter().filter(|(_, l)| cancelled(l)).map(|(id, _)| id);
-        let over: Vec<JobId> =
-            steps.chain(parts).filter(|id| self.coordinator(id) == self.cfg.me).cloned().collect();
+        let over: Vec<JobId> = steps
+            .chain(parts)
+            .filter(|id| self.coordinator(id) == self.cfg.controller_id)
+            .cloned()
+            .collect();
         for job in over {
             self.job_state(&job).over = true;
             self.note_unsent(&job);
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -2,8 +2,8 @@
 
 use crate::controller::{Controller, Pending, Submission, WaitReason};
 use crate::effects::{CallPriority, Response, StoreReply, StoreRequest};
-use crate::store::records::{archive_key, job_key, status, JobRecord};
-use crate::store::sent::Sent;
+use crate::store::records::{archive_key, job_key, job_status, JobRecord};
+use crate::store::send_status::SendStatus;
 use cleatfold_backfill::Resources;
 use cleatfold_ingress::SubmissionQueue;
 use cleatfold_wire::job::{JobSpec, JobState, Kind};
@@ -69,7 +69,7 @@
             return self.wait(rid, job, WaitReason::Impossible(why));
         }
         if self.store_away() {
-            return self.reply(rid, Response::later("the state service does not answer"));
+            return self.reply(rid, Response::retry_later("the state service does not answer"));
         }
         let wait_s = self.submitting.submission_queue.wait_s(&spec.team, self.submissions_per_s());
         if wait_s > SUBMIT_QUEUE_S {
@@ -168,7 +168,7 @@
                 break;
             }
             if length > self.cfg.max_value_bytes {
-                self.reply(next.rid, Response::refuse(400, "the description is too long"));
+                self.reply(next.rid, Response::rejection(400, "the description is too long"));
                 continue;
             }
             if batch.iter().any(|b| b.spec.id == job) {
@@ -187,10 +187,10 @@
         self.submitting.inflight = true;
         let changes = txn.changes.len();
         let request = StoreRequest::Txn(txn.clone());
-        self.store(
+        self.call_store(
             CallPriority::Submission,
             request,
-            Pending::Submit { batch, txn, sent: Sent::now(self.now) },
+            Pending::Submit { batch, txn, sent: SendStatus::new(self.now) },
         );
         changes
     }
@@ -202,7 +202,7 @@
         let job = spec.id.clone();
         let accepted = |status| Response::Status { code: 201, status };
         if self.cache.jobs.get(&job).is_some_and(|cached| cached.version == version) {
-            self.reply(rid, accepted(status(&job, JobState::Queued, 0, 0)));
+            self.reply(rid, accepted(job_status(&job, JobState::Queued, 0, 0)));
         } else if let Some(status) = self.terminal_jobs.get(&job).or_else(|| self.live_status(&job))
         {
             self.reply(rid, accepted(status));
@@ -231,7 +231,7 @@
                     self.answer_accepted(submission, version);
                 }
                 self.replan_needed = true;
-                self.tell(None, Message::Changed);
+                self.send_to_peers(None, Message::Changed);
             }
             StoreReply::Conflict(failed) => {
                 // Those that are known get their state; the others go again.
@@ -248,20 +248,23 @@
             StoreReply::Unknown => {
                 // It may be accepted yet; the users are told to ask again, which will tell.
                 for submission in &batch {
-                    self.reply(submission.rid, Response::later("the outcome is not known yet"));
+                    self.reply(
+                        submission.rid,
+                        Response::retry_later("the outcome is not known yet"),
+                    );
                 }
                 self.session.sync_wanted = true;
             }
-            StoreReply::Bad(why) => {
+            StoreReply::Invalid(why) => {
                 for submission in batch {
-                    self.reply(submission.rid, Response::refuse(503, why.clone()));
+                    self.reply(submission.rid, Response::rejection(503, why.clone()));
                 }
             }
             _ => {
                 for submission in batch {
                     self.reply(
                         submission.rid,
-                        Response::later("the state service does not answer"),
+                        Response::retry_later("the state service does not answer"),
                     );
                 }
             }
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -10,8 +10,8 @@
 use crate::jobs::state::{ClaimEnd, JobTransaction, LocalJobState, Outcome};
 use crate::jobs::step_reports::{judge, write, JudgedReports};
 use crate::store::cache::{CachedJob, ProgressMap, StateCache};
-use crate::store::records::{archive_key, job_key, status, ArchiveRecord};
-use crate::store::sent::Sent;
+use crate::store::records::{archive_key, job_key, job_status, ArchiveRecord};
+use crate::store::send_status::SendStatus;
 use cleatfold_elastic::{Progress, Verdict};
 use cleatfold_wire::job::{JobState, JobStatus};
 use cleatfold_wire::mesh::Message;
@@ -105,7 +105,7 @@
             draft.record.aborted = true;
             draft.head_changed = true;
         }
-        let end = final_state(&draft, cached, &steps, self.cache.applied);
+        let end = final_state(&draft, cached, &steps, self.cache.applied_revision);
         draft.write_parts();
 
         let mut withdrawals = Vec::new();
@@ -116,7 +116,7 @@
             // Nothing left to say (an abort of an aborted job, an end that was settled).
             job_state.abort = false;
             let state = if draft.record.aborted { JobState::Aborted } else { JobState::Queued };
-            let status = status(job, state, draft.done, draft.claimed);
+            let status = job_status(job, state, draft.done, draft.claimed);
             self.answer_withdrawals(withdrawals, &status);
             // What these steps rest on was read from the state service: it is durable.
             self.answer_steps(std::mem::take(&mut steps.verdicts));
@@ -127,7 +127,7 @@
             job: job.clone(),
             txn: draft.txn,
             doubtful: false,
-            sent: Sent::now(self.now),
+            sent: SendStatus::new(self.now),
             ends: ends.recorded,
             claims,
             withdrawals,
@@ -174,12 +174,12 @@
             StoreReply::Unknown => {
                 tx.doubtful = true;
                 let txn = tx.txn.clone();
-                self.again(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 200);
+                self.schedule_resend(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 200);
             }
             // Not executed this time, but an earlier sending may yet be.
             StoreReply::Refused if tx.doubtful => {
                 let txn = tx.txn.clone();
-                self.again(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 500);
+                self.schedule_resend(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 500);
             }
             reply => {
                 let conflict = matches!(reply, StoreReply::Conflict(_));
@@ -193,7 +193,7 @@
                         self.quota.blind = Some(event);
                     }
                 }
-                let contact = self.in_contact();
+                let contact = self.has_store_contact();
                 let job_state = self.job_state(&tx.job);
                 job_state.busy = false;
                 if conflict {
@@ -214,7 +214,7 @@
                     tx.steps.verdicts.into_iter().map(|(member_reports, _)| member_reports),
                 );
                 for rid in tx.withdrawals {
-                    self.reply(rid, Response::later("the state service does not answer"));
+                    self.reply(rid, Response::retry_later("the state service does not answer"));
                 }
                 self.note_unsent(&tx.job);
                 if !self.cache.jobs.contains_key(&tx.job) {
@@ -255,13 +255,13 @@
         if is_gone {
             self.discard_job_state(&job);
         }
-        for other in std::mem::take(&mut self.cache.gone) {
+        for other in std::mem::take(&mut self.cache.removed_jobs) {
             self.discard_job_state(&other);
         }
         let claimed: Vec<MachineId> = tx.claims.iter().map(|c| c.0.machine.clone()).collect();
         self.answer_long_polls(&claimed);
         self.replan_needed = true;
-        self.tell(None, Message::Changed);
+        self.send_to_peers(None, Message::Changed);
     }
 
     /// What the job's user is told after a transaction.
@@ -271,11 +271,11 @@
                 let state = if aborted { JobState::Aborted } else { JobState::Running };
                 let cached = self.cache.jobs.get(job);
                 let (done, claimed) = cached.map_or((0, 0), |cached| (cached.done, cached.claimed));
-                status(job, state, done, claimed)
+                job_status(job, state, done, claimed)
             }
             Outcome::Ended(archive) => {
                 tracing::info!(%job, state = ?archive.state, "job ended");
-                let status = status(job, archive.state, archive.done, 0);
+                let status = job_status(job, archive.state, archive.done, 0);
                 self.find_ended_losses(job, &archive);
                 self.terminal_jobs.insert(job.clone(), archive);
                 status
@@ -378,7 +378,7 @@
     let job = &record.spec.id;
     let mut losses = record.table.losses.clone();
     for part in cache.parts.get(job).into_iter().flat_map(|p| p.values()) {
-        losses.take(part.value.losses.clone());
+        losses.merge(part.value.losses.clone());
     }
     ArchiveRecord {
         state,
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -18,7 +18,7 @@
     /// Sends what is due, as far as our part of the state service's changes goes: what weighs
     /// most goes first, the rest gathers until its turn.
     pub(crate) fn flush(&mut self) {
-        let controllers = if self.in_contact() { self.cache.controllers.len() } else { 0 };
+        let controllers = if self.has_store_contact() { self.cache.controllers.len() } else { 0 };
         let controllers = if controllers == 0 { self.cfg.peers.len() + 1 } else { controllers };
         self.rate_limiter.refill(self.now.0, self.cfg.changes_per_s, controllers);
         while self.rate_limiter.is_open() {
@@ -46,7 +46,7 @@
         let now = self.now;
         let ample = self.rate_limiter.is_ample();
         let mut best: Option<((bool, u64), JobId)> = None;
-        let mut unsent = std::mem::take(&mut self.unsent);
+        let mut unsent = std::mem::take(&mut self.dirty_jobs);
         unsent.retain(|id| self.job_states.get(id).is_some_and(|l| l.busy || l.has_updates()));
         for id in &unsent {
             let Some(job_state) = self.job_states.get_mut(id) else { continue };
@@ -71,7 +71,7 @@
                 best = Some((weight, id.clone()));
             }
         }
-        self.unsent = unsent;
+        self.dirty_jobs = unsent;
         best.map(|b| b.1)
     }
 
@@ -85,7 +85,7 @@
         let done = job_state.ends.iter().filter(|e| e.done).count() as u32;
         let starts = job_state.placement_requests.iter().map(|w| w.tasks).sum();
         let mine: u32 = cached
-            .by_pool
+            .claims_by_pool
             .iter()
             .filter(|(p, _)| self.pools.owned.contains_key(p))
             .map(|p| p.1)
@@ -138,7 +138,7 @@
         let cached = self.cache.jobs.get(job).filter(|l| l.record.in_parts())?;
         let mut parts: BTreeMap<u32, PendingPartUpdates> = BTreeMap::new();
         for end in &job_state.ends {
-            let part = parts.entry(end.ix.0 / crate::store::records::PART).or_default();
+            let part = parts.entry(end.ix.0 / crate::store::records::TASKS_PER_PART).or_default();
             *if end.done { &mut part.done } else { &mut part.lost } += 1;
         }
         let tables = self.cache.parts.get(job);
@@ -167,15 +167,15 @@
     /// Our place among the live controllers, and how many there are.
     pub(crate) fn rank(&self) -> (usize, usize) {
         let controllers = &self.cache.controllers;
-        let rank = controllers.keys().position(|n| *n == self.cfg.me).unwrap_or(0);
+        let rank = controllers.keys().position(|n| *n == self.cfg.controller_id).unwrap_or(0);
         (rank, controllers.len())
     }
 
     /// Something of the job waits to be recorded.
     pub(crate) fn note_unsent(&mut self, job: &JobId) {
         self.flush_due = true;
-        if !self.unsent.contains(job) {
-            self.unsent.insert(job.clone());
+        if !self.dirty_jobs.contains(job) {
+            self.dirty_jobs.insert(job.clone());
         }
     }
 
@@ -195,6 +195,6 @@
         job_state.busy = true;
         job_state.unsent_since = None;
         let txn = tx.txn.clone();
-        self.store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::Job(Box::new(tx)));
+        self.call_store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::Job(Box::new(tx)));
     }
 }
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -107,7 +107,7 @@
             tracing::info!("pool assignment role acquired");
             self.now
         });
-        if self.in_contact() && self.may_assign_pools(since) {
+        if self.has_store_contact() && self.may_assign_pools(since) {
             self.assign_pools();
         }
         if self.now.since(self.leadership.jobs_assigned_at) >= 500 * self.backpressure {
@@ -218,7 +218,7 @@
 
     /// The live controller of a zone.
     fn home_of(&self, zone: &ZoneId) -> Option<ControllerId> {
-        std::iter::once((&self.cfg.me, &self.cfg.zone))
+        std::iter::once((&self.cfg.controller_id, &self.cfg.zone))
             .chain(self.cfg.peers.iter().map(|(n, z)| (n, z)))
             .find(|(n, z)| *z == zone && self.cache.controllers.contains_key(*n))
             .map(|(n, _)| n.clone())
@@ -273,7 +273,8 @@
         if txn.changes.is_empty() {
             return;
         }
-        let op = self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::PoolAssignment);
+        let op =
+            self.call_store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::PoolAssignment);
         self.leadership.pending_assignment = Some(op);
     }
 
@@ -283,7 +284,7 @@
         self.leadership.assignment_confirmed_at = self.now;
         self.session.sync_wanted = true;
         if matches!(reply, StoreReply::Committed(_)) {
-            self.tell(None, Message::Changed);
+            self.send_to_peers(None, Message::Changed);
         }
     }
 
@@ -294,10 +295,10 @@
             .pool_assigned_at
             .get(&pool)
             .is_some_and(|at| self.now.since(*at) < REASSIGNMENT_PAUSE_MS);
-        if recent || self.leadership.pending_assignment.is_some() || !self.in_contact() {
+        if recent || self.leadership.pending_assignment.is_some() || !self.has_store_contact() {
             return;
         }
-        let me = self.cfg.me.clone();
+        let me = self.cfg.controller_id.clone();
         self.reachability.view.left(owner, &pool.zone, self.now);
         tracing::info!(%pool, %owner, "taking pool over: its workers do not reach its owner");
         self.write_assignments(vec![PoolMove { pool, to: me }]);
@@ -367,8 +368,8 @@
             assigned.push((id.to_string(), chosen.iter().map(|&i| i as u16).collect()));
         }
         let names: Vec<String> = pools.iter().map(|p| p.to_string()).collect();
-        let me = self.cfg.me.clone();
-        self.tell(None, Message::Assign { pools: names.clone(), jobs: assigned.clone() });
+        let me = self.cfg.controller_id.clone();
+        self.send_to_peers(None, Message::Assign { pools: names.clone(), jobs: assigned.clone() });
         self.on_assign(&me, names, assigned);
     }
 
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -78,7 +78,7 @@
             >= SCALE_OUT_INTERVAL_MS * self.backpressure;
         if !due
             || !self.holds(Role::ScaleOut)
-            || !self.in_contact()
+            || !self.has_store_contact()
             || self.cloud_state.list_at.is_none()
         {
             return;
@@ -103,7 +103,7 @@
         txn.guard(Role::ScaleOut.key(), epoch);
         txn.put(SCALE_OUT_KEY, &step.book, None);
         self.scale_out.writing = true;
-        self.store(
+        self.call_store(
             CallPriority::Renewal,
             StoreRequest::Txn(txn),
             Pending::ScaleOutIntents(Box::new(step)),
@@ -132,7 +132,10 @@
             self.scale_out.count += 1;
             tracing::info!(%pool, spot, count, lack, "scaling out");
             new.push(ScaleOutIntent {
-                name: format!("{}-{}-{}", self.cfg.me, incarnation, self.scale_out.count),
+                name: format!(
+                    "{}-{}-{}",
+                    self.cfg.controller_id, incarnation, self.scale_out.count
+                ),
                 machine_type: pool.machine_type,
                 zone: pool.zone,
                 spot,
@@ -157,7 +160,7 @@
                     }
                     let request = intent.request();
                     let pending = Pending::ScaleOut { request: request.clone(), tries: 0 };
-                    self.cloud(CloudRequest::ScaleOut(request), pending);
+                    self.call_cloud(CloudRequest::ScaleOut(request), pending);
                 }
             }
             // Perhaps it is durable: then the intents stand, and are met like a former holder's.
@@ -172,13 +175,13 @@
         let pool =
             PoolId { machine_type: request.machine_type.clone(), zone: request.zone.clone() };
         let answer = match reply {
-            CloudReply::Rented(machines) => {
+            CloudReply::Created(machines) => {
                 tracing::info!(%pool, spot = request.spot, ?machines, "machines created");
                 let short = (machines.len() as u32) < request.count;
                 let names = machines.iter().map(|m| m.to_string()).collect();
                 let message =
                     Message::Rented { pool: pool.to_string(), spot: request.spot, machines: names };
-                self.tell(None, message);
+                self.send_to_peers(None, message);
                 self.note_created_machines(&pool, request.spot, machines);
                 if short {
                     Answer::Short
@@ -190,7 +193,7 @@
             // The same name again creates nothing twice.
             _ if tries < 3 => {
                 let pending = Pending::ScaleOut { request: request.clone(), tries: tries + 1 };
-                return self.cloud(CloudRequest::ScaleOut(request), pending);
+                return self.call_cloud(CloudRequest::ScaleOut(request), pending);
             }
             _ => Answer::Unknown,
         };
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -38,7 +38,7 @@
     /// Without a heartbeat for so long its lease may have expired.
     quiet_ms: u64,
     /// Without a heartbeat for so long it is given up.
-    given_up_ms: u64,
+    machine_timeout_ms: u64,
     lease_ms: u64,
     idle_ms: u64,
 }
@@ -177,7 +177,7 @@
             Some(count) => count,
             None => self.zones.entry(zone.clone()).or_default(),
         };
-        if quiet_ms > times.given_up_ms {
+        if quiet_ms > times.machine_timeout_ms {
             count.unresponsive += 1;
             let silent = SilentMachine { id: id.clone(), zone: zone.clone(), silent_ms: quiet_ms };
             self.silent.push(silent);
@@ -217,17 +217,18 @@
     /// failed, silent or idle.
     pub(crate) fn watch_machines(&mut self) {
         // Cut off, we would take our own silence for the machines'. Others may hear them.
-        let is_due = self.now.since(self.watched) >= WATCH_INTERVAL_MS * self.backpressure;
-        if !self.in_contact() || !is_due {
+        let is_due =
+            self.now.since(self.machines_checked_at) >= WATCH_INTERVAL_MS * self.backpressure;
+        if !self.has_store_contact() || !is_due {
             return;
         }
-        self.watched = self.now;
+        self.machines_checked_at = self.now;
         self.adopt_claimed_machines();
         self.judge_machines();
         let times = WatchTimes {
             now: self.now,
             quiet_ms: self.silent_ms(),
-            given_up_ms: self.cfg.given_up_ms(),
+            machine_timeout_ms: self.cfg.machine_timeout_ms(),
             lease_ms: self.cfg.lease_ms,
             idle_ms: (self.cfg.idle_return_s * 1000.0) as u64,
         };
@@ -347,7 +348,7 @@
         if !batch.is_empty() {
             tracing::info!(machines = ?batch, "deleting machines");
             let pending = Pending::Delete { machines: batch.clone() };
-            self.cloud(CloudRequest::Delete(batch), pending);
+            self.call_cloud(CloudRequest::Delete(batch), pending);
         }
     }
 
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -40,7 +40,7 @@
             let endpoint =
                 self.inventory.machines.get(&probe.machine).and_then(|m| m.endpoint.clone());
             if let Some(endpoint) = endpoint {
-                self.out.push(Effect::Probe { machine: probe.machine, endpoint });
+                self.effects.push(Effect::Probe { machine: probe.machine, endpoint });
             }
         }
         let lost: BTreeSet<ZoneId> = self
@@ -60,7 +60,7 @@
             let contact =
                 |(z, h): (&ZoneId, ZoneContact)| (z.to_string(), self.now.since(h.at), h.lost);
             let zones = self.reachability.view.zone_contacts().map(contact).collect();
-            self.tell(None, Message::ZoneContact { zones });
+            self.send_to_peers(None, Message::ZoneContact { zones });
         }
     }
 
@@ -119,7 +119,7 @@
         );
         let endpoint = heartbeat.endpoint.clone().filter(|_| came == Came::Ask);
         if let Some(endpoint) = endpoint {
-            self.out.push(Effect::Probe { machine: heartbeat.machine.clone(), endpoint });
+            self.effects.push(Effect::Probe { machine: heartbeat.machine.clone(), endpoint });
         }
     }
 
@@ -170,12 +170,12 @@
 
     /// Whether the controller may be given a share of a zone's machines: as far as we know it reaches them.
     pub(crate) fn may_hold(&self, controller: &ControllerId, zone: &ZoneId) -> bool {
-        self.reachability.view.may_hold(&self.cfg.me, controller, zone, self.now)
+        self.reachability.view.may_hold(&self.cfg.controller_id, controller, zone, self.now)
     }
 
     /// Controllers that reach the pool's workers where its owner, that lives, does not.
     pub(crate) fn takers(&self, owner: &ControllerId, pool: &PoolId) -> BTreeSet<ControllerId> {
-        let (view, me) = (&self.reachability.view, &self.cfg.me);
+        let (view, me) = (&self.reachability.view, &self.cfg.controller_id);
         let takes = |n: &&ControllerId| view.reaches_instead(me, n, owner, &pool.zone, self.now);
         self.cache.controllers.keys().filter(takes).cloned().collect()
     }
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -10,7 +10,8 @@
 use crate::effects::{CallPriority, Response, StoreReply, StoreRequest};
 use crate::store::cache::Versioned;
 use crate::store::records::{
-    loss_head_key, loss_log_key, loss_log_prefix, workspace_key, ArchiveRecord, LossHead, LOSS_LOG,
+    loss_head_key, loss_log_key, loss_log_prefix, workspace_key, ArchiveRecord, LossHead,
+    LOSS_LOG_PREFIX,
 };
 use cleatfold_wire::losses::{Loss, TeamLosses};
 use cleatfold_wire::store::Txn;
@@ -37,14 +38,14 @@
     /// Now and then, once we serve.
     pub(crate) fn keep_losses(&mut self) {
         if self.losses.begin_reading() {
-            let from = Version(self.cache.applied.0.saturating_sub(BACK));
-            let request = StoreRequest::Changes { prefix: LOSS_LOG.into(), from };
-            self.store(CallPriority::Poll, request, Pending::LossLog);
+            let from = Version(self.cache.applied_revision.0.saturating_sub(BACK));
+            let request = StoreRequest::Changes { prefix: LOSS_LOG_PREFIX.into(), from };
+            self.call_store(CallPriority::Poll, request, Pending::LossLog);
         }
         if self.losses.back && !self.archive.following {
             // What ended while nobody kept the team.
             self.losses.back = false;
-            let back = Version(self.cache.applied.0.saturating_sub(BACK_ENDED));
+            let back = Version(self.cache.applied_revision.0.saturating_sub(BACK_ENDED));
             self.archive.read_to = self.archive.read_to.min(back);
             self.archive.stale = true;
             self.follow_archive();
@@ -52,7 +53,7 @@
         let now = self.now;
         if now.since(self.losses.last_checked) >= LOSS_SCAN_INTERVAL_MS {
             self.losses.last_checked = now;
-            for id in &self.cache.lossy {
+            for id in &self.cache.jobs_with_losses {
                 let Some(cached) = self.cache.jobs.get(id) else { continue };
                 let Some(log) = self.losses.log(&cached.record.spec.team) else { continue };
                 for table in self.cache.tables(id) {
@@ -98,7 +99,7 @@
         txn.put(loss_head_key(&team), &LossHead { next: head.next + 1 }, None);
         txn.put(loss_log_key(&team, head.next), &group, None);
         let pending = Pending::LossGroup { team, token, count: group.len(), txn: txn.clone() };
-        self.store(CallPriority::Poll, StoreRequest::Txn(txn), pending);
+        self.call_store(CallPriority::Poll, StoreRequest::Txn(txn), pending);
     }
 
     pub(crate) fn on_loss_log(&mut self, reply: StoreReply) {
@@ -130,7 +131,7 @@
             // fails and the group is written once more under the next number.
             StoreReply::Unknown => {
                 let pending = Pending::LossGroup { team, token, count, txn: txn.clone() };
-                return self.again(op, CallPriority::Poll, txn, pending, 500);
+                return self.schedule_resend(op, CallPriority::Poll, txn, pending, 500);
             }
             _ => {}
         }
@@ -146,9 +147,9 @@
         }
         let prefix = loss_log_prefix(&team);
         let from = since.checked_sub(1).map(|last| loss_log_key(&team, last));
-        self.store(
+        self.call_store(
             CallPriority::Poll,
-            StoreRequest::List { prefix, from, most: None },
+            StoreRequest::List { prefix, from, limit: None },
             Pending::TeamLosses { rid, since },
         );
     }
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -5,7 +5,9 @@
 //! a reading. A team is told of nobody else: no ids, no names, no numbers.
 
 use crate::controller::{Controller, EventNumber, Pending};
-use crate::effects::{CallPriority, Response, StoreReply, StoreRequest, TeamAnswer, TeamAsk};
+use crate::effects::{
+    CallPriority, Response, StoreReply, StoreRequest, WorkspaceContents, WorkspaceView,
+};
 use crate::namespaces::question_state::{HistoryRead, Question, Ranks};
 use crate::namespaces::workspace_state::read_group;
 use crate::store::cache::CachedJob;
@@ -25,20 +27,20 @@
     /// What a team's question is answered with at once, if it cannot be answered now.
     pub(crate) fn refuse_team(&self, team: &TeamId) -> Option<Response> {
         if self.cfg.team(team).is_none() {
-            return Some(Response::refuse(404, "no such team"));
+            return Some(Response::rejection(404, "no such team"));
         }
         self.store_away().then(Response::store_unavailable)
     }
 
-    pub(crate) fn on_team(&mut self, rid: u64, team: TeamId, what: TeamAsk, since: u64) {
+    pub(crate) fn on_team(&mut self, rid: u64, team: TeamId, view: WorkspaceView, since: u64) {
         if let Some(refusal) = self.refuse_team(&team) {
             return self.reply(rid, refusal);
         }
         if self.teams.is_full(&team) {
-            return self.reply(rid, Response::later("too many such questions"));
+            return self.reply(rid, Response::retry_later("too many such questions"));
         }
         let (arrived, arrived_at) = (self.now, self.event);
-        let question = Question { rid, team, what, since, arrived, arrived_at, upto: None };
+        let question = Question { rid, team, view, since, arrived, arrived_at, upto: None };
         self.teams.waiting.push(question);
         self.session.sync_wanted = true;
         self.sync_if_due();
@@ -53,23 +55,23 @@
         if self.teams.waiting.is_empty() {
             return;
         }
-        let applied = self.cache.applied.0;
+        let applied = self.cache.applied_revision.0;
         let read = self.workspaces.ended.to();
         let mut behind = false;
         for mut question in std::mem::take(&mut self.teams.waiting) {
             if question.upto.is_none() && sent_at.is_some_and(|s| question.arrived_at <= s) {
                 question.upto = Some(applied);
             }
-            match (question.upto, question.what) {
-                (Some(_), TeamAsk::Jobs) => {
+            match (question.upto, question.view) {
+                (Some(_), WorkspaceView::Jobs) => {
                     let jobs = self.team_jobs(&question.team, question.since);
-                    self.reply(question.rid, Response::Team(TeamAnswer::Jobs(jobs)));
+                    self.reply(question.rid, Response::Workspace(WorkspaceContents::Jobs(jobs)));
                 }
-                (Some(_), TeamAsk::Queue) => {
+                (Some(_), WorkspaceView::Queue) => {
                     let queue = self.team_queue(&question.team, question.since);
-                    self.reply(question.rid, Response::Team(TeamAnswer::Queue(queue)));
+                    self.reply(question.rid, Response::Workspace(WorkspaceContents::Queue(queue)));
                 }
-                (Some(upto), TeamAsk::History) if read.is_some_and(|r| r >= upto) => {
+                (Some(upto), WorkspaceView::History) if read.is_some_and(|r| r >= upto) => {
                     self.tell_history(question)
                 }
                 (ripe, _) => {
@@ -206,12 +208,13 @@
         let head = self.head(&team).value;
         let unreadable = self.cache.unreadable.contains(&history_head_key(&team));
         if unreadable || !self.workspaces.ended.covers(&team, &head) {
-            return self.reply(rid, Response::later("the history is being brought up to date"));
+            return self
+                .reply(rid, Response::retry_later("the history is being brought up to date"));
         }
         let since = since.max(head.first);
         if since >= head.entries {
             let history = self.beyond_groups(&team, since, AnswerPage::default());
-            return self.reply(rid, Response::Team(TeamAnswer::History(history)));
+            return self.reply(rid, Response::Workspace(WorkspaceContents::History(history)));
         }
         // The group that has it begins at most so far before it.
         let from = since.checked_sub(GROUP_MOST as u64);
@@ -221,8 +224,8 @@
 
     fn read_history_page(&mut self, read: HistoryRead, from: Option<String>) {
         let prefix = history_prefix(&read.team);
-        let request = StoreRequest::List { prefix, from, most: Some(GROUPS) };
-        self.store(CallPriority::Poll, request, Pending::TeamHistory(Box::new(read)));
+        let request = StoreRequest::List { prefix, from, limit: Some(GROUPS) };
+        self.call_store(CallPriority::Poll, request, Pending::TeamHistory(Box::new(read)));
     }
 
     pub(crate) fn on_team_history(&mut self, read: HistoryRead, reply: StoreReply) {
@@ -240,7 +243,7 @@
                 }
                 if answer_page.fit(vec![entry.to_ended_job(number)]).is_err() {
                     let history = TeamHistory { ended: answer_page.entries, next, more: true };
-                    let answer = Response::Team(TeamAnswer::History(history));
+                    let answer = Response::Workspace(WorkspaceContents::History(history));
                     return self.reply(read.rid, answer);
                 }
                 next = number + 1;
@@ -252,10 +255,10 @@
                 return self.read_history_page(read, from);
             }
             let history = TeamHistory { ended: answer_page.entries, next, more: true };
-            return self.reply(read.rid, Response::Team(TeamAnswer::History(history)));
+            return self.reply(read.rid, Response::Workspace(WorkspaceContents::History(history)));
         }
         let history = self.beyond_groups(&read.team, next.max(read.entries), answer_page);
-        self.reply(read.rid, Response::Team(TeamAnswer::History(history)));
+        self.reply(read.rid, Response::Workspace(WorkspaceContents::History(history)));
     }
 
     /// What has ended and is in no group yet, from `next` on. Every controller numbers it alike.
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -11,7 +11,7 @@
 use crate::store::cache::Versioned;
 use crate::store::records::{
     history_group_key, history_head_key, history_prefix, workspace_key, ArchiveRecord,
-    HistoryGroup, HistoryHead, HolderRecord, ARCHIVE,
+    HistoryGroup, HistoryHead, HolderRecord, ARCHIVE_PREFIX,
 };
 use cleatfold_wire::store::{Events, Item, Txn};
 use cleatfold_wire::{JobId, TeamId, Version};
@@ -33,12 +33,12 @@
 const MAX_EARLY_WORKSPACES: usize = 4;
 
 fn end(job: &JobId, archive: &ArchiveRecord, version: Version) -> JobEnd {
-    JobEnd { version: version.0, team: archive.team.clone(), entry: archive.entry(job) }
+    JobEnd { version: version.0, team: archive.team.clone(), entry: archive.history_entry(job) }
 }
 
 /// Unreadable ones are skipped by everybody alike, so numbers agree. Whoever polls them is told nothing.
 fn ended(item: &Item) -> Option<(JobId, ArchiveRecord)> {
-    let job = item.key.strip_prefix(ARCHIVE)?;
+    let job = item.key.strip_prefix(ARCHIVE_PREFIX)?;
     Some((JobId::new(job), serde_json::from_str(item.value.get()).ok()?))
 }
 
@@ -62,8 +62,8 @@
     /// Our token for a workspace, by what was read last.
     pub(crate) fn workspace(&self, team: &TeamId) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.workspaces.get(team)?;
-        let ours =
-            holder.owner == self.cfg.me && Some(holder.incarnation) == self.session.incarnation;
+        let ours = holder.owner == self.cfg.controller_id
+            && Some(holder.incarnation) == self.session.incarnation;
         (ours && self.readable(&workspace_key(team))).then_some(*version)
     }
 
@@ -74,7 +74,7 @@
     // ---- who keeps what ----
 
     fn keep_ownership(&mut self) {
-        let (now, me) = (self.now, self.cfg.me.clone());
+        let (now, me) = (self.now, self.cfg.controller_id.clone());
         let teams: Vec<TeamId> = self.cfg.teams.iter().map(|t| t.name.clone()).collect();
         let mut vacancies = std::mem::take(&mut self.workspaces.vacancies);
         let cache = &self.cache;
@@ -95,7 +95,7 @@
             self.workspaces.unsure.is_some_and(|t| self.session.last_read.is_none_or(|f| f < t));
         let incarnation = self.session.incarnation.filter(|i| known == Some(*i) && !unsure);
         if let Some(incarnation) =
-            incarnation.filter(|_| self.in_contact() && self.rate_limiter.is_open())
+            incarnation.filter(|_| self.has_store_contact() && self.rate_limiter.is_open())
         {
             self.workspaces.unsure = None;
             let rank = |team: &TeamId, cached: &_| owner::rank(team, &me, cached);
@@ -144,7 +144,7 @@
         } else {
             CallPriority::Claim
         };
-        self.store(priority, StoreRequest::Txn(txn), Pending::Workspaces(teams, holder));
+        self.call_store(priority, StoreRequest::Txn(txn), Pending::Workspaces(teams, holder));
     }
 
     pub(crate) fn on_workspaces(
@@ -170,7 +170,7 @@
         }
         self.session.sync_wanted = true;
         if committed.is_some() {
-            self.tell(None, cleatfold_wire::mesh::Message::Changed);
+            self.send_to_peers(None, cleatfold_wire::mesh::Message::Changed);
         }
     }
 
@@ -205,7 +205,7 @@
 
     /// Everything was read: what ended is read from where the histories stand, as far back as that goes.
     pub(crate) fn begin_ended(&mut self) {
-        let applied = self.cache.applied.0;
+        let applied = self.cache.applied_revision.0;
         let upto = |t: &crate::config::Team| self.head(&t.name).value.upto;
         let near = self.cfg.teams.iter().map(upto).filter(|u| u + BACK >= applied);
         let from = near.min().unwrap_or(applied).min(applied);
@@ -222,14 +222,14 @@
             self.archive.stale = true;
             return;
         }
-        let applied = self.cache.applied;
+        let applied = self.cache.applied_revision;
         self.archive.read_to = applied;
         self.workspaces.ended.read(applied.0, applied.0, []);
     }
 
     pub(crate) fn note_ended(&mut self, from: Version, events: &Events) {
         let records = events.events.iter().filter_map(|e| {
-            let job = JobId::new(e.put.as_deref()?.strip_prefix(ARCHIVE)?);
+            let job = JobId::new(e.put.as_deref()?.strip_prefix(ARCHIVE_PREFIX)?);
             // Most are among those that have just been noted.
             let archive = match self.terminal_jobs.record(&job) {
                 Some(known) => return Some(end(&job, known, e.version)),
@@ -244,7 +244,7 @@
         for (team, head) in &self.cache.histories {
             self.workspaces.ended.forget(team, &head.value);
         }
-        let behind = self.workspaces.ended.to().is_none_or(|to| to < self.cache.applied.0);
+        let behind = self.workspaces.ended.to().is_none_or(|to| to < self.cache.applied_revision.0);
         if behind && self.now.since(self.workspaces.followed) >= FOLLOW_MS {
             self.workspaces.followed = self.now;
             self.archive.stale = true;
@@ -266,9 +266,9 @@
         }
         if let Some(listing) = self.workspaces.listing.as_mut().filter(|l| !l.asked) {
             listing.asked = true;
-            let (prefix, from) = (ARCHIVE.to_string(), listing.from.clone());
-            let request = StoreRequest::List { prefix, from, most: None };
-            self.store(CallPriority::Poll, request, Pending::ArchivePage);
+            let (prefix, from) = (ARCHIVE_PREFIX.to_string(), listing.from.clone());
+            let request = StoreRequest::List { prefix, from, limit: None };
+            self.call_store(CallPriority::Poll, request, Pending::ArchivePage);
         }
     }
 
@@ -359,7 +359,11 @@
         gone.iter().for_each(|number| txn.delete(history_group_key(&team, *number)));
         kept.writing = true;
         let write = Write { token: kept.token, team, head: next, txn: txn.clone() };
-        self.store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::History(Box::new(write)));
+        self.call_store(
+            CallPriority::Poll,
+            StoreRequest::Txn(txn),
+            Pending::History(Box::new(write)),
+        );
     }
 
     pub(crate) fn on_history(&mut self, op: u64, write: Write, reply: StoreReply) {
@@ -381,7 +385,7 @@
             StoreReply::Unknown if self.workspace(&write.team) == Some(write.token) => {
                 let txn = write.txn.clone();
                 let pending = Pending::History(Box::new(write));
-                return self.again(op, CallPriority::Poll, txn, pending, 500);
+                return self.schedule_resend(op, CallPriority::Poll, txn, pending, 500);
             }
             _ => {
                 if let Some(kept) = self.workspaces.kept.get_mut(&write.team) {
@@ -404,11 +408,11 @@
             return;
         }
         (kept.retention_running, kept.retention_checked_at) = (true, self.now);
-        let pending = Pending::Oldest { team: team.clone(), token: kept.token };
+        let pending = Pending::OldestHistory { team: team.clone(), token: kept.token };
         let prefix = history_prefix(team);
-        self.store(
+        self.call_store(
             CallPriority::Poll,
-            StoreRequest::List { prefix, from: None, most: Some(OLDEST) },
+            StoreRequest::List { prefix, from: None, limit: Some(OLDEST) },
             pending,
         );
     }
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -1,9 +1,10 @@
-//! What waits for an answer: our calls to the services, and those who asked us.
+//! Pending calls to the state service and the cloud, and user requests waiting for a read of the
+//! state service.
 
 pub(crate) use crate::event_number::EventNumber;
 use crate::jobs::state::JobTransaction;
 use crate::store::records::{HolderRecord, OriginRecord};
-use crate::store::sent::Sent;
+use crate::store::send_status::SendStatus;
 use cleatfold_roles::Role;
 use cleatfold_wire::cloud::ScaleOutRequest;
 use cleatfold_wire::job::JobSpec;
@@ -11,96 +12,77 @@
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::{JobId, MachineId, Ms, TeamId, Version};
 
-/// A call to the state service or the cloud that has no answer yet.
+/// A call to the state service or the cloud whose reply is pending, with what the handler of the
+/// reply needs.
 #[derive(Debug)]
 pub(crate) enum Pending {
-    Sync {
-        sent: Ms,
-        sent_at: EventNumber,
-    },
-    Load {
-        sent: Ms,
-    },
+    /// The changes since the last read.
+    Sync { sent: Ms, sent_event: EventNumber },
+    /// A page of the listing that fills the cache.
+    Load { sent: Ms },
+    /// A transaction on a job's records.
     Job(Box<JobTransaction>),
-    Submit {
-        batch: Vec<Submission>,
-        txn: Txn,
-        sent: Sent,
-    },
-    /// How one job ended, if it did.
-    Archive {
-        job: JobId,
-    },
-    /// How all jobs ended that did since the last such reading.
-    Ended {
-        from: Version,
-    },
-    Grant {
-        sent: Ms,
-    },
-    Extend {
-        sent: Ms,
-    },
-    /// Writing our own key.
+    /// Acceptance of a batch of jobs.
+    Submit { batch: Vec<Submission>, txn: Txn, sent: SendStatus },
+    /// The archive record of one job, if there is one.
+    ArchivedJob { job: JobId },
+    /// The archive records written since the last such read.
+    EndedJobs { from: Version },
+    /// The creation of a lease.
+    Grant { sent: Ms },
+    /// The renewal of the lease.
+    Extend { sent: Ms },
+    /// The write of this controller's own record.
     Registration,
-    /// Reading the marker of the records' version, and writing it.
+    /// The read of the format marker.
     Format,
+    /// The write of the format marker.
     FormatWritten,
-    /// Taking a role, or giving it back.
+    /// Acquisition or release of a role.
     Role(Role),
-    /// The record of rentals, and what to ask for once it is durable.
+    /// The record of scale-out intents, and the requests to send once it is durable.
     ScaleOutIntents(Box<cleatfold_roles::scale_out::Step>),
-    /// Any transaction on pool keys or slices: whatever comes of it, the next sync tells.
+    /// A transaction on pool keys or slices. The next sync shows its outcome.
     PoolAssignment,
-    Slice(Box<crate::quota::SentSlice>),
+    /// A change of a team's quota slices.
+    QuotaSlice(Box<crate::quota::SentSlice>),
+    /// The removal of records whose job has ended.
     GarbageCollection,
-    /// Seats at the origin.
-    Origin {
-        txn: Txn,
-        record: OriginRecord,
-    },
-    /// Who holds an image.
-    Spread,
+    /// A change of the slots for fetches from the image origin.
+    Origin { txn: Txn, record: OriginRecord },
+    /// A change of an image's holders.
+    ImageHolders,
+    /// A change of the team shares under overload.
     OverloadQuota,
-    /// Room that is being made, and who leaves once that is durable.
+    /// A preemption, and the tasks to evict once it is durable.
     Preemption(Box<crate::scheduling::priority_state::UncommittedPreemption>),
-    /// What is in the teams' logs already.
+    /// The read of what the teams' loss logs already hold.
     LossLog,
-    /// A group of losses for a team's log.
-    LossGroup {
-        team: TeamId,
-        token: Version,
-        count: usize,
-        txn: Txn,
-    },
-    TeamLosses {
-        rid: u64,
-        since: u64,
-    },
-    /// Taking workspaces, or giving one over.
+    /// The write of a group of losses to a team's log.
+    LossGroup { team: TeamId, token: Version, count: usize, txn: Txn },
+    /// The read of a team's loss log for a user.
+    TeamLosses { rid: u64, since: u64 },
+    /// Acquisition of workspaces, or the hand-over of one.
     Workspaces(Vec<TeamId>, HolderRecord),
+    /// A write of a team's history.
     History(Box<crate::namespaces::workspace_state::Write>),
-    /// The oldest groups of a team's history.
-    Oldest {
-        team: TeamId,
-        token: Version,
-    },
-    /// The whole archive, for teams of which it is not known what has ended.
+    /// The read of the oldest groups of a team's history.
+    OldestHistory { team: TeamId, token: Version },
+    /// A page of the whole archive, for teams whose ended jobs are not known.
     ArchivePage,
+    /// The read of a team's history for a user.
     TeamHistory(Box<crate::namespaces::question_state::HistoryRead>),
+    /// The machine types, from the cloud.
     Types,
-    List {
-        sent: Ms,
-    },
-    ScaleOut {
-        request: ScaleOutRequest,
-        tries: u32,
-    },
-    Delete {
-        machines: Vec<MachineId>,
-    },
+    /// A page of the machine list, from the cloud.
+    List { sent: Ms },
+    /// The creation of machines.
+    ScaleOut { request: ScaleOutRequest, tries: u32 },
+    /// The deletion of machines.
+    Delete { machines: Vec<MachineId> },
 }
 
+/// A job submission whose acceptance is not durable yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Submission {
     pub rid: u64,
@@ -108,25 +90,29 @@
     pub arrived: Ms,
 }
 
-/// A user request that waits for a reading of the state service.
+/// A user request that waits for a read of the state service.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingRequest {
     pub rid: u64,
     pub job: JobId,
     pub arrived: Ms,
-    /// The event that brought it: only a reading that was sent at this one or later answers it.
-    pub arrived_at: EventNumber,
+    /// The event it arrived with: only a read that was sent at this event or later answers it.
+    pub arrival_event: EventNumber,
     pub kind: WaitReason,
 }
 
+/// What a waiting request asks for.
 #[derive(Clone, Debug)]
 pub(crate) enum WaitReason {
+    /// The state of a job.
     Poll,
-    /// A submission that cannot run by today's settings: 422 unless it is known already.
+    /// A submission that cannot run under the current settings: 422 unless the job is already
+    /// known.
     Impossible(String),
-    /// A submission of a job that is known: 200 with its state.
+    /// A submission of a job that is already known: 200 with its state.
     Known(Box<JobSpec>),
+    /// The cancellation of a job.
     Withdraw,
-    /// A member whose claim we have not read.
+    /// A step report of a member whose claim is not in the cache.
     Steps(Box<StepReport>),
 }
--- a/crates/cleatfold-control/src/pools/long_polls.rs
+++ b/crates/cleatfold-control/src/pools/long_polls.rs
@@ -35,7 +35,7 @@
             .flatten()
             .filter(|((job, ix), claim)| !self.is_ending(job, *ix, claim.attempt))
             .filter_map(|((job, _), _)| self.cache.jobs.get(job))
-            .map(|cached| cached.each.cpus)
+            .map(|cached| cached.task_resources.cpus)
             .sum();
         let share = match used * 4 {
             0 => 80,
@@ -75,7 +75,7 @@
     /// A newer heartbeat came: its worker gave up on the answer to the one before.
     pub(super) fn abandon_long_poll(&mut self, id: &MachineId) {
         if let Some(old) = self.pools.long_polls.remove(id) {
-            self.reply(old.rid, Response::later("a newer report came"));
+            self.reply(old.rid, Response::retry_later("a newer report came"));
         }
     }
 
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -118,7 +118,7 @@
         txn.put(preemption_key(pool), &record, None);
         self.priority.writing.insert(pool.clone());
         let uncommitted = UncommittedPreemption { pool: pool.clone(), token, record, preemptions };
-        self.store(
+        self.call_store(
             CallPriority::Claim,
             StoreRequest::Txn(txn),
             Pending::Preemption(Box::new(uncommitted)),
@@ -199,7 +199,7 @@
         let known = self.cache.controllers.get(controller);
         let owner = Owner {
             stands: known.is_some_and(|n| n.value.incarnation == holding.incarnation)
-                && *controller != self.cfg.me,
+                && *controller != self.cfg.controller_id,
             silence_ms: peers.last_message(controller).map(|at| now.since(at)),
             read_ms: peers.contact(controller).map(|at| now.since(at)),
             lost_workers: peers.of_zone(controller, &pool.zone, now).is_some_and(|h| h.lost),
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -1,68 +1,75 @@
-//! The session with the state service: the lease, this controller's own key, and the readings that
-//! keep the cache current.
+//! The session with the state service: the lease, this controller's registration, and the reads
+//! that keep the cache current.
 
 use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
-use crate::store::records::{controller_key, ControllerRecord, LIVE};
+use crate::store::records::{controller_key, ControllerRecord, LIVE_PREFIX};
 use cleatfold_wire::store::{Events, Txn};
 use cleatfold_wire::{JobId, LeaseId, Ms, Version};
 
-/// Between two requests for a lease, as long as there is none.
+/// Interval between requests for a lease while there is none.
 const LEASE_RETRY_MS: u64 = 300;
-/// A lease that has ended is asked for anew as if the last request had been so long ago.
-const LEASE_LOST_MS: u64 = 1_000;
-/// Between two requests for a page of the listing that fills the cache.
+/// After a lease has expired, the last request counts as this old, so that a new lease is requested
+/// at once.
+const LEASE_LOST_AGE_MS: u64 = 1_000;
+/// Interval between requests for a page of the listing that fills the cache.
 const PAGE_RETRY_MS: u64 = 200;
-/// The state service has answered lately: within a reading's interval and this.
-const CONTACT_MS: u64 = 2_500;
+/// The state service counts as reachable if the last read is no older than the read interval plus
+/// this.
+const CONTACT_TIMEOUT_MS: u64 = 2_500;
 
-/// What is known of the session.
+/// State of the session.
 #[derive(Debug, Default)]
 pub(crate) struct Session {
     pub lease: Option<LeaseId>,
+    /// A request for the lease or its renewal is in flight.
     pub lease_requested: bool,
     /// When the newest request for the lease or its renewal was sent.
-    pub lease_renewed_at: Ms,
-    /// This life of the controller: the number of its first lease.
+    pub lease_request_sent: Ms,
+    /// The incarnation of this controller: the id of its first lease.
     pub incarnation: Option<u64>,
-    /// Our own key is being written.
+    /// The write of this controller's record is in flight.
     registering: bool,
-    /// When that was last settled; what came of it shows in readings sent since.
+    /// When the last such write was answered; its outcome shows in reads sent since.
     registered_at: Option<Ms>,
-    /// The cache holds all that there is.
+    /// The listing that fills the cache is complete.
     pub is_loaded: bool,
+    /// A request for a page of the listing is in flight.
     page_requested: bool,
+    /// The key after which the next page begins.
     next_page_from: Option<String>,
     /// The revision of the listing's first page.
     load_revision: Option<Version>,
-    sync_inflight: bool,
+    /// A read of the changes is in flight.
+    sync_in_flight: bool,
+    /// When the newest read, or the newest request for a page, was sent.
     sync_sent: Ms,
-    /// A reading is wanted sooner than usual.
+    /// A read is needed before the usual interval has passed.
     pub sync_wanted: bool,
-    /// The content of the state service was known as of this moment: when the newest reading was sent.
+    /// When the newest completed read was sent. The cache includes every change made before.
     pub last_read: Option<Ms>,
-    /// The last call that the state service failed to answer.
+    /// Time of the last call that the state service failed to answer.
     pub last_failure: Option<Ms>,
 }
 
 impl Controller {
-    /// The state service has answered lately.
-    pub(crate) fn in_contact(&self) -> bool {
-        let contact_ms = CONTACT_MS + self.cfg.read_interval_ms;
+    /// Whether the state service has answered a read recently.
+    pub(crate) fn has_store_contact(&self) -> bool {
+        let contact_ms = CONTACT_TIMEOUT_MS + self.cfg.read_interval_ms;
         self.session.last_read.is_some_and(|at| self.now.since(at) < contact_ms)
     }
 
-    // ---- the lease and our own key ----
+    // ---- the lease and the registration ----
 
-    /// Keeps the lease, and our own key under it.
-    pub(crate) fn keep_lease(&mut self) {
-        // Nothing is written before it is known that the records are ours to read.
-        if self.session.lease_requested || !self.format_check.is_known() {
+    /// At each tick: requests or renews the lease, and registers this controller under it.
+    pub(crate) fn maintain_lease(&mut self) {
+        // Nothing is written before the record format is known to be supported.
+        if self.session.lease_requested || !self.format_check.is_supported() {
             return;
         }
         let ttl_ms = self.cfg.controller_lease_ms;
-        let since = self.now.since(self.session.lease_renewed_at);
-        let is_first = self.session.lease_renewed_at == Ms(0);
+        let since = self.now.since(self.session.lease_request_sent);
+        let is_first = self.session.lease_request_sent == Ms(0);
         match self.session.lease {
             None if since >= LEASE_RETRY_MS || is_first => {
                 let pending = Pending::Grant { sent: self.now };
@@ -74,42 +81,44 @@
             }
             _ => {}
         }
-        self.keep_registration();
+        self.register_if_needed();
     }
 
     fn request_lease(&mut self, request: StoreRequest, pending: Pending) {
         self.session.lease_requested = true;
-        self.session.lease_renewed_at = self.now;
-        self.store(CallPriority::Renewal, request, pending);
+        self.session.lease_request_sent = self.now;
+        self.call_store(CallPriority::Renewal, request, pending);
     }
 
-    fn keep_registration(&mut self) {
+    /// Writes this controller's record unless the cache shows it.
+    fn register_if_needed(&mut self) {
         let (Some(lease), Some(incarnation)) = (self.session.lease, self.session.incarnation)
         else {
             return;
         };
-        let known = self.cache.controllers.get(&self.cfg.me);
+        let registered = self.cache.controllers.get(&self.cfg.controller_id);
         let last_read = self.session.last_read;
         let is_read =
             self.session.registered_at.is_none_or(|at| last_read.is_some_and(|read| read >= at));
-        let is_registered = known.map(|n| n.value.incarnation) == Some(incarnation);
+        let is_registered = registered.map(|record| record.value.incarnation) == Some(incarnation);
         if self.session.registering || !self.session.is_loaded || !is_read || is_registered {
             return;
         }
         self.session.registering = true;
-        let key = controller_key(&self.cfg.me);
+        let key = controller_key(&self.cfg.controller_id);
         let mut txn = Txn::default();
-        // Guarded, or one of a former life that is executed late puts that life back.
-        txn.guard(key.clone(), known.map(|n| n.version).unwrap_or_default());
+        // Without the guard, a write of a former incarnation that is executed late would restore
+        // that incarnation.
+        txn.guard(key.clone(), registered.map(|record| record.version).unwrap_or_default());
         txn.put(key, &ControllerRecord { incarnation }, Some(lease));
-        self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Registration);
+        self.call_store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Registration);
     }
 
     pub(crate) fn on_lease_granted(&mut self, sent: Ms, reply: StoreReply) {
         self.session.lease_requested = false;
         if let StoreReply::Granted(lease) = reply {
             self.session.lease = Some(lease);
-            self.session.lease_renewed_at = sent;
+            self.session.lease_request_sent = sent;
             self.session.incarnation.get_or_insert(lease.0);
         }
     }
@@ -121,12 +130,12 @@
             StoreReply::Missing => {
                 tracing::info!("lease expired");
                 self.session.lease = None;
-                self.session.lease_renewed_at = Ms(sent.0.saturating_sub(LEASE_LOST_MS));
+                self.session.lease_request_sent = Ms(sent.0.saturating_sub(LEASE_LOST_AGE_MS));
             }
-            // Not renewed: ask again soon.
+            // Not renewed: retry soon.
             _ => {
-                let waited_ms = self.cfg.controller_lease_ms / 3 - LEASE_RETRY_MS;
-                self.session.lease_renewed_at = Ms(self.now.0.saturating_sub(waited_ms));
+                let elapsed_ms = self.cfg.controller_lease_ms / 3 - LEASE_RETRY_MS;
+                self.session.lease_request_sent = Ms(self.now.0.saturating_sub(elapsed_ms));
             }
         }
     }
@@ -134,7 +143,7 @@
     pub(crate) fn on_registered(&mut self, reply: StoreReply) {
         self.session.registering = false;
         self.session.registered_at = Some(self.now);
-        if let StoreReply::Bad(_) = reply {
+        if let StoreReply::Invalid(_) = reply {
             self.session.lease = None;
         }
         self.session.sync_wanted = true;
@@ -142,8 +151,8 @@
 
     // ---- the cache ----
 
-    /// Loads the cache, or reads what has changed since.
-    pub(crate) fn keep_cache(&mut self) {
+    /// At each tick: loads the cache, or reads the changes since.
+    pub(crate) fn maintain_cache(&mut self) {
         if self.session.is_loaded {
             return self.sync_if_due();
         }
@@ -154,37 +163,41 @@
         self.session.page_requested = true;
         self.session.sync_sent = self.now;
         let from = self.session.next_page_from.clone();
-        let request = StoreRequest::List { prefix: LIVE.into(), from, most: None };
-        self.store(CallPriority::Renewal, request, Pending::Load { sent: self.now });
+        let request = StoreRequest::List { prefix: LIVE_PREFIX.into(), from, limit: None };
+        self.call_store(CallPriority::Renewal, request, Pending::Load { sent: self.now });
     }
 
-    /// Reads what has changed, if that is due or somebody waits for it.
+    /// Reads the changes if that is due or a request waits for it.
     pub(crate) fn sync_if_due(&mut self) {
-        if !self.session.is_loaded || self.session.sync_inflight {
+        if !self.session.is_loaded || self.session.sync_in_flight {
             return;
         }
         let since = self.now.since(self.session.sync_sent);
-        let pressing = self.session.sync_wanted || !self.waiting.is_empty();
-        // Users' polls gather for a moment so that one reading answers many.
+        let is_urgent = self.session.sync_wanted || !self.waiting_requests.is_empty();
+        // A third of the interval passes even then, so that one read answers many polls of users.
         if since >= self.cfg.read_interval_ms
-            || (pressing && since >= self.cfg.read_interval_ms / 3)
+            || (is_urgent && since >= self.cfg.read_interval_ms / 3)
         {
-            self.session.sync_inflight = true;
+            self.session.sync_in_flight = true;
             self.session.sync_wanted = false;
             self.session.sync_sent = self.now;
-            let request = StoreRequest::Changes { prefix: LIVE.into(), from: self.cache.applied };
-            let (sent, sent_at) = (self.now, self.event);
-            self.store(CallPriority::Renewal, request, Pending::Sync { sent, sent_at });
+            let request = StoreRequest::Changes {
+                prefix: LIVE_PREFIX.into(),
+                from: self.cache.applied_revision,
+            };
+            let (sent, sent_event) = (self.now, self.event);
+            self.call_store(CallPriority::Renewal, request, Pending::Sync { sent, sent_event });
         }
     }
 
     fn reload(&mut self) {
         tracing::info!("state cache too old: loading it again");
-        self.cache.begin_anew();
+        self.cache.clear_for_reload();
         self.session.is_loaded = false;
         self.session.next_page_from = None;
         self.session.load_revision = None;
-        // A claim whose answer comes while we load is in no page read before, nor on its way any more.
+        // A claim whose reply arrives during the load is in no page that was read before, and is no
+        // longer in flight either.
         self.quota.blind = Some(self.event);
     }
 
@@ -195,8 +208,9 @@
             self.session.last_failure = Some(self.now);
             return;
         };
-        // What stood then is in these pages: an answer to an earlier change of ours adds nothing to them.
-        self.cache.applied = *self.session.load_revision.get_or_insert(page.revision);
+        // The pages include every change up to this revision: the reply to an earlier transaction
+        // of this controller adds nothing to them.
+        self.cache.applied_revision = *self.session.load_revision.get_or_insert(page.revision);
         for item in &page.items {
             self.cache.apply_item(item);
         }
@@ -208,56 +222,58 @@
 
     fn finish_load(&mut self, sent: Ms) {
         self.begin_ended();
-        let gone = |id: &&JobId| !self.cache.jobs.contains_key(*id);
-        let gone: Vec<JobId> = self.job_states.keys().filter(gone).cloned().collect();
-        gone.iter().for_each(|job| self.discard_job_state(job));
+        let has_ended = |id: &&JobId| !self.cache.jobs.contains_key(*id);
+        let ended: Vec<JobId> = self.job_states.keys().filter(has_ended).cloned().collect();
+        ended.iter().for_each(|job| self.discard_job_state(job));
         self.session.is_loaded = true;
-        // The pages are from different moments: only the next reading is complete.
+        // The pages were read at different times: only the next read is consistent.
         self.session.sync_wanted = true;
         self.session.sync_sent = Ms(sent.0.saturating_sub(self.cfg.read_interval_ms));
-        let (jobs, revision) = (self.cache.jobs.len(), self.cache.applied.0);
+        let (jobs, revision) = (self.cache.jobs.len(), self.cache.applied_revision.0);
         tracing::info!(jobs, revision, "state cache loaded");
     }
 
-    /// Everything that has changed since the last reading.
-    pub(crate) fn on_sync(&mut self, sent: Ms, sent_at: EventNumber, reply: StoreReply) {
-        self.session.sync_inflight = false;
+    /// The changes since the last read.
+    pub(crate) fn on_sync(&mut self, sent: Ms, sent_event: EventNumber, reply: StoreReply) {
+        self.session.sync_in_flight = false;
         match reply {
-            StoreReply::Events(events) => self.apply_reading(sent, sent_at, &events),
+            StoreReply::Events(events) => self.apply_changes(sent, sent_event, &events),
             StoreReply::TooOld => self.reload(),
             _ => self.session.last_failure = Some(self.now),
         }
     }
 
-    fn apply_reading(&mut self, sent: Ms, sent_at: EventNumber, events: &Events) {
+    fn apply_changes(&mut self, sent: Ms, sent_event: EventNumber, events: &Events) {
         self.replan_needed |= !events.events.is_empty();
         for event in &events.events {
             self.cache.apply_event(event);
         }
-        self.cache.applied = self.cache.applied.max(events.revision);
-        self.session.last_read = Some(self.session.last_read.map_or(sent, |f| f.max(sent)));
+        self.cache.applied_revision = self.cache.applied_revision.max(events.revision);
+        self.session.last_read =
+            Some(self.session.last_read.map_or(sent, |last_read| last_read.max(sent)));
         self.reachability.view.worker_release.reset();
-        if self.quota.blind.is_some_and(|b| b <= sent_at) {
+        if self.quota.blind.is_some_and(|since| since <= sent_event) {
             self.quota.blind = None;
         }
         for job_state in self.job_states.values_mut() {
-            if job_state.stale_since.is_some_and(|s| s <= sent_at) {
+            if job_state.stale_since.is_some_and(|since| since <= sent_event) {
                 job_state.stale_since = None;
             }
         }
-        self.after_sync(sent_at);
+        self.after_sync(sent_event);
     }
 
-    fn after_sync(&mut self, sent_at: EventNumber) {
+    /// Handles the consequences of a read.
+    fn after_sync(&mut self, sent_event: EventNumber) {
         self.note_read_cancellations();
-        for job in std::mem::take(&mut self.cache.gone) {
+        for job in std::mem::take(&mut self.cache.removed_jobs) {
             self.archive.stale |= self.terminal_jobs.get(&job).is_none();
             self.discard_job_state(&job);
         }
         self.follow_archive();
         self.note_ownership();
         self.resolve_unanswered();
-        self.answer_waiting(sent_at);
+        self.answer_waiting(sent_event);
         self.sync_if_due();
     }
 }
--- a/crates/cleatfold-testbed/src/world/digest.rs
+++ b/crates/cleatfold-testbed/src/world/digest.rs
@@ -6,7 +6,7 @@
 //! numbers given here, never of names in the code, so that renaming something does not change it.
 
 use bitcode::Encode;
-use cleatfold_control::{CloudRequest, Effect, Response, StoreRequest, TeamAnswer};
+use cleatfold_control::{CloudRequest, Effect, Response, StoreRequest, WorkspaceContents};
 use cleatfold_wire::Ms;
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
@@ -61,9 +61,9 @@
                 self.number(5);
                 self.json(&(machine, endpoint));
             }
-            Effect::Refuse { why } => {
+            Effect::Exit { reason } => {
                 self.number(6);
-                self.json(why);
+                self.json(reason);
             }
             Effect::Mesh { to, message } => {
                 self.number(7);
@@ -86,9 +86,11 @@
             Response::Ready => self.number(3),
             Response::Steps(reply) => self.tagged_json(4, reply),
             Response::Losses(losses) => self.tagged_json(5, losses),
-            Response::Team(TeamAnswer::Jobs(jobs)) => self.tagged_json(6, jobs),
-            Response::Team(TeamAnswer::Queue(queue)) => self.tagged_json(7, queue),
-            Response::Team(TeamAnswer::History(history)) => self.tagged_json(8, history),
+            Response::Workspace(WorkspaceContents::Jobs(jobs)) => self.tagged_json(6, jobs),
+            Response::Workspace(WorkspaceContents::Queue(queue)) => self.tagged_json(7, queue),
+            Response::Workspace(WorkspaceContents::History(history)) => {
+                self.tagged_json(8, history)
+            }
             Response::Worker(reply) => self.tagged_json(9, reply),
             Response::Redirect(report_to) => self.tagged_json(10, report_to),
         }
@@ -97,8 +99,8 @@
     fn store_request(&mut self, request: &StoreRequest) {
         match request {
             StoreRequest::Get(key) => self.tagged_json(1, key),
-            StoreRequest::List { prefix, from, most } => {
-                self.tagged_json(2, &(prefix, from, most));
+            StoreRequest::List { prefix, from, limit } => {
+                self.tagged_json(2, &(prefix, from, limit));
             }
             StoreRequest::Txn(txn) => self.tagged_json(3, txn),
             StoreRequest::Grant { ttl_ms } => self.tagged(4, *ttl_ms),
