--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -1,10 +1,11 @@
-//! Heartbeats of workers, and the commands in their answers.
+//! Handling of worker heartbeats, and the commands sent in the responses.
 //!
-//! A `launch` is ordered only for a claim that stands in the state service under our present
-//! token, and only in the answer to a heartbeat that does not list the task: such an answer is
-//! never executed late. A claim is released only on proof, all of which is in this file and
-//! in `machines/watch.rs` (deletion): an exit; absence from a heartbeat whose worker had seen our token;
-//! a lease that has provably run out; deletion or failure of the machine.
+//! A `launch` command is sent only for a claim that is recorded in the state service under this
+//! controller's current fencing token, and only in the response to a heartbeat that does not list
+//! the task: a worker never executes such a response late. A claim is released only on proof. All
+//! proofs are collected in this file and, for deletions, in `machines/watch.rs`: an exit; absence
+//! from a heartbeat whose worker had seen the current token; a lease that has provably expired;
+//! deletion or failure of the machine.
 
 use crate::controller::Controller;
 use crate::effects::Response;
@@ -18,58 +19,59 @@
 use serde_json::value::RawValue;
 use std::collections::BTreeSet;
 
-/// Under more pressure than this our own answers may have come too late.
+/// Above this backpressure, responses of this controller may have been sent too late, so missing
+/// effects are not held against the worker.
 const MAX_FAIR_BACKPRESSURE: u64 = 2;
 
-/// What a heartbeat showed of its machine when it came.
+/// What is known of a machine when one of its heartbeats is processed.
 struct Arrival {
     machine: MachineId,
     pool: PoolId,
-    /// Ours for the pool.
+    /// This controller's current fencing token for the pool.
     token: FencingToken,
-    /// The worker had seen our token when it sent this.
+    /// The worker had seen `token` when it sent the heartbeat.
     seen_our_token: bool,
-    /// The first one under our token.
+    /// The first heartbeat of this machine under `token`.
     is_first: bool,
-    /// Whether the machine receives what it is told has turned out otherwise than before.
+    /// The one-way partition detector changed its result with this heartbeat.
     delivery_changed: bool,
-    /// It gets no new tasks.
+    /// The machine is given no new tasks.
     is_draining: bool,
-    /// When the cloud takes the machine away.
+    /// When the cloud reclaims the machine, if it gave notice.
     notice: Option<Ms>,
 }
 
-/// Claims that a heartbeat accounts for.
+/// Claims whose tasks a heartbeat lists.
 #[derive(Default)]
 struct ListedClaims {
-    /// Listed with the claimed attempt.
+    /// Tasks listed with the claimed attempt.
     exact: BTreeSet<(JobId, TaskIx)>,
-    /// On the machine and not exited, whichever attempt.
+    /// Tasks on the machine that have not exited, of any attempt.
     alive: BTreeSet<TaskId>,
 }
 
-/// What the listed tasks call for.
+/// Actions required by the tasks that a heartbeat lists.
 #[derive(Default)]
 struct Listed {
     commands: Vec<Command>,
-    /// Exits that end their claims.
+    /// Exited tasks whose claims are to be ended.
     exits: Vec<TaskReport>,
     claims: ListedClaims,
 }
 
-/// A claim whose task is not on its machine.
+/// A claim whose task is not on the claimed machine.
 struct LostClaim {
     task: TaskId,
     attempt: Attempt,
     reason: EndReason,
 }
 
-/// What the claims call for that are not listed.
+/// Actions required by claims whose tasks a heartbeat does not list.
 #[derive(Default)]
 struct Unlisted {
     lost: Vec<LostClaim>,
     starts: Vec<Command>,
-    /// Some task waits for its image's turn.
+    /// At least one start was withheld because the machine has to wait for a turn to fetch the image.
     withheld: bool,
 }
 
@@ -84,7 +86,7 @@
             return self.redirect(rid, &heartbeat, &pool);
         };
         if heartbeat.token > token {
-            // Someone was assigned the pool after us and we have not read it yet.
+            // Another controller was assigned the pool, and the assignment has not been read yet.
             self.session.sync_wanted = true;
             self.reachability.view.worker_release.is_served(&pool, self.now);
             return self.reply(rid, Response::Redirect(None));
@@ -96,12 +98,12 @@
         let machine = self.inventory.machines.get(&heartbeat.machine);
         let known = machine.and_then(|m| m.heartbeat.as_ref());
         if known.is_some_and(|k| (k.agent_epoch, k.seq) >= (heartbeat.agent_epoch, heartbeat.seq)) {
-            // Late or repeated. Its worker does not wait for this answer any more.
+            // Delayed or duplicated: the worker no longer waits for this response.
             return self.reply(rid, Response::later("an old report"));
         }
         if machine.is_none() && heartbeat.token != token {
-            // Perhaps a copy of what a machine said that has long been returned; another owner, or our own
-            // former life, deleted it. A worker that is there comes again at once, with our token.
+            // This may be a delayed copy from a machine that another owner, or an earlier incarnation of
+            // this controller, has deleted. A running worker reports again at once with the current token.
             return self.reply(rid, worker_authority.answer(vec![]));
         }
         if let Some(away) = self.release_worker(&heartbeat, &pool) {
@@ -135,11 +137,13 @@
         }
     }
 
-    /// Cancelled, or not among the live jobs: nothing of it may start or go on.
+    /// Whether the job is cancelled, complete or unknown, so that none of its tasks may start or
+    /// continue.
     pub(super) fn is_over(&self, job: &JobId) -> bool {
         self.cache.jobs.get(job).is_none_or(|j| j.is_complete()) || self.is_cancelled(job)
     }
 
+    /// Redirects a worker to the owner of its pool, if the owner is known.
     fn redirect(&mut self, rid: u64, heartbeat: &RawHeartbeat, pool: &PoolId) {
         let owner = match (self.pools.hinted.get(pool), self.cache.pools.get(pool)) {
             (Some((controller, _)), _) => Some(controller.clone()),
@@ -152,9 +156,9 @@
         self.reply(rid, Response::Redirect(owner));
     }
 
-    /// The heartbeat repeats its machine's last one, and nothing here has changed since that would
-    /// call for a command: most reports of a large deployment. (Reading each of them in full and
-    /// going through its claims took most of the processor time that reports cost.)
+    /// Whether the heartbeat repeats the previous one and no state that could require a command has
+    /// changed since. This holds for most heartbeats of a large deployment; parsing each of them in
+    /// full and checking its claims took most of the processor time spent on heartbeats.
     fn says_the_same(&self, heartbeat: &RawHeartbeat, token: FencingToken) -> bool {
         let Some(machine) = self.inventory.machines.get(&heartbeat.machine) else { return false };
         let Some(last) = &machine.heartbeat else { return false };
@@ -170,7 +174,7 @@
             && last.images == heartbeat.images
     }
 
-    /// Notes such a heartbeat: as new as any other.
+    /// Records an unchanged heartbeat as the machine's latest without parsing its tasks.
     fn take_again(&mut self, heartbeat: &RawHeartbeat, token: FencingToken) {
         self.reachability.view.misdirected_workers.arrived(&heartbeat.machine);
         self.abandon_long_poll(&heartbeat.machine);
@@ -195,7 +199,7 @@
         }
     }
 
-    /// Takes a heartbeat that says something new, and returns the commands that it calls for.
+    /// Processes a heartbeat that differs from the previous one; returns the commands to send.
     fn take_heartbeat(
         &mut self,
         pool: &PoolId,
@@ -214,7 +218,7 @@
         let is_stuck = !arrival.is_draining && Controller::is_stuck(&heartbeat.images);
         let is_quiet = commands.is_empty() && starts.is_empty() && lost.is_empty();
         let is_quiet = is_quiet && exits.is_empty() && !withheld && !is_stuck;
-        // What elastic members do changes without a change of their claims.
+        // The state of elastic members changes without a change to their claims.
         let settled = (is_quiet && !self.cache.any_elastic()).then(|| self.cache.claims_stamp(&id));
         for claim in lost {
             self.release_lost(&arrival, claim);
@@ -224,7 +228,8 @@
             let saved = exited.saved == Some(true);
             self.on_exit(&id, &exited.task, exited.attempt, exit, saved);
         }
-        // The machine's resources are counted by what it runs: they are freed before they are used.
+        // Commands that free resources precede those that use them, since the worker counts the
+        // resources of its machine by the tasks that it runs.
         commands.append(&mut starts);
         let news = arrival.is_first || arrival.delivery_changed;
         self.replan_needed |= self.keep_heartbeat(heartbeat, text, settled) || news;
@@ -232,7 +237,7 @@
         commands
     }
 
-    /// Notes what a heartbeat says of its machine itself.
+    /// Updates the machine's inventory entry from a heartbeat.
     fn note_arrival(
         &mut self,
         pool: &PoolId,
@@ -261,8 +266,8 @@
         if delivery_changed {
             tracing::info!(machine = %id, is_partitioned, "one-way partition detection changed");
         }
-        // What shows only in a heartbeat that was sent since the pool is ours; a copy of an older one
-        // shows nothing but exits, which are facts.
+        // Only a heartbeat sent under the current token shows the machine's present state. A delayed
+        // copy of an older one proves nothing but the exits that it lists.
         if seen_our_token {
             machine.last_heartbeat = Some(now);
             machine.expired = false;
@@ -278,7 +283,7 @@
         if last.is_some_and(|last| last.agent_epoch != heartbeat.agent_epoch) {
             machine.started.clear();
         }
-        // What is ordered next goes by what it has now.
+        // The commands below depend on the images that the machine holds now.
         if let Some(last) = &mut machine.heartbeat {
             last.images.clone_from(&heartbeat.images);
         }
@@ -294,7 +299,7 @@
         }
     }
 
-    /// What the tasks that a heartbeat lists call for.
+    /// Determines the actions required by the tasks that a heartbeat lists.
     fn judge_listed(&mut self, arrival: &Arrival, heartbeat: &Heartbeat) -> Listed {
         let on_machine = heartbeat.tasks.iter().filter(|t| t.state != TaskState::Exited);
         let alive: BTreeSet<TaskId> = on_machine.map(|t| t.task.clone()).collect();
@@ -336,18 +341,19 @@
         task: &TaskReport,
         claim: Claim,
     ) -> bool {
-        // Another attempt of the same task is still here: the claim must stand until that is gone,
-        // or the task could be started elsewhere beside it.
+        // Another attempt of the same task is still on the machine: the claim is kept until that one
+        // has exited, or the task could run twice at the same time.
         if alive.contains(&task.task) {
             return false;
         }
-        // A former owner's claim: before the worker has seen our token, that owner can order the same
-        // attempt once more in the worker's next agent epoch, which has forgotten the exit. (A late
-        // copy told of the exit while the attempt ran again: ran_twice.)
+        // The claim was made by a former owner. Until the worker has seen the current token, that
+        // owner can start the same attempt again in the worker's next agent epoch, which does not
+        // remember the exit: a delayed copy then reports the exit while the attempt runs again
+        // (`ran_twice`).
         arrival.seen_our_token || claim.token == arrival.token
     }
 
-    /// What a task that is where it should be is told, if anything.
+    /// The command for a listed task whose claim is valid, if it needs one.
     fn judge_running(&mut self, arrival: &Arrival, task: &TaskReport) -> Option<Command> {
         if task.state == TaskState::Running {
             self.note_running(&arrival.machine, &task.task);
@@ -360,14 +366,14 @@
         }
     }
 
-    /// What the claims on a machine call for that its heartbeat does not list.
+    /// Determines the actions required by claims on a machine whose tasks its heartbeat does not list.
     fn judge_unlisted(&self, arrival: &Arrival, listed: &ListedClaims) -> Unlisted {
         let mut unlisted = Unlisted::default();
         let claims = self.cache.claims.get(&arrival.machine).into_iter().flatten();
         for ((job, ix), claim) in claims {
             let task = TaskId { job: job.clone(), ix: *ix };
-            // Another attempt of it is here and is being stopped, or its exit was seen and is being
-            // recorded: it must not start again.
+            // Either another attempt of the task is on the machine and is being stopped, or its exit
+            // is being recorded: the task must not start again.
             let is_settled = listed.exact.contains(&(job.clone(), *ix))
                 || listed.alive.contains(&task)
                 || self.is_ending(job, *ix, claim.attempt);
@@ -376,14 +382,16 @@
             }
             if claim.token != arrival.token {
                 if arrival.seen_our_token {
-                    // The former owner can order nothing here any more, and it is not here.
+                    // The task is not on the machine, and the worker rejects commands of the former
+                    // owner, whose token is lower than the one it has seen.
                     let reason = EndReason::AbsentAfterFailover;
                     unlisted.lost.push(LostClaim { task, attempt: claim.attempt, reason });
                 }
                 continue;
             }
-            // Ours under this token. Absent from a heartbeat newer than any answer of ours that
-            // ordered it: not there. Order it (again), or give it up.
+            // The claim was made under the current token. The heartbeat is newer than any response
+            // that started the task, so the task is not on the machine: start it (again), or release
+            // the claim.
             let is_evicted = self.evictions.get(&arrival.machine, job, *ix).is_some();
             if self.is_over(job) || arrival.is_draining || is_evicted || arrival.notice.is_some() {
                 let reason = EndReason::NotStarted;
@@ -397,7 +405,7 @@
         unlisted
     }
 
-    /// A claim whose task is not on its machine is over, while the pool is ours under this token.
+    /// Ends a claim whose task is not on its machine, fenced by the pool's current token.
     fn release_lost(&mut self, arrival: &Arrival, claim: LostClaim) {
         let end = ClaimEnd {
             machine: arrival.machine.clone(),
@@ -411,7 +419,8 @@
         self.end(&claim.task.job, end);
     }
 
-    /// Keeps the heartbeat as its machine's last. Whether its tasks differ from the one before.
+    /// Stores the heartbeat as its machine's latest; returns whether its tasks differ from those of
+    /// the previous one.
     fn keep_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
--- a/crates/cleatfold-control/src/pools/mod.rs
+++ b/crates/cleatfold-control/src/pools/mod.rs
@@ -1,5 +1,5 @@
-//! Pools that this controller owns: ownership, heartbeats of their workers, and the authority to
-//! answer a worker.
+//! Pools that this controller owns: ownership, worker heartbeats, and the authority to answer a
+//! worker.
 
 mod heartbeats;
 pub(crate) mod long_polls;
