--- a/crates/cleatfold-control/src/pools/long_polls.rs
+++ b/crates/cleatfold-control/src/pools/long_polls.rs
@@ -1,4 +1,5 @@
-//! Heartbeats whose answers wait a moment, so that a claim made meanwhile is ordered at once.
+//! Long polling: the response to a heartbeat is held for a short time, so that the worker is told of
+//! a claim made meanwhile at once.
 
 use crate::controller::Controller;
 use crate::effects::Response;
@@ -6,7 +7,7 @@
 use cleatfold_wire::{FencingToken, MachineId, Ms, PoolId, TaskId};
 use std::collections::BTreeSet;
 
-/// A heartbeat whose answer waits a moment for a command.
+/// A heartbeat whose response is held until there is a command or the time is up.
 #[derive(Debug)]
 pub(crate) struct LongPoll {
     pub rid: u64,
@@ -16,11 +17,11 @@
 }
 
 impl Controller {
-    /// How long the answer to a heartbeat that calls for no command may wait for one: where there
-    /// is room, a claim made meanwhile is ordered at once instead of at the next heartbeat. It
-    /// stays an answer to the newest heartbeat, so nothing in it can be executed late; and it is
-    /// well within the time that a worker waits. Busy machines get little of it, for while an
-    /// answer is out their exits go unreported.
+    /// How long the response to a heartbeat that requires no command may be held. On a machine with
+    /// free resources a claim made meanwhile is then started at once instead of after the next
+    /// heartbeat. The response still answers the newest heartbeat, so it cannot be executed late, and
+    /// it is sent well within the worker's timeout. Busy machines are held shorter or not at all,
+    /// because a worker reports no exits while it waits for a response.
     pub(super) fn long_poll_ms(&self, id: &MachineId) -> u64 {
         let Some(machine) = self.inventory.machines.get(id) else { return 0 };
         if machine.draining || machine.notice.is_some() {
@@ -45,7 +46,7 @@
         (self.cfg.heartbeat_interval_ms * share / 100).min(2000)
     }
 
-    /// Answers held reports whose time is up, or whose machine got a claim.
+    /// Answers held heartbeats whose time is up, or whose machine has a new claim.
     pub(crate) fn answer_long_polls(&mut self, claimed: &[MachineId]) {
         let due: Vec<MachineId> = self
             .pools
@@ -72,14 +73,14 @@
         }
     }
 
-    /// A newer heartbeat came: its worker gave up on the answer to the one before.
+    /// Ends a held heartbeat after a newer one arrived: the worker no longer waits for its response.
     pub(super) fn abandon_long_poll(&mut self, id: &MachineId) {
         if let Some(old) = self.pools.long_polls.remove(id) {
             self.reply(old.rid, Response::later("a newer report came"));
         }
     }
 
-    /// Starts for claims that the machine's newest heartbeat does not list.
+    /// Start commands for claims whose tasks the machine's newest heartbeat does not list.
     fn starts(&self, id: &MachineId, token: FencingToken) -> Vec<Command> {
         let Some(machine) = self.inventory.machines.get(id) else { return vec![] };
         let Some(heartbeat) = &machine.heartbeat else { return vec![] };
@@ -94,7 +95,7 @@
             let leaving = self.is_ending(job, *ix, claim.attempt)
                 || self.evictions.get(id, job, *ix).is_some();
             if claim.token == token && !over && !leaving && !listed.contains(&task) {
-                // A claim whose machine has to wait for its image is nothing to the worker yet.
+                // The task is not started while the machine has to wait for a turn to fetch its image.
                 if let Some(sources) = self.fetch_turn(id, job) {
                     starts.push(Command::Start { task, attempt: claim.attempt, sources });
                 }
--- a/crates/cleatfold-control/src/pools/worker_authority.rs
+++ b/crates/cleatfold-control/src/pools/worker_authority.rs
@@ -1,17 +1,19 @@
-//! Whether a worker may be answered with 200 now. Every such answer passes here, for each renews a lease.
+//! Decides whether a heartbeat may be answered with 200 now. Every such response is checked here, because each renews
+//! the worker's lease.
 //!
-//! A worker's lease must never outlive its owner's proof that it knows all cancellations that users were told of. The
-//! proof is a reading of the state service, and counts from when the request was *sent*: a cancellation that another
-//! controller told before that is in it, one told later has all of `cancel_s` left. Nothing else is a proof: no mesh
-//! message, no answer to a change, no other reading (a page of the listing, a question to the archive), no refusal.
-//! A held answer is looked at when it goes out, not when its report came.
+//! A worker's lease must not outlive the proof that its pool's owner knows all cancellations that users have been told
+//! of. The proof is a sync from the state service, and it counts from when the request was *sent*: a cancellation that
+//! another controller confirmed before then is included, and one confirmed later has all of `cancel_s` left. Nothing
+//! else is a proof: no mesh message, no response to a change, no other read (a page of the listing, an archive lookup)
+//! and no refusal. A held response is checked when it is sent, not when its heartbeat arrived.
 
 use crate::controller::Controller;
 use crate::effects::Response;
 use cleatfold_wire::worker::{Command, HeartbeatResponse};
 use cleatfold_wire::{FencingToken, PoolId};
 
-/// Preemption by `Controller::entitled` alone, and good for one answer at that moment.
+/// Permission to answer one heartbeat at the present moment; created only by
+/// `Controller::worker_authority`.
 pub(crate) struct WorkerAuthority {
     token: FencingToken,
 }
@@ -27,8 +29,8 @@
 }
 
 impl Controller {
-    /// The pool is ours as far as we know, and we have read the state service so lately that the lease which an answer
-    /// renews is over before a cancellation that we cannot know of has to be.
+    /// Grants permission if this controller owns the pool, as far as it knows, and has read the state service recently
+    /// enough: the lease that a response renews then ends before the deadline of any cancellation it cannot know of.
     pub(crate) fn worker_authority(&self, pool: &PoolId) -> Result<WorkerAuthority, Response> {
         let Some(token) = self.my_token(pool) else {
             return Err(Response::Redirect(None));
