--- a/crates/cleatfold-control/src/pools/ownership.rs
+++ b/crates/cleatfold-control/src/pools/ownership.rs
@@ -1,35 +1,36 @@
-//! Which pools are this controller's, and under which fencing token.
+//! The pools that this controller owns, with their fencing tokens.
 
 use crate::controller::Controller;
 use crate::pools::long_polls::LongPoll;
 use cleatfold_wire::{ControllerId, FencingToken, MachineId, Ms, PoolId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A pool of ours, as last read.
+/// An owned pool, as last read from the state service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct OwnedPool {
     pub token: FencingToken,
-    /// When we read that it is ours.
+    /// When the ownership was first read.
     pub since: Ms,
 }
 
-/// The pools of this controller.
+/// The pools that this controller owns, and what it knows of newer owners.
 #[derive(Debug, Default)]
 pub(crate) struct OwnedPools {
     pub owned: BTreeMap<PoolId, OwnedPool>,
-    /// Pools under a higher token than we have read, as told by their owners.
+    /// Newer owners, with their tokens, that have announced themselves over the mesh but have not
+    /// been read from the state service yet.
     pub hinted: BTreeMap<PoolId, (ControllerId, FencingToken)>,
-    /// Heartbeats whose answers wait a moment.
+    /// Heartbeats whose responses are held, by machine.
     pub long_polls: BTreeMap<MachineId, LongPoll>,
 }
 
 impl OwnedPools {
-    /// Whether the pool is ours under exactly this token, as last read.
+    /// Whether this controller owns the pool under exactly this token, as last read.
     pub(crate) fn owns(&self, pool: &PoolId, token: FencingToken) -> bool {
         self.owned.get(pool).is_some_and(|owned| owned.token == token)
     }
 
-    /// The pools of ours that nobody is known to have taken over, with their tokens.
+    /// Owned pools without a known newer owner, with their tokens.
     pub(crate) fn undisputed(&self) -> impl Iterator<Item = (&PoolId, FencingToken)> {
         let owned = self.owned.iter().filter(|(pool, _)| !self.hinted.contains_key(*pool));
         owned.map(|(pool, owned)| (pool, owned.token))
@@ -37,7 +38,7 @@
 }
 
 impl Controller {
-    /// Sees which pools came to us since, and under which token.
+    /// Updates the owned pools and their tokens from the state cache.
     pub(crate) fn note_ownership(&mut self) {
         self.note_holders();
         let (me, incarnation) = (&self.cfg.me, self.session.incarnation);
@@ -64,7 +65,7 @@
         self.pools.hinted.retain(|pool, (_, token)| is_unread(pool, *token));
     }
 
-    /// Our token for a pool, if it is ours as far as we know.
+    /// The token under which this controller owns the pool; none if a newer owner is known.
     pub(crate) fn my_token(&self, pool: &PoolId) -> Option<FencingToken> {
         if self.pools.hinted.contains_key(pool) {
             return None;
--- a/crates/cleatfold-control/src/pools/tasks.rs
+++ b/crates/cleatfold-control/src/pools/tasks.rs
@@ -1,5 +1,5 @@
-//! Tasks on this controller's machines: when they began, how they ended, and when those on a machine
-//! that the cloud takes away are stopped.
+//! Tasks on this controller's machines: their starts and exits, and stopping them before the cloud
+//! reclaims their machine.
 
 use crate::controller::Controller;
 use crate::jobs::state::{ClaimEnd, EndReason};
@@ -7,7 +7,7 @@
 use cleatfold_wire::{Attempt, MachineId, Ms, TaskId};
 
 impl Controller {
-    /// Notes when a task was first seen running, and that its machine has its image.
+    /// Records when a task was first seen running, and that its machine holds the task's image.
     pub(super) fn note_running(&mut self, id: &MachineId, task: &TaskId) {
         let Some(cached) = self.cache.jobs.get(&task.job) else {
             return;
@@ -30,8 +30,9 @@
         machine.use_image(&image, gb, cache);
     }
 
-    /// The cloud takes the machine at `at`: a task that can save and has still to be told to
-    /// is stopped in time; one that cannot runs on, for it may end before.
+    /// The stop command for a task whose machine the cloud reclaims at `at`, once it is due. A task
+    /// with checkpoints is stopped in time to save one; a task without them continues to run, since
+    /// it may finish first.
     pub(super) fn stop_before_reclaim(&self, task: &TaskReport, at: Ms) -> Option<Command> {
         let cached = self.cache.jobs.get(&task.task.job)?;
         let spec = &cached.record.spec;
@@ -45,18 +46,19 @@
             return stop(0.0);
         }
         if let Some(elastic) = &spec.elastic {
-            // It ends its step if there is time, says so and begins no other one.
+            // The member finishes its step if there is time, reports it and begins no further one.
             let grace_s = at.since(self.now) as f64 / 2000.0;
             let is_due = grace_s <= elastic.step_s + two_intervals_s;
             return is_due.then(|| stop(grace_s))?;
         }
-        // The notice may be half of what it says, and the next heartbeat is a while off.
+        // Only half of the notice is relied on, and the next command can be sent only with the next
+        // heartbeat.
         let is_due = left_s / 2.0 <= spec.save_s + two_intervals_s + 1.0;
         let saves = spec.checkpoint_s > 0.0;
         (saves && is_due).then(|| stop(spec.save_s + 1.0))?
     }
 
-    /// An exit that a worker has reported ends its claim.
+    /// Ends the claim of an attempt whose exit a worker has reported.
     pub(crate) fn on_exit(
         &mut self,
         id: &MachineId,
@@ -105,7 +107,7 @@
             machine: id.clone(),
             ix: task.ix,
             attempt,
-            // A member that leaves frees its place; what is done of its job are steps.
+            // An elastic member that exits frees its slot; its job's progress is counted in steps.
             done: exit == Exit::Done && !elastic,
             reason: EndReason::Exit(exit),
             ran_ms,
