--- a/crates/cleatfold-control/src/machines/deleted.rs
+++ b/crates/cleatfold-control/src/machines/deleted.rs
@@ -1,12 +1,13 @@
-//! Machines that are known to be gone.
+//! Machines that are known to be deleted.
 
 use cleatfold_wire::MachineId;
 use std::collections::{BTreeSet, VecDeque};
 
 /// The most recently deleted machines, by name.
 ///
-/// A deletion is proven by the cloud's answer. Reports, rental answers and lists that were on their
-/// way at that time still name the machine; whatever is in this set is not taken up again.
+/// A deletion is proven by the cloud's response. Heartbeats, scale-out responses and machine lists that
+/// were in flight at that time still name the machine; a machine in this set is not added to the
+/// inventory again.
 #[derive(Debug, Default)]
 pub struct DeletedMachines {
     names: BTreeSet<MachineId>,
@@ -19,7 +20,7 @@
     /// (4,000): all of them may be returned and replaced within the lag of the cloud's list.
     pub const CAPACITY: usize = 16_384;
 
-    /// Whether the machine is known to be gone.
+    /// Whether the machine is known to be deleted.
     pub fn contains(&self, machine: &MachineId) -> bool {
         self.names.contains(machine)
     }
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -1,4 +1,4 @@
-//! Machines as their reports and the cloud's list tell of them.
+//! The inventory of machines, built from their heartbeats and the cloud's machine list.
 
 use crate::machines::deleted::DeletedMachines;
 use cleatfold_backfill::Resources;
@@ -10,61 +10,70 @@
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, VecDeque};
 
+/// The newest heartbeat of a machine.
 #[derive(Clone, Debug)]
 pub(crate) struct LastHeartbeat {
     pub agent_epoch: AgentEpoch,
     pub seq: Seq,
-    /// The highest token the worker had seen when it sent it.
+    /// The highest fencing token that the worker had seen when it sent the heartbeat.
     pub token: FencingToken,
     pub at: Ms,
     pub tasks: Vec<TaskReport>,
-    /// The list of tasks as it came: the next report is compared with it before it is read.
+    /// The unparsed task list; the next heartbeat is compared with it before it is parsed.
     pub text: Box<RawValue>,
-    /// It called for no command and told of nothing, while the machine's claims stood as this
-    /// stamp says. A report that says the same then needs no second look.
+    /// The stamp of the machine's claims if the heartbeat required no action. While the stamp is
+    /// the same, an identical heartbeat requires none either and is not parsed.
     pub settled: Option<u64>,
-    /// Of a worker that fetches from others: what it holds.
+    /// The images that the worker holds, if it fetches images from other workers.
     pub images: Option<Vec<HeldImage>>,
 }
 
+/// A machine, with what is known of it from heartbeats, the cloud and claims.
 #[derive(Clone, Debug)]
 pub(crate) struct Machine {
     pub pool: PoolId,
     pub spot: bool,
-    /// Where it takes direct orders.
+    /// The address at which its worker accepts direct commands and probes.
     pub endpoint: Option<String>,
+    /// The state from the cloud's machine list; `Running` once a heartbeat under the current token
+    /// has arrived.
     pub listed: Option<MachineState>,
+    /// When the machine was last in the cloud's list; at first, when it was added to the inventory.
     pub listed_at: Ms,
-    /// It has been in the cloud's list; one that is then missing from it is gone.
+    /// It has been in the cloud's list, so its absence from a later list means that it was deleted.
     pub was_listed: bool,
-    /// When it was rented, by the list's age.
+    /// When the machine was created, by its age in the cloud's list.
     pub born: Ms,
     pub heartbeat: Option<LastHeartbeat>,
-    /// When a report last came that shows it alive: newer than all before, under the token that we have its pool
-    /// under. A late copy shows neither.
+    /// When the last heartbeat arrived that proves the machine is running: newer than all earlier ones, and sent under
+    /// this controller's token for the pool. A delayed copy of a heartbeat meets neither condition.
     pub last_heartbeat: Option<Ms>,
-    /// Whether it hears us.
+    /// Detects whether responses reach the worker.
     pub partition_detector: cleatfold_reachability::OneWayPartitionDetector,
-    /// When we last answered a report of it with 200, and under which token.
+    /// When a heartbeat of the machine was last answered with 200, and under which token.
     pub answered: Option<(Ms, FencingToken)>,
-    /// When the cloud takes it away.
+    /// When the cloud reclaims the machine, if it gave notice.
     pub notice: Option<Ms>,
-    /// Images it holds, the most recently used last.
+    /// Images that the machine holds, with their sizes in GB, the most recently used last.
     pub images: VecDeque<(ImageId, f64)>,
+    /// `images` has changed since it was last sent to the peers.
     pub images_changed: bool,
-    /// When tasks were first seen running.
+    /// When each task was first seen running.
     pub started: BTreeMap<(JobId, TaskIx), Ms>,
-    /// Jobs that failed here.
+    /// Tasks that failed on the machine, as evidence of a machine fault.
     pub suspicion: cleatfold_fault_attribution::Suspicion,
-    /// What works elsewhere fails here.
+    /// Tasks that succeed on other machines fail on this one.
     pub faulty: bool,
-    /// Being emptied to be returned.
+    /// The machine is given no new tasks and is deleted once it runs none.
     pub draining: bool,
+    /// A deletion has been requested from the cloud.
     pub deleting: bool,
+    /// Since when the machine has had neither claims nor tasks.
     pub idle_since: Option<Ms>,
-    /// Its lease has provably run out since its last report.
+    /// The worker's lease has provably expired since its last heartbeat.
     pub expired: bool,
-    /// First known of.
+    /// When the machine was first known, or this process last resumed after a stall. Silence before
+    /// this time does not count against the machine.
     pub known: Ms,
 }
 
@@ -96,7 +105,7 @@
         }
     }
 
-    /// May be given new tasks, as far as its own state goes.
+    /// Whether the machine's own state allows it to be given new tasks.
     pub(crate) fn takes_work(&self) -> bool {
         !self.draining
             && !self.deleting
@@ -104,17 +113,19 @@
             && !self.partition_detector.is_partitioned()
     }
 
-    /// By its last report.
+    /// Whether its last heartbeat lists a task that has not exited.
     pub(crate) fn runs_something(&self) -> bool {
         let listed = self.heartbeat.iter().flat_map(|r| &r.tasks);
         listed.into_iter().any(|t| t.state != TaskState::Exited)
     }
 
+    /// When the last heartbeat arrived that proves the machine is running.
     pub(crate) fn last_heartbeat(&self) -> Option<Ms> {
         self.last_heartbeat
     }
 
-    /// Notes the use of an image and forgets the least recently used beyond the cache.
+    /// Marks an image as most recently used and evicts the least recently used ones beyond the size
+    /// of the machine's image cache.
     pub(crate) fn use_image(&mut self, image: &ImageId, gb: f64, cache_gb: f64) {
         if self.images.back().is_some_and(|i| i.0 == *image) {
             return;
@@ -129,17 +140,19 @@
     }
 }
 
+/// All known machines and machine types.
 #[derive(Debug, Default)]
 pub(crate) struct Inventory {
     pub types: BTreeMap<TypeId, MachineType>,
     pub machines: BTreeMap<MachineId, Machine>,
-    /// When the cloud's list last came whole.
+    /// When the cloud's machine list was last received completely.
     pub listed_at: Ms,
-    /// Late news about these is ignored.
+    /// Deleted machines; delayed messages about them are ignored.
     pub deleted: DeletedMachines,
 }
 
 impl Inventory {
+    /// Resources of one machine of a type.
     pub(crate) fn total(&self, machine_type: &TypeId) -> Resources {
         self.types
             .get(machine_type)
@@ -147,6 +160,7 @@
             .unwrap_or_default()
     }
 
+    /// Every pool that the cloud offers: each machine type in each of its zones.
     pub(crate) fn pools(&self) -> Vec<PoolId> {
         self.types
             .values()
@@ -160,12 +174,13 @@
         self.deleted.contains(id)
     }
 
+    /// Removes a machine whose deletion the cloud has confirmed.
     pub(crate) fn note_deleted(&mut self, id: &MachineId) {
         self.machines.remove(id);
         self.deleted.insert(id);
     }
 
-    /// Machines per pool.
+    /// The number of machines in each pool.
     pub(crate) fn sizes(&self) -> BTreeMap<&PoolId, usize> {
         let mut sizes = BTreeMap::new();
         for m in self.machines.values() {
@@ -174,7 +189,7 @@
         sizes
     }
 
-    /// The machines of each pool, found in one pass: a pass per pool is dear in a large deployment.
+    /// Groups the machines by pool in one pass; a pass per pool is expensive in a large deployment.
     pub(crate) fn by_pool(&self) -> BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> {
         let mut pools: BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> = BTreeMap::new();
         for (id, m) in &self.machines {
--- a/crates/cleatfold-control/src/machines/mod.rs
+++ b/crates/cleatfold-control/src/machines/mod.rs
@@ -1,4 +1,4 @@
-//! Machines: the inventory, what the cloud and silence tell of them, and scaling out and in.
+//! Machines: the inventory, the cloud's machine list, failure detection, and scaling out and in.
 
 pub(crate) mod cloud;
 pub(crate) mod deleted;
