--- a/crates/cleatfold-control/src/machines/cloud.rs
+++ b/crates/cleatfold-control/src/machines/cloud.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud, and what its answers say of machines.
+//! Reads machine types and the machine list from the cloud, and handles its responses.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CloudReply, CloudRequest};
@@ -8,21 +8,23 @@
 use cleatfold_wire::cloud::{ListedMachine, MachineState};
 use cleatfold_wire::{Ms, PoolId};
 
-/// The last answers of the cloud, and the calls for them that are under way.
+/// Freshness of the data read from the cloud, and the requests in flight.
 #[derive(Debug, Default)]
 pub(crate) struct CloudState {
-    /// When machine types and prices were last known to be current.
+    /// When machine types and prices were last read, or kept after a failed read.
     pub types_at: Option<Ms>,
     types_requested: bool,
-    /// When the list of machines last came whole.
+    /// When the machine list was last received completely; set back after a failed read, so that the
+    /// next one is sent sooner.
     pub list_at: Option<Ms>,
     list_requested: bool,
-    /// Pages of a list that has not come whole yet.
+    /// Machines from the pages of the list that have been received so far.
     listed: Vec<ListedMachine>,
 }
 
 impl Controller {
-    /// Half of the cloud's rate is for whoever rents, the others share the rest.
+    /// Interval between calls to the cloud: the controller that scales out may use half of the cloud's
+    /// rate limit, and the others share the rest.
     pub(crate) fn cloud_spacing_ms(&self) -> u64 {
         let others = self.cfg.peers.len();
         let share = match (others, self.holds(Role::ScaleOut)) {
@@ -33,12 +35,14 @@
         (1000.0 / (self.cfg.cloud_calls_per_s * share).max(0.1)) as u64
     }
 
-    /// Looking takes at most half of our calls, however many pages the list has.
+    /// Interval between reads of the machine list: they take at most half of this controller's calls,
+    /// however many pages the list has.
     fn list_ms(&self) -> u64 {
         let pages = 1 + self.inventory.machines.len() as u64 / 500;
         (2 * pages * self.cloud_spacing_ms()).max(4000)
     }
 
+    /// Reads machine types and the machine list again when they are due.
     pub(crate) fn keep_cloud(&mut self) {
         let types_due = self.cloud_state.types_at.is_none_or(|at| self.now.since(at) > 60_000);
         if types_due && !self.cloud_state.types_requested {
@@ -55,12 +59,14 @@
         }
     }
 
+    /// Handles a response from the cloud.
     pub(crate) fn on_cloud(&mut self, op: u64, reply: CloudReply) {
         match (self.calls.pending.remove(&op), reply) {
             (Some(Pending::Types), reply) => {
                 self.cloud_state.types_requested = false;
                 match reply {
-                    // A list of none says nothing: whoever went by it would refuse every job for good.
+                    // An empty list of machine types is ignored: with no types, every submitted job
+                    // would be refused for good.
                     CloudReply::Types(types) if !types.is_empty() => {
                         self.inventory.types =
                             types.into_iter().map(|t| (t.name.clone(), t)).collect();
@@ -112,6 +118,8 @@
         }
     }
 
+    /// Updates the inventory from a complete machine list, and removes machines that have been
+    /// missing from the list, without heartbeats and without claims for long enough.
     fn on_list(&mut self, list: Vec<ListedMachine>) {
         let now = self.now;
         self.inventory.listed_at = now;
@@ -132,7 +140,7 @@
             if machine.endpoint.is_none() {
                 machine.endpoint.clone_from(&listed.endpoint);
             }
-            // An old list must not take a reporting machine back to booting.
+            // A stale list must not set a reporting machine back to booting.
             if machine.heartbeat.is_none() || listed.state == MachineState::Failed {
                 machine.listed = Some(listed.state);
             }
@@ -146,8 +154,8 @@
         });
     }
 
-    /// Whether a machine that reports to another controller may still be there: it is in the last list, or no list has
-    /// named it yet. Decides what is rented, nothing else.
+    /// Whether a machine that may report to another controller may still exist: it has sent a heartbeat recently, is in
+    /// the last list, or has not been in any list yet. Used only to decide how many machines to request.
     pub(crate) fn may_be_there(&self, machine: &Machine) -> bool {
         let last_heartbeat =
             machine.last_heartbeat().is_some_and(|at| self.now.since(at) <= self.silent_ms());
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -1,5 +1,5 @@
-//! Watching the machines of this controller's pools: silent ones, idle ones, those that are returned,
-//! and those that only their claims tell of.
+//! Monitors the machines of this controller's pools: detects failed, unresponsive and idle machines,
+//! deletes them, and adds machines that are known only from claims.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::CloudRequest;
@@ -10,47 +10,50 @@
 use cleatfold_wire::{FencingToken, MachineId, Ms, PoolId, TeamId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Looking at every machine costs by their number; nothing it finds is in a hurry.
+/// The cost of a check grows with the number of machines, and none of its results is urgent.
 const WATCH_INTERVAL_MS: u64 = 250;
-/// A machine that never reports is returned after so many boot times, and a moment.
+/// A machine that never sends a heartbeat is deleted after this multiple of its type's boot time,
+/// plus `BOOT_GRACE_MS`.
 const MAX_BOOT_TIMES: u64 = 4;
 const BOOT_GRACE_MS: u64 = 30_000;
-/// Machines that one call to the cloud may delete, by the protocol.
+/// Machines that one call to the cloud may delete, by its protocol.
 const MAX_DELETED_PER_CALL: usize = 100;
-/// So few silent machines of a zone are dead machines; more of them may be a cut.
+/// Up to this many unresponsive machines in a zone count as machine failures; more of them may be a
+/// network partition.
 const MAX_SINGLE_FAILURES: usize = 2;
 
-/// A pool of ours, as its machines are watched by.
+/// What the check of a machine needs to know of its pool.
 struct WatchedPool {
     token: FencingToken,
-    /// Since when it is ours.
+    /// When this controller's ownership was first read.
     since: Ms,
     boot_ms: u64,
-    /// Of one machine.
+    /// Processors of one machine.
     cpus: f64,
-    /// Processors that waiting jobs may use of its ordinary and of its spot machines.
+    /// Processors that waiting jobs can use on its on-demand machines and on its spot machines.
     useful: [f64; 2],
 }
 
-/// Times after which something is concluded about a machine.
+/// Time thresholds for the check of a machine.
 struct WatchTimes {
     now: Ms,
-    /// Without a heartbeat for so long its lease may have expired.
+    /// Without a heartbeat for longer than this, the worker's lease may have expired.
     quiet_ms: u64,
-    /// Without a heartbeat for so long it is given up.
+    /// Without a heartbeat for longer than this, the machine counts as unresponsive.
     given_up_ms: u64,
     lease_ms: u64,
     idle_ms: u64,
 }
 
 impl WatchTimes {
-    /// A worker's lease is over for certain after so long: it may be renewed late, and clocks drift.
+    /// The time after which a worker's lease has certainly expired: the worker may receive the renewal
+    /// late, and clocks drift.
     fn certain_lease_ms(&self) -> u64 {
         self.lease_ms + self.lease_ms / 500 + 500
     }
 }
 
-/// Machines of one zone that are ours.
+/// Machines of the owned pools in one zone, by whether this controller reaches them.
 #[derive(Clone, Copy, Default)]
 struct ZoneCount {
     unresponsive: usize,
@@ -58,36 +61,37 @@
 }
 
 impl ZoneCount {
-    /// Many of one zone at once is a cut, or us: deleting them would make it worse. (Counted
-    /// over all of an owner's machines, a cut zone passed for a few dead ones among many.)
+    /// Whether so many machines of the zone are unreachable at once that a network partition, or a
+    /// fault of this controller, is the likely cause; deleting them would make it worse. Counted per
+    /// zone, because among all machines of an owner a partitioned zone looks like a few failures.
     fn looks_cut(self) -> bool {
         self.unresponsive > MAX_SINGLE_FAILURES && self.unresponsive * 2 > self.responsive
     }
 }
 
-/// A machine that has sent no heartbeat for so long that it is given up.
+/// A machine that has sent no heartbeat for longer than the threshold.
 struct SilentMachine {
     id: MachineId,
     zone: ZoneId,
     silent_ms: u64,
 }
 
-/// A machine that sends heartbeats and receives nothing.
+/// A machine that sends heartbeats but receives no responses.
 struct PartitionedMachine {
     id: MachineId,
     zone: ZoneId,
 }
 
-/// A machine whose lease has provably expired, under the ownership that proves it.
+/// A machine whose worker's lease has provably expired, with the pool ownership that proves it.
 struct ExpiredMachine {
     id: MachineId,
     fence: Fence,
 }
 
-/// What one look at the machines has found.
+/// Results of one check of all machines.
 #[derive(Default)]
 struct Findings {
-    /// To be deleted, whatever else is found.
+    /// Machines to be deleted regardless of the state of their zone.
     delete: Vec<MachineId>,
     silent: Vec<SilentMachine>,
     partitioned: Vec<PartitionedMachine>,
@@ -96,7 +100,7 @@
 }
 
 impl Findings {
-    /// Looks at one machine. `is_needed`: not to be returned for idleness.
+    /// Checks one machine. `is_needed` returns whether it must be kept even when idle.
     fn inspect(
         &mut self,
         id: &MachineId,
@@ -132,7 +136,7 @@
         }
     }
 
-    /// Booting, or never coming up.
+    /// Checks a machine that has not sent a heartbeat yet: it is deleted if it takes too long to boot.
     fn inspect_booting(
         &mut self,
         id: &MachineId,
@@ -147,7 +151,8 @@
         }
     }
 
-    /// Whether the machine reports and receives what it is told.
+    /// Returns whether the machine sends heartbeats and receives responses; records it if it does not,
+    /// or if its lease has expired.
     fn inspect_liveness(
         &mut self,
         id: &MachineId,
@@ -160,8 +165,8 @@
         let last = machine.last_heartbeat().unwrap_or(machine.known);
         let quiet_ms = now.since(last.max(machine.known).max(pool.since));
         if quiet_ms > times.quiet_ms {
-            // Its own lease: the last answer it can have had came from us, under the token it has
-            // seen, so nobody else can have renewed it.
+            // The worker has seen this controller's token, so it accepts no response of an earlier
+            // owner: only this controller's last response can have renewed its lease.
             let seen = machine.heartbeat.as_ref().is_some_and(|h| h.token == pool.token);
             let answered = machine.answered.is_some_and(|(at, token)| {
                 token == pool.token && now.since(at) > times.certain_lease_ms()
@@ -183,7 +188,8 @@
             self.silent.push(silent);
             return false;
         }
-        // It reports, but receives nothing: no sign that the zone is reached, and of no use.
+        // It sends heartbeats but receives no responses: this does not show that the zone is
+        // reachable, and the machine cannot be used.
         if machine.partition_detector.is_partitioned() {
             count.unresponsive += 1;
             let partitioned_ms = machine.partition_detector.partitioned_ms(now);
@@ -200,7 +206,7 @@
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
-    /// Every machine that is to be deleted.
+    /// All machines to be deleted.
     fn to_delete(&self, lease_ms: u64) -> Vec<MachineId> {
         let mut delete = self.delete.clone();
         let is_given_up =
@@ -213,10 +219,11 @@
 }
 
 impl Controller {
-    /// Looks at our machines: releases the claims of those that are gone, and deletes those that are
-    /// failed, silent or idle.
+    /// Checks the machines of the owned pools: releases the claims of those whose lease has expired,
+    /// and deletes failed, unresponsive and idle ones.
     pub(crate) fn watch_machines(&mut self) {
-        // Cut off, we would take our own silence for the machines'. Others may hear them.
+        // While this controller is cut off from the state service, its own isolation would look like
+        // failures of the machines, which other controllers may still reach.
         let is_due = self.now.since(self.watched) >= WATCH_INTERVAL_MS * self.backpressure;
         if !self.in_contact() || !is_due {
             return;
@@ -241,7 +248,7 @@
             findings.inspect(id, machine, pool, &times, has_claims, is_needed);
         }
         for ExpiredMachine { id, fence } in &findings.expired {
-            // Claims made since are on no machine either: they were never ordered.
+            // Claims made after the expiry can be released too: their tasks were never started.
             if self.cache.claims.contains_key(id) {
                 self.on_machine_gone(id, EndReason::LeaseExpired, Some(fence.clone()));
             }
@@ -250,9 +257,10 @@
         self.delete(findings.to_delete(times.lease_ms));
     }
 
+    /// Collects the data of the owned pools for the check.
     fn watched_pools(&self) -> BTreeMap<PoolId, WatchedPool> {
         let headroom = self.team_headroom(|_| 1.0);
-        // The same for every pool.
+        // Collected once, since it is the same for every pool.
         let waiting: Vec<&CachedJob> = self
             .cache
             .jobs
@@ -276,7 +284,7 @@
         watched.collect()
     }
 
-    /// Processors that waiting jobs may use of a pool's ordinary or spot machines.
+    /// Processors that waiting jobs can use on the pool's on-demand or spot machines.
     fn useful_cpus(
         &self,
         pool: &PoolId,
@@ -290,8 +298,8 @@
             if (spot && !spec.spot) || !self.may_use(job, pool) {
                 continue;
             }
-            // What waits for its team's limit alone keeps no idle machine. (Hundreds
-            // stood idle for a team that could not start anything.)
+            // Tasks that wait only because of their team's limit do not keep idle machines: otherwise
+            // hundreds stay idle for a team that cannot start anything.
             if !headroom.contains_key(&spec.team) {
                 return f64::INFINITY;
             }
@@ -300,7 +308,7 @@
         teams.into_iter().map(|(team, waits)| waits.min(headroom[team]).max(0.0)).sum()
     }
 
-    /// All claims on a machine that is provably gone are over.
+    /// Ends all claims on a machine that provably runs no tasks any more.
     pub(super) fn on_machine_gone(
         &mut self,
         id: &MachineId,
@@ -318,9 +326,10 @@
         }
     }
 
+    /// Requests the deletion of machines that no claim in flight names.
     fn delete(&mut self, ids: Vec<MachineId>) {
-        // One call at a time, up to a hundred machines each: a call a machine kept the cloud's
-        // rate busy for a minute after a wave of losses, and proofs came late.
+        // One call at a time, with up to a hundred machines: one call per machine used up the cloud's
+        // rate limit for a minute after many machines had failed, which delayed the proofs of deletion.
         if self.calls.pending.values().any(|p| matches!(p, Pending::Delete { .. })) {
             return;
         }
@@ -351,7 +360,8 @@
         }
     }
 
-    /// Machines that only their claims tell of: taken over from a former owner, or deleted.
+    /// Adds machines that are known only from claims (those of a former owner) to the inventory, and
+    /// ends the claims of those that are already deleted.
     fn adopt_claimed_machines(&mut self) {
         let unknown: BTreeSet<MachineId> = self
             .cache
@@ -373,7 +383,7 @@
         }
         for (id, pool) in found {
             if self.inventory.is_deleted(&id) {
-                // Until the ends are recorded its claims stand; they are told of once.
+                // The claims remain until their ends are recorded; the ends are reported only once.
                 let claims = self.cache.claims.get(&id).into_iter().flatten();
                 let mut news = claims.map(|((job, ix), c)| self.is_ending(job, *ix, c.attempt));
                 if news.any(|ending| !ending) {
