--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -1,8 +1,8 @@
-//! Scaling out, under the role of that name: an intent first, then the call.
+//! Scaling out, by the controller that holds the scale-out role: an intent is written before the call.
 //!
-//! The cloud cannot tell a holder that was replaced from the one that came after it. So what is
-//! asked of it is first written under the role's epoch: a former holder's write fails, and it has
-//! nothing to ask for. Whoever comes next asks for the same by the same names.
+//! The cloud cannot tell a former holder of the role from its successor. Every request is therefore
+//! first recorded as an intent under the role's epoch: a former holder's write fails, so it makes no
+//! request. The successor repeats the recorded requests under the same names.
 
 use crate::config::ObjectiveKind;
 use crate::controller::{Controller, Pending};
@@ -21,14 +21,14 @@
 use std::collections::BTreeMap;
 
 const SCALE_OUT_INTERVAL_MS: u64 = 500;
-/// Less than this is a rounding error.
+/// Smaller shortfalls are rounding errors.
 const MIN_LACK_CPUS: f64 = 1e-9;
-/// Requests that stand in the record at one time.
+/// Maximum number of open intents in the record.
 const MAX_OPEN_INTENTS: usize = 4;
-/// Machines that one request may ask for, by the protocol.
+/// Machines that one request may ask for, by the cloud's protocol.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
-/// Machines of one pool, ordinary or spot: what the cloud offers at one price.
+/// Machines of one pool, on-demand or spot: the unit that the cloud sells at one price.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Offer {
     pool: PoolId,
@@ -43,13 +43,13 @@
 
 type CpusByOffer = BTreeMap<Offer, f64>;
 
-/// What one waiting job needs.
+/// Processors that one waiting job needs.
 struct Need {
-    /// Processors that are not found yet.
+    /// Processors not yet covered by the supply.
     cpus: f64,
-    /// Processors that it may use in one zone.
+    /// Maximum number of processors that the job may use in one zone.
     per_zone: f64,
-    /// Processors of existing machines that are counted for it.
+    /// Processors of the supply allocated to the job, by zone.
     taken_by_zone: BTreeMap<ZoneId, f64>,
 }
 
@@ -59,20 +59,20 @@
     }
 }
 
-/// The state of the role of scaling out.
+/// State of the scale-out role.
 #[derive(Debug, Default)]
 pub(crate) struct ScaleOutState {
     tracker: ScaleOutTracker,
     count: u64,
     last_checked: Ms,
     writing: bool,
-    /// Since when what we have read may be older than what we wrote.
+    /// When the answer to an unconfirmed write arrived; the cache may lack its effect until a later sync.
     stale: Option<Ms>,
 }
 
 impl Controller {
-    /// Requests the machines that are lacking, while this controller holds the role and the state
-    /// service confirms it.
+    /// Requests machines for the CPU shortfall, while this controller holds the role and is in contact
+    /// with the state service.
     pub(crate) fn maintain_scale_out(&mut self) {
         let due = self.now.since(self.scale_out.last_checked)
             >= SCALE_OUT_INTERVAL_MS * self.backpressure;
@@ -110,9 +110,10 @@
         );
     }
 
+    /// Intents for the largest shortfalls that have no open intent yet.
     fn new_scale_out_intents(&mut self) -> Vec<ScaleOutIntent> {
         let Some(incarnation) = self.session.incarnation else { return vec![] };
-        // What is answered and only not yet out of the record holds nobody up.
+        // Intents that are answered but not yet removed from the record do not count as open.
         let coming = self.scale_out.tracker.coming(&self.cache.scale_out_intents.value);
         let open: Vec<Offer> = coming.map(Offer::of).collect();
         let free = MAX_OPEN_INTENTS.saturating_sub(open.len());
@@ -121,7 +122,7 @@
         }
         let mut new = Vec::new();
         for (offer, lack) in self.lacking() {
-            // One at a time for the same machines.
+            // At most one open intent per offer.
             if new.len() >= free || open.contains(&offer) {
                 continue;
             }
@@ -143,6 +144,7 @@
         new
     }
 
+    /// Makes the cloud requests once their intents are durable.
     pub(crate) fn on_scale_out_written(&mut self, step: Step, reply: StoreReply) {
         self.scale_out.writing = false;
         match reply {
@@ -160,7 +162,7 @@
                     self.cloud(CloudRequest::ScaleOut(request), pending);
                 }
             }
-            // Perhaps it is durable: then the intents stand, and are met like a former holder's.
+            // The write may have succeeded: the intents are then treated like those of a former holder.
             _ => {
                 self.scale_out.stale = Some(self.now);
                 self.session.sync_wanted = true;
@@ -168,6 +170,7 @@
         }
     }
 
+    /// Handles the cloud's response to a scale-out request.
     pub(crate) fn on_scale_out(&mut self, request: ScaleOutRequest, tries: u32, reply: CloudReply) {
         let pool =
             PoolId { machine_type: request.machine_type.clone(), zone: request.zone.clone() };
@@ -187,7 +190,7 @@
                 }
             }
             CloudReply::NoCapacity => Answer::Short,
-            // The same name again creates nothing twice.
+            // Requests are idempotent by name: a retry creates no further machines.
             _ if tries < 3 => {
                 let pending = Pending::ScaleOut { request: request.clone(), tries: tries + 1 };
                 return self.cloud(CloudRequest::ScaleOut(request), pending);
@@ -197,7 +200,8 @@
         self.scale_out.tracker.answered(&request.request, answer, self.now);
     }
 
-    /// Machines that will come up, as the cloud has just said to us or to the holder of the role.
+    /// Adds machines that the cloud has just created for this controller or for the holder of the
+    /// scale-out role.
     pub(crate) fn note_created_machines(
         &mut self,
         pool: &PoolId,
@@ -214,10 +218,10 @@
         self.replan_needed = true;
     }
 
-    /// Processors that the machines which exist or are requested will not provide in time, by the
-    /// offer that suits the waiting jobs best; most first. Each job in the order of the queue takes
-    /// what it may use of the supply, and lacks the rest. (The sum over the queue alone once filled
-    /// the region with machines that the waiting jobs could not use.)
+    /// CPU shortfall that existing and requested machines will not cover in time, by the best offer
+    /// for the waiting jobs, largest first. In queue order, each job is allocated what it may use of
+    /// the supply; the rest is its shortfall. (Comparing only the sum over the queue with the supply
+    /// filled the region with machines that the waiting jobs could not use.)
     fn lacking(&self) -> Vec<(Offer, f64)> {
         let mut headroom = self.team_headroom(|cached| self.share_still_needed(cached));
         let mut supply = self.supply();
@@ -225,13 +229,13 @@
         let sizes = self.inventory.sizes();
         for Queued { job: id, tasks: unclaimed, growth, .. } in self.queue() {
             let Some(cached) = self.cache.jobs.get(&id) else { continue };
-            // No machine is requested for another try of what fails wherever it runs.
+            // No machine is requested to retry a job that fails on every machine.
             let may_use = |offer: &Offer| self.may_use(cached, &offer.pool);
             if growth || (self.is_suspect(&id, cached) && supply.keys().any(may_use)) {
                 continue;
             }
             let mut need = self.scale_out_need(cached, unclaimed);
-            // Nor for what the team's limit will not let start.
+            // Nor for tasks that the team's limit keeps from starting.
             if let Some(headroom) = headroom.get_mut(&cached.record.spec.team) {
                 need.cpus = need.cpus.min(*headroom).max(0.0);
                 *headroom -= need.cpus;
@@ -248,18 +252,19 @@
         wanted
     }
 
-    /// The share of its processors that a job still holds when those that wait now need them.
+    /// The expected fraction of its processors that a running job still uses when the waiting jobs need
+    /// them.
     fn share_still_needed(&self, cached: &CachedJob) -> f64 {
         (0.5 * cached.record.spec.estimate_s / self.cfg.usual_wait_s).min(1.0)
     }
 
-    /// Processors of the machines that exist, less what their tasks go on using, and of those that
-    /// are requested.
+    /// Processors of existing machines, less those that their tasks will still use, and of requested
+    /// machines.
     fn supply(&self) -> CpusByOffer {
         let mut supply = CpusByOffer::new();
         for (id, m) in &self.inventory.machines {
-            // One that another controller has returned is no supply. (It counted for 50 s more, and
-            // what could have been requested waited that long.)
+            // A machine that another controller has deleted is no supply: without this check it would
+            // count for another 50 s and delay the request for its replacement by as much.
             if !m.takes_work() || !self.may_be_there(m) {
                 continue;
             }
@@ -272,7 +277,7 @@
             let offer = Offer { pool: m.pool.clone(), spot: m.spot };
             *supply.entry(offer).or_default() += free.max(0.0);
         }
-        // What stands in the record is on its way, whoever asked for it.
+        // Recorded intents count as supply, whichever controller wrote them.
         for intent in self.scale_out.tracker.coming(&self.cache.scale_out_intents.value) {
             let kind = self.inventory.types.get(&intent.machine_type);
             let cpus = kind.map_or(0.0, |t| t.cpus) * f64::from(intent.count);
@@ -281,19 +286,19 @@
         supply
     }
 
-    /// What a job needs to start its unclaimed tasks in time.
+    /// Processors that a job needs to start its unclaimed tasks in time.
     fn scale_out_need(&self, cached: &CachedJob, unclaimed: u32) -> Need {
         let spec = &cached.record.spec;
         let target = (self.slack_s(cached) * 0.8).clamp(5.0, 120.0);
         let run = if spec.kind == Kind::Array { spec.estimate_s.max(1.0) } else { target };
         let all = f64::from(unclaimed) * spec.cpus;
-        // Of a spread job, each zone can take only half.
+        // Of a spread job, each zone may run only half.
         let per_zone = if spec.spread { all / 2.0 + spec.cpus } else { f64::INFINITY };
         let cpus = all.min(all * run / target).max(spec.cpus);
         Need { cpus, per_zone, taken_by_zone: BTreeMap::new() }
     }
 
-    /// Lets a job take what it may use of the supply.
+    /// Allocates to a job what it may use of the supply.
     fn take_from_supply(&self, cached: &CachedJob, need: &mut Need, supply: &mut CpusByOffer) {
         for (offer, free) in supply {
             if (offer.spot && !cached.record.spec.spot) || !self.may_use(cached, &offer.pool) {
@@ -307,7 +312,7 @@
         }
     }
 
-    /// How long the tasks of a job may still wait if it is to meet what is expected of it.
+    /// How long the tasks of a job may still wait if the job is to meet its service level objectives.
     fn slack_s(&self, cached: &CachedJob) -> f64 {
         let spec = &cached.record.spec;
         let elapsed = self.wall_ms.saturating_sub(cached.record.accepted_ms) as f64 / 1000.0;
@@ -320,7 +325,8 @@
         waits.min_by(f64::total_cmp).unwrap_or(self.cfg.usual_wait_s) - elapsed
     }
 
-    /// The offer that is best for a job: cheap per processor, soon up, and not all in one place.
+    /// The best offer for a job, by price per processor, boot time and how many of the machines are
+    /// already in that pool.
     fn best_offer(
         &self,
         cached: &CachedJob,
@@ -347,7 +353,7 @@
                 let crowd = 1.0 + 0.5 * sizes.get(&pool).copied().unwrap_or(0) as f64 / all;
                 let mut rank = price / kind.cpus * (1.0 + kind.boot_s / 60.0) * crowd;
                 if lacking.contains_key(&offer) {
-                    // Prefer what is requested anyway.
+                    // Prefer an offer that is requested for other jobs anyway.
                     rank *= 0.9;
                 }
                 if best.as_ref().is_none_or(|b| rank < b.0) {
