--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -1,10 +1,12 @@
-//! What the other controllers tell: hints, all of it.
+//! Handling of mesh messages from the other controllers. All of them are hints: what is authoritative
+//! is recorded in the state service.
 
 use crate::controller::Controller;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::{ControllerId, FencingToken, ImageId, MachineId, Ms, PoolId};
 
 impl Controller {
+    /// Handles a message from a peer.
     pub(crate) fn on_mesh(&mut self, from: ControllerId, message: Message) {
         self.reachability.view.peers.note_message(&from, self.now);
         match message {
--- a/crates/cleatfold-control/src/membership/mod.rs
+++ b/crates/cleatfold-control/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! The other controllers and the workers: messages from peers, and who can talk to whom.
+//! Messages from the other controllers, and reachability between controllers and workers.
 
 mod messages;
 mod reachability;
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -1,5 +1,6 @@
-//! Who reaches whom: what workers and peers show of it, questions to workers that have been quiet, and
-//! pools that follow the workers. `cleatfold_reachability` decides.
+//! Reachability between controllers and workers: evidence from heartbeats and peers, probes of workers
+//! in zones without recent contact, and moving a pool to a controller that its workers reach.
+//! `cleatfold_reachability` makes the decisions.
 
 use crate::controller::Controller;
 use crate::effects::{Effect, Response};
@@ -11,19 +12,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const CONTACT_INTERVAL_MS: u64 = 500;
-/// A lease ends up to 100 ms late; the rest is for clocks.
+/// A lease ends up to 100 ms late; the rest allows for clock drift.
 const LEASE_OVER_MS: u64 = 300;
-/// Peers say something each second.
+/// Peers send a message every second.
 const SILENT_MS: u64 = 3_000;
 
 impl Controller {
-    /// Asks workers of zones that have been quiet, and tells the others what we do not reach.
+    /// Probes workers in zones without recent contact, and sends the zone contacts to the peers.
     pub(crate) fn maintain_reachability(&mut self) {
         if self.now.since(self.reachability.last_checked) < CONTACT_INTERVAL_MS {
             return;
         }
         self.reachability.last_checked = self.now;
-        // By zone: machines that are up, and how many of them report to us.
+        // By zone: running machines, and how many of them send heartbeats to this controller.
         let mut zones: BTreeMap<&ZoneId, (Vec<MachineId>, usize)> = BTreeMap::new();
         for (id, m) in &self.inventory.machines {
             let up = m.heartbeat.is_some() || m.listed == Some(MachineState::Running);
@@ -64,6 +65,7 @@
         }
     }
 
+    /// Records a peer's zone contacts.
     pub(crate) fn on_zone_contacts(
         &mut self,
         from: &ControllerId,
@@ -76,6 +78,7 @@
         self.reachability.view.peers.note_zone_contacts(from, zones.collect(), now);
     }
 
+    /// Handles the result of a probe; may take over the pool of a misdirected worker.
     pub(crate) fn on_probed(&mut self, machine: MachineId, answer: Option<(AgentEpoch, Seq)>) {
         if let Some(m) = self.inventory.machines.get(&machine) {
             self.reachability.view.probed(&m.pool.zone, &machine, answer.is_some(), self.now);
@@ -97,7 +100,8 @@
         }
     }
 
-    /// A worker came here that should be at the owner's: perhaps its pool should come after it.
+    /// Handles a heartbeat from a worker whose pool another controller owns: may probe the worker, as
+    /// the first step of taking its pool over.
     pub(crate) fn on_misdirected_worker(
         &mut self,
         heartbeat: &RawHeartbeat,
@@ -123,17 +127,18 @@
         }
     }
 
-    /// Our lease is over and nothing is heard of the state service nor of another controller: whether to let a
-    /// worker of ours go, so that it shows whether somebody else serves.
+    /// Whether to redirect a worker of an owned pool while this controller's lease has expired and neither the state
+    /// service nor a peer answers: what becomes of the worker shows whether another controller serves the pool.
     pub(crate) fn release_worker(
         &mut self,
         heartbeat: &RawHeartbeat,
         pool: &PoolId,
     ) -> Option<Response> {
-        // It was renewed no later than the state service was last read, or we would have read since.
+        // The lease was last renewed no later than the last sync: contact after the sync would have
+        // led to another one.
         let lease_ms = self.cfg.controller_lease_ms + LEASE_OVER_MS;
         let over = self.session.last_read.is_none_or(|f| self.now.since(f) > lease_ms);
-        // Peers that say nothing better than we know are in the same outage.
+        // Peers that do not show that the pools are served elsewhere are in the same outage.
         let alone = !self.reachability.view.peers.receives_from_any_peer(self.now, SILENT_MS);
         if !over || !(alone || self.reachability.view.worker_release.others_serve()) {
             return None;
@@ -147,8 +152,8 @@
         }
     }
 
-    /// Sees who holds the pools now. Where one went from a controller that lives to another and it was not
-    /// us who assigned it so, its workers have left the first.
+    /// Compares the owners of the pools with those of the last sync. If a pool moved away from a live
+    /// controller and this controller did not assign it, its workers could not reach that owner.
     pub(crate) fn note_holders(&mut self) {
         for (pool, holding) in &self.cache.pools {
             self.reachability.view.misdirected_workers.see_token(pool, holding.token, self.now);
@@ -160,7 +165,7 @@
                 let ours = self.reachability.assigned_to.get(pool) == Some(&holding.owner);
                 if !ours && self.cache.controllers.contains_key(before) {
                     self.reachability.view.left(before, &pool.zone, self.now);
-                    // And it has only just moved.
+                    // The move counts as recent for the minimum time between assignments.
                     self.leadership.pool_assigned_at.insert(pool.clone(), self.now);
                 }
             }
@@ -168,12 +173,12 @@
         }
     }
 
-    /// Whether the controller may be given a share of a zone's machines: as far as we know it reaches them.
+    /// Whether the controller may own pools in a zone: no evidence shows that it does not reach the zone's workers.
     pub(crate) fn may_hold(&self, controller: &ControllerId, zone: &ZoneId) -> bool {
         self.reachability.view.may_hold(&self.cfg.me, controller, zone, self.now)
     }
 
-    /// Controllers that reach the pool's workers where its owner, that lives, does not.
+    /// Controllers that reach the pool's workers while its live owner does not.
     pub(crate) fn takers(&self, owner: &ControllerId, pool: &PoolId) -> BTreeSet<ControllerId> {
         let (view, me) = (&self.reachability.view, &self.cfg.me);
         let takes = |n: &&ControllerId| view.reaches_instead(me, n, owner, &pool.zone, self.now);
--- a/crates/cleatfold-control/src/membership/state.rs
+++ b/crates/cleatfold-control/src/membership/state.rs
@@ -1,20 +1,21 @@
-//! What a controller has seen of who reaches whom.
+//! State of the reachability checks.
 
 use crate::config::Config;
 use cleatfold_reachability::{Reachability, Timing};
 use cleatfold_wire::{ControllerId, Ms, PoolId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who reaches whom, and what was last told and seen of it.
+/// A controller's view of reachability, with what it last sent to its peers and saw in the cache.
 pub(crate) struct ReachabilityState {
     pub view: Reachability,
     pub last_checked: Ms,
+    /// When the zone contacts were last sent to the peers.
     pub contacts_sent_at: Ms,
-    /// Zones that we do not reach, as we last saw.
+    /// Zones that this controller did not reach at the last check.
     pub lost: BTreeSet<ZoneId>,
-    /// Who held each pool when we last looked.
+    /// The owner of each pool as of the last sync.
     pub holders: BTreeMap<PoolId, ControllerId>,
-    /// To whom we have assigned pools ourselves.
+    /// The owner to which this controller last assigned each pool.
     pub assigned_to: BTreeMap<PoolId, ControllerId>,
 }
 
@@ -30,7 +31,7 @@
         }
     }
 
-    /// We gave a pool to a controller.
+    /// Records that this controller assigned a pool.
     pub(crate) fn note_assignment(&mut self, pool: &PoolId, controller: &ControllerId) {
         self.assigned_to.insert(pool.clone(), controller.clone());
     }
