--- a/crates/cleatfold-control/src/leadership/mod.rs
+++ b/crates/cleatfold-control/src/leadership/mod.rs
@@ -1,5 +1,5 @@
-//! Work of exactly one controller: who holds which role, and the assignment of pools and jobs by
-//! whoever holds that role.
+//! Leadership: the roles that one controller at a time holds, and the assignment of pools and jobs by
+//! the holder of the pool assignment role.
 
 mod pool_assignment;
 mod roles;
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -1,7 +1,7 @@
-//! The assigning of pools, and sending jobs to pools.
+//! Assignment of pools to controllers, and of jobs to pools.
 //!
-//! Who deals is a hint: two at once do no harm, since every change they make is guarded by the
-//! version of the key they change.
+//! The pool assignment role is only a hint: two concurrent holders do no harm, because every change
+//! is guarded by the version of the key that it changes.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
@@ -16,31 +16,31 @@
 use cleatfold_wire::{ControllerId, JobId, Ms, PoolId, Version, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A pool that changed hands is left where it is for so long.
+/// For this long after a pool's assignment, the pool is not taken over and no pool is rebalanced.
 const REASSIGNMENT_PAUSE_MS: u64 = 10_000;
-/// A leader that started so lately is likely not the only one that did.
+/// A leader that started more recently than this was likely not the only controller to start.
 const JUST_STARTED_MS: u64 = 5000;
 const ASSIGNMENT_INTERVAL_MS: u64 = 200;
 
-/// A controller that has just taken the role waits so long for others that start too.
+/// How long a new holder of the role waits for other controllers that are starting too.
 const START_WAIT_MS: u64 = 1_500;
-/// A former owner that is back gets its pool again below so many times the average load, and the
-/// controller of the pool's own zone below so many.
+/// A restarted former owner gets its pool back up to this multiple of the average load.
 const MAX_FORMER_LOAD: f64 = 2.0;
+/// The controller in the pool's own zone is preferred up to this multiple of the average load.
 const MAX_HOME_LOAD: f64 = 1.3;
 
-/// A pool that needs another owner.
+/// A pool that needs a new owner.
 struct Orphan<'a> {
     pool: &'a PoolId,
-    /// Who reaches its workers where its live owner does not; empty if it has no live owner.
+    /// Controllers that reach its workers while its live owner does not; empty if it has no live owner.
     takers: BTreeSet<ControllerId>,
 }
 
-/// How much the pools weigh on the live controllers: one for each pool and each machine.
+/// Load of the live controllers by the pools they own: each pool and each machine counts one.
 struct PoolLoads<'a> {
     sizes: BTreeMap<&'a PoolId, usize>,
     by_controller: BTreeMap<ControllerId, f64>,
-    /// Of all pools, for each live controller.
+    /// The load of all pools, divided by the number of live controllers.
     average: f64,
 }
 
@@ -71,33 +71,33 @@
         *self.by_controller.entry(controller.clone()).or_default() -= weight;
     }
 
-    /// Whether a controller would have at most so many times the average with this pool. One pool,
-    /// however large, has to be with someone.
+    /// Whether a controller's load with this pool would be at most `most` times the average. A controller
+    /// without load can always take a pool, since even the largest pool needs an owner.
     fn is_light(&self, controller: &ControllerId, pool: &PoolId, most: f64) -> bool {
         let fits = |load: f64| load == 0.0 || load + self.weight(pool) <= self.average * most + 1.0;
         self.by_controller.get(controller).is_some_and(|load| fits(*load))
     }
 
-    /// The controller with the least load among some.
+    /// The controller with the least load among those for which `can` holds.
     fn least(&self, can: impl Fn(&ControllerId) -> bool) -> Option<&ControllerId> {
         let able = self.by_controller.iter().filter(|(controller, _)| can(controller));
         able.min_by(|a, b| a.1.total_cmp(b.1)).map(|(controller, _)| controller)
     }
 
-    /// The mean load of all that have any part in it.
+    /// The mean load over all controllers counted here.
     fn mean(&self) -> f64 {
         self.by_controller.values().sum::<f64>() / self.by_controller.len() as f64
     }
 }
 
-/// A pool that is to go to another controller.
+/// The assignment of a pool to a controller.
 struct PoolMove {
     pool: PoolId,
     to: ControllerId,
 }
 
 impl Controller {
-    /// Deals pools and sends jobs to them, for as long as that is ours to do.
+    /// Assigns pools to controllers and jobs to pools while this controller holds the role.
     pub(crate) fn lead(&mut self) {
         if !self.holds(Role::PoolAssignment) {
             self.leadership.leader_since = None;
@@ -115,8 +115,9 @@
         }
     }
 
-    // ---- assigning ----
+    // ---- pools ----
 
+    /// Whether the owner of a pool is live, in the incarnation that owns it.
     fn live(&self, holding: &crate::store::cache::PoolOwnership) -> bool {
         self.cache
             .controllers
@@ -124,31 +125,31 @@
             .is_some_and(|n| n.value.incarnation == holding.incarnation)
     }
 
-    /// Whether pools may be assigned now; `since` is when that became ours to do.
+    /// Whether pools may be assigned now; `since` is when this controller acquired the role.
     fn may_assign_pools(&mut self, since: Ms) -> bool {
-        // What was assigned last must have been read before anything more is.
+        // The result of the last assignment must be read before the next one.
         let confirmed_at = self.leadership.assignment_confirmed_at;
         let is_read = self.session.last_read.is_some_and(|read| read >= confirmed_at);
         let is_pending = self.leadership.pending_assignment.is_some();
         if is_pending || !is_read || self.cache.controllers.is_empty() {
             return false;
         }
-        // Every pool and every machine is looked at: at each tick this alone took a tenth of a
-        // leader's processor time in a large deployment.
+        // The check visits every pool and every machine: on each tick, it took a tenth of a leader's
+        // processor time in a large deployment.
         if self.now.since(self.leadership.assignment_checked_at) < ASSIGNMENT_INTERVAL_MS {
             return false;
         }
         self.leadership.assignment_checked_at = self.now;
-        // At a start of all, wait a little for the others rather than assign twice: whoever was
-        // first back once had every pool, and hundreds of workers, for the rest of the day.
+        // When all controllers start at once, wait for the others: without the wait, the first one to
+        // start got every pool, with hundreds of workers, and kept them for the rest of the day.
         let everyone = self.cfg.peers.len() < self.cache.controllers.len();
         let is_new = self.started().is_some_and(|s| self.now.since(s) < JUST_STARTED_MS);
         let waits = !everyone && (self.cache.pools.is_empty() || is_new);
         !waits || self.now.since(since) >= START_WAIT_MS
     }
 
-    /// Assigns pools that have no live owner, or whose owner does not reach their workers; where there
-    /// are none, evens the controllers out.
+    /// Assigns pools that have no live owner, or whose owner does not reach their workers; if there are
+    /// none, rebalances the load of the controllers.
     fn assign_pools(&mut self) {
         let pools = self.inventory.pools();
         let mut loads = PoolLoads::new(&pools, self.inventory.sizes(), &self.cache.controllers);
@@ -177,10 +178,10 @@
         self.write_assignments(moves);
     }
 
-    /// Whom to give a pool that has to change hands.
+    /// Selects the new owner of a pool.
     fn new_owner(&self, orphan: &Orphan, loads: &PoolLoads) -> Option<ControllerId> {
         let pool = orphan.pool;
-        // Where nobody reaches the zone, one is as good as another.
+        // If no controller reaches the zone, reachability does not restrict the choice.
         let anyone = self.cache.controllers.keys().any(|n| self.may_hold(n, &pool.zone));
         let can = |controller: &ControllerId| {
             if orphan.takers.is_empty() {
@@ -192,8 +193,8 @@
         let is_light = |controller: &ControllerId, most| {
             can(controller) && loads.is_light(controller, pool, most)
         };
-        // A former owner that is back after a restart: its workers are looking for it, and
-        // hundreds of them moving elsewhere cost both controllers seconds of processor time.
+        // Prefer a former owner that has restarted: its workers still try to reach it, and moving
+        // hundreds of them costs both controllers seconds of processor time.
         let former = self.cache.pools.get(pool).map(|ownership| ownership.owner.clone());
         let home = || self.home_of(&pool.zone).filter(|n| is_light(n, MAX_HOME_LOAD));
         former
@@ -202,11 +203,11 @@
             .or_else(|| loads.least(can).cloned())
     }
 
-    /// Up to two moves that even the controllers out.
+    /// Up to two moves that rebalance the load of the controllers.
     fn balancing_moves(&self, pools: &[PoolId], loads: &mut PoolLoads) -> Vec<PoolMove> {
         let Some(first) = self.balance(pools, loads) else { return vec![] };
         let PoolMove { pool, to } = &first;
-        // One controller with nearly all is worth more than one move at a time.
+        // A second move at a time pays off when one controller has nearly all of the load.
         if let Some(ownership) = self.cache.pools.get(pool) {
             loads.remove(&ownership.owner, pool);
             loads.add(to, pool);
@@ -216,7 +217,7 @@
         std::iter::once(first).chain(second).collect()
     }
 
-    /// The live controller of a zone.
+    /// The live controller that runs in a zone.
     fn home_of(&self, zone: &ZoneId) -> Option<ControllerId> {
         std::iter::once((&self.cfg.me, &self.cfg.zone))
             .chain(self.cfg.peers.iter().map(|(n, z)| (n, z)))
@@ -224,11 +225,13 @@
             .map(|(n, _)| n.clone())
     }
 
-    /// One pool from the fullest controller to the emptiest, where that evens them out.
+    /// The best move of one pool from the most loaded controller to the least loaded one, if the
+    /// imbalance is large enough.
     fn balance(&self, pools: &[PoolId], loads: &PoolLoads) -> Option<PoolMove> {
         let most = loads.by_controller.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
         let average = loads.mean();
-        // Every move costs its workers a change of controller: only clear unevenness is worth one.
+        // Every move makes the pool's workers change their controller: only a clear imbalance
+        // justifies one.
         if self
             .leadership
             .pool_assigned_at
@@ -237,7 +240,7 @@
         {
             return None;
         }
-        // Not to a controller that its workers do not reach, though that has fewest.
+        // A controller that does not reach the pool's workers is excluded, even if it has the least load.
         let least_for = |pool: &PoolId| {
             let can = loads.by_controller.iter().filter(|(n, _)| self.may_hold(n, &pool.zone));
             can.min_by(|a, b| a.1.total_cmp(b.1))
@@ -257,6 +260,7 @@
             .map(|(p, controller, _)| PoolMove { pool: p.clone(), to: controller.clone() })
     }
 
+    /// Writes the new owners of pools to the state service.
     fn write_assignments(&mut self, moves: Vec<PoolMove>) {
         let mut txn = Txn::default();
         for PoolMove { pool, to: controller } in moves {
@@ -277,7 +281,7 @@
         self.leadership.pending_assignment = Some(op);
     }
 
-    /// Whatever came of it, the next reading tells.
+    /// The assignment write was answered; its outcome is read with the next sync.
     pub(crate) fn on_assignment_written(&mut self, reply: StoreReply) {
         self.leadership.pending_assignment = None;
         self.leadership.assignment_confirmed_at = self.now;
@@ -287,7 +291,7 @@
         }
     }
 
-    /// Workers of a pool come here since they cannot reach its owner: take it.
+    /// Assigns a pool to this controller, because its workers reach it but not the pool's owner.
     pub(crate) fn take_over(&mut self, pool: PoolId, owner: &ControllerId) {
         let recent = self
             .leadership
@@ -303,9 +307,9 @@
         self.write_assignments(vec![PoolMove { pool, to: me }]);
     }
 
-    // ---- sending jobs to pools ----
+    // ---- jobs ----
 
-    /// Sends each job of the queue to the K least loaded pools that can hold it.
+    /// Assigns each job of the queue to the `k` least loaded pools that can run it.
     fn assign(&mut self) {
         self.leadership.jobs_assigned_at = self.now;
         let pools = self.inventory.pools();
@@ -336,12 +340,13 @@
             let Some(live) = self.cache.jobs.get(id) else {
                 continue;
             };
-            // Its base has been sent somewhere already, a moment ago or above.
+            // The job's base tasks are already assigned to pools, in an earlier round or in this one;
+            // its growth uses the same pools.
             if *growth && self.job_states.get(id).is_some_and(|l| !l.pools.is_empty()) {
                 continue;
             }
             let usable = || (0..pools.len()).filter(|&i| self.may_use(live, &pools[i]));
-            // To pools whose owners plan for them, while there are any.
+            // Prefer pools with a live owner, which plans for them.
             let mut eligible: Vec<usize> = usable().filter(|&i| alive[i]).collect();
             if eligible.is_empty() {
                 eligible = usable().collect();
@@ -354,8 +359,8 @@
                 .collect();
             let spec = &live.record.spec;
             let work = spec.estimate_s.max(1.0) * spec.cpus * f64::from(*unclaimed);
-            // Replicas and spread jobs need more zones than one. Of long work only a part of each
-            // pool may be used, so it goes to all of them.
+            // Services and spread jobs need several zones. Long tasks may use only a part of each pool, so
+            // their jobs are assigned to all pools.
             let k = if long.is_long(spec) {
                 pools.len()
             } else if spec.kind == Kind::Service || spec.spread {
@@ -372,6 +377,7 @@
         self.on_assign(&me, names, assigned);
     }
 
+    /// Applies a job assignment from the holder of the pool assignment role.
     pub(crate) fn on_assign(
         &mut self,
         from: &ControllerId,
