--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -1,4 +1,4 @@
-//! Taking roles, giving them back, and the small ones themselves.
+//! Acquiring and releasing roles, and running the work of the held ones.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
@@ -10,13 +10,14 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// Ours, by what was read last. Whatever is done under it outside the state service has to be
-    /// durable there first.
+    /// Whether this controller holds the role, as last read. An action under the role outside of the
+    /// state service has to be durable there first.
     pub(crate) fn holds(&self, role: Role) -> bool {
         self.epoch(role).is_some()
     }
 
-    /// The version of a role's key while it is ours: every transaction of the role is guarded by it.
+    /// The version of a role's key while this controller holds the role; it guards every transaction of
+    /// the role.
     pub(crate) fn epoch(&self, role: Role) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.roles.get(&role)?;
         let ours =
@@ -24,8 +25,8 @@
         ours.then_some(*version)
     }
 
-    /// A key of ours from before we were restarted: nobody acts under it any more. What was done
-    /// under it is not known here, so it is taken anew, under a new epoch, rather than gone on with.
+    /// The epoch of a role that an earlier incarnation of this controller holds. That incarnation no longer
+    /// acts, and what it did under the epoch is unknown, so the role is acquired again under a new epoch.
     fn former_life(&self, role: Role) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.roles.get(&role)?;
         let former =
@@ -33,6 +34,7 @@
         former.then_some(*version)
     }
 
+    /// Acquires and releases roles, and runs the work of those held.
     pub(crate) fn maintain_roles(&mut self) {
         let now = self.now;
         let former: Vec<(Role, Version)> =
@@ -67,7 +69,8 @@
         self.keep_admission();
     }
 
-    /// Lets whoever should hold it have it: guarded, so it is only ever our own holding that ends.
+    /// Releases a role to the controller that should hold it; guarded by the epoch, so that only this
+    /// controller's own tenure can end.
     fn give_back(&mut self, role: Role) {
         let Some(epoch) = self.epoch(role) else { return };
         tracing::info!(role = role.key(), "releasing role");
@@ -77,7 +80,7 @@
         self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Role(role));
     }
 
-    /// Whatever came of it, the next reading tells.
+    /// The write of a role was answered; its outcome is read with the next sync.
     pub(crate) fn on_role_written(&mut self, role: Role, reply: StoreReply) {
         self.leadership.roles.settled(role);
         self.session.sync_wanted = true;
@@ -86,8 +89,8 @@
         }
     }
 
-    /// Parts whose job is gone are removed a few at a time. That it is gone is guarded: what is there of a
-    /// job that we have only not read yet holds its claims.
+    /// Deletes part and progress records of removed jobs, a few at a time. The transaction is guarded by the job key's
+    /// absence, because the parts of a job that has merely not been read yet hold its claims.
     fn collect_garbage(&mut self) {
         if self.leadership.garbage_collection_inflight || !self.in_contact() {
             return;
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Whatever came of it, the next reading tells.
+    /// The deletion was answered; its outcome is read with the next sync.
     pub(crate) fn on_garbage_collected(&mut self) {
         self.leadership.garbage_collection_inflight = false;
         self.session.sync_wanted = true;
--- a/crates/cleatfold-control/src/leadership/state.rs
+++ b/crates/cleatfold-control/src/leadership/state.rs
@@ -1,24 +1,25 @@
-//! Which roles this controller holds or takes, and how far its assignments have come.
+//! State of role acquisition and of pool and job assignment.
 
 use cleatfold_roles::RoleAssignment;
 use cleatfold_wire::{Ms, PoolId};
 use std::collections::BTreeMap;
 
-/// What a controller knows of roles and of the assignments it has made.
+/// A controller's state for roles and assignments.
 #[derive(Debug, Default)]
 pub(crate) struct Leadership {
     pub roles: RoleAssignment,
-    /// Since when the assignment of pools has been ours.
+    /// Since when this controller has held the pool assignment role.
     pub leader_since: Option<Ms>,
-    /// The call that writes an assignment of pools.
+    /// The pending call that writes a pool assignment.
     pub pending_assignment: Option<u64>,
-    /// When it was last looked whether pools have to be assigned.
+    /// When it was last checked whether pools have to be assigned.
     pub assignment_checked_at: Ms,
-    /// When the last assignment was settled; it shows in readings sent since.
+    /// When the last assignment write was answered; any sync sent since then reads its result.
     pub assignment_confirmed_at: Ms,
-    /// When each pool was last assigned, as far as we saw.
+    /// When each pool was last assigned, as far as this controller knows.
     pub pool_assigned_at: BTreeMap<PoolId, Ms>,
-    /// When jobs were last sent to pools.
+    /// When jobs were last assigned to pools.
     pub jobs_assigned_at: Ms,
+    /// A garbage collection transaction is pending.
     pub garbage_collection_inflight: bool,
 }
