--- a/crates/cleatfold-control/src/machines/cloud.rs
+++ b/crates/cleatfold-control/src/machines/cloud.rs
@@ -149,7 +149,7 @@
         let claims = &self.cache.claims;
         self.inventory.machines.retain(|id, m| {
             now.since(m.listed_at) < silent
-                || m.last_heartbeat().is_some_and(|h| now.since(h) < silent)
+                || m.last_heartbeat_at().is_some_and(|h| now.since(h) < silent)
                 || claims.contains_key(id)
         });
     }
@@ -158,7 +158,7 @@
     /// the last list, or has not been in any list yet. Used only to decide how many machines to request.
     pub(crate) fn may_be_there(&self, machine: &Machine) -> bool {
         let last_heartbeat =
-            machine.last_heartbeat().is_some_and(|at| self.now.since(at) <= self.silent_ms());
+            machine.last_heartbeat_at().is_some_and(|at| self.now.since(at) <= self.silent_ms());
         let listed = machine.listed_at >= self.inventory.listed_at;
         last_heartbeat || listed || !machine.was_listed
     }
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -47,7 +47,7 @@
     pub heartbeat: Option<LastHeartbeat>,
     /// When the last heartbeat arrived that proves the machine is running: newer than all earlier ones, and sent under
     /// this controller's token for the pool. A delayed copy of a heartbeat meets neither condition.
-    pub last_heartbeat: Option<Ms>,
+    pub last_heartbeat_at: Option<Ms>,
     /// Detects whether responses reach the worker.
     pub partition_detector: cleatfold_reachability::OneWayPartitionDetector,
     /// When a heartbeat of the machine was last answered with 200, and under which token.
@@ -88,7 +88,7 @@
             was_listed: false,
             born: now,
             heartbeat: None,
-            last_heartbeat: None,
+            last_heartbeat_at: None,
             partition_detector: Default::default(),
             answered: None,
             notice: None,
@@ -120,8 +120,8 @@
     }
 
     /// When the last heartbeat arrived that proves the machine is running.
-    pub(crate) fn last_heartbeat(&self) -> Option<Ms> {
-        self.last_heartbeat
+    pub(crate) fn last_heartbeat_at(&self) -> Option<Ms> {
+        self.last_heartbeat_at
     }
 
     /// Marks an image as most recently used and evicts the least recently used ones beyond the size
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -114,7 +114,7 @@
             self.delete.push(id.clone());
             return;
         }
-        if machine.last_heartbeat().is_none() && !has_claims {
+        if machine.last_heartbeat_at().is_none() && !has_claims {
             self.inspect_booting(id, machine, pool, times);
             return;
         }
@@ -162,7 +162,7 @@
         has_claims: bool,
     ) -> bool {
         let now = times.now;
-        let last = machine.last_heartbeat().unwrap_or(machine.known);
+        let last = machine.last_heartbeat_at().unwrap_or(machine.known);
         let quiet_ms = now.since(last.max(machine.known).max(pool.since));
         if quiet_ms > times.quiet_ms {
             // The worker has seen this controller's token, so it accepts no response of an earlier
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -181,7 +181,7 @@
         self.reachability.view.note_contact(&heartbeat.zone, self.now);
         let (now, fair) = (self.now, self.backpressure <= MAX_FAIR_BACKPRESSURE);
         let Some(machine) = self.inventory.machines.get_mut(&heartbeat.machine) else { return };
-        machine.last_heartbeat = Some(now);
+        machine.last_heartbeat_at = Some(now);
         if !fair {
             machine.partition_detector.excuse();
         }
@@ -269,7 +269,7 @@
         // Only a heartbeat sent under the current token shows the machine's present state. A delayed
         // copy of an older one proves nothing but the exits that it lists.
         if seen_our_token {
-            machine.last_heartbeat = Some(now);
+            machine.last_heartbeat_at = Some(now);
             machine.expired = false;
             machine.notice = heartbeat.notice_s.map(|s| now.plus_s(s));
             machine.listed = Some(MachineState::Running);
