--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -214,7 +214,7 @@
     fn processors(&self) -> f64 {
         let mut capacity = 0.0;
         for m in self.inventory.machines.values() {
-            if m.takes_work() && !self.is_silent(m) {
+            if m.is_schedulable() && !self.is_silent(m) {
                 capacity += self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
             }
         }
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -161,7 +161,7 @@
                     stuck: Controller::is_stuck(&heartbeat.images),
                     source: held().find_map(|i| i.source.clone()),
                     serves: held().map(|i| i.serves).sum(),
-                    leaving: !machine.takes_work(),
+                    leaving: !machine.is_schedulable(),
                 },
             );
         }
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -317,7 +317,7 @@
             pools.iter().enumerate().map(|(i, p)| (p, i)).collect();
         let mut loads = vec![Load { work: 0.0, processors: 0.0 }; pools.len()];
         for m in self.inventory.machines.values() {
-            if !m.takes_work() {
+            if !m.is_schedulable() {
                 continue;
             }
             if let Some(&i) = index.get(&m.pool) {
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -106,7 +106,7 @@
     }
 
     /// Whether the machine's own state allows it to be given new tasks.
-    pub(crate) fn takes_work(&self) -> bool {
+    pub(crate) fn is_schedulable(&self) -> bool {
         !self.draining
             && !self.deleting
             && self.notice.is_none()
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -265,7 +265,7 @@
         for (id, m) in &self.inventory.machines {
             // A machine that another controller has deleted is no supply: without this check it would
             // count for another 50 s and delay the request for its replacement by as much.
-            if !m.takes_work() || !self.may_be_there(m) {
+            if !m.is_schedulable() || !self.may_be_there(m) {
                 continue;
             }
             let mut free = self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -167,7 +167,7 @@
             && last.token == token
             && heartbeat.token == token
             && heartbeat.notice_s.is_none()
-            && machine.takes_work()
+            && machine.is_schedulable()
             && !machine.expired
             && !self.evictions.any(&heartbeat.machine)
             && last.text.get() == heartbeat.tasks.get()
--- a/crates/cleatfold-control/src/pools/long_polls.rs
+++ b/crates/cleatfold-control/src/pools/long_polls.rs
@@ -84,7 +84,7 @@
     fn starts(&self, id: &MachineId, token: FencingToken) -> Vec<Command> {
         let Some(machine) = self.inventory.machines.get(id) else { return vec![] };
         let Some(heartbeat) = &machine.heartbeat else { return vec![] };
-        if !machine.takes_work() {
+        if !machine.is_schedulable() {
             return vec![];
         }
         let listed: BTreeSet<&TaskId> = heartbeat.tasks.iter().map(|t| &t.task).collect();
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -172,7 +172,7 @@
         };
         let mut ids = Vec::new();
         let mut profiles = Vec::new();
-        for &(id, machine) in members.iter().filter(|(_, machine)| machine.takes_work()) {
+        for &(id, machine) in members.iter().filter(|(_, machine)| machine.is_schedulable()) {
             let Some(mut profile) = self.empty_profile(machine, kind, token) else { continue };
             self.carve_claims(id, machine, kind, &mut profile, binding);
             ids.push(id.clone());
