--- a/crates/cleatfold-control/src/machines/cloud.rs
+++ b/crates/cleatfold-control/src/machines/cloud.rs
@@ -132,7 +132,7 @@
             let machine = self.inventory.machines.entry(listed.id.clone()).or_insert_with(|| {
                 self.replan_needed = true;
                 let mut m = Machine::new(pool.clone(), listed.spot, now);
-                m.born = Ms(now.0.saturating_sub((listed.age_s * 1000.0) as u64));
+                m.created_at = Ms(now.0.saturating_sub((listed.age_s * 1000.0) as u64));
                 m
             });
             machine.listed_at = now;
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -43,7 +43,7 @@
     /// It has been in the cloud's list, so its absence from a later list means that it was deleted.
     pub was_listed: bool,
     /// When the machine was created, by its age in the cloud's list.
-    pub born: Ms,
+    pub created_at: Ms,
     pub heartbeat: Option<LastHeartbeat>,
     /// When the last heartbeat arrived that proves the machine is running: newer than all earlier ones, and sent under
     /// this controller's token for the pool. A delayed copy of a heartbeat meets neither condition.
@@ -86,7 +86,7 @@
             listed: None,
             listed_at: now,
             was_listed: false,
-            born: now,
+            created_at: now,
             heartbeat: None,
             last_heartbeat_at: None,
             partition_detector: Default::default(),
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -144,7 +144,7 @@
         pool: &WatchedPool,
         times: &WatchTimes,
     ) {
-        let age_ms = times.now.since(machine.born);
+        let age_ms = times.now.since(machine.created_at);
         let owned_ms = times.now.since(pool.since);
         if age_ms > pool.boot_ms * MAX_BOOT_TIMES + BOOT_GRACE_MS && owned_ms > BOOT_GRACE_MS {
             self.delete.push(id.clone());
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -196,10 +196,10 @@
             Some(last) => MachineProfile::new(now, total, machine.spot, last.token == token),
             None => {
                 let overdue_ms = (kind.boot_s * 3000.0) as u64 + 10_000;
-                if now.since(machine.born) > overdue_ms {
+                if now.since(machine.created_at) > overdue_ms {
                     return None;
                 }
-                let booted = machine.born.plus_s(kind.boot_s * 1.2).max(now.plus(2000));
+                let booted = machine.created_at.plus_s(kind.boot_s * 1.2).max(now.plus(2000));
                 MachineProfile::new(booted, total, machine.spot, false)
             }
         };
