--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -223,7 +223,7 @@
         if gap_ms > STALLED_MS && self.last_tick > Ms(0) {
             tracing::info!(gap_ms, "event loop stalled");
             for m in self.inventory.machines.values_mut() {
-                m.known = m.known.max(self.now);
+                m.observed_since = m.observed_since.max(self.now);
                 m.partition_detector.excuse();
             }
             self.reachability.view.stood_still(self.now);
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -74,7 +74,7 @@
     pub expired: bool,
     /// When the machine was first known, or this process last resumed after a stall. Silence before
     /// this time does not count against the machine.
-    pub known: Ms,
+    pub observed_since: Ms,
 }
 
 impl Machine {
@@ -101,7 +101,7 @@
             deleting: false,
             idle_since: None,
             expired: false,
-            known: now,
+            observed_since: now,
         }
     }
 
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -162,8 +162,8 @@
         has_claims: bool,
     ) -> bool {
         let now = times.now;
-        let last = machine.last_heartbeat_at().unwrap_or(machine.known);
-        let quiet_ms = now.since(last.max(machine.known).max(pool.since));
+        let last = machine.last_heartbeat_at().unwrap_or(machine.observed_since);
+        let quiet_ms = now.since(last.max(machine.observed_since).max(pool.since));
         if quiet_ms > times.quiet_ms {
             // The worker has seen this controller's token, so it accepts no response of an earlier
             // owner: only this controller's last response can have renewed its lease.
