--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -59,7 +59,7 @@
     /// `images` has changed since it was last sent to the peers.
     pub images_changed: bool,
     /// When each task was first seen running.
-    pub started: BTreeMap<(JobId, TaskIx), Ms>,
+    pub task_started_at: BTreeMap<(JobId, TaskIx), Ms>,
     /// Tasks that failed on the machine, as evidence of a machine fault.
     pub suspicion: cleatfold_fault_attribution::Suspicion,
     /// Tasks that succeed on other machines fail on this one.
@@ -94,7 +94,7 @@
             notice: None,
             images: VecDeque::new(),
             images_changed: false,
-            started: BTreeMap::new(),
+            task_started_at: BTreeMap::new(),
             suspicion: Default::default(),
             faulty: false,
             draining: false,
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -319,8 +319,11 @@
         tracing::info!(machine = %id, tasks = claims.len(), reason = %reason, "machine gone");
         for ((job, ix), claim) in claims {
             let (machine, attempt, fence) = (id.clone(), claim.attempt, fence.clone());
-            let started =
-                self.inventory.machines.get(id).and_then(|m| m.started.get(&(job.clone(), ix)));
+            let started = self
+                .inventory
+                .machines
+                .get(id)
+                .and_then(|m| m.task_started_at.get(&(job.clone(), ix)));
             let ran_ms = started.map_or(0, |s| self.now.since(*s));
             self.end(&job, ClaimEnd { machine, ix, attempt, done: false, reason, ran_ms, fence });
         }
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -281,7 +281,7 @@
         let last = machine.heartbeat.as_ref();
         let is_first = last.is_none_or(|last| last.token != token);
         if last.is_some_and(|last| last.agent_epoch != heartbeat.agent_epoch) {
-            machine.started.clear();
+            machine.task_started_at.clear();
         }
         // The commands below depend on the images that the machine holds now.
         if let Some(last) = &mut machine.heartbeat {
--- a/crates/cleatfold-control/src/pools/tasks.rs
+++ b/crates/cleatfold-control/src/pools/tasks.rs
@@ -18,10 +18,10 @@
             return;
         };
         let key = (task.job.clone(), task.ix);
-        if machine.started.contains_key(&key) {
+        if machine.task_started_at.contains_key(&key) {
             return;
         }
-        machine.started.insert(key, now);
+        machine.task_started_at.insert(key, now);
         let cache = self
             .inventory
             .types
@@ -72,7 +72,7 @@
             .inventory
             .machines
             .get_mut(id)
-            .and_then(|m| m.started.remove(&(task.job.clone(), task.ix)));
+            .and_then(|m| m.task_started_at.remove(&(task.job.clone(), task.ix)));
         let Some(cached) = self.cache.jobs.get(&task.job) else {
             return;
         };
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -290,7 +290,7 @@
         }
         let saved = job_state.and_then(|l| l.saved.get(&ix)).copied().unwrap_or(0);
         let run = run.saturating_sub(saved);
-        match machine.started.get(&(job.clone(), ix)) {
+        match machine.task_started_at.get(&(job.clone(), ix)) {
             Some(start) => {
                 let end = start.plus(run);
                 if end > self.now {
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -234,7 +234,7 @@
             .and_then(|l| l.stopped.get(&task.ix))
             .copied()
             .unwrap_or(0);
-        let started = machine.started.get(&(task.job.clone(), task.ix));
+        let started = machine.task_started_at.get(&(task.job.clone(), task.ix));
         let ran = started.map_or(0, |s| self.now.since(*s));
         let yields = cached.width().is_some() && task.ix >= cached.beyond;
         let gained = yields || evictions == 0 || ran >= GAIN_MS * u64::from(evictions + 1);
