--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -65,7 +65,7 @@
     /// for longer than the cloud's list lags.
     fn fetches_nothing(&self, id: &MachineId) -> bool {
         match self.inventory.machines.get(id) {
-            Some(machine) => machine.expired,
+            Some(machine) => machine.lease_expired,
             None => {
                 let known = self.cfg.list_lag_ms + self.cfg.lease_ms + self.cfg.given_up_ms();
                 let slot = self.cache.origin.value.slots.get(id);
@@ -133,7 +133,7 @@
             let Some(heartbeat) = machine.heartbeat.as_ref().filter(|r| r.token == token) else {
                 continue;
             };
-            if machine.expired {
+            if machine.lease_expired {
                 continue;
             }
             let held = || heartbeat.images.iter().flatten();
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -71,7 +71,7 @@
     /// Since when the machine has had neither claims nor tasks.
     pub idle_since: Option<Ms>,
     /// The worker's lease has provably expired since its last heartbeat.
-    pub expired: bool,
+    pub lease_expired: bool,
     /// When the machine was first known, or this process last resumed after a stall. Silence before
     /// this time does not count against the machine.
     pub observed_since: Ms,
@@ -100,7 +100,7 @@
             draining: false,
             deleting: false,
             idle_since: None,
-            expired: false,
+            lease_expired: false,
             observed_since: now,
         }
     }
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -171,8 +171,8 @@
             let answered = machine.answered.is_some_and(|(at, token)| {
                 token == pool.token && now.since(at) > times.certain_lease_ms()
             });
-            if seen && answered && !machine.expired {
-                machine.expired = true;
+            if seen && answered && !machine.lease_expired {
+                machine.lease_expired = true;
                 let fence = Fence { pool: machine.pool.clone(), token: pool.token };
                 self.expired.push(ExpiredMachine { id: id.clone(), fence });
             }
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -168,7 +168,7 @@
             && heartbeat.token == token
             && heartbeat.notice_s.is_none()
             && machine.is_schedulable()
-            && !machine.expired
+            && !machine.lease_expired
             && !self.evictions.any(&heartbeat.machine)
             && last.text.get() == heartbeat.tasks.get()
             && last.images == heartbeat.images
@@ -270,7 +270,7 @@
         // copy of an older one proves nothing but the exits that it lists.
         if seen_our_token {
             machine.last_heartbeat_at = Some(now);
-            machine.expired = false;
+            machine.lease_expired = false;
             machine.notice = heartbeat.notice_s.map(|s| now.plus_s(s));
             machine.listed = Some(MachineState::Running);
             self.reachability.view.misdirected_workers.arrived(id);
