--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -154,7 +154,7 @@
                 id.clone(),
                 Seen {
                     pool: machine.pool.clone(),
-                    at: heartbeat.at,
+                    at: heartbeat.received_at,
                     endpoint: machine.endpoint.clone().filter(|_| heartbeat.images.is_some()),
                     images: self.image_distribution.images_there(id, machine),
                     fetching,
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -17,7 +17,7 @@
     pub seq: Seq,
     /// The highest fencing token that the worker had seen when it sent the heartbeat.
     pub token: FencingToken,
-    pub at: Ms,
+    pub received_at: Ms,
     pub tasks: Vec<TaskReport>,
     /// The unparsed task list; the next heartbeat is compared with it before it is parsed.
     pub text: Box<RawValue>,
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -195,7 +195,7 @@
         machine.answered = Some((now, token));
         machine.spot = heartbeat.spot;
         if let Some(last) = &mut machine.heartbeat {
-            (last.seq, last.at) = (heartbeat.seq, now);
+            (last.seq, last.received_at) = (heartbeat.seq, now);
         }
     }
 
@@ -434,7 +434,7 @@
             agent_epoch: heartbeat.agent_epoch,
             seq: heartbeat.seq,
             token: heartbeat.token,
-            at: self.now,
+            received_at: self.now,
             tasks: heartbeat.tasks,
             text,
             settled,
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -191,7 +191,7 @@
         let now = self.now;
         let total = self.inventory.total(&kind.name);
         let mut profile = match &machine.heartbeat {
-            Some(last) if now.since(last.at) > self.silent_ms() => return None,
+            Some(last) if now.since(last.received_at) > self.silent_ms() => return None,
             // This worker has seen our token, so nobody else commands it.
             Some(last) => MachineProfile::new(now, total, machine.spot, last.token == token),
             None => {
