--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -215,7 +215,8 @@
         let mut capacity = 0.0;
         for m in self.inventory.machines.values() {
             if m.is_schedulable() && !self.is_silent(m) {
-                capacity += self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
+                capacity +=
+                    self.inventory.machine_resources(&m.pool.machine_type).cpus as f64 / 1000.0;
             }
         }
         capacity
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -322,7 +322,7 @@
             }
             if let Some(&i) = index.get(&m.pool) {
                 loads[i].processors +=
-                    self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
+                    self.inventory.machine_resources(&m.pool.machine_type).cpus as f64 / 1000.0;
             }
         }
         for (id, live) in &self.cache.jobs {
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -153,7 +153,7 @@
 
 impl Inventory {
     /// Resources of one machine of a type.
-    pub(crate) fn total(&self, machine_type: &TypeId) -> Resources {
+    pub(crate) fn machine_resources(&self, machine_type: &TypeId) -> Resources {
         self.types
             .get(machine_type)
             .map(|t| Resources::new(t.cpus, t.gpus, t.memory_gb))
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -268,7 +268,8 @@
             if !m.is_schedulable() || !self.may_be_there(m) {
                 continue;
             }
-            let mut free = self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
+            let mut free =
+                self.inventory.machine_resources(&m.pool.machine_type).cpus as f64 / 1000.0;
             for ((job, _), _) in self.cache.claims.get(id).into_iter().flatten() {
                 if let Some(cached) = self.cache.jobs.get(job) {
                     free -= cached.record.spec.cpus * self.share_still_needed(cached);
--- a/crates/cleatfold-control/src/pools/long_polls.rs
+++ b/crates/cleatfold-control/src/pools/long_polls.rs
@@ -27,7 +27,7 @@
         if machine.draining || machine.notice.is_some() {
             return 0;
         }
-        let total = self.inventory.total(&machine.pool.machine_type).cpus;
+        let total = self.inventory.machine_resources(&machine.pool.machine_type).cpus;
         let used: i64 = self
             .cache
             .claims
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -165,7 +165,7 @@
         usage: &Usage,
         long_work: &BTreeMap<TeamId, LongWorkLimit>,
     ) -> Vec<Binding> {
-        let capacity = self.inventory.total(&pool.machine_type).times(machines as u32);
+        let capacity = self.inventory.machine_resources(&pool.machine_type).times(machines as u32);
         let mut binding = Vec::new();
         for team in self.cfg.teams.iter().filter(|t| t.is_limited()) {
             let (part, free) = self.part_and_free(team, pool);
@@ -334,7 +334,7 @@
             .undisputed()
             .map(|(p, token)| {
                 let n = sizes.get(p).copied().unwrap_or(0) as u32;
-                (p.clone(), token, self.inventory.total(&p.machine_type).times(n))
+                (p.clone(), token, self.inventory.machine_resources(&p.machine_type).times(n))
             })
             .collect();
         let needs = self.largest_needs();
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -189,7 +189,7 @@
         token: FencingToken,
     ) -> Option<MachineProfile> {
         let now = self.now;
-        let total = self.inventory.total(&kind.name);
+        let total = self.inventory.machine_resources(&kind.name);
         let mut profile = match &machine.heartbeat {
             Some(last) if now.since(last.received_at) > self.silent_ms() => return None,
             // This worker has seen our token, so nobody else commands it.
@@ -309,7 +309,7 @@
         spec.types.as_ref().is_none_or(|t| t.contains(&pool.machine_type))
             && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
             && cached.bound_zone().is_none_or(|z| *z == pool.zone)
-            && cached.each.within(&self.inventory.total(&pool.machine_type))
+            && cached.each.within(&self.inventory.machine_resources(&pool.machine_type))
     }
 
     fn requests_for(
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -188,7 +188,7 @@
     ) -> (Vec<MachineLoad>, Vec<Named>) {
         let mut names: Vec<Named> = Vec::new();
         let mut loads = Vec::new();
-        let total = self.inventory.total(&plan.pool.machine_type);
+        let total = self.inventory.machine_resources(&plan.pool.machine_type);
         for (i, id) in plan.machines.iter().enumerate() {
             let mut seat = MachineLoad { free: total, running: vec![] };
             let machine = self.inventory.machines.get(id).filter(|_| plan.open[i]);
