--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -152,7 +152,8 @@
     /// none, rebalances the load of the controllers.
     fn assign_pools(&mut self) {
         let pools = self.inventory.pools();
-        let mut loads = PoolLoads::new(&pools, self.inventory.sizes(), &self.cache.controllers);
+        let mut loads =
+            PoolLoads::new(&pools, self.inventory.machine_counts(), &self.cache.controllers);
         let mut orphans: Vec<Orphan> = Vec::new();
         for pool in &pools {
             let owner = self.cache.pools.get(pool).filter(|ownership| self.live(ownership));
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -181,12 +181,12 @@
     }
 
     /// The number of machines in each pool.
-    pub(crate) fn sizes(&self) -> BTreeMap<&PoolId, usize> {
-        let mut sizes = BTreeMap::new();
+    pub(crate) fn machine_counts(&self) -> BTreeMap<&PoolId, usize> {
+        let mut counts = BTreeMap::new();
         for m in self.machines.values() {
-            *sizes.entry(&m.pool).or_default() += 1;
+            *counts.entry(&m.pool).or_default() += 1;
         }
-        sizes
+        counts
     }
 
     /// Groups the machines by pool in one pass; a pass per pool is expensive in a large deployment.
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -226,7 +226,7 @@
         let mut headroom = self.team_headroom(|cached| self.share_still_needed(cached));
         let mut supply = self.supply();
         let mut lacking = CpusByOffer::new();
-        let sizes = self.inventory.sizes();
+        let sizes = self.inventory.machine_counts();
         for Queued { job: id, tasks: unclaimed, growth, .. } in self.queue() {
             let Some(cached) = self.cache.jobs.get(&id) else { continue };
             // No machine is requested to retry a job that fails on every machine.
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -121,7 +121,7 @@
     fn team_queue(&mut self, team: &TeamId, since: u64) -> TeamQueue {
         self.rank_queue();
         let full = self.is_limit_full(team);
-        let sizes = self.inventory.sizes();
+        let sizes = self.inventory.machine_counts();
         let up: BTreeSet<&PoolId> = sizes.iter().filter(|s| *s.1 > 0).map(|s| *s.0).collect();
         let waits = |cached: &CachedJob| !cached.record.aborted && cached.unclaimed() > 0;
         let jobs = self.live_jobs(team, since).filter(|j| waits(j.2)).map(|(place, id, cached)| {
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -328,7 +328,7 @@
     /// Which teams' slices should move, whether or not there are changes for all of them.
     fn slice_moves(&self) -> Vec<SliceMove> {
         let usage = self.limited_usage();
-        let sizes = self.inventory.sizes();
+        let sizes = self.inventory.machine_counts();
         let own: Vec<(PoolId, FencingToken, Resources)> = self
             .pools
             .undisputed()
