--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -190,7 +190,7 @@
     }
 
     /// Groups the machines by pool in one pass; a pass per pool is expensive in a large deployment.
-    pub(crate) fn by_pool(&self) -> BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> {
+    pub(crate) fn machines_by_pool(&self) -> BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> {
         let mut pools: BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> = BTreeMap::new();
         for (id, m) in &self.machines {
             pools.entry(&m.pool).or_default().push((id, m));
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -119,7 +119,7 @@
 
     fn plan_pools(&self, queue: &[Queued], usage: &Usage) -> Vec<PoolPlan> {
         let mut plans = Vec::new();
-        let by_pool = self.inventory.by_pool();
+        let by_pool = self.inventory.machines_by_pool();
         let long = self.long_work();
         for (pool, token) in self.pools.undisputed() {
             let members = by_pool.get(pool).map(Vec::as_slice).unwrap_or_default();
