--- a/crates/cleatfold-control/src/pools/ownership.rs
+++ b/crates/cleatfold-control/src/pools/ownership.rs
@@ -39,7 +39,7 @@
 
 impl Controller {
     /// Updates the owned pools and their tokens from the state cache.
-    pub(crate) fn note_ownership(&mut self) {
+    pub(crate) fn update_ownership(&mut self) {
         self.note_holders();
         let (me, incarnation) = (&self.cfg.me, self.session.incarnation);
         let pools = self.cache.pools.iter();
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -255,7 +255,7 @@
             self.discard_job_state(&job);
         }
         self.follow_archive();
-        self.note_ownership();
+        self.update_ownership();
         self.resolve_unanswered();
         self.answer_waiting(sent_at);
         self.sync_if_due();
