--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -35,8 +35,13 @@
         let (wants, in_use) = self.wants(&settings);
         let seen = self.seen(&settings);
         self.keep_holders(&wants, &seen);
-        let pools: BTreeSet<PoolId> =
-            self.pools.owned.keys().filter(|p| self.my_token(p).is_some()).cloned().collect();
+        let pools: BTreeSet<PoolId> = self
+            .pools
+            .owned
+            .keys()
+            .filter(|p| self.owned_pool_token(p).is_some())
+            .cloned()
+            .collect();
         let spreads: BTreeMap<ImageId, SpreadRecord> =
             self.cache.image_holders.iter().map(|(i, r)| (i.clone(), r.value.clone())).collect();
         let mut distributor = std::mem::take(&mut self.image_distribution.distributor);
@@ -129,7 +134,7 @@
     fn seen(&self, settings: &Settings) -> BTreeMap<MachineId, Seen> {
         let mut seen = BTreeMap::new();
         for (id, machine) in &self.inventory.machines {
-            let Some(token) = self.my_token(&machine.pool) else { continue };
+            let Some(token) = self.owned_pool_token(&machine.pool) else { continue };
             let Some(heartbeat) = machine.heartbeat.as_ref().filter(|r| r.token == token) else {
                 continue;
             };
@@ -257,7 +262,7 @@
         let mut txn = Txn::default();
         txn.guard(ORIGIN_KEY, self.cache.origin.version);
         for pool in pools {
-            let Some(token) = self.my_token(pool) else { return };
+            let Some(token) = self.owned_pool_token(pool) else { return };
             txn.guard(pool_key(pool), Version(token.0));
         }
         txn.put(ORIGIN_KEY, &record, None);
@@ -334,7 +339,7 @@
             } else if old.is_some() || many {
                 let mut new = old.map(|o| o.value.clone()).unwrap_or_default();
                 for pool in self.pools.owned.keys() {
-                    let Some(token) = self.my_token(pool) else { continue };
+                    let Some(token) = self.owned_pool_token(pool) else { continue };
                     let here = seen.iter().filter(|(_, s)| {
                         s.pool == *pool && s.endpoint.is_some() && !s.leaving && s.has(image)
                     });
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -82,7 +82,7 @@
         }
         let pool =
             PoolId { machine_type: heartbeat.machine_type.clone(), zone: heartbeat.zone.clone() };
-        let Some(token) = self.my_token(&pool) else {
+        let Some(token) = self.owned_pool_token(&pool) else {
             return self.redirect(rid, &heartbeat, &pool);
         };
         if heartbeat.token > token {
--- a/crates/cleatfold-control/src/pools/ownership.rs
+++ b/crates/cleatfold-control/src/pools/ownership.rs
@@ -66,7 +66,7 @@
     }
 
     /// The token under which this controller owns the pool; none if a newer owner is known.
-    pub(crate) fn my_token(&self, pool: &PoolId) -> Option<FencingToken> {
+    pub(crate) fn owned_pool_token(&self, pool: &PoolId) -> Option<FencingToken> {
         if self.pools.hinted.contains_key(pool) {
             return None;
         }
--- a/crates/cleatfold-control/src/pools/worker_authority.rs
+++ b/crates/cleatfold-control/src/pools/worker_authority.rs
@@ -32,7 +32,7 @@
     /// Grants permission if this controller owns the pool, as far as it knows, and has read the state service recently
     /// enough: the lease that a response renews then ends before the deadline of any cancellation it cannot know of.
     pub(crate) fn worker_authority(&self, pool: &PoolId) -> Result<WorkerAuthority, Response> {
-        let Some(token) = self.my_token(pool) else {
+        let Some(token) = self.owned_pool_token(pool) else {
             return Err(Response::Redirect(None));
         };
         let unread_ms = self.session.last_read.map_or(u64::MAX, |sent| self.now.since(sent));
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -369,7 +369,7 @@
                 && known.seq < heartbeat.seq
                 && heartbeat.machine == id
         });
-        if !newer || self.my_token(&machine.pool).is_none_or(|t| t != heartbeat.token) {
+        if !newer || self.owned_pool_token(&machine.pool).is_none_or(|t| t != heartbeat.token) {
             return;
         }
         let alive: HashSet<TaskId> = heartbeat
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -145,7 +145,7 @@
         if let Ok(value) = serde_json::to_string(&uncommitted.record) {
             self.cache.set(&key, &value, version);
         }
-        if self.my_token(&uncommitted.pool) == Some(uncommitted.token) {
+        if self.owned_pool_token(&uncommitted.pool) == Some(uncommitted.token) {
             for preemption in uncommitted.preemptions {
                 self.evict(uncommitted.token, preemption);
             }
@@ -190,7 +190,7 @@
     }
 
     fn lives_by(&self, pool: &PoolId, listener_health: ListenerHealth) -> bool {
-        if self.my_token(pool).is_some() {
+        if self.owned_pool_token(pool).is_some() {
             return true;
         }
         let Some(holding) = self.cache.pools.get(pool) else { return false };
