--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -47,7 +47,7 @@
                 let token = FencingToken(token);
                 let known = self.cache.pools.get(&pool).map(|h| h.token).unwrap_or_default();
                 if token > known {
-                    self.pools.hinted.insert(pool.clone(), (from, token));
+                    self.pools.superseded_by.insert(pool.clone(), (from, token));
                     self.session.sync_wanted = true;
                 }
                 if token >= known {
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -94,7 +94,7 @@
             misdirected_workers.answered(&machine, answer, owner_has_contact, now)
         {
             let owned = self.cache.pools.get(&pool).is_some_and(|h| h.owner == owner);
-            if owned && !self.pools.hinted.contains_key(&pool) {
+            if owned && !self.pools.superseded_by.contains_key(&pool) {
                 self.take_over(pool, &owner);
             }
         }
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -145,7 +145,7 @@
 
     /// Redirects a worker to the owner of its pool, if the owner is known.
     fn redirect(&mut self, rid: u64, heartbeat: &RawHeartbeat, pool: &PoolId) {
-        let owner = match (self.pools.hinted.get(pool), self.cache.pools.get(pool)) {
+        let owner = match (self.pools.superseded_by.get(pool), self.cache.pools.get(pool)) {
             (Some((controller, _)), _) => Some(controller.clone()),
             (None, Some(h)) if h.owner != self.cfg.me => Some(h.owner.clone()),
             _ => None,
--- a/crates/cleatfold-control/src/pools/ownership.rs
+++ b/crates/cleatfold-control/src/pools/ownership.rs
@@ -19,7 +19,7 @@
     pub owned: BTreeMap<PoolId, OwnedPool>,
     /// Newer owners, with their tokens, that have announced themselves over the mesh but have not
     /// been read from the state service yet.
-    pub hinted: BTreeMap<PoolId, (ControllerId, FencingToken)>,
+    pub superseded_by: BTreeMap<PoolId, (ControllerId, FencingToken)>,
     /// Heartbeats whose responses are held, by machine.
     pub long_polls: BTreeMap<MachineId, LongPoll>,
 }
@@ -31,8 +31,8 @@
     }
 
     /// Owned pools without a known newer owner, with their tokens.
-    pub(crate) fn undisputed(&self) -> impl Iterator<Item = (&PoolId, FencingToken)> {
-        let owned = self.owned.iter().filter(|(pool, _)| !self.hinted.contains_key(*pool));
+    pub(crate) fn not_superseded(&self) -> impl Iterator<Item = (&PoolId, FencingToken)> {
+        let owned = self.owned.iter().filter(|(pool, _)| !self.superseded_by.contains_key(*pool));
         owned.map(|(pool, owned)| (pool, owned.token))
     }
 }
@@ -62,12 +62,12 @@
         let is_unread = |pool: &PoolId, token: FencingToken| {
             cache.pools.get(pool).is_none_or(|known| known.token < token)
         };
-        self.pools.hinted.retain(|pool, (_, token)| is_unread(pool, *token));
+        self.pools.superseded_by.retain(|pool, (_, token)| is_unread(pool, *token));
     }
 
     /// The token under which this controller owns the pool; none if a newer owner is known.
     pub(crate) fn owned_pool_token(&self, pool: &PoolId) -> Option<FencingToken> {
-        if self.pools.hinted.contains_key(pool) {
+        if self.pools.superseded_by.contains_key(pool) {
             return None;
         }
         self.pools.owned.get(pool).map(|owned| owned.token)
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -331,7 +331,7 @@
         let sizes = self.inventory.machine_counts();
         let own: Vec<(PoolId, FencingToken, Resources)> = self
             .pools
-            .undisputed()
+            .not_superseded()
             .map(|(p, token)| {
                 let n = sizes.get(p).copied().unwrap_or(0) as u32;
                 (p.clone(), token, self.inventory.machine_resources(&p.machine_type).times(n))
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -121,7 +121,7 @@
         let mut plans = Vec::new();
         let by_pool = self.inventory.machines_by_pool();
         let long = self.long_work();
-        for (pool, token) in self.pools.undisputed() {
+        for (pool, token) in self.pools.not_superseded() {
             let members = by_pool.get(pool).map(Vec::as_slice).unwrap_or_default();
             let mut binding = self.binding_limits(pool, members.len(), usage, &long.limits);
             let (machines, mut profiles) = self.profiles(pool, token, members, &mut binding);
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -205,6 +205,6 @@
             lost_workers: peers.of_zone(controller, &pool.zone, now).is_some_and(|h| h.lost),
         };
         // One that was told us over the mesh, and not read yet, is its teller's.
-        self.pools.hinted.contains_key(pool) || lives(owner, listener_health)
+        self.pools.superseded_by.contains_key(pool) || lives(owner, listener_health)
     }
 }
