--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -227,8 +227,9 @@
     /// of no capacity one lease after its pools had left it, and jobs of limited teams waited beside free machines.)
     fn is_silent(&self, machine: &Machine) -> bool {
         let Some(owned) = self.pools.owned.get(&machine.pool) else { return false };
-        let reported =
-            machine.last_heartbeat_at().map(|at| at.max(machine.observed_since).max(owned.since));
+        let reported = machine
+            .last_heartbeat_at()
+            .map(|at| at.max(machine.observed_since).max(owned.acquired_at));
         reported.is_some_and(|at| self.now.since(at) >= self.cfg.lease_ms)
     }
 
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -76,7 +76,7 @@
                 let slot = self.cache.origin.value.slots.get(id);
                 let owned = slot.and_then(|s| self.pools.owned.get(&s.pool));
                 self.inventory.is_deleted(id)
-                    || owned.is_some_and(|o| self.now.since(o.since) > known)
+                    || owned.is_some_and(|o| self.now.since(o.acquired_at) > known)
             }
         }
     }
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -274,7 +274,7 @@
             let useful = |spot| self.useful_cpus(pool, spot, &waiting, &headroom);
             let watched = WatchedPool {
                 token: owned.token,
-                since: owned.since,
+                since: owned.acquired_at,
                 boot_ms: kind.map_or(60_000.0, |t| t.boot_s * 1000.0) as u64,
                 cpus: kind.map_or(1.0, |t| t.cpus),
                 useful: [useful(false), useful(true)],
--- a/crates/cleatfold-control/src/pools/ownership.rs
+++ b/crates/cleatfold-control/src/pools/ownership.rs
@@ -10,7 +10,7 @@
 pub(crate) struct OwnedPool {
     pub token: FencingToken,
     /// When the ownership was first read.
-    pub since: Ms,
+    pub acquired_at: Ms,
 }
 
 /// The pools that this controller owns, and what it knows of newer owners.
@@ -55,7 +55,7 @@
             for m in self.inventory.machines.values_mut().filter(|m| m.pool == pool) {
                 m.images_changed = true;
             }
-            self.pools.owned.insert(pool, OwnedPool { token, since: self.now });
+            self.pools.owned.insert(pool, OwnedPool { token, acquired_at: self.now });
             self.replan_needed = true;
         }
         let cache = &self.cache;
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -44,7 +44,7 @@
         let (read, assigned) = (self.session.last_read, self.priority.assigned);
         let gate = |taken| StartBarrier { taken, read, assigned };
         self.priority.start_barriers =
-            self.pools.owned.iter().map(|(p, o)| (p.clone(), gate(o.since))).collect();
+            self.pools.owned.iter().map(|(p, o)| (p.clone(), gate(o.acquired_at))).collect();
         self.refresh_waiting(queue);
         self.adopt_preemptions();
     }
