--- a/crates/cleatfold-control/src/machines/cloud.rs
+++ b/crates/cleatfold-control/src/machines/cloud.rs
@@ -25,7 +25,7 @@
 impl Controller {
     /// Interval between calls to the cloud: the controller that scales out may use half of the cloud's
     /// rate limit, and the others share the rest.
-    pub(crate) fn cloud_spacing_ms(&self) -> u64 {
+    pub(crate) fn cloud_call_interval_ms(&self) -> u64 {
         let others = self.cfg.peers.len();
         let share = match (others, self.holds(Role::ScaleOut)) {
             (0, _) => 1.0,
@@ -39,7 +39,7 @@
     /// however many pages the list has.
     fn list_ms(&self) -> u64 {
         let pages = 1 + self.inventory.machines.len() as u64 / 500;
-        (2 * pages * self.cloud_spacing_ms()).max(4000)
+        (2 * pages * self.cloud_call_interval_ms()).max(4000)
     }
 
     /// Reads machine types and the machine list again when they are due.
--- a/crates/cleatfold-control/src/store/calls.rs
+++ b/crates/cleatfold-control/src/store/calls.rs
@@ -60,7 +60,7 @@
     /// Calls the cloud.
     pub(crate) fn cloud(&mut self, request: CloudRequest, pending: Pending) {
         let op = self.calls.begin(pending);
-        let spacing_ms = self.cloud_spacing_ms();
+        let spacing_ms = self.cloud_call_interval_ms();
         self.out.push(Effect::Cloud { op, request, spacing_ms });
     }
 
