--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -200,7 +200,7 @@
         self.keep_format();
         self.keep_lease();
         self.keep_cache();
-        self.keep_cloud();
+        self.maintain_cloud_state();
         self.tell_alive();
         self.keep_cancellations();
         if !self.serving() {
--- a/crates/cleatfold-control/src/machines/cloud.rs
+++ b/crates/cleatfold-control/src/machines/cloud.rs
@@ -43,7 +43,7 @@
     }
 
     /// Reads machine types and the machine list again when they are due.
-    pub(crate) fn keep_cloud(&mut self) {
+    pub(crate) fn maintain_cloud_state(&mut self) {
         let types_due = self.cloud_state.types_at.is_none_or(|at| self.now.since(at) > 60_000);
         if types_due && !self.cloud_state.types_requested {
             self.cloud_state.types_requested = true;
