--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -150,7 +150,7 @@
         self.admission.note_asks(wall_s);
         if self.holds(Role::OverloadQuota)
             && self.in_contact()
-            && self.cloud_state.list_at.is_some()
+            && self.cloud_state.list_read_at.is_some()
         {
             self.decide_overload_quota();
         }
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -252,7 +252,7 @@
     pub(crate) fn serving(&self) -> bool {
         self.session.is_loaded
             && self.session.incarnation.is_some()
-            && self.cloud_state.types_at.is_some()
+            && self.cloud_state.types_read_at.is_some()
     }
 
     /// Whether this controller can serve users.
--- a/crates/cleatfold-control/src/machines/cloud.rs
+++ b/crates/cleatfold-control/src/machines/cloud.rs
@@ -12,11 +12,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct CloudState {
     /// When machine types and prices were last read, or kept after a failed read.
-    pub types_at: Option<Ms>,
+    pub types_read_at: Option<Ms>,
     types_requested: bool,
     /// When the machine list was last received completely; set back after a failed read, so that the
     /// next one is sent sooner.
-    pub list_at: Option<Ms>,
+    pub list_read_at: Option<Ms>,
     list_requested: bool,
     /// Machines from the pages of the list that have been received so far.
     listed: Vec<ListedMachine>,
@@ -44,14 +44,15 @@
 
     /// Reads machine types and the machine list again when they are due.
     pub(crate) fn maintain_cloud_state(&mut self) {
-        let types_due = self.cloud_state.types_at.is_none_or(|at| self.now.since(at) > 60_000);
+        let types_due = self.cloud_state.types_read_at.is_none_or(|at| self.now.since(at) > 60_000);
         if types_due && !self.cloud_state.types_requested {
             self.cloud_state.types_requested = true;
             self.cloud(CloudRequest::Types, Pending::Types);
         }
         let list_due =
-            self.cloud_state.list_at.is_none_or(|at| self.now.since(at) > self.list_ms());
-        if list_due && !self.cloud_state.list_requested && self.cloud_state.types_at.is_some() {
+            self.cloud_state.list_read_at.is_none_or(|at| self.now.since(at) > self.list_ms());
+        if list_due && !self.cloud_state.list_requested && self.cloud_state.types_read_at.is_some()
+        {
             self.cloud_state.list_requested = true;
             let sent = self.now;
             self.cloud_state.listed.clear();
@@ -70,10 +71,10 @@
                     CloudReply::Types(types) if !types.is_empty() => {
                         self.inventory.types =
                             types.into_iter().map(|t| (t.name.clone(), t)).collect();
-                        self.cloud_state.types_at = Some(self.now);
+                        self.cloud_state.types_read_at = Some(self.now);
                     }
-                    _ if self.cloud_state.types_at.is_some() => {
-                        self.cloud_state.types_at = Some(self.now)
+                    _ if self.cloud_state.types_read_at.is_some() => {
+                        self.cloud_state.types_read_at = Some(self.now)
                     }
                     _ => {}
                 }
@@ -86,7 +87,7 @@
                     }
                     _ => {
                         self.cloud_state.list_requested = false;
-                        self.cloud_state.list_at = Some(self.now);
+                        self.cloud_state.list_read_at = Some(self.now);
                         let list = std::mem::take(&mut self.cloud_state.listed);
                         self.on_list(list);
                     }
@@ -94,8 +95,8 @@
             }
             (Some(Pending::List { .. }), _) => {
                 self.cloud_state.list_requested = false;
-                self.cloud_state.list_at =
-                    self.cloud_state.list_at.map(|_| Ms(self.now.0.saturating_sub(2500)));
+                self.cloud_state.list_read_at =
+                    self.cloud_state.list_read_at.map(|_| Ms(self.now.0.saturating_sub(2500)));
             }
             (Some(Pending::ScaleOut { request, tries }), reply) => {
                 self.on_scale_out(request, tries, reply)
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -79,7 +79,7 @@
         if !due
             || !self.holds(Role::ScaleOut)
             || !self.in_contact()
-            || self.cloud_state.list_at.is_none()
+            || self.cloud_state.list_read_at.is_none()
         {
             return;
         }
