--- a/crates/cleatfold-control/src/machines/cloud.rs
+++ b/crates/cleatfold-control/src/machines/cloud.rs
@@ -19,25 +19,25 @@
     pub list_read_at: Option<Ms>,
     list_requested: bool,
     /// Machines from the pages of the list that have been received so far.
-    listed: Vec<ListedMachine>,
+    partial_list: Vec<ListedMachine>,
 }
 
 impl Controller {
     /// Interval between calls to the cloud: the controller that scales out may use half of the cloud's
     /// rate limit, and the others share the rest.
     pub(crate) fn cloud_call_interval_ms(&self) -> u64 {
-        let others = self.cfg.peers.len();
-        let share = match (others, self.holds(Role::ScaleOut)) {
+        let peer_count = self.cfg.peers.len();
+        let share = match (peer_count, self.holds(Role::ScaleOut)) {
             (0, _) => 1.0,
             (_, true) => 0.5,
-            (n, false) => 0.5 / n as f64,
+            (count, false) => 0.5 / count as f64,
         };
         (1000.0 / (self.cfg.cloud_calls_per_s * share).max(0.1)) as u64
     }
 
     /// Interval between reads of the machine list: they take at most half of this controller's calls,
     /// however many pages the list has.
-    fn list_ms(&self) -> u64 {
+    fn list_interval_ms(&self) -> u64 {
         let pages = 1 + self.inventory.machines.len() as u64 / 500;
         (2 * pages * self.cloud_call_interval_ms()).max(4000)
     }
@@ -49,13 +49,15 @@
             self.cloud_state.types_requested = true;
             self.cloud(CloudRequest::Types, Pending::Types);
         }
-        let list_due =
-            self.cloud_state.list_read_at.is_none_or(|at| self.now.since(at) > self.list_ms());
+        let list_due = self
+            .cloud_state
+            .list_read_at
+            .is_none_or(|at| self.now.since(at) > self.list_interval_ms());
         if list_due && !self.cloud_state.list_requested && self.cloud_state.types_read_at.is_some()
         {
             self.cloud_state.list_requested = true;
             let sent = self.now;
-            self.cloud_state.listed.clear();
+            self.cloud_state.partial_list.clear();
             self.cloud(CloudRequest::List { from: None }, Pending::List { sent });
         }
     }
@@ -80,16 +82,16 @@
                 }
             }
             (Some(Pending::List { sent }), CloudReply::List { machines, more }) => {
-                self.cloud_state.listed.extend(machines);
-                match self.cloud_state.listed.last().map(|m| m.id.clone()) {
+                self.cloud_state.partial_list.extend(machines);
+                match self.cloud_state.partial_list.last().map(|m| m.id.clone()) {
                     Some(last) if more => {
                         self.cloud(CloudRequest::List { from: Some(last) }, Pending::List { sent })
                     }
                     _ => {
                         self.cloud_state.list_requested = false;
                         self.cloud_state.list_read_at = Some(self.now);
-                        let list = std::mem::take(&mut self.cloud_state.listed);
-                        self.on_list(list);
+                        let list = std::mem::take(&mut self.cloud_state.partial_list);
+                        self.on_machine_list(list);
                     }
                 }
             }
@@ -103,8 +105,8 @@
             }
             (Some(Pending::Delete { machines }), CloudReply::Deleted) => {
                 for id in machines {
-                    self.on_machine_gone(&id, EndReason::MachineDeleted, None);
-                    self.inventory.note_deleted(&id);
+                    self.end_machine_claims(&id, EndReason::MachineDeleted, None);
+                    self.inventory.record_deletion(&id);
                 }
                 self.replan_needed = true;
             }
@@ -121,9 +123,9 @@
 
     /// Updates the inventory from a complete machine list, and removes machines that have been
     /// missing from the list, without heartbeats and without claims for long enough.
-    fn on_list(&mut self, list: Vec<ListedMachine>) {
+    fn on_machine_list(&mut self, list: Vec<ListedMachine>) {
         let now = self.now;
-        self.inventory.listed_at = now;
+        self.inventory.list_received_at = now;
         for listed in &list {
             if self.inventory.is_deleted(&listed.id) {
                 continue;
@@ -136,31 +138,31 @@
                 m.created_at = Ms(now.0.saturating_sub((listed.age_s * 1000.0) as u64));
                 m
             });
-            machine.listed_at = now;
-            machine.was_listed = true;
+            machine.last_listed_at = now;
+            machine.ever_listed = true;
             if machine.endpoint.is_none() {
                 machine.endpoint.clone_from(&listed.endpoint);
             }
             // A stale list must not set a reporting machine back to booting.
             if machine.heartbeat.is_none() || listed.state == MachineState::Failed {
-                machine.listed = Some(listed.state);
+                machine.state = Some(listed.state);
             }
         }
-        let silent = 30_000 + 2 * self.cfg.list_lag_ms;
+        let retention_ms = 30_000 + 2 * self.cfg.list_lag_ms;
         let claims = &self.cache.claims;
         self.inventory.machines.retain(|id, m| {
-            now.since(m.listed_at) < silent
-                || m.last_heartbeat_at().is_some_and(|h| now.since(h) < silent)
+            now.since(m.last_listed_at) < retention_ms
+                || m.last_heartbeat_at().is_some_and(|at| now.since(at) < retention_ms)
                 || claims.contains_key(id)
         });
     }
 
     /// Whether a machine that may report to another controller may still exist: it has sent a heartbeat recently, is in
     /// the last list, or has not been in any list yet. Used only to decide how many machines to request.
-    pub(crate) fn may_be_there(&self, machine: &Machine) -> bool {
-        let last_heartbeat =
+    pub(crate) fn may_still_exist(&self, machine: &Machine) -> bool {
+        let reported_recently =
             machine.last_heartbeat_at().is_some_and(|at| self.now.since(at) <= self.silent_ms());
-        let listed = machine.listed_at >= self.inventory.listed_at;
-        last_heartbeat || listed || !machine.was_listed
+        let in_last_list = machine.last_listed_at >= self.inventory.list_received_at;
+        reported_recently || in_last_list || !machine.ever_listed
     }
 }
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -20,10 +20,10 @@
     pub received_at: Ms,
     pub tasks: Vec<TaskReport>,
     /// The unparsed task list; the next heartbeat is compared with it before it is parsed.
-    pub text: Box<RawValue>,
+    pub raw_tasks: Box<RawValue>,
     /// The stamp of the machine's claims if the heartbeat required no action. While the stamp is
     /// the same, an identical heartbeat requires none either and is not parsed.
-    pub settled: Option<u64>,
+    pub no_action_stamp: Option<u64>,
     /// The images that the worker holds, if it fetches images from other workers.
     pub images: Option<Vec<HeldImage>>,
 }
@@ -37,11 +37,11 @@
     pub endpoint: Option<String>,
     /// The state from the cloud's machine list; `Running` once a heartbeat under the current token
     /// has arrived.
-    pub listed: Option<MachineState>,
+    pub state: Option<MachineState>,
     /// When the machine was last in the cloud's list; at first, when it was added to the inventory.
-    pub listed_at: Ms,
+    pub last_listed_at: Ms,
     /// It has been in the cloud's list, so its absence from a later list means that it was deleted.
-    pub was_listed: bool,
+    pub ever_listed: bool,
     /// When the machine was created, by its age in the cloud's list.
     pub created_at: Ms,
     pub heartbeat: Option<LastHeartbeat>,
@@ -51,9 +51,9 @@
     /// Detects whether responses reach the worker.
     pub partition_detector: cleatfold_reachability::OneWayPartitionDetector,
     /// When a heartbeat of the machine was last answered with 200, and under which token.
-    pub answered: Option<(Ms, FencingToken)>,
+    pub last_answer: Option<(Ms, FencingToken)>,
     /// When the cloud reclaims the machine, if it gave notice.
-    pub notice: Option<Ms>,
+    pub reclaim_at: Option<Ms>,
     /// Images that the machine holds, with their sizes in GB, the most recently used last.
     pub images: VecDeque<(ImageId, f64)>,
     /// `images` has changed since it was last sent to the peers.
@@ -83,15 +83,15 @@
             pool,
             spot,
             endpoint: None,
-            listed: None,
-            listed_at: now,
-            was_listed: false,
+            state: None,
+            last_listed_at: now,
+            ever_listed: false,
             created_at: now,
             heartbeat: None,
             last_heartbeat_at: None,
             partition_detector: Default::default(),
-            answered: None,
-            notice: None,
+            last_answer: None,
+            reclaim_at: None,
             images: VecDeque::new(),
             images_changed: false,
             task_started_at: BTreeMap::new(),
@@ -109,14 +109,14 @@
     pub(crate) fn is_schedulable(&self) -> bool {
         !self.draining
             && !self.deleting
-            && self.notice.is_none()
+            && self.reclaim_at.is_none()
             && !self.partition_detector.is_partitioned()
     }
 
     /// Whether its last heartbeat lists a task that has not exited.
-    pub(crate) fn runs_something(&self) -> bool {
-        let listed = self.heartbeat.iter().flat_map(|r| &r.tasks);
-        listed.into_iter().any(|t| t.state != TaskState::Exited)
+    pub(crate) fn has_running_tasks(&self) -> bool {
+        let tasks = self.heartbeat.iter().flat_map(|last| &last.tasks);
+        tasks.into_iter().any(|t| t.state != TaskState::Exited)
     }
 
     /// When the last heartbeat arrived that proves the machine is running.
@@ -146,7 +146,7 @@
     pub types: BTreeMap<TypeId, MachineType>,
     pub machines: BTreeMap<MachineId, Machine>,
     /// When the cloud's machine list was last received completely.
-    pub listed_at: Ms,
+    pub list_received_at: Ms,
     /// Deleted machines; delayed messages about them are ignored.
     pub deleted: DeletedMachines,
 }
@@ -175,7 +175,7 @@
     }
 
     /// Removes a machine whose deletion the cloud has confirmed.
-    pub(crate) fn note_deleted(&mut self, id: &MachineId) {
+    pub(crate) fn record_deletion(&mut self, id: &MachineId) {
         self.machines.remove(id);
         self.deleted.insert(id);
     }
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -265,7 +265,7 @@
         for (id, m) in &self.inventory.machines {
             // A machine that another controller has deleted is no supply: without this check it would
             // count for another 50 s and delay the request for its replacement by as much.
-            if !m.is_schedulable() || !self.may_be_there(m) {
+            if !m.is_schedulable() || !self.may_still_exist(m) {
                 continue;
             }
             let mut free =
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -110,7 +110,7 @@
         has_claims: bool,
         is_needed: impl FnOnce() -> bool,
     ) {
-        if machine.listed == Some(MachineState::Failed) {
+        if machine.state == Some(MachineState::Failed) {
             self.delete.push(id.clone());
             return;
         }
@@ -121,7 +121,7 @@
         if !self.inspect_liveness(id, machine, pool, times, has_claims) {
             return;
         }
-        if has_claims || machine.runs_something() {
+        if has_claims || machine.has_running_tasks() {
             machine.idle_since = None;
             return;
         }
@@ -168,7 +168,7 @@
             // The worker has seen this controller's token, so it accepts no response of an earlier
             // owner: only this controller's last response can have renewed its lease.
             let seen = machine.heartbeat.as_ref().is_some_and(|h| h.token == pool.token);
-            let answered = machine.answered.is_some_and(|(at, token)| {
+            let answered = machine.last_answer.is_some_and(|(at, token)| {
                 token == pool.token && now.since(at) > times.certain_lease_ms()
             });
             if seen && answered && !machine.lease_expired {
@@ -250,7 +250,7 @@
         for ExpiredMachine { id, fence } in &findings.expired {
             // Claims made after the expiry can be released too: their tasks were never started.
             if self.cache.claims.contains_key(id) {
-                self.on_machine_gone(id, EndReason::LeaseExpired, Some(fence.clone()));
+                self.end_machine_claims(id, EndReason::LeaseExpired, Some(fence.clone()));
             }
         }
         self.replan_needed |= !findings.silent.is_empty();
@@ -309,7 +309,7 @@
     }
 
     /// Ends all claims on a machine that provably runs no tasks any more.
-    pub(super) fn on_machine_gone(
+    pub(super) fn end_machine_claims(
         &mut self,
         id: &MachineId,
         reason: EndReason,
@@ -390,7 +390,7 @@
                 let claims = self.cache.claims.get(&id).into_iter().flatten();
                 let mut news = claims.map(|((job, ix), c)| self.is_ending(job, *ix, c.attempt));
                 if news.any(|ending| !ending) {
-                    self.on_machine_gone(&id, EndReason::MachineDeleted, None);
+                    self.end_machine_claims(&id, EndReason::MachineDeleted, None);
                 }
             } else {
                 let now = self.now;
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -27,7 +27,7 @@
         // By zone: running machines, and how many of them send heartbeats to this controller.
         let mut zones: BTreeMap<&ZoneId, (Vec<MachineId>, usize)> = BTreeMap::new();
         for (id, m) in &self.inventory.machines {
-            let up = m.heartbeat.is_some() || m.listed == Some(MachineState::Running);
+            let up = m.heartbeat.is_some() || m.state == Some(MachineState::Running);
             if m.endpoint.is_none() || m.deleting || !up {
                 continue;
             }
--- a/crates/cleatfold-control/src/pools/long_polls.rs
+++ b/crates/cleatfold-control/src/pools/long_polls.rs
@@ -24,7 +24,7 @@
     /// because a worker reports no exits while it waits for a response.
     pub(super) fn long_poll_ms(&self, id: &MachineId) -> u64 {
         let Some(machine) = self.inventory.machines.get(id) else { return 0 };
-        if machine.draining || machine.notice.is_some() {
+        if machine.draining || machine.reclaim_at.is_some() {
             return 0;
         }
         let total = self.inventory.machine_resources(&machine.pool.machine_type).cpus;
@@ -38,12 +38,12 @@
             .filter_map(|((job, _), _)| self.cache.jobs.get(job))
             .map(|cached| cached.each.cpus)
             .sum();
-        let share = match used * 4 {
+        let percent = match used * 4 {
             0 => 80,
             u if u < total * 3 => 40,
             _ => 0,
         };
-        (self.cfg.heartbeat_interval_ms * share / 100).min(2000)
+        (self.cfg.heartbeat_interval_ms * percent / 100).min(2000)
     }
 
     /// Answers held heartbeats whose time is up, or whose machine has a new claim.
@@ -52,7 +52,7 @@
             .pools
             .long_polls
             .iter()
-            .filter(|(id, h)| h.until <= self.now || claimed.contains(id))
+            .filter(|(id, poll)| poll.until <= self.now || claimed.contains(id))
             .map(|(id, _)| id.clone())
             .collect();
         for id in due {
@@ -61,7 +61,7 @@
                 Err(response) => response,
                 Ok(authority) if authority.token() != poll.token => Response::Redirect(None),
                 Ok(authority) => {
-                    let commands = self.starts(&id, poll.token);
+                    let commands = self.start_commands(&id, poll.token);
                     self.note_fetches(&id, &commands);
                     if let Some(machine) = self.inventory.machines.get_mut(&id) {
                         machine.partition_detector.answered_late(self.now, &commands);
@@ -75,33 +75,33 @@
 
     /// Ends a held heartbeat after a newer one arrived: the worker no longer waits for its response.
     pub(super) fn abandon_long_poll(&mut self, id: &MachineId) {
-        if let Some(old) = self.pools.long_polls.remove(id) {
-            self.reply(old.rid, Response::later("a newer report came"));
+        if let Some(poll) = self.pools.long_polls.remove(id) {
+            self.reply(poll.rid, Response::later("a newer report came"));
         }
     }
 
     /// Start commands for claims whose tasks the machine's newest heartbeat does not list.
-    fn starts(&self, id: &MachineId, token: FencingToken) -> Vec<Command> {
+    fn start_commands(&self, id: &MachineId, token: FencingToken) -> Vec<Command> {
         let Some(machine) = self.inventory.machines.get(id) else { return vec![] };
         let Some(heartbeat) = &machine.heartbeat else { return vec![] };
         if !machine.is_schedulable() {
             return vec![];
         }
         let listed: BTreeSet<&TaskId> = heartbeat.tasks.iter().map(|t| &t.task).collect();
-        let mut starts = Vec::new();
+        let mut start_commands = Vec::new();
         for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
             let task = TaskId { job: job.clone(), ix: *ix };
-            let over = self.is_over(job);
-            let leaving = self.is_ending(job, *ix, claim.attempt)
+            let job_ended = self.is_job_ended(job);
+            let claim_ending = self.is_ending(job, *ix, claim.attempt)
                 || self.evictions.get(id, job, *ix).is_some();
-            if claim.token == token && !over && !leaving && !listed.contains(&task) {
+            if claim.token == token && !job_ended && !claim_ending && !listed.contains(&task) {
                 // The task is not started while the machine has to wait for a turn to fetch its image.
                 if let Some(sources) = self.fetch_turn(id, job) {
-                    starts.push(Command::Start { task, attempt: claim.attempt, sources });
+                    start_commands.push(Command::Start { task, attempt: claim.attempt, sources });
                 }
             }
         }
-        starts.extend(self.new_sources(id, &heartbeat.tasks));
-        starts
+        start_commands.extend(self.new_sources(id, &heartbeat.tasks));
+        start_commands
     }
 }
