--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -56,7 +56,7 @@
     pub reclaim_at: Option<Ms>,
     /// Images that the machine holds, with their sizes in GB, the most recently used last.
     pub images: VecDeque<(ImageId, f64)>,
-    /// `images` has changed since it was last sent to the peers.
+    /// `images` is to be sent to the peers.
     pub images_changed: bool,
     /// When each task was first seen running.
     pub task_started_at: BTreeMap<(JobId, TaskIx), Ms>,
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -22,7 +22,7 @@
 
 const SCALE_OUT_INTERVAL_MS: u64 = 500;
 /// Smaller shortfalls are rounding errors.
-const MIN_LACK_CPUS: f64 = 1e-9;
+const MIN_SHORTFALL_CPUS: f64 = 1e-9;
 /// Maximum number of open intents in the record.
 const MAX_OPEN_INTENTS: usize = 4;
 /// Machines that one request may ask for, by the cloud's protocol.
@@ -44,18 +44,18 @@
 type CpusByOffer = BTreeMap<Offer, f64>;
 
 /// Processors that one waiting job needs.
-struct Need {
+struct CpuDemand {
     /// Processors not yet covered by the supply.
     cpus: f64,
     /// Maximum number of processors that the job may use in one zone.
-    per_zone: f64,
+    max_per_zone: f64,
     /// Processors of the supply allocated to the job, by zone.
-    taken_by_zone: BTreeMap<ZoneId, f64>,
+    allocated_by_zone: BTreeMap<ZoneId, f64>,
 }
 
-impl Need {
+impl CpuDemand {
     fn is_zone_full(&self, zone: &ZoneId) -> bool {
-        self.taken_by_zone.get(zone).is_some_and(|taken| *taken >= self.per_zone)
+        self.allocated_by_zone.get(zone).is_some_and(|allocated| *allocated >= self.max_per_zone)
     }
 }
 
@@ -63,20 +63,20 @@
 #[derive(Debug, Default)]
 pub(crate) struct ScaleOutState {
     tracker: ScaleOutTracker,
-    count: u64,
+    request_counter: u64,
     last_checked: Ms,
-    writing: bool,
+    write_in_flight: bool,
     /// When the answer to an unconfirmed write arrived; the cache may lack its effect until a later sync.
-    stale: Option<Ms>,
+    unconfirmed_since: Option<Ms>,
 }
 
 impl Controller {
     /// Requests machines for the CPU shortfall, while this controller holds the role and is in contact
     /// with the state service.
     pub(crate) fn maintain_scale_out(&mut self) {
-        let due = self.now.since(self.scale_out.last_checked)
+        let is_due = self.now.since(self.scale_out.last_checked)
             >= SCALE_OUT_INTERVAL_MS * self.backpressure;
-        if !due
+        if !is_due
             || !self.holds(Role::ScaleOut)
             || !self.in_contact()
             || self.cloud_state.list_read_at.is_none()
@@ -84,25 +84,29 @@
             return;
         }
         self.scale_out.last_checked = self.now;
-        let read =
-            self.scale_out.stale.is_none_or(|s| self.session.last_read.is_some_and(|f| f > s));
-        if self.scale_out.writing || !read {
+        let is_read = self
+            .scale_out
+            .unconfirmed_since
+            .is_none_or(|since| self.session.last_read.is_some_and(|read| read > since));
+        if self.scale_out.write_in_flight || !is_read {
             return;
         }
-        self.scale_out.stale = None;
-        let new = self.new_scale_out_intents();
+        self.scale_out.unconfirmed_since = None;
+        let new_intents = self.new_scale_out_intents();
         let Some(epoch) = self.epoch(Role::ScaleOut) else { return };
-        let lag_ms = 2 * self.cfg.list_lag_ms + 5000;
-        let Versioned { version, value: book } = &self.cache.scale_out_intents;
+        let list_lag_ms = 2 * self.cfg.list_lag_ms + 5000;
+        let Versioned { version, value: intents } = &self.cache.scale_out_intents;
         let times = (self.now, self.wall_ms);
-        let Some(step) = self.scale_out.tracker.next(book, epoch, new, times, lag_ms) else {
+        let Some(step) =
+            self.scale_out.tracker.next(intents, epoch, new_intents, times, list_lag_ms)
+        else {
             return;
         };
         let mut txn = Txn::default();
         txn.guard(SCALE_OUT_KEY, *version);
         txn.guard(Role::ScaleOut.key(), epoch);
         txn.put(SCALE_OUT_KEY, &step.book, None);
-        self.scale_out.writing = true;
+        self.scale_out.write_in_flight = true;
         self.store(
             CallPriority::Renewal,
             StoreRequest::Txn(txn),
@@ -114,26 +118,26 @@
     fn new_scale_out_intents(&mut self) -> Vec<ScaleOutIntent> {
         let Some(incarnation) = self.session.incarnation else { return vec![] };
         // Intents that are answered but not yet removed from the record do not count as open.
-        let coming = self.scale_out.tracker.coming(&self.cache.scale_out_intents.value);
-        let open: Vec<Offer> = coming.map(Offer::of).collect();
-        let free = MAX_OPEN_INTENTS.saturating_sub(open.len());
-        if free == 0 {
+        let pending = self.scale_out.tracker.coming(&self.cache.scale_out_intents.value);
+        let open: Vec<Offer> = pending.map(Offer::of).collect();
+        let free_slots = MAX_OPEN_INTENTS.saturating_sub(open.len());
+        if free_slots == 0 {
             return vec![];
         }
-        let mut new = Vec::new();
-        for (offer, lack) in self.lacking() {
+        let mut new_intents = Vec::new();
+        for (offer, shortfall) in self.shortfalls() {
             // At most one open intent per offer.
-            if new.len() >= free || open.contains(&offer) {
+            if new_intents.len() >= free_slots || open.contains(&offer) {
                 continue;
             }
             let Offer { pool, spot } = offer;
             let cpus =
                 self.inventory.types.get(&pool.machine_type).map_or(1.0, |t| t.cpus.max(0.1));
-            let count = ((lack / cpus).ceil() as u32).clamp(1, MAX_MACHINES_PER_REQUEST);
-            self.scale_out.count += 1;
-            tracing::info!(%pool, spot, count, lack, "scaling out");
-            new.push(ScaleOutIntent {
-                name: format!("{}-{}-{}", self.cfg.me, incarnation, self.scale_out.count),
+            let count = ((shortfall / cpus).ceil() as u32).clamp(1, MAX_MACHINES_PER_REQUEST);
+            self.scale_out.request_counter += 1;
+            tracing::info!(%pool, spot, count, lack = shortfall, "scaling out");
+            new_intents.push(ScaleOutIntent {
+                name: format!("{}-{}-{}", self.cfg.me, incarnation, self.scale_out.request_counter),
                 machine_type: pool.machine_type,
                 zone: pool.zone,
                 spot,
@@ -141,12 +145,12 @@
                 inherited: false,
             });
         }
-        new
+        new_intents
     }
 
     /// Makes the cloud requests once their intents are durable.
     pub(crate) fn on_scale_out_written(&mut self, step: Step, reply: StoreReply) {
-        self.scale_out.writing = false;
+        self.scale_out.write_in_flight = false;
         match reply {
             StoreReply::Committed(version) => {
                 if self.cache.scale_out_intents.version < version {
@@ -164,7 +168,7 @@
             }
             // The write may have succeeded: the intents are then treated like those of a former holder.
             _ => {
-                self.scale_out.stale = Some(self.now);
+                self.scale_out.unconfirmed_since = Some(self.now);
                 self.session.sync_wanted = true;
             }
         }
@@ -177,13 +181,13 @@
         let answer = match reply {
             CloudReply::Rented(machines) => {
                 tracing::info!(%pool, spot = request.spot, ?machines, "machines created");
-                let short = (machines.len() as u32) < request.count;
+                let is_short = (machines.len() as u32) < request.count;
                 let names = machines.iter().map(|m| m.to_string()).collect();
                 let message =
                     Message::Rented { pool: pool.to_string(), spot: request.spot, machines: names };
                 self.tell(None, message);
-                self.note_created_machines(&pool, request.spot, machines);
-                if short {
+                self.add_created_machines(&pool, request.spot, machines);
+                if is_short {
                     Answer::Short
                 } else {
                     Answer::Given
@@ -202,7 +206,7 @@
 
     /// Adds machines that the cloud has just created for this controller or for the holder of the
     /// scale-out role.
-    pub(crate) fn note_created_machines(
+    pub(crate) fn add_created_machines(
         &mut self,
         pool: &PoolId,
         spot: bool,
@@ -211,8 +215,8 @@
         let now = self.now;
         for id in machines {
             if !self.inventory.is_deleted(&id) {
-                let new = || Machine::new(pool.clone(), spot, now);
-                self.inventory.machines.entry(id).or_insert_with(new);
+                let new_machine = || Machine::new(pool.clone(), spot, now);
+                self.inventory.machines.entry(id).or_insert_with(new_machine);
             }
         }
         self.replan_needed = true;
@@ -222,11 +226,11 @@
     /// for the waiting jobs, largest first. In queue order, each job is allocated what it may use of
     /// the supply; the rest is its shortfall. (Comparing only the sum over the queue with the supply
     /// filled the region with machines that the waiting jobs could not use.)
-    fn lacking(&self) -> Vec<(Offer, f64)> {
-        let mut headroom = self.team_headroom(|cached| self.share_still_needed(cached));
+    fn shortfalls(&self) -> Vec<(Offer, f64)> {
+        let mut headroom = self.team_headroom(|cached| self.fraction_still_used(cached));
         let mut supply = self.supply();
-        let mut lacking = CpusByOffer::new();
-        let sizes = self.inventory.machine_counts();
+        let mut shortfalls = CpusByOffer::new();
+        let machine_counts = self.inventory.machine_counts();
         for Queued { job: id, tasks: unclaimed, growth, .. } in self.queue() {
             let Some(cached) = self.cache.jobs.get(&id) else { continue };
             // No machine is requested to retry a job that fails on every machine.
@@ -234,27 +238,28 @@
             if growth || (self.is_suspect(&id, cached) && supply.keys().any(may_use)) {
                 continue;
             }
-            let mut need = self.scale_out_need(cached, unclaimed);
+            let mut demand = self.cpu_demand(cached, unclaimed);
             // Nor for tasks that the team's limit keeps from starting.
             if let Some(headroom) = headroom.get_mut(&cached.record.spec.team) {
-                need.cpus = need.cpus.min(*headroom).max(0.0);
-                *headroom -= need.cpus;
+                demand.cpus = demand.cpus.min(*headroom).max(0.0);
+                *headroom -= demand.cpus;
             }
-            self.take_from_supply(cached, &mut need, &mut supply);
-            if need.cpus > MIN_LACK_CPUS {
-                if let Some(offer) = self.best_offer(cached, &lacking, &need, &sizes) {
-                    *lacking.entry(offer).or_default() += need.cpus;
+            self.allocate_supply(cached, &mut demand, &mut supply);
+            if demand.cpus > MIN_SHORTFALL_CPUS {
+                if let Some(offer) = self.best_offer(cached, &shortfalls, &demand, &machine_counts)
+                {
+                    *shortfalls.entry(offer).or_default() += demand.cpus;
                 }
             }
         }
-        let mut wanted: Vec<(Offer, f64)> = lacking.into_iter().collect();
-        wanted.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        wanted
+        let mut sorted: Vec<(Offer, f64)> = shortfalls.into_iter().collect();
+        sorted.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
+        sorted
     }
 
     /// The expected fraction of its processors that a running job still uses when the waiting jobs need
     /// them.
-    fn share_still_needed(&self, cached: &CachedJob) -> f64 {
+    fn fraction_still_used(&self, cached: &CachedJob) -> f64 {
         (0.5 * cached.record.spec.estimate_s / self.cfg.usual_wait_s).min(1.0)
     }
 
@@ -272,7 +277,7 @@
                 self.inventory.machine_resources(&m.pool.machine_type).cpus as f64 / 1000.0;
             for ((job, _), _) in self.cache.claims.get(id).into_iter().flatten() {
                 if let Some(cached) = self.cache.jobs.get(job) {
-                    free -= cached.record.spec.cpus * self.share_still_needed(cached);
+                    free -= cached.record.spec.cpus * self.fraction_still_used(cached);
                 }
             }
             let offer = Offer { pool: m.pool.clone(), spot: m.spot };
@@ -280,36 +285,43 @@
         }
         // Recorded intents count as supply, whichever controller wrote them.
         for intent in self.scale_out.tracker.coming(&self.cache.scale_out_intents.value) {
-            let kind = self.inventory.types.get(&intent.machine_type);
-            let cpus = kind.map_or(0.0, |t| t.cpus) * f64::from(intent.count);
+            let machine_type = self.inventory.types.get(&intent.machine_type);
+            let cpus = machine_type.map_or(0.0, |t| t.cpus) * f64::from(intent.count);
             *supply.entry(Offer::of(intent)).or_default() += cpus;
         }
         supply
     }
 
     /// Processors that a job needs to start its unclaimed tasks in time.
-    fn scale_out_need(&self, cached: &CachedJob, unclaimed: u32) -> Need {
+    fn cpu_demand(&self, cached: &CachedJob, unclaimed: u32) -> CpuDemand {
         let spec = &cached.record.spec;
-        let target = (self.slack_s(cached) * 0.8).clamp(5.0, 120.0);
-        let run = if spec.kind == Kind::Array { spec.estimate_s.max(1.0) } else { target };
-        let all = f64::from(unclaimed) * spec.cpus;
+        let target_wait_s = (self.slack_s(cached) * 0.8).clamp(5.0, 120.0);
+        let run_s = if spec.kind == Kind::Array { spec.estimate_s.max(1.0) } else { target_wait_s };
+        let all_cpus = f64::from(unclaimed) * spec.cpus;
         // Of a spread job, each zone may run only half.
-        let per_zone = if spec.spread { all / 2.0 + spec.cpus } else { f64::INFINITY };
-        let cpus = all.min(all * run / target).max(spec.cpus);
-        Need { cpus, per_zone, taken_by_zone: BTreeMap::new() }
+        let max_per_zone = if spec.spread { all_cpus / 2.0 + spec.cpus } else { f64::INFINITY };
+        let cpus = all_cpus.min(all_cpus * run_s / target_wait_s).max(spec.cpus);
+        CpuDemand { cpus, max_per_zone, allocated_by_zone: BTreeMap::new() }
     }
 
     /// Allocates to a job what it may use of the supply.
-    fn take_from_supply(&self, cached: &CachedJob, need: &mut Need, supply: &mut CpusByOffer) {
+    fn allocate_supply(
+        &self,
+        cached: &CachedJob,
+        demand: &mut CpuDemand,
+        supply: &mut CpusByOffer,
+    ) {
         for (offer, free) in supply {
             if (offer.spot && !cached.record.spec.spot) || !self.may_use(cached, &offer.pool) {
                 continue;
             }
-            let in_zone = need.taken_by_zone.entry(offer.pool.zone.clone()).or_default();
-            let take = need.cpus.min(*free).min(need.per_zone - *in_zone).max(0.0);
-            *free -= take;
-            *in_zone += take;
-            need.cpus -= take;
+            let allocated_in_zone =
+                demand.allocated_by_zone.entry(offer.pool.zone.clone()).or_default();
+            let allocated =
+                demand.cpus.min(*free).min(demand.max_per_zone - *allocated_in_zone).max(0.0);
+            *free -= allocated;
+            *allocated_in_zone += allocated;
+            demand.cpus -= allocated;
         }
     }
 
@@ -317,8 +329,9 @@
     fn slack_s(&self, cached: &CachedJob) -> f64 {
         let spec = &cached.record.spec;
         let elapsed = self.wall_ms.saturating_sub(cached.record.accepted_ms) as f64 / 1000.0;
-        let objectives = self.cfg.objectives.iter().filter(|a| a.class == spec.class);
-        let waits = objectives.filter_map(|a| match a.kind {
+        let objectives =
+            self.cfg.objectives.iter().filter(|objective| objective.class == spec.class);
+        let waits = objectives.filter_map(|objective| match objective.kind {
             ObjectiveKind::Finished(within) => Some(within - spec.estimate_s),
             ObjectiveKind::Deadline(times) => spec.deadline_s.map(|d| d * times - spec.estimate_s),
             ObjectiveKind::Wait(within) => Some(within),
@@ -331,34 +344,39 @@
     fn best_offer(
         &self,
         cached: &CachedJob,
-        lacking: &CpusByOffer,
-        need: &Need,
-        sizes: &BTreeMap<&PoolId, usize>,
+        shortfalls: &CpusByOffer,
+        demand: &CpuDemand,
+        machine_counts: &BTreeMap<&PoolId, usize>,
     ) -> Option<Offer> {
         let mut best: Option<(f64, Offer)> = None;
-        let all = self.inventory.machines.len().max(1) as f64;
+        let machine_count = self.inventory.machines.len().max(1) as f64;
         for pool in self.inventory.pools() {
-            let Some(kind) = self.inventory.types.get(&pool.machine_type) else { continue };
-            if need.is_zone_full(&pool.zone) || kind.cpus <= 0.0 || !self.may_use(cached, &pool) {
+            let Some(machine_type) = self.inventory.types.get(&pool.machine_type) else { continue };
+            if demand.is_zone_full(&pool.zone)
+                || machine_type.cpus <= 0.0
+                || !self.may_use(cached, &pool)
+            {
                 continue;
             }
             for spot in [true, false] {
                 let offer = Offer { pool: pool.clone(), spot };
-                let book = &self.cache.scale_out_intents.value;
-                let refused = book.is_refused(&pool, spot, self.wall_ms)
-                    || self.scale_out.tracker.was_short(book, &pool, spot);
-                if (spot && !cached.record.spec.spot) || refused {
+                let intents = &self.cache.scale_out_intents.value;
+                let is_refused = intents.is_refused(&pool, spot, self.wall_ms)
+                    || self.scale_out.tracker.was_short(intents, &pool, spot);
+                if (spot && !cached.record.spec.spot) || is_refused {
                     continue;
                 }
-                let price = if spot { kind.spot_price } else { kind.price };
-                let crowd = 1.0 + 0.5 * sizes.get(&pool).copied().unwrap_or(0) as f64 / all;
-                let mut rank = price / kind.cpus * (1.0 + kind.boot_s / 60.0) * crowd;
-                if lacking.contains_key(&offer) {
+                let price = if spot { machine_type.spot_price } else { machine_type.price };
+                let concentration = 1.0
+                    + 0.5 * machine_counts.get(&pool).copied().unwrap_or(0) as f64 / machine_count;
+                let mut cost =
+                    price / machine_type.cpus * (1.0 + machine_type.boot_s / 60.0) * concentration;
+                if shortfalls.contains_key(&offer) {
                     // Prefer an offer that is requested for other jobs anyway.
-                    rank *= 0.9;
+                    cost *= 0.9;
                 }
-                if best.as_ref().is_none_or(|b| rank < b.0) {
-                    best = Some((rank, offer));
+                if best.as_ref().is_none_or(|(best_cost, _)| cost < *best_cost) {
+                    best = Some((cost, offer));
                 }
             }
         }
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -14,66 +14,66 @@
 const WATCH_INTERVAL_MS: u64 = 250;
 /// A machine that never sends a heartbeat is deleted after this multiple of its type's boot time,
 /// plus `BOOT_GRACE_MS`.
-const MAX_BOOT_TIMES: u64 = 4;
+const MAX_BOOT_TIME_FACTOR: u64 = 4;
 const BOOT_GRACE_MS: u64 = 30_000;
 /// Machines that one call to the cloud may delete, by its protocol.
 const MAX_DELETED_PER_CALL: usize = 100;
 /// Up to this many unresponsive machines in a zone count as machine failures; more of them may be a
 /// network partition.
-const MAX_SINGLE_FAILURES: usize = 2;
+const MAX_INDEPENDENT_FAILURES: usize = 2;
 
 /// What the check of a machine needs to know of its pool.
 struct WatchedPool {
     token: FencingToken,
     /// When this controller's ownership was first read.
-    since: Ms,
+    acquired_at: Ms,
     boot_ms: u64,
     /// Processors of one machine.
     cpus: f64,
     /// Processors that waiting jobs can use on its on-demand machines and on its spot machines.
-    useful: [f64; 2],
+    usable_cpus_left: [f64; 2],
 }
 
-/// Time thresholds for the check of a machine.
-struct WatchTimes {
+/// The time of a check, and its thresholds.
+struct WatchThresholds {
     now: Ms,
     /// Without a heartbeat for longer than this, the worker's lease may have expired.
-    quiet_ms: u64,
+    lease_check_ms: u64,
     /// Without a heartbeat for longer than this, the machine counts as unresponsive.
-    given_up_ms: u64,
+    unresponsive_ms: u64,
     lease_ms: u64,
     idle_ms: u64,
 }
 
-impl WatchTimes {
+impl WatchThresholds {
     /// The time after which a worker's lease has certainly expired: the worker may receive the renewal
     /// late, and clocks drift.
-    fn certain_lease_ms(&self) -> u64 {
+    fn max_lease_ms(&self) -> u64 {
         self.lease_ms + self.lease_ms / 500 + 500
     }
 }
 
 /// Machines of the owned pools in one zone, by whether this controller reaches them.
 #[derive(Clone, Copy, Default)]
-struct ZoneCount {
-    unresponsive: usize,
-    responsive: usize,
+struct ZoneReachability {
+    unreachable: usize,
+    reachable: usize,
 }
 
-impl ZoneCount {
+impl ZoneReachability {
     /// Whether so many machines of the zone are unreachable at once that a network partition, or a
     /// fault of this controller, is the likely cause; deleting them would make it worse. Counted per
     /// zone, because among all machines of an owner a partitioned zone looks like a few failures.
-    fn looks_cut(self) -> bool {
-        self.unresponsive > MAX_SINGLE_FAILURES && self.unresponsive * 2 > self.responsive
+    fn may_be_partitioned(self) -> bool {
+        self.unreachable > MAX_INDEPENDENT_FAILURES && self.unreachable * 2 > self.reachable
     }
 }
 
 /// A machine that has sent no heartbeat for longer than the threshold.
-struct SilentMachine {
+struct UnresponsiveMachine {
     id: MachineId,
     zone: ZoneId,
-    silent_ms: u64,
+    silence_ms: u64,
 }
 
 /// A machine that sends heartbeats but receives no responses.
@@ -90,88 +90,89 @@
 
 /// Results of one check of all machines.
 #[derive(Default)]
-struct Findings {
+struct CheckResults {
     /// Machines to be deleted regardless of the state of their zone.
-    delete: Vec<MachineId>,
-    silent: Vec<SilentMachine>,
+    to_delete: Vec<MachineId>,
+    unresponsive: Vec<UnresponsiveMachine>,
     partitioned: Vec<PartitionedMachine>,
     expired: Vec<ExpiredMachine>,
-    zones: BTreeMap<ZoneId, ZoneCount>,
+    zones: BTreeMap<ZoneId, ZoneReachability>,
 }
 
-impl Findings {
+impl CheckResults {
     /// Checks one machine. `is_needed` returns whether it must be kept even when idle.
-    fn inspect(
+    fn check(
         &mut self,
         id: &MachineId,
         machine: &mut Machine,
         pool: &mut WatchedPool,
-        times: &WatchTimes,
+        thresholds: &WatchThresholds,
         has_claims: bool,
         is_needed: impl FnOnce() -> bool,
     ) {
         if machine.state == Some(MachineState::Failed) {
-            self.delete.push(id.clone());
+            self.to_delete.push(id.clone());
             return;
         }
         if machine.last_heartbeat_at().is_none() && !has_claims {
-            self.inspect_booting(id, machine, pool, times);
+            self.check_booting(id, machine, pool, thresholds);
             return;
         }
-        if !self.inspect_liveness(id, machine, pool, times, has_claims) {
+        if !self.check_responsiveness(id, machine, pool, thresholds, has_claims) {
             return;
         }
         if has_claims || machine.has_running_tasks() {
             machine.idle_since = None;
             return;
         }
-        let idle_since = *machine.idle_since.get_or_insert(times.now);
-        let useful = &mut pool.useful[usize::from(machine.spot)];
-        let is_useless = *useful <= 0.0;
-        *useful -= pool.cpus;
-        let is_idle = times.now.since(idle_since) > times.idle_ms;
-        let is_unused = is_idle && is_useless && !is_needed();
+        let idle_since = *machine.idle_since.get_or_insert(thresholds.now);
+        let usable_cpus_left = &mut pool.usable_cpus_left[usize::from(machine.spot)];
+        let is_unneeded = *usable_cpus_left <= 0.0;
+        *usable_cpus_left -= pool.cpus;
+        let is_idle = thresholds.now.since(idle_since) > thresholds.idle_ms;
+        let is_unused = is_idle && is_unneeded && !is_needed();
         if machine.draining || is_unused {
-            self.delete.push(id.clone());
+            self.to_delete.push(id.clone());
         }
     }
 
     /// Checks a machine that has not sent a heartbeat yet: it is deleted if it takes too long to boot.
-    fn inspect_booting(
+    fn check_booting(
         &mut self,
         id: &MachineId,
         machine: &Machine,
         pool: &WatchedPool,
-        times: &WatchTimes,
+        thresholds: &WatchThresholds,
     ) {
-        let age_ms = times.now.since(machine.created_at);
-        let owned_ms = times.now.since(pool.since);
-        if age_ms > pool.boot_ms * MAX_BOOT_TIMES + BOOT_GRACE_MS && owned_ms > BOOT_GRACE_MS {
-            self.delete.push(id.clone());
+        let age_ms = thresholds.now.since(machine.created_at);
+        let owned_ms = thresholds.now.since(pool.acquired_at);
+        if age_ms > pool.boot_ms * MAX_BOOT_TIME_FACTOR + BOOT_GRACE_MS && owned_ms > BOOT_GRACE_MS
+        {
+            self.to_delete.push(id.clone());
         }
     }
 
     /// Returns whether the machine sends heartbeats and receives responses; records it if it does not,
     /// or if its lease has expired.
-    fn inspect_liveness(
+    fn check_responsiveness(
         &mut self,
         id: &MachineId,
         machine: &mut Machine,
         pool: &WatchedPool,
-        times: &WatchTimes,
+        thresholds: &WatchThresholds,
         has_claims: bool,
     ) -> bool {
-        let now = times.now;
+        let now = thresholds.now;
         let last = machine.last_heartbeat_at().unwrap_or(machine.observed_since);
-        let quiet_ms = now.since(last.max(machine.observed_since).max(pool.since));
-        if quiet_ms > times.quiet_ms {
+        let silence_ms = now.since(last.max(machine.observed_since).max(pool.acquired_at));
+        if silence_ms > thresholds.lease_check_ms {
             // The worker has seen this controller's token, so it accepts no response of an earlier
             // owner: only this controller's last response can have renewed its lease.
-            let seen = machine.heartbeat.as_ref().is_some_and(|h| h.token == pool.token);
-            let answered = machine.last_answer.is_some_and(|(at, token)| {
-                token == pool.token && now.since(at) > times.certain_lease_ms()
+            let token_seen = machine.heartbeat.as_ref().is_some_and(|h| h.token == pool.token);
+            let renewal_expired = machine.last_answer.is_some_and(|(at, token)| {
+                token == pool.token && now.since(at) > thresholds.max_lease_ms()
             });
-            if seen && answered && !machine.lease_expired {
+            if token_seen && renewal_expired && !machine.lease_expired {
                 machine.lease_expired = true;
                 let fence = Fence { pool: machine.pool.clone(), token: pool.token };
                 self.expired.push(ExpiredMachine { id: id.clone(), fence });
@@ -182,39 +183,44 @@
             Some(count) => count,
             None => self.zones.entry(zone.clone()).or_default(),
         };
-        if quiet_ms > times.given_up_ms {
-            count.unresponsive += 1;
-            let silent = SilentMachine { id: id.clone(), zone: zone.clone(), silent_ms: quiet_ms };
-            self.silent.push(silent);
+        if silence_ms > thresholds.unresponsive_ms {
+            count.unreachable += 1;
+            let unresponsive =
+                UnresponsiveMachine { id: id.clone(), zone: zone.clone(), silence_ms };
+            self.unresponsive.push(unresponsive);
             return false;
         }
         // It sends heartbeats but receives no responses: this does not show that the zone is
         // reachable, and the machine cannot be used.
         if machine.partition_detector.is_partitioned() {
-            count.unresponsive += 1;
+            count.unreachable += 1;
             let partitioned_ms = machine.partition_detector.partitioned_ms(now);
-            if !has_claims && partitioned_ms > 2 * times.lease_ms {
+            if !has_claims && partitioned_ms > 2 * thresholds.lease_ms {
                 self.partitioned.push(PartitionedMachine { id: id.clone(), zone: zone.clone() });
             }
             return false;
         }
-        count.responsive += 1;
+        count.reachable += 1;
         true
     }
 
-    fn zone(&self, zone: &ZoneId) -> ZoneCount {
+    fn zone_reachability(&self, zone: &ZoneId) -> ZoneReachability {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
     /// All machines to be deleted.
-    fn to_delete(&self, lease_ms: u64) -> Vec<MachineId> {
-        let mut delete = self.delete.clone();
-        let is_given_up =
-            |m: &&SilentMachine| !self.zone(&m.zone).looks_cut() || m.silent_ms > lease_ms * 2;
-        delete.extend(self.silent.iter().filter(is_given_up).map(|m| m.id.clone()));
-        let partitioned = self.partitioned.iter().filter(|m| !self.zone(&m.zone).looks_cut());
-        delete.extend(partitioned.map(|m| m.id.clone()));
-        delete
+    fn deletions(&self, lease_ms: u64) -> Vec<MachineId> {
+        let mut deletions = self.to_delete.clone();
+        let is_failed = |m: &&UnresponsiveMachine| {
+            !self.zone_reachability(&m.zone).may_be_partitioned() || m.silence_ms > lease_ms * 2
+        };
+        deletions.extend(self.unresponsive.iter().filter(is_failed).map(|m| m.id.clone()));
+        let partitioned = self
+            .partitioned
+            .iter()
+            .filter(|m| !self.zone_reachability(&m.zone).may_be_partitioned());
+        deletions.extend(partitioned.map(|m| m.id.clone()));
+        deletions
     }
 }
 
@@ -231,30 +237,30 @@
         self.watched = self.now;
         self.adopt_claimed_machines();
         self.judge_machines();
-        let times = WatchTimes {
+        let thresholds = WatchThresholds {
             now: self.now,
-            quiet_ms: self.silent_ms(),
-            given_up_ms: self.cfg.given_up_ms(),
+            lease_check_ms: self.silent_ms(),
+            unresponsive_ms: self.cfg.given_up_ms(),
             lease_ms: self.cfg.lease_ms,
             idle_ms: (self.cfg.idle_return_s * 1000.0) as u64,
         };
         let mut pools = self.watched_pools();
-        let mut findings = Findings::default();
+        let mut results = CheckResults::default();
         for (id, machine) in &mut self.inventory.machines {
             let watched = pools.get_mut(&machine.pool).filter(|_| !machine.deleting);
             let Some(pool) = watched else { continue };
             let has_claims = self.cache.claims.get(id).is_some_and(|c| !c.is_empty());
             let is_needed = || self.image_distribution.needs(id);
-            findings.inspect(id, machine, pool, &times, has_claims, is_needed);
+            results.check(id, machine, pool, &thresholds, has_claims, is_needed);
         }
-        for ExpiredMachine { id, fence } in &findings.expired {
+        for ExpiredMachine { id, fence } in &results.expired {
             // Claims made after the expiry can be released too: their tasks were never started.
             if self.cache.claims.contains_key(id) {
                 self.end_machine_claims(id, EndReason::LeaseExpired, Some(fence.clone()));
             }
         }
-        self.replan_needed |= !findings.silent.is_empty();
-        self.delete(findings.to_delete(times.lease_ms));
+        self.replan_needed |= !results.unresponsive.is_empty();
+        self.delete_machines(results.deletions(thresholds.lease_ms));
     }
 
     /// Collects the data of the owned pools for the check.
@@ -270,14 +276,14 @@
             .map(|(_, job)| job)
             .collect();
         let watched = self.pools.owned.iter().map(|(pool, owned)| {
-            let kind = self.inventory.types.get(&pool.machine_type);
-            let useful = |spot| self.useful_cpus(pool, spot, &waiting, &headroom);
+            let machine_type = self.inventory.types.get(&pool.machine_type);
+            let usable_cpus = |spot| self.usable_cpus(pool, spot, &waiting, &headroom);
             let watched = WatchedPool {
                 token: owned.token,
-                since: owned.acquired_at,
-                boot_ms: kind.map_or(60_000.0, |t| t.boot_s * 1000.0) as u64,
-                cpus: kind.map_or(1.0, |t| t.cpus),
-                useful: [useful(false), useful(true)],
+                acquired_at: owned.acquired_at,
+                boot_ms: machine_type.map_or(60_000.0, |t| t.boot_s * 1000.0) as u64,
+                cpus: machine_type.map_or(1.0, |t| t.cpus),
+                usable_cpus_left: [usable_cpus(false), usable_cpus(true)],
             };
             (pool.clone(), watched)
         });
@@ -285,7 +291,7 @@
     }
 
     /// Processors that waiting jobs can use on the pool's on-demand or spot machines.
-    fn useful_cpus(
+    fn usable_cpus(
         &self,
         pool: &PoolId,
         spot: bool,
@@ -305,7 +311,7 @@
             }
             *teams.entry(&spec.team).or_default() += spec.cpus * f64::from(job.unclaimed());
         }
-        teams.into_iter().map(|(team, waits)| waits.min(headroom[team]).max(0.0)).sum()
+        teams.into_iter().map(|(team, cpus)| cpus.min(headroom[team]).max(0.0)).sum()
     }
 
     /// Ends all claims on a machine that provably runs no tasks any more.
@@ -330,7 +336,7 @@
     }
 
     /// Requests the deletion of machines that no claim in flight names.
-    fn delete(&mut self, ids: Vec<MachineId>) {
+    fn delete_machines(&mut self, ids: Vec<MachineId>) {
         // One call at a time, with up to a hundred machines: one call per machine used up the cloud's
         // rate limit for a minute after many machines had failed, which delayed the proofs of deletion.
         if self.calls.pending.values().any(|p| matches!(p, Pending::Delete { .. })) {
@@ -338,16 +344,16 @@
         }
         let mut batch = Vec::new();
         for id in ids {
-            let promised = self
+            let has_claim_in_flight = self
                 .job_states
                 .values()
-                .any(|l| l.placement_requests.iter().any(|w| w.machine == id))
+                .any(|state| state.placement_requests.iter().any(|w| w.machine == id))
                 || self
                     .calls
                     .pending
                     .values()
                     .any(|p| matches!(p, Pending::Job(tx) if tx.names(&id)));
-            if promised || batch.len() >= MAX_DELETED_PER_CALL {
+            if has_claim_in_flight || batch.len() >= MAX_DELETED_PER_CALL {
                 continue;
             }
             if let Some(m) = self.inventory.machines.get_mut(&id) {
@@ -388,8 +394,8 @@
             if self.inventory.is_deleted(&id) {
                 // The claims remain until their ends are recorded; the ends are reported only once.
                 let claims = self.cache.claims.get(&id).into_iter().flatten();
-                let mut news = claims.map(|((job, ix), c)| self.is_ending(job, *ix, c.attempt));
-                if news.any(|ending| !ending) {
+                let mut ending = claims.map(|((job, ix), c)| self.is_ending(job, *ix, c.attempt));
+                if ending.any(|is_ending| !is_ending) {
                     self.end_machine_claims(&id, EndReason::MachineDeleted, None);
                 }
             } else {
--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -33,7 +33,7 @@
             Message::Rented { pool, spot, machines } => {
                 if let Some(pool) = PoolId::parse(&pool) {
                     let machines = machines.into_iter().map(MachineId::new).collect();
-                    self.note_created_machines(&pool, spot, machines);
+                    self.add_created_machines(&pool, spot, machines);
                 }
             }
             Message::Cancelled { jobs } => self.on_cancelled(from, jobs),
