--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -33,7 +33,7 @@
 struct Orphan<'a> {
     pool: &'a PoolId,
     /// Controllers that reach its workers while its live owner does not; empty if it has no live owner.
-    takers: BTreeSet<ControllerId>,
+    alternative_owners: BTreeSet<ControllerId>,
 }
 
 /// Load of the live controllers by the pools they own: each pool and each machine counts one.
@@ -157,10 +157,13 @@
         let mut orphans: Vec<Orphan> = Vec::new();
         for pool in &pools {
             let owner = self.cache.pools.get(pool).filter(|ownership| self.live(ownership));
-            let takers = owner.map(|o| self.takers(&o.owner, pool)).unwrap_or_default();
+            let alternative_owners =
+                owner.map(|o| self.alternative_owners(&o.owner, pool)).unwrap_or_default();
             match owner {
-                Some(ownership) if takers.is_empty() => loads.add(&ownership.owner, pool),
-                _ => orphans.push(Orphan { pool, takers }),
+                Some(ownership) if alternative_owners.is_empty() => {
+                    loads.add(&ownership.owner, pool)
+                }
+                _ => orphans.push(Orphan { pool, alternative_owners }),
             }
         }
         let weight = |orphan: &Orphan| loads.weight(orphan.pool);
@@ -185,10 +188,10 @@
         // If no controller reaches the zone, reachability does not restrict the choice.
         let anyone = self.cache.controllers.keys().any(|n| self.may_hold(n, &pool.zone));
         let can = |controller: &ControllerId| {
-            if orphan.takers.is_empty() {
+            if orphan.alternative_owners.is_empty() {
                 !anyone || self.may_hold(controller, &pool.zone)
             } else {
-                orphan.takers.contains(controller)
+                orphan.alternative_owners.contains(controller)
             }
         };
         let is_light = |controller: &ControllerId, most| {
@@ -271,7 +274,7 @@
                 self.cache.pools.get(&pool).map(|h| Version(h.token.0)).unwrap_or_default();
             tracing::info!(%pool, %controller, "assigning pool");
             txn.guard(pool_key(&pool), version);
-            self.reachability.note_assignment(&pool, &controller);
+            self.reachability.record_own_assignment(&pool, &controller);
             txn.put(pool_key(&pool), &HolderRecord { owner: controller, incarnation }, None);
             self.leadership.pool_assigned_at.insert(pool, self.now);
         }
@@ -293,7 +296,7 @@
     }
 
     /// Assigns a pool to this controller, because its workers reach it but not the pool's owner.
-    pub(crate) fn take_over(&mut self, pool: PoolId, owner: &ControllerId) {
+    pub(crate) fn take_over_pool(&mut self, pool: PoolId, owner: &ControllerId) {
         let recent = self
             .leadership
             .pool_assigned_at
--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -11,8 +11,8 @@
         self.reachability.view.peers.note_message(&from, self.now);
         match message {
             Message::Alive { contact_age_ms } => {
-                let contact = Ms(self.now.0.saturating_sub(contact_age_ms));
-                self.reachability.view.peers.read(&from, contact);
+                let read_at = Ms(self.now.0.saturating_sub(contact_age_ms));
+                self.reachability.view.peers.read(&from, read_at);
             }
             Message::Changed => {
                 self.session.sync_wanted = true;
@@ -21,9 +21,9 @@
             Message::Images { machines } => {
                 for (id, images) in machines {
                     let id = MachineId::new(id);
-                    let Some(m) = self.inventory.machines.get_mut(&id) else { continue };
-                    if !self.pools.owned.contains_key(&m.pool) {
-                        m.images = images
+                    let Some(machine) = self.inventory.machines.get_mut(&id) else { continue };
+                    if !self.pools.owned.contains_key(&machine.pool) {
+                        machine.images = images
                             .into_iter()
                             .map(|(image, gb)| (ImageId::new(image), gb))
                             .collect();
@@ -45,12 +45,17 @@
                     return;
                 };
                 let token = FencingToken(token);
-                let known = self.cache.pools.get(&pool).map(|h| h.token).unwrap_or_default();
-                if token > known {
+                let known_token = self
+                    .cache
+                    .pools
+                    .get(&pool)
+                    .map(|ownership| ownership.token)
+                    .unwrap_or_default();
+                if token > known_token {
                     self.pools.superseded_by.insert(pool.clone(), (from, token));
                     self.session.sync_wanted = true;
                 }
-                if token >= known {
+                if token >= known_token {
                     self.plans.remote(pool, token, self.now, promises);
                     self.replan_needed = true;
                 }
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -11,32 +11,36 @@
 use cleatfold_wire::{AgentEpoch, ControllerId, MachineId, Ms, PoolId, Seq, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-const CONTACT_INTERVAL_MS: u64 = 500;
+const CHECK_INTERVAL_MS: u64 = 500;
 /// A lease ends up to 100 ms late; the rest allows for clock drift.
-const LEASE_OVER_MS: u64 = 300;
+const LEASE_EXPIRY_MARGIN_MS: u64 = 300;
 /// Peers send a message every second.
-const SILENT_MS: u64 = 3_000;
+const PEER_TIMEOUT_MS: u64 = 3_000;
 
 impl Controller {
     /// Probes workers in zones without recent contact, and sends the zone contacts to the peers.
     pub(crate) fn maintain_reachability(&mut self) {
-        if self.now.since(self.reachability.last_checked) < CONTACT_INTERVAL_MS {
+        if self.now.since(self.reachability.last_checked) < CHECK_INTERVAL_MS {
             return;
         }
         self.reachability.last_checked = self.now;
         // By zone: running machines, and how many of them send heartbeats to this controller.
         let mut zones: BTreeMap<&ZoneId, (Vec<MachineId>, usize)> = BTreeMap::new();
         for (id, m) in &self.inventory.machines {
-            let up = m.heartbeat.is_some() || m.state == Some(MachineState::Running);
-            if m.endpoint.is_none() || m.deleting || !up {
+            let is_up = m.heartbeat.is_some() || m.state == Some(MachineState::Running);
+            if m.endpoint.is_none() || m.deleting || !is_up {
                 continue;
             }
             let zone = zones.entry(&m.pool.zone).or_default();
             zone.0.push(id.clone());
-            let ours = self.pools.owned.get(&m.pool).map(|owned| owned.token);
-            zone.1 += usize::from(ours.is_some() && m.heartbeat.as_ref().map(|r| r.token) == ours);
+            let owned_token = self.pools.owned.get(&m.pool).map(|owned| owned.token);
+            zone.1 += usize::from(
+                owned_token.is_some() && m.heartbeat.as_ref().map(|last| last.token) == owned_token,
+            );
         }
-        let zones = zones.iter().map(|(z, (machines, own))| (*z, machines.as_slice(), *own));
+        let zones = zones
+            .iter()
+            .map(|(zone, (machines, reporting))| (*zone, machines.as_slice(), *reporting));
         for probe in self.reachability.view.probe(self.now, zones) {
             let endpoint =
                 self.inventory.machines.get(&probe.machine).and_then(|m| m.endpoint.clone());
@@ -44,23 +48,24 @@
                 self.out.push(Effect::Probe { machine: probe.machine, endpoint });
             }
         }
-        let lost: BTreeSet<ZoneId> = self
+        let lost_zones: BTreeSet<ZoneId> = self
             .reachability
             .view
             .zone_contacts()
-            .filter(|(_, h)| h.lost)
-            .map(|(z, _)| z.clone())
+            .filter(|(_, contact)| contact.lost)
+            .map(|(zone, _)| zone.clone())
             .collect();
-        let changed = lost != self.reachability.lost;
+        let changed = lost_zones != self.reachability.lost_zones;
         if changed {
-            tracing::info!(zones = ?lost, "zones unreachable");
-            self.reachability.lost = lost;
+            tracing::info!(zones = ?lost_zones, "zones unreachable");
+            self.reachability.lost_zones = lost_zones;
         }
         if changed || self.now.since(self.reachability.contacts_sent_at) >= 1000 {
             self.reachability.contacts_sent_at = self.now;
-            let contact =
-                |(z, h): (&ZoneId, ZoneContact)| (z.to_string(), self.now.since(h.at), h.lost);
-            let zones = self.reachability.view.zone_contacts().map(contact).collect();
+            let to_message = |(zone, contact): (&ZoneId, ZoneContact)| {
+                (zone.to_string(), self.now.since(contact.at), contact.lost)
+            };
+            let zones = self.reachability.view.zone_contacts().map(to_message).collect();
             self.tell(None, Message::ZoneContact { zones });
         }
     }
@@ -72,9 +77,11 @@
         zones: Vec<(String, u64, bool)>,
     ) {
         let now = self.now;
-        let contact = |age_ms, lost| ZoneContact { at: Ms(now.0.saturating_sub(age_ms)), lost };
-        let zones =
-            zones.into_iter().map(|(z, age_ms, lost)| (ZoneId::new(z), contact(age_ms, lost)));
+        let zone_contact =
+            |age_ms, lost| ZoneContact { at: Ms(now.0.saturating_sub(age_ms)), lost };
+        let zones = zones
+            .into_iter()
+            .map(|(zone, age_ms, lost)| (ZoneId::new(zone), zone_contact(age_ms, lost)));
         self.reachability.view.peers.note_zone_contacts(from, zones.collect(), now);
     }
 
@@ -84,18 +91,20 @@
             self.reachability.view.probed(&m.pool.zone, &machine, answer.is_some(), self.now);
         }
         let (view, now) = (&mut self.reachability.view, self.now);
-        let young = self.cfg.heartbeat_interval_ms * 5 / 4 + 1000;
+        let max_contact_age_ms = self.cfg.heartbeat_interval_ms * 5 / 4 + 1000;
         let (peers, misdirected_workers) = (&view.peers, &mut view.misdirected_workers);
         let owner_has_contact = |pool: &PoolId, owner: &ControllerId| {
-            let last_heartbeat = peers.of_zone(owner, &pool.zone, now);
-            last_heartbeat.is_some_and(|h| !h.lost && now.since(h.at) <= young)
+            let contact = peers.of_zone(owner, &pool.zone, now);
+            contact
+                .is_some_and(|contact| !contact.lost && now.since(contact.at) <= max_contact_age_ms)
         };
         if let Some((pool, owner)) =
             misdirected_workers.answered(&machine, answer, owner_has_contact, now)
         {
-            let owned = self.cache.pools.get(&pool).is_some_and(|h| h.owner == owner);
-            if owned && !self.pools.superseded_by.contains_key(&pool) {
-                self.take_over(pool, &owner);
+            let is_still_owner =
+                self.cache.pools.get(&pool).is_some_and(|ownership| ownership.owner == owner);
+            if is_still_owner && !self.pools.superseded_by.contains_key(&pool) {
+                self.take_over_pool(pool, &owner);
             }
         }
     }
@@ -109,15 +118,15 @@
         owner: &ControllerId,
     ) {
         let machines = self.inventory.machines.values().filter(|m| m.pool == *pool).count();
-        let last_heartbeat = self.reachability.view.peers.last_message(owner);
+        let last_message = self.reachability.view.peers.last_message(owner);
         let lease_ms = self.cfg.controller_lease_ms;
-        let who = (&heartbeat.machine, (heartbeat.agent_epoch, heartbeat.seq));
+        let sender = (&heartbeat.machine, (heartbeat.agent_epoch, heartbeat.seq));
         let misdirected_workers = &mut self.reachability.view.misdirected_workers;
         let came = misdirected_workers.came(
-            who,
+            sender,
             pool,
             machines,
-            (owner, last_heartbeat),
+            (owner, last_message),
             lease_ms,
             self.now,
         );
@@ -136,17 +145,22 @@
     ) -> Option<Response> {
         // The lease was last renewed no later than the last sync: contact after the sync would have
         // led to another one.
-        let lease_ms = self.cfg.controller_lease_ms + LEASE_OVER_MS;
-        let over = self.session.last_read.is_none_or(|f| self.now.since(f) > lease_ms);
+        let lease_ms = self.cfg.controller_lease_ms + LEASE_EXPIRY_MARGIN_MS;
+        let lease_expired =
+            self.session.last_read.is_none_or(|read| self.now.since(read) > lease_ms);
         // Peers that do not show that the pools are served elsewhere are in the same outage.
-        let alone = !self.reachability.view.peers.receives_from_any_peer(self.now, SILENT_MS);
-        if !over || !(alone || self.reachability.view.worker_release.others_serve()) {
+        let no_peer_heard =
+            !self.reachability.view.peers.receives_from_any_peer(self.now, PEER_TIMEOUT_MS);
+        if !lease_expired
+            || !(no_peer_heard || self.reachability.view.worker_release.others_serve())
+        {
             return None;
         }
-        let peers: Vec<ControllerId> = self.cfg.peers.iter().map(|p| p.0.clone()).collect();
-        let idle = !heartbeat.lists_tasks();
+        let peers: Vec<ControllerId> =
+            self.cfg.peers.iter().map(|(peer, _)| peer.clone()).collect();
+        let is_idle = !heartbeat.lists_tasks();
         let worker_release = &mut self.reachability.view.worker_release;
-        match worker_release.reports(pool, &heartbeat.machine, idle, &peers, self.now) {
+        match worker_release.reports(pool, &heartbeat.machine, is_idle, &peers, self.now) {
             Answer::Keep => None,
             Answer::Release(to) => Some(Response::Redirect(to)),
         }
@@ -154,22 +168,23 @@
 
     /// Compares the owners of the pools with those of the last sync. If a pool moved away from a live
     /// controller and this controller did not assign it, its workers could not reach that owner.
-    pub(crate) fn note_holders(&mut self) {
-        for (pool, holding) in &self.cache.pools {
-            self.reachability.view.misdirected_workers.see_token(pool, holding.token, self.now);
-            let before = self.reachability.holders.get(pool);
-            if before == Some(&holding.owner) {
+    pub(crate) fn compare_pool_owners(&mut self) {
+        for (pool, ownership) in &self.cache.pools {
+            self.reachability.view.misdirected_workers.see_token(pool, ownership.token, self.now);
+            let before = self.reachability.pool_owners.get(pool);
+            if before == Some(&ownership.owner) {
                 continue;
             }
             if let Some(before) = before {
-                let ours = self.reachability.assigned_to.get(pool) == Some(&holding.owner);
-                if !ours && self.cache.controllers.contains_key(before) {
+                let is_own_assignment =
+                    self.reachability.own_assignments.get(pool) == Some(&ownership.owner);
+                if !is_own_assignment && self.cache.controllers.contains_key(before) {
                     self.reachability.view.left(before, &pool.zone, self.now);
                     // The move counts as recent for the minimum time between assignments.
                     self.leadership.pool_assigned_at.insert(pool.clone(), self.now);
                 }
             }
-            self.reachability.holders.insert(pool.clone(), holding.owner.clone());
+            self.reachability.pool_owners.insert(pool.clone(), ownership.owner.clone());
         }
     }
 
@@ -179,9 +194,14 @@
     }
 
     /// Controllers that reach the pool's workers while its live owner does not.
-    pub(crate) fn takers(&self, owner: &ControllerId, pool: &PoolId) -> BTreeSet<ControllerId> {
+    pub(crate) fn alternative_owners(
+        &self,
+        owner: &ControllerId,
+        pool: &PoolId,
+    ) -> BTreeSet<ControllerId> {
         let (view, me) = (&self.reachability.view, &self.cfg.me);
-        let takes = |n: &&ControllerId| view.reaches_instead(me, n, owner, &pool.zone, self.now);
-        self.cache.controllers.keys().filter(takes).cloned().collect()
+        let reaches =
+            |other: &&ControllerId| view.reaches_instead(me, other, owner, &pool.zone, self.now);
+        self.cache.controllers.keys().filter(reaches).cloned().collect()
     }
 }
--- a/crates/cleatfold-control/src/membership/state.rs
+++ b/crates/cleatfold-control/src/membership/state.rs
@@ -12,11 +12,11 @@
     /// When the zone contacts were last sent to the peers.
     pub contacts_sent_at: Ms,
     /// Zones that this controller did not reach at the last check.
-    pub lost: BTreeSet<ZoneId>,
+    pub lost_zones: BTreeSet<ZoneId>,
     /// The owner of each pool as of the last sync.
-    pub holders: BTreeMap<PoolId, ControllerId>,
+    pub pool_owners: BTreeMap<PoolId, ControllerId>,
     /// The owner to which this controller last assigned each pool.
-    pub assigned_to: BTreeMap<PoolId, ControllerId>,
+    pub own_assignments: BTreeMap<PoolId, ControllerId>,
 }
 
 impl ReachabilityState {
@@ -25,14 +25,14 @@
             view: Reachability::new(Timing { heartbeat_interval_ms: cfg.heartbeat_interval_ms }),
             last_checked: Ms(0),
             contacts_sent_at: Ms(0),
-            lost: BTreeSet::new(),
-            holders: BTreeMap::new(),
-            assigned_to: BTreeMap::new(),
+            lost_zones: BTreeSet::new(),
+            pool_owners: BTreeMap::new(),
+            own_assignments: BTreeMap::new(),
         }
     }
 
     /// Records that this controller assigned a pool.
-    pub(crate) fn note_assignment(&mut self, pool: &PoolId, controller: &ControllerId) {
-        self.assigned_to.insert(pool.clone(), controller.clone());
+    pub(crate) fn record_own_assignment(&mut self, pool: &PoolId, controller: &ControllerId) {
+        self.own_assignments.insert(pool.clone(), controller.clone());
     }
 }
--- a/crates/cleatfold-control/src/pools/ownership.rs
+++ b/crates/cleatfold-control/src/pools/ownership.rs
@@ -40,7 +40,7 @@
 impl Controller {
     /// Updates the owned pools and their tokens from the state cache.
     pub(crate) fn update_ownership(&mut self) {
-        self.note_holders();
+        self.compare_pool_owners();
         let (me, incarnation) = (&self.cfg.me, self.session.incarnation);
         let pools = self.cache.pools.iter();
         let mine = pools.filter(|(_, h)| h.owner == *me && Some(h.incarnation) == incarnation);
