--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -17,20 +17,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// For this long after a pool's assignment, the pool is not taken over and no pool is rebalanced.
-const REASSIGNMENT_PAUSE_MS: u64 = 10_000;
+const MIN_REASSIGNMENT_INTERVAL_MS: u64 = 10_000;
 /// A leader that started more recently than this was likely not the only controller to start.
-const JUST_STARTED_MS: u64 = 5000;
+const RECENT_START_MS: u64 = 5000;
 const ASSIGNMENT_INTERVAL_MS: u64 = 200;
 
 /// How long a new holder of the role waits for other controllers that are starting too.
 const START_WAIT_MS: u64 = 1_500;
 /// A restarted former owner gets its pool back up to this multiple of the average load.
-const MAX_FORMER_LOAD: f64 = 2.0;
+const MAX_FORMER_OWNER_LOAD_RATIO: f64 = 2.0;
 /// The controller in the pool's own zone is preferred up to this multiple of the average load.
-const MAX_HOME_LOAD: f64 = 1.3;
+const MAX_SAME_ZONE_LOAD_RATIO: f64 = 1.3;
 
 /// A pool that needs a new owner.
-struct Orphan<'a> {
+struct PoolToAssign<'a> {
     pool: &'a PoolId,
     /// Controllers that reach its workers while its live owner does not; empty if it has no live owner.
     alternative_owners: BTreeSet<ControllerId>,
@@ -50,10 +50,11 @@
         sizes: BTreeMap<&'a PoolId, usize>,
         controllers: &BTreeMap<ControllerId, Versioned<ControllerRecord>>,
     ) -> Self {
-        let by_controller = controllers.keys().map(|n| (n.clone(), 0.0)).collect();
+        let by_controller =
+            controllers.keys().map(|controller| (controller.clone(), 0.0)).collect();
         let mut loads = Self { sizes, by_controller, average: 0.0 };
-        let all: f64 = pools.iter().map(|pool| loads.weight(pool)).sum();
-        loads.average = all / controllers.len() as f64;
+        let total: f64 = pools.iter().map(|pool| loads.weight(pool)).sum();
+        loads.average = total / controllers.len() as f64;
         loads
     }
 
@@ -71,21 +72,22 @@
         *self.by_controller.entry(controller.clone()).or_default() -= weight;
     }
 
-    /// Whether a controller's load with this pool would be at most `most` times the average. A controller
+    /// Whether a controller's load with this pool would be at most `max_ratio` times the average. A controller
     /// without load can always take a pool, since even the largest pool needs an owner.
-    fn is_light(&self, controller: &ControllerId, pool: &PoolId, most: f64) -> bool {
-        let fits = |load: f64| load == 0.0 || load + self.weight(pool) <= self.average * most + 1.0;
+    fn has_room_for(&self, controller: &ControllerId, pool: &PoolId, max_ratio: f64) -> bool {
+        let fits =
+            |load: f64| load == 0.0 || load + self.weight(pool) <= self.average * max_ratio + 1.0;
         self.by_controller.get(controller).is_some_and(|load| fits(*load))
     }
 
-    /// The controller with the least load among those for which `can` holds.
-    fn least(&self, can: impl Fn(&ControllerId) -> bool) -> Option<&ControllerId> {
-        let able = self.by_controller.iter().filter(|(controller, _)| can(controller));
-        able.min_by(|a, b| a.1.total_cmp(b.1)).map(|(controller, _)| controller)
+    /// The controller with the least load among those for which `is_eligible` holds.
+    fn least_loaded(&self, is_eligible: impl Fn(&ControllerId) -> bool) -> Option<&ControllerId> {
+        let eligible = self.by_controller.iter().filter(|(controller, _)| is_eligible(controller));
+        eligible.min_by(|a, b| a.1.total_cmp(b.1)).map(|(controller, _)| controller)
     }
 
     /// The mean load over all controllers counted here.
-    fn mean(&self) -> f64 {
+    fn mean_load(&self) -> f64 {
         self.by_controller.values().sum::<f64>() / self.by_controller.len() as f64
     }
 }
@@ -98,7 +100,7 @@
 
 impl Controller {
     /// Assigns pools to controllers and jobs to pools while this controller holds the role.
-    pub(crate) fn lead(&mut self) {
+    pub(crate) fn run_assignment_role(&mut self) {
         if !self.holds(Role::PoolAssignment) {
             self.leadership.leader_since = None;
             return;
@@ -111,18 +113,18 @@
             self.assign_pools();
         }
         if self.now.since(self.leadership.jobs_assigned_at) >= 500 * self.backpressure {
-            self.assign();
+            self.assign_jobs();
         }
     }
 
     // ---- pools ----
 
     /// Whether the owner of a pool is live, in the incarnation that owns it.
-    fn live(&self, holding: &crate::store::cache::PoolOwnership) -> bool {
+    fn has_live_owner(&self, ownership: &crate::store::cache::PoolOwnership) -> bool {
         self.cache
             .controllers
-            .get(&holding.owner)
-            .is_some_and(|n| n.value.incarnation == holding.incarnation)
+            .get(&ownership.owner)
+            .is_some_and(|controller| controller.value.incarnation == ownership.incarnation)
     }
 
     /// Whether pools may be assigned now; `since` is when this controller acquired the role.
@@ -142,10 +144,11 @@
         self.leadership.assignment_checked_at = self.now;
         // When all controllers start at once, wait for the others: without the wait, the first one to
         // start got every pool, with hundreds of workers, and kept them for the rest of the day.
-        let everyone = self.cfg.peers.len() < self.cache.controllers.len();
-        let is_new = self.started().is_some_and(|s| self.now.since(s) < JUST_STARTED_MS);
-        let waits = !everyone && (self.cache.pools.is_empty() || is_new);
-        !waits || self.now.since(since) >= START_WAIT_MS
+        let all_started = self.cfg.peers.len() < self.cache.controllers.len();
+        let just_started =
+            self.started().is_some_and(|started| self.now.since(started) < RECENT_START_MS);
+        let should_wait = !all_started && (self.cache.pools.is_empty() || just_started);
+        !should_wait || self.now.since(since) >= START_WAIT_MS
     }
 
     /// Assigns pools that have no live owner, or whose owner does not reach their workers; if there are
@@ -154,62 +157,68 @@
         let pools = self.inventory.pools();
         let mut loads =
             PoolLoads::new(&pools, self.inventory.machine_counts(), &self.cache.controllers);
-        let mut orphans: Vec<Orphan> = Vec::new();
+        let mut pools_to_assign: Vec<PoolToAssign> = Vec::new();
         for pool in &pools {
-            let owner = self.cache.pools.get(pool).filter(|ownership| self.live(ownership));
-            let alternative_owners =
-                owner.map(|o| self.alternative_owners(&o.owner, pool)).unwrap_or_default();
+            let owner =
+                self.cache.pools.get(pool).filter(|ownership| self.has_live_owner(ownership));
+            let alternative_owners = owner
+                .map(|ownership| self.alternative_owners(&ownership.owner, pool))
+                .unwrap_or_default();
             match owner {
                 Some(ownership) if alternative_owners.is_empty() => {
                     loads.add(&ownership.owner, pool)
                 }
-                _ => orphans.push(Orphan { pool, alternative_owners }),
+                _ => pools_to_assign.push(PoolToAssign { pool, alternative_owners }),
             }
         }
-        let weight = |orphan: &Orphan| loads.weight(orphan.pool);
-        orphans.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.pool.cmp(b.pool)));
+        let weight = |to_assign: &PoolToAssign| loads.weight(to_assign.pool);
+        pools_to_assign.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.pool.cmp(b.pool)));
         let mut moves: Vec<PoolMove> = Vec::new();
-        for orphan in orphans {
-            if let Some(to) = self.new_owner(&orphan, &loads) {
-                loads.add(&to, orphan.pool);
-                moves.push(PoolMove { pool: orphan.pool.clone(), to });
+        for to_assign in pools_to_assign {
+            if let Some(to) = self.new_owner(&to_assign, &loads) {
+                loads.add(&to, to_assign.pool);
+                moves.push(PoolMove { pool: to_assign.pool.clone(), to });
             }
         }
         if moves.is_empty() {
-            moves = self.balancing_moves(&pools, &mut loads);
+            moves = self.rebalancing_moves(&pools, &mut loads);
         }
         moves.truncate(self.cfg.max_txn_changes);
         self.write_assignments(moves);
     }
 
     /// Selects the new owner of a pool.
-    fn new_owner(&self, orphan: &Orphan, loads: &PoolLoads) -> Option<ControllerId> {
-        let pool = orphan.pool;
+    fn new_owner(&self, to_assign: &PoolToAssign, loads: &PoolLoads) -> Option<ControllerId> {
+        let pool = to_assign.pool;
         // If no controller reaches the zone, reachability does not restrict the choice.
-        let anyone = self.cache.controllers.keys().any(|n| self.may_hold(n, &pool.zone));
-        let can = |controller: &ControllerId| {
-            if orphan.alternative_owners.is_empty() {
-                !anyone || self.may_hold(controller, &pool.zone)
+        let zone_is_reached =
+            self.cache.controllers.keys().any(|controller| self.may_hold(controller, &pool.zone));
+        let is_eligible = |controller: &ControllerId| {
+            if to_assign.alternative_owners.is_empty() {
+                !zone_is_reached || self.may_hold(controller, &pool.zone)
             } else {
-                orphan.alternative_owners.contains(controller)
+                to_assign.alternative_owners.contains(controller)
             }
         };
-        let is_light = |controller: &ControllerId, most| {
-            can(controller) && loads.is_light(controller, pool, most)
+        let has_room_for = |controller: &ControllerId, max_ratio| {
+            is_eligible(controller) && loads.has_room_for(controller, pool, max_ratio)
         };
         // Prefer a former owner that has restarted: its workers still try to reach it, and moving
         // hundreds of them costs both controllers seconds of processor time.
-        let former = self.cache.pools.get(pool).map(|ownership| ownership.owner.clone());
-        let home = || self.home_of(&pool.zone).filter(|n| is_light(n, MAX_HOME_LOAD));
-        former
-            .filter(|n| is_light(n, MAX_FORMER_LOAD))
-            .or_else(home)
-            .or_else(|| loads.least(can).cloned())
+        let former_owner = self.cache.pools.get(pool).map(|ownership| ownership.owner.clone());
+        let same_zone = || {
+            self.controller_in_zone(&pool.zone)
+                .filter(|controller| has_room_for(controller, MAX_SAME_ZONE_LOAD_RATIO))
+        };
+        former_owner
+            .filter(|controller| has_room_for(controller, MAX_FORMER_OWNER_LOAD_RATIO))
+            .or_else(same_zone)
+            .or_else(|| loads.least_loaded(is_eligible).cloned())
     }
 
     /// Up to two moves that rebalance the load of the controllers.
-    fn balancing_moves(&self, pools: &[PoolId], loads: &mut PoolLoads) -> Vec<PoolMove> {
-        let Some(first) = self.balance(pools, loads) else { return vec![] };
+    fn rebalancing_moves(&self, pools: &[PoolId], loads: &mut PoolLoads) -> Vec<PoolMove> {
+        let Some(first) = self.rebalancing_move(pools, loads) else { return vec![] };
         let PoolMove { pool, to } = &first;
         // A second move at a time pays off when one controller has nearly all of the load.
         if let Some(ownership) = self.cache.pools.get(pool) {
@@ -217,61 +226,75 @@
             loads.add(to, pool);
         }
         let rest: Vec<PoolId> = pools.iter().filter(|p| *p != pool).cloned().collect();
-        let second = self.balance(&rest, loads);
+        let second = self.rebalancing_move(&rest, loads);
         std::iter::once(first).chain(second).collect()
     }
 
     /// The live controller that runs in a zone.
-    fn home_of(&self, zone: &ZoneId) -> Option<ControllerId> {
+    fn controller_in_zone(&self, zone: &ZoneId) -> Option<ControllerId> {
         std::iter::once((&self.cfg.me, &self.cfg.zone))
-            .chain(self.cfg.peers.iter().map(|(n, z)| (n, z)))
-            .find(|(n, z)| *z == zone && self.cache.controllers.contains_key(*n))
-            .map(|(n, _)| n.clone())
+            .chain(self.cfg.peers.iter().map(|(peer, peer_zone)| (peer, peer_zone)))
+            .find(|(controller, own_zone)| {
+                *own_zone == zone && self.cache.controllers.contains_key(*controller)
+            })
+            .map(|(controller, _)| controller.clone())
     }
 
     /// The best move of one pool from the most loaded controller to the least loaded one, if the
     /// imbalance is large enough.
-    fn balance(&self, pools: &[PoolId], loads: &PoolLoads) -> Option<PoolMove> {
-        let most = loads.by_controller.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
-        let average = loads.mean();
+    fn rebalancing_move(&self, pools: &[PoolId], loads: &PoolLoads) -> Option<PoolMove> {
+        let most_loaded = loads.by_controller.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
+        let average = loads.mean_load();
         // Every move makes the pool's workers change their controller: only a clear imbalance
         // justifies one.
         if self
             .leadership
             .pool_assigned_at
             .values()
-            .any(|at| self.now.since(*at) < REASSIGNMENT_PAUSE_MS)
+            .any(|at| self.now.since(*at) < MIN_REASSIGNMENT_INTERVAL_MS)
         {
             return None;
         }
         // A controller that does not reach the pool's workers is excluded, even if it has the least load.
-        let least_for = |pool: &PoolId| {
-            let can = loads.by_controller.iter().filter(|(n, _)| self.may_hold(n, &pool.zone));
-            can.min_by(|a, b| a.1.total_cmp(b.1))
+        let least_loaded_for = |pool: &PoolId| {
+            let eligible = loads
+                .by_controller
+                .iter()
+                .filter(|(controller, _)| self.may_hold(controller, &pool.zone));
+            eligible.min_by(|a, b| a.1.total_cmp(b.1))
         };
         pools
             .iter()
-            .filter(|p| self.cache.pools.get(*p).is_some_and(|h| h.owner == *most.0))
-            .filter_map(|p| Some((p, least_for(p)?)))
-            .map(|(p, (controller, held))| (p, controller, most.1 - held))
-            .filter(|(p, _, gap)| *gap >= average * 0.6 && loads.weight(p) < gap * 0.8)
+            .filter(|pool| {
+                self.cache
+                    .pools
+                    .get(*pool)
+                    .is_some_and(|ownership| ownership.owner == *most_loaded.0)
+            })
+            .filter_map(|pool| Some((pool, least_loaded_for(pool)?)))
+            .map(|(pool, (controller, load))| (pool, controller, most_loaded.1 - load))
+            .filter(|(pool, _, gap)| *gap >= average * 0.6 && loads.weight(pool) < gap * 0.8)
             .min_by(|a, b| {
-                let left = |(p, _, gap): &(&PoolId, &ControllerId, f64)| {
-                    (gap - 2.0 * loads.weight(p)).abs()
+                let remaining_gap = |(pool, _, gap): &(&PoolId, &ControllerId, f64)| {
+                    (gap - 2.0 * loads.weight(pool)).abs()
                 };
-                left(a).total_cmp(&left(b)).then(a.0.cmp(b.0))
+                remaining_gap(a).total_cmp(&remaining_gap(b)).then(a.0.cmp(b.0))
             })
-            .map(|(p, controller, _)| PoolMove { pool: p.clone(), to: controller.clone() })
+            .map(|(pool, controller, _)| PoolMove { pool: pool.clone(), to: controller.clone() })
     }
 
     /// Writes the new owners of pools to the state service.
     fn write_assignments(&mut self, moves: Vec<PoolMove>) {
         let mut txn = Txn::default();
         for PoolMove { pool, to: controller } in moves {
-            let Some(live) = self.cache.controllers.get(&controller) else { continue };
-            let incarnation = live.value.incarnation;
-            let version =
-                self.cache.pools.get(&pool).map(|h| Version(h.token.0)).unwrap_or_default();
+            let Some(record) = self.cache.controllers.get(&controller) else { continue };
+            let incarnation = record.value.incarnation;
+            let version = self
+                .cache
+                .pools
+                .get(&pool)
+                .map(|ownership| Version(ownership.token.0))
+                .unwrap_or_default();
             tracing::info!(%pool, %controller, "assigning pool");
             txn.guard(pool_key(&pool), version);
             self.reachability.record_own_assignment(&pool, &controller);
@@ -297,12 +320,12 @@
 
     /// Assigns a pool to this controller, because its workers reach it but not the pool's owner.
     pub(crate) fn take_over_pool(&mut self, pool: PoolId, owner: &ControllerId) {
-        let recent = self
+        let recently_assigned = self
             .leadership
             .pool_assigned_at
             .get(&pool)
-            .is_some_and(|at| self.now.since(*at) < REASSIGNMENT_PAUSE_MS);
-        if recent || self.leadership.pending_assignment.is_some() || !self.in_contact() {
+            .is_some_and(|at| self.now.since(*at) < MIN_REASSIGNMENT_INTERVAL_MS);
+        if recently_assigned || self.leadership.pending_assignment.is_some() || !self.in_contact() {
             return;
         }
         let me = self.cfg.me.clone();
@@ -313,8 +336,8 @@
 
     // ---- jobs ----
 
-    /// Assigns each job of the queue to the `k` least loaded pools that can run it.
-    fn assign(&mut self) {
+    /// Assigns each job of the queue to the `pool_count` least loaded pools that can run it.
+    fn assign_jobs(&mut self) {
         self.leadership.jobs_assigned_at = self.now;
         let pools = self.inventory.pools();
         let index: BTreeMap<&PoolId, usize> =
@@ -329,50 +352,50 @@
                     self.inventory.machine_resources(&m.pool.machine_type).cpus as f64 / 1000.0;
             }
         }
-        for (id, live) in &self.cache.jobs {
+        for (id, cached) in &self.cache.jobs {
             for group in self.cache.tables(id).flat_map(|t| &t.claims) {
                 let Some(&i) = index.get(&group.pool) else { continue };
-                let spec = &live.record.spec;
+                let spec = &cached.record.spec;
                 loads[i].work += 0.5 * spec.estimate_s * spec.cpus * group.tasks.len() as f64;
             }
         }
         let queue = self.queue();
-        let long = self.long_work();
-        let alive: Vec<bool> = pools.iter().map(|p| self.lives(p)).collect();
+        let long_work = self.long_work();
+        let has_planner: Vec<bool> = pools.iter().map(|p| self.lives(p)).collect();
         let mut assigned: Vec<(String, Vec<u16>)> = Vec::new();
         for Queued { job: id, tasks: unclaimed, growth, .. } in &queue {
-            let Some(live) = self.cache.jobs.get(id) else {
+            let Some(cached) = self.cache.jobs.get(id) else {
                 continue;
             };
             // The job's base tasks are already assigned to pools, in an earlier round or in this one;
             // its growth uses the same pools.
-            if *growth && self.job_states.get(id).is_some_and(|l| !l.pools.is_empty()) {
+            if *growth && self.job_states.get(id).is_some_and(|state| !state.pools.is_empty()) {
                 continue;
             }
-            let usable = || (0..pools.len()).filter(|&i| self.may_use(live, &pools[i]));
+            let usable = || (0..pools.len()).filter(|&i| self.may_use(cached, &pools[i]));
             // Prefer pools with a live owner, which plans for them.
-            let mut eligible: Vec<usize> = usable().filter(|&i| alive[i]).collect();
+            let mut eligible: Vec<usize> = usable().filter(|&i| has_planner[i]).collect();
             if eligible.is_empty() {
                 eligible = usable().collect();
             }
-            let current: Vec<usize> = self
+            let current_pools: Vec<usize> = self
                 .job_states
                 .get(id)
                 .into_iter()
-                .flat_map(|l| l.pools.iter().filter_map(|p| index.get(p).copied()))
+                .flat_map(|state| state.pools.iter().filter_map(|p| index.get(p).copied()))
                 .collect();
-            let spec = &live.record.spec;
+            let spec = &cached.record.spec;
             let work = spec.estimate_s.max(1.0) * spec.cpus * f64::from(*unclaimed);
             // Services and spread jobs need several zones. Long tasks may use only a part of each pool, so
             // their jobs are assigned to all pools.
-            let k = if long.is_long(spec) {
+            let pool_count = if long_work.is_long(spec) {
                 pools.len()
             } else if spec.kind == Kind::Service || spec.spread {
                 self.cfg.pools_per_job.max(4)
             } else {
                 self.cfg.pools_per_job
             };
-            let chosen = choose(&mut loads, &eligible, &current, k, work);
+            let chosen = choose(&mut loads, &eligible, &current_pools, pool_count, work);
             assigned.push((id.to_string(), chosen.iter().map(|&i| i as u16).collect()));
         }
         let names: Vec<String> = pools.iter().map(|p| p.to_string()).collect();
@@ -388,7 +411,9 @@
         pools: Vec<String>,
         jobs: Vec<(String, Vec<u16>)>,
     ) {
-        if self.cache.roles.get(&Role::PoolAssignment).map(|h| &h.value.owner) != Some(from) {
+        if self.cache.roles.get(&Role::PoolAssignment).map(|holder| &holder.value.owner)
+            != Some(from)
+        {
             return;
         }
         self.priority.assigned = Some(self.now);
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -20,48 +20,52 @@
     /// the role.
     pub(crate) fn epoch(&self, role: Role) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.roles.get(&role)?;
-        let ours =
+        let is_held =
             holder.owner == self.cfg.me && Some(holder.incarnation) == self.session.incarnation;
-        ours.then_some(*version)
+        is_held.then_some(*version)
     }
 
     /// The epoch of a role that an earlier incarnation of this controller holds. That incarnation no longer
     /// acts, and what it did under the epoch is unknown, so the role is acquired again under a new epoch.
-    fn former_life(&self, role: Role) -> Option<Version> {
+    fn previous_incarnation_epoch(&self, role: Role) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.roles.get(&role)?;
-        let former =
+        let is_previous =
             holder.owner == self.cfg.me && Some(holder.incarnation) != self.session.incarnation;
-        former.then_some(*version)
+        is_previous.then_some(*version)
     }
 
     /// Acquires and releases roles, and runs the work of those held.
     pub(crate) fn maintain_roles(&mut self) {
         let now = self.now;
-        let former: Vec<(Role, Version)> =
-            Role::ALL.iter().filter_map(|d| Some((*d, self.former_life(*d)?))).collect();
+        let previous: Vec<(Role, Version)> = Role::ALL
+            .iter()
+            .filter_map(|role| Some((*role, self.previous_incarnation_epoch(*role)?)))
+            .collect();
         let roles = &self.cache.roles;
         let controllers = self.cache.controllers.keys();
-        self.leadership.roles.see(now, &self.cfg.me, controllers, |d| roles.contains_key(&d));
+        self.leadership.roles.see(now, &self.cfg.me, controllers, |role| roles.contains_key(&role));
         if self.in_contact() {
             if let (Some(lease), Some(incarnation)) = (self.session.lease, self.session.incarnation)
             {
-                let former_of = |d: Role| former.iter().find(|f| f.0 == d).map(|f| f.1);
-                let mine_before = |d: Role| former_of(d).is_some();
-                if let Some(role) = self.leadership.roles.take(now, &self.cfg.me, mine_before) {
+                let previous_epoch =
+                    |role: Role| previous.iter().find(|held| held.0 == role).map(|held| held.1);
+                let was_mine = |role: Role| previous_epoch(role).is_some();
+                if let Some(role) = self.leadership.roles.take(now, &self.cfg.me, was_mine) {
                     let holder = HolderRecord { owner: self.cfg.me.clone(), incarnation };
                     let mut txn = Txn::default();
-                    txn.guard(role.key(), former_of(role).unwrap_or_default());
+                    txn.guard(role.key(), previous_epoch(role).unwrap_or_default());
                     txn.put(role.key(), &holder, Some(lease));
                     self.store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Role(role));
                 }
             }
-            let mine: Vec<Role> = Role::ALL.into_iter().filter(|d| self.holds(*d)).collect();
-            if let Some(role) = self.leadership.roles.give(now, &self.cfg.me, |d| mine.contains(&d))
+            let held: Vec<Role> = Role::ALL.into_iter().filter(|role| self.holds(*role)).collect();
+            if let Some(role) =
+                self.leadership.roles.give(now, &self.cfg.me, |role| held.contains(&role))
             {
-                self.give_back(role);
+                self.release_role(role);
             }
         }
-        self.lead();
+        self.run_assignment_role();
         self.maintain_scale_out();
         if self.holds(Role::GarbageCollection) {
             self.collect_garbage();
@@ -71,7 +75,7 @@
 
     /// Releases a role to the controller that should hold it; guarded by the epoch, so that only this
     /// controller's own tenure can end.
-    fn give_back(&mut self, role: Role) {
+    fn release_role(&mut self, role: Role) {
         let Some(epoch) = self.epoch(role) else { return };
         tracing::info!(role = role.key(), "releasing role");
         let mut txn = Txn::default();
@@ -101,10 +105,10 @@
         let progress = self.cache.progress.iter().flat_map(|(id, parts)| {
             parts.iter().map(move |(part, record)| (id, progress_key(id, *part), record.version))
         });
-        let gone = parts.chain(progress).filter(|(id, ..)| !self.cache.jobs.contains_key(*id));
+        let orphaned = parts.chain(progress).filter(|(id, ..)| !self.cache.jobs.contains_key(*id));
         let mut txn = Txn::default();
         let mut jobs = BTreeSet::new();
-        for (id, key, version) in gone.take(self.cfg.max_txn_changes.min(8)) {
+        for (id, key, version) in orphaned.take(self.cfg.max_txn_changes.min(8)) {
             if jobs.insert(id) {
                 txn.guard(job_key(id), Version(0));
             }
