--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -385,7 +385,7 @@
         task: &TaskReport,
     ) -> Option<Command> {
         if task.state == TaskState::Running {
-            self.note_running(&context.machine, &task.task);
+            self.record_task_start(&context.machine, &task.task);
         }
         match (context.reclaim_at, task.state) {
             (Some(at), TaskState::Running | TaskState::Fetching) => {
--- a/crates/cleatfold-control/src/pools/ownership.rs
+++ b/crates/cleatfold-control/src/pools/ownership.rs
@@ -43,17 +43,20 @@
         self.compare_pool_owners();
         let (me, incarnation) = (&self.cfg.me, self.session.incarnation);
         let pools = self.cache.pools.iter();
-        let mine = pools.filter(|(_, h)| h.owner == *me && Some(h.incarnation) == incarnation);
-        let mine: Vec<(PoolId, FencingToken)> = mine.map(|(id, h)| (id.clone(), h.token)).collect();
-        let owned: BTreeSet<&PoolId> = mine.iter().map(|m| &m.0).collect();
-        self.pools.owned.retain(|pool, _| owned.contains(pool));
-        for (pool, token) in mine {
+        let owned = pools.filter(|(_, ownership)| {
+            ownership.owner == *me && Some(ownership.incarnation) == incarnation
+        });
+        let owned: Vec<(PoolId, FencingToken)> =
+            owned.map(|(id, ownership)| (id.clone(), ownership.token)).collect();
+        let owned_ids: BTreeSet<&PoolId> = owned.iter().map(|(id, _)| id).collect();
+        self.pools.owned.retain(|pool, _| owned_ids.contains(pool));
+        for (pool, token) in owned {
             if self.pools.owns(&pool, token) {
                 continue;
             }
             tracing::info!(%pool, fencing_token = token.0, "pool ownership acquired");
-            for m in self.inventory.machines.values_mut().filter(|m| m.pool == pool) {
-                m.images_changed = true;
+            for machine in self.inventory.machines.values_mut().filter(|m| m.pool == pool) {
+                machine.images_changed = true;
             }
             self.pools.owned.insert(pool, OwnedPool { token, acquired_at: self.now });
             self.replan_needed = true;
--- a/crates/cleatfold-control/src/pools/tasks.rs
+++ b/crates/cleatfold-control/src/pools/tasks.rs
@@ -8,11 +8,11 @@
 
 impl Controller {
     /// Records when a task was first seen running, and that its machine holds the task's image.
-    pub(super) fn note_running(&mut self, id: &MachineId, task: &TaskId) {
+    pub(super) fn record_task_start(&mut self, id: &MachineId, task: &TaskId) {
         let Some(cached) = self.cache.jobs.get(&task.job) else {
             return;
         };
-        let (image, gb) = (cached.record.spec.image.clone(), cached.record.spec.image_gb);
+        let (image, image_gb) = (cached.record.spec.image.clone(), cached.record.spec.image_gb);
         let now = self.now;
         let Some(machine) = self.inventory.machines.get_mut(id) else {
             return;
@@ -22,12 +22,12 @@
             return;
         }
         machine.task_started_at.insert(key, now);
-        let cache = self
+        let cache_gb = self
             .inventory
             .types
             .get(&machine.pool.machine_type)
             .map_or(f64::INFINITY, |t| t.cache_gb);
-        machine.use_image(&image, gb, cache);
+        machine.use_image(&image, image_gb, cache_gb);
     }
 
     /// The stop command for a task whose machine the cloud reclaims at `at`, once it is due. A task
@@ -54,8 +54,8 @@
         // Only half of the notice is relied on, and the next command can be sent only with the next
         // heartbeat.
         let is_due = left_s / 2.0 <= spec.save_s + two_intervals_s + 1.0;
-        let saves = spec.checkpoint_s > 0.0;
-        (saves && is_due).then(|| stop(spec.save_s + 1.0))?
+        let has_checkpoints = spec.checkpoint_s > 0.0;
+        (has_checkpoints && is_due).then(|| stop(spec.save_s + 1.0))?
     }
 
     /// Ends the claim of an attempt whose exit a worker has reported.
@@ -76,16 +76,16 @@
         let Some(cached) = self.cache.jobs.get(&task.job) else {
             return;
         };
-        let interval = (cached.record.spec.checkpoint_s * 1000.0) as u64;
+        let checkpoint_ms = (cached.record.spec.checkpoint_s * 1000.0) as u64;
         if self.is_ending(&task.job, task.ix, attempt) {
             return;
         }
-        let elastic = cached.record.spec.elastic.is_some();
+        let is_elastic = cached.record.spec.elastic.is_some();
         let job_state = self.job_state(&task.job);
-        if exit != Exit::Done && interval > 0 {
-            let ran = started.map_or(0, |s| now.since(s));
-            let kept = if saved { ran } else { ran / interval * interval };
-            *job_state.saved.entry(task.ix).or_default() += kept;
+        if exit != Exit::Done && checkpoint_ms > 0 {
+            let ran_ms = started.map_or(0, |s| now.since(s));
+            let saved_ms = if saved { ran_ms } else { ran_ms / checkpoint_ms * checkpoint_ms };
+            *job_state.saved.entry(task.ix).or_default() += saved_ms;
         }
         match exit {
             Exit::Error => {
@@ -108,7 +108,7 @@
             ix: task.ix,
             attempt,
             // An elastic member that exits frees its slot; its job's progress is counted in steps.
-            done: exit == Exit::Done && !elastic,
+            done: exit == Exit::Done && !is_elastic,
             reason: EndReason::Exit(exit),
             ran_ms,
             fence: None,
--- a/crates/cleatfold-control/src/pools/worker_authority.rs
+++ b/crates/cleatfold-control/src/pools/worker_authority.rs
@@ -35,8 +35,8 @@
         let Some(token) = self.owned_pool_token(pool) else {
             return Err(Response::Redirect(None));
         };
-        let unread_ms = self.session.last_read.map_or(u64::MAX, |sent| self.now.since(sent));
-        if unread_ms > self.cfg.stale_read_limit_ms() {
+        let read_age_ms = self.session.last_read.map_or(u64::MAX, |sent| self.now.since(sent));
+        if read_age_ms > self.cfg.stale_read_limit_ms() {
             return Err(Response::later("cut off from the state service"));
         }
         Ok(WorkerAuthority { token })
