--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -122,12 +122,7 @@
             match heartbeat.read_tasks() {
                 Ok(tasks) => {
                     let raw_tasks = heartbeat.tasks.clone();
-                    self.process_changed_heartbeat(
-                        &pool,
-                        token,
-                        heartbeat.with_tasks(tasks),
-                        raw_tasks,
-                    )
+                    self.process_heartbeat(&pool, token, heartbeat.with_tasks(tasks), raw_tasks)
                 }
                 Err(error) => {
                     return self.reply(rid, Response::refuse(400, format!("not a report: {error}")))
@@ -213,7 +208,7 @@
     }
 
     /// Processes a heartbeat that differs from the previous one; returns the commands to send.
-    fn process_changed_heartbeat(
+    fn process_heartbeat(
         &mut self,
         pool: &PoolId,
         token: FencingToken,
