--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -150,7 +150,7 @@
         self.admission.note_asks(wall_s);
         if self.holds(Role::OverloadQuota)
             && self.has_store_contact()
-            && self.cloud_state.list_at.is_some()
+            && self.cloud_state.list_read_at.is_some()
         {
             self.decide_overload_quota();
         }
@@ -214,8 +214,9 @@
     fn processors(&self) -> f64 {
         let mut capacity = 0.0;
         for m in self.inventory.machines.values() {
-            if m.takes_work() && !self.is_silent(m) {
-                capacity += self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
+            if m.is_schedulable() && !self.is_silent(m) {
+                capacity +=
+                    self.inventory.machine_resources(&m.pool.machine_type).cpus as f64 / 1000.0;
             }
         }
         capacity
@@ -226,7 +227,9 @@
     /// of no capacity one lease after its pools had left it, and jobs of limited teams waited beside free machines.)
     fn is_silent(&self, machine: &Machine) -> bool {
         let Some(owned) = self.pools.owned.get(&machine.pool) else { return false };
-        let reported = machine.last_heartbeat().map(|at| at.max(machine.known).max(owned.since));
+        let reported = machine
+            .last_heartbeat_at()
+            .map(|at| at.max(machine.observed_since).max(owned.acquired_at));
         reported.is_some_and(|at| self.now.since(at) >= self.cfg.lease_ms)
     }
 
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -205,7 +205,7 @@
         self.check_format();
         self.maintain_lease();
         self.maintain_cache();
-        self.keep_cloud();
+        self.maintain_cloud_state();
         self.broadcast_contact_age();
         self.keep_cancellations();
         if !self.is_serving() {
@@ -229,7 +229,7 @@
         if gap_ms > STALL_THRESHOLD_MS && self.last_tick > Ms(0) {
             tracing::info!(gap_ms, "event loop stalled");
             for machine in self.inventory.machines.values_mut() {
-                machine.known = machine.known.max(self.now);
+                machine.observed_since = machine.observed_since.max(self.now);
                 machine.partition_detector.excuse();
             }
             self.reachability.view.stood_still(self.now);
@@ -260,7 +260,7 @@
     pub(crate) fn is_serving(&self) -> bool {
         self.session.is_loaded
             && self.session.incarnation.is_some()
-            && self.cloud_state.types_at.is_some()
+            && self.cloud_state.types_read_at.is_some()
     }
 
     /// Whether this controller can serve users.
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -35,8 +35,13 @@
         let (wants, in_use) = self.wants(&settings);
         let seen = self.seen(&settings);
         self.keep_holders(&wants, &seen);
-        let pools: BTreeSet<PoolId> =
-            self.pools.owned.keys().filter(|p| self.my_token(p).is_some()).cloned().collect();
+        let pools: BTreeSet<PoolId> = self
+            .pools
+            .owned
+            .keys()
+            .filter(|p| self.owned_pool_token(p).is_some())
+            .cloned()
+            .collect();
         let spreads: BTreeMap<ImageId, SpreadRecord> =
             self.cache.image_holders.iter().map(|(i, r)| (i.clone(), r.value.clone())).collect();
         let mut distributor = std::mem::take(&mut self.image_distribution.distributor);
@@ -65,14 +70,14 @@
     /// for longer than the cloud's list lags.
     fn fetches_nothing(&self, id: &MachineId) -> bool {
         match self.inventory.machines.get(id) {
-            Some(machine) => machine.expired,
+            Some(machine) => machine.lease_expired,
             None => {
                 let known =
                     self.cfg.list_lag_ms + self.cfg.lease_ms + self.cfg.machine_timeout_ms();
                 let slot = self.cache.origin.value.slots.get(id);
                 let owned = slot.and_then(|s| self.pools.owned.get(&s.pool));
                 self.inventory.is_deleted(id)
-                    || owned.is_some_and(|o| self.now.since(o.since) > known)
+                    || owned.is_some_and(|o| self.now.since(o.acquired_at) > known)
             }
         }
     }
@@ -130,11 +135,11 @@
     fn seen(&self, settings: &Settings) -> BTreeMap<MachineId, Seen> {
         let mut seen = BTreeMap::new();
         for (id, machine) in &self.inventory.machines {
-            let Some(token) = self.my_token(&machine.pool) else { continue };
+            let Some(token) = self.owned_pool_token(&machine.pool) else { continue };
             let Some(heartbeat) = machine.heartbeat.as_ref().filter(|r| r.token == token) else {
                 continue;
             };
-            if machine.expired {
+            if machine.lease_expired {
                 continue;
             }
             let held = || heartbeat.images.iter().flatten();
@@ -155,14 +160,14 @@
                 id.clone(),
                 Seen {
                     pool: machine.pool.clone(),
-                    at: heartbeat.at,
+                    at: heartbeat.received_at,
                     endpoint: machine.endpoint.clone().filter(|_| heartbeat.images.is_some()),
                     images: self.image_distribution.images_there(id, machine),
                     fetching,
                     stuck: Controller::is_stuck(&heartbeat.images),
                     source: held().find_map(|i| i.source.clone()),
                     serves: held().map(|i| i.serves).sum(),
-                    leaving: !machine.takes_work(),
+                    leaving: !machine.is_schedulable(),
                 },
             );
         }
@@ -258,7 +263,7 @@
         let mut txn = Txn::default();
         txn.guard(ORIGIN_KEY, self.cache.origin.version);
         for pool in pools {
-            let Some(token) = self.my_token(pool) else { return };
+            let Some(token) = self.owned_pool_token(pool) else { return };
             txn.guard(pool_key(pool), Version(token.0));
         }
         txn.put(ORIGIN_KEY, &record, None);
@@ -335,7 +340,7 @@
             } else if old.is_some() || many {
                 let mut new = old.map(|o| o.value.clone()).unwrap_or_default();
                 for pool in self.pools.owned.keys() {
-                    let Some(token) = self.my_token(pool) else { continue };
+                    let Some(token) = self.owned_pool_token(pool) else { continue };
                     let here = seen.iter().filter(|(_, s)| {
                         s.pool == *pool && s.endpoint.is_some() && !s.leaving && s.has(image)
                     });
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -1,4 +1,4 @@
-//! Taking roles, giving them back, and the small ones themselves.
+//! Acquiring and releasing roles, and running the work of the held ones.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
@@ -10,50 +10,55 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// Ours, by what was read last. Whatever is done under it outside the state service has to be
-    /// durable there first.
+    /// Whether this controller holds the role, as last read. An action under the role outside of the
+    /// state service has to be durable there first.
     pub(crate) fn holds(&self, role: Role) -> bool {
         self.epoch(role).is_some()
     }
 
-    /// The version of a role's key while it is ours: every transaction of the role is guarded by it.
+    /// The version of a role's key while this controller holds the role; it guards every transaction of
+    /// the role.
     pub(crate) fn epoch(&self, role: Role) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.roles.get(&role)?;
-        let ours = holder.owner == self.cfg.controller_id
+        let is_held = holder.owner == self.cfg.controller_id
             && Some(holder.incarnation) == self.session.incarnation;
-        ours.then_some(*version)
+        is_held.then_some(*version)
     }
 
-    /// A key of ours from before we were restarted: nobody acts under it any more. What was done
-    /// under it is not known here, so it is taken anew, under a new epoch, rather than gone on with.
-    fn former_life(&self, role: Role) -> Option<Version> {
+    /// The epoch of a role that an earlier incarnation of this controller holds. That incarnation no longer
+    /// acts, and what it did under the epoch is unknown, so the role is acquired again under a new epoch.
+    fn previous_incarnation_epoch(&self, role: Role) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.roles.get(&role)?;
-        let former = holder.owner == self.cfg.controller_id
+        let is_previous = holder.owner == self.cfg.controller_id
             && Some(holder.incarnation) != self.session.incarnation;
-        former.then_some(*version)
+        is_previous.then_some(*version)
     }
 
+    /// Acquires and releases roles, and runs the work of those held.
     pub(crate) fn maintain_roles(&mut self) {
         let now = self.now;
-        let former: Vec<(Role, Version)> =
-            Role::ALL.iter().filter_map(|d| Some((*d, self.former_life(*d)?))).collect();
+        let previous: Vec<(Role, Version)> = Role::ALL
+            .iter()
+            .filter_map(|role| Some((*role, self.previous_incarnation_epoch(*role)?)))
+            .collect();
         let roles = &self.cache.roles;
         let controllers = self.cache.controllers.keys();
         self.leadership
             .roles
-            .see(now, &self.cfg.controller_id, controllers, |d| roles.contains_key(&d));
+            .see(now, &self.cfg.controller_id, controllers, |role| roles.contains_key(&role));
         if self.has_store_contact() {
             if let (Some(lease), Some(incarnation)) = (self.session.lease, self.session.incarnation)
             {
-                let former_of = |d: Role| former.iter().find(|f| f.0 == d).map(|f| f.1);
-                let mine_before = |d: Role| former_of(d).is_some();
+                let previous_epoch =
+                    |role: Role| previous.iter().find(|held| held.0 == role).map(|held| held.1);
+                let was_mine = |role: Role| previous_epoch(role).is_some();
                 if let Some(role) =
-                    self.leadership.roles.take(now, &self.cfg.controller_id, mine_before)
+                    self.leadership.roles.take(now, &self.cfg.controller_id, was_mine)
                 {
                     let holder =
                         HolderRecord { owner: self.cfg.controller_id.clone(), incarnation };
                     let mut txn = Txn::default();
-                    txn.guard(role.key(), former_of(role).unwrap_or_default());
+                    txn.guard(role.key(), previous_epoch(role).unwrap_or_default());
                     txn.put(role.key(), &holder, Some(lease));
                     self.call_store(
                         CallPriority::Renewal,
@@ -62,14 +67,16 @@
                     );
                 }
             }
-            let mine: Vec<Role> = Role::ALL.into_iter().filter(|d| self.holds(*d)).collect();
-            if let Some(role) =
-                self.leadership.roles.give(now, &self.cfg.controller_id, |d| mine.contains(&d))
+            let held: Vec<Role> = Role::ALL.into_iter().filter(|role| self.holds(*role)).collect();
+            if let Some(role) = self
+                .leadership
+                .roles
+                .give(now, &self.cfg.controller_id, |role| held.contains(&role))
             {
-                self.give_back(role);
+                self.release_role(role);
             }
         }
-        self.lead();
+        self.run_assignment_role();
         self.maintain_scale_out();
         if self.holds(Role::GarbageCollection) {
             self.collect_garbage();
@@ -77,8 +84,9 @@
         self.keep_admission();
     }
 
-    /// Lets whoever should hold it have it: guarded, so it is only ever our own holding that ends.
-    fn give_back(&mut self, role: Role) {
+    /// Releases a role to the controller that should hold it; guarded by the epoch, so that only this
+    /// controller's own tenure can end.
+    fn release_role(&mut self, role: Role) {
         let Some(epoch) = self.epoch(role) else { return };
         tracing::info!(role = role.key(), "releasing role");
         let mut txn = Txn::default();
@@ -87,7 +95,7 @@
         self.call_store(CallPriority::Renewal, StoreRequest::Txn(txn), Pending::Role(role));
     }
 
-    /// Whatever came of it, the next reading tells.
+    /// The write of a role was answered; its outcome is read with the next sync.
     pub(crate) fn on_role_written(&mut self, role: Role, reply: StoreReply) {
         self.leadership.roles.settled(role);
         self.session.sync_wanted = true;
@@ -96,8 +104,8 @@
         }
     }
 
-    /// Parts whose job is gone are removed a few at a time. That it is gone is guarded: what is there of a
-    /// job that we have only not read yet holds its claims.
+    /// Deletes part and progress records of removed jobs, a few at a time. The transaction is guarded by the job key's
+    /// absence, because the parts of a job that has merely not been read yet hold its claims.
     fn collect_garbage(&mut self) {
         if self.leadership.garbage_collection_inflight || !self.has_store_contact() {
             return;
@@ -108,10 +116,10 @@
         let progress = self.cache.progress.iter().flat_map(|(id, parts)| {
             parts.iter().map(move |(part, record)| (id, progress_key(id, *part), record.version))
         });
-        let gone = parts.chain(progress).filter(|(id, ..)| !self.cache.jobs.contains_key(*id));
+        let orphaned = parts.chain(progress).filter(|(id, ..)| !self.cache.jobs.contains_key(*id));
         let mut txn = Txn::default();
         let mut jobs = BTreeSet::new();
-        for (id, key, version) in gone.take(self.cfg.max_txn_changes.min(8)) {
+        for (id, key, version) in orphaned.take(self.cfg.max_txn_changes.min(8)) {
             if jobs.insert(id) {
                 txn.guard(job_key(id), Version(0));
             }
@@ -126,7 +134,7 @@
         }
     }
 
-    /// Whatever came of it, the next reading tells.
+    /// The deletion was answered; its outcome is read with the next sync.
     pub(crate) fn on_garbage_collected(&mut self) {
         self.leadership.garbage_collection_inflight = false;
         self.session.sync_wanted = true;
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -1,4 +1,4 @@
-//! Machines as their reports and the cloud's list tell of them.
+//! The inventory of machines, built from their heartbeats and the cloud's machine list.
 
 use crate::machines::deleted::DeletedMachines;
 use cleatfold_backfill::Resources;
@@ -10,62 +10,71 @@
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, VecDeque};
 
+/// The newest heartbeat of a machine.
 #[derive(Clone, Debug)]
 pub(crate) struct LastHeartbeat {
     pub agent_epoch: AgentEpoch,
     pub seq: Seq,
-    /// The highest token the worker had seen when it sent it.
+    /// The highest fencing token that the worker had seen when it sent the heartbeat.
     pub token: FencingToken,
-    pub at: Ms,
+    pub received_at: Ms,
     pub tasks: Vec<TaskReport>,
-    /// The list of tasks as it came: the next report is compared with it before it is read.
-    pub text: Box<RawValue>,
-    /// It called for no command and told of nothing, while the machine's claims stood as this
-    /// stamp says. A report that says the same then needs no second look.
-    pub settled: Option<u64>,
-    /// Of a worker that fetches from others: what it holds.
+    /// The unparsed task list; the next heartbeat is compared with it before it is parsed.
+    pub raw_tasks: Box<RawValue>,
+    /// The stamp of the machine's claims if the heartbeat required no action. While the stamp is
+    /// the same, an identical heartbeat requires none either and is not parsed.
+    pub no_action_stamp: Option<u64>,
+    /// The images that the worker holds, if it fetches images from other workers.
     pub images: Option<Vec<HeldImage>>,
 }
 
+/// A machine, with what is known of it from heartbeats, the cloud and claims.
 #[derive(Clone, Debug)]
 pub(crate) struct Machine {
     pub pool: PoolId,
     pub spot: bool,
-    /// Where it takes direct orders.
+    /// The address at which its worker accepts direct commands and probes.
     pub endpoint: Option<String>,
-    pub listed: Option<MachineState>,
-    pub listed_at: Ms,
-    /// It has been in the cloud's list; one that is then missing from it is gone.
-    pub was_listed: bool,
-    /// When it was rented, by the list's age.
-    pub born: Ms,
+    /// The state from the cloud's machine list; `Running` once a heartbeat under the current token
+    /// has arrived.
+    pub state: Option<MachineState>,
+    /// When the machine was last in the cloud's list; at first, when it was added to the inventory.
+    pub last_listed_at: Ms,
+    /// It has been in the cloud's list, so its absence from a later list means that it was deleted.
+    pub ever_listed: bool,
+    /// When the machine was created, by its age in the cloud's list.
+    pub created_at: Ms,
     pub heartbeat: Option<LastHeartbeat>,
-    /// When a report last came that shows it alive: newer than all before, under the token that we have its pool
-    /// under. A late copy shows neither.
-    pub last_heartbeat: Option<Ms>,
-    /// Whether it hears us.
+    /// When the last heartbeat arrived that proves the machine is running: newer than all earlier ones, and sent under
+    /// this controller's token for the pool. A delayed copy of a heartbeat meets neither condition.
+    pub last_heartbeat_at: Option<Ms>,
+    /// Detects whether responses reach the worker.
     pub partition_detector: cleatfold_reachability::OneWayPartitionDetector,
-    /// When we last answered a report of it with 200, and under which token.
-    pub answered: Option<(Ms, FencingToken)>,
-    /// When the cloud takes it away.
-    pub notice: Option<Ms>,
-    /// Images it holds, the most recently used last.
+    /// When a heartbeat of the machine was last answered with 200, and under which token.
+    pub last_answer: Option<(Ms, FencingToken)>,
+    /// When the cloud reclaims the machine, if it gave notice.
+    pub reclaim_at: Option<Ms>,
+    /// Images that the machine holds, with their sizes in GB, the most recently used last.
     pub images: VecDeque<(ImageId, f64)>,
+    /// `images` is to be sent to the peers.
     pub images_changed: bool,
-    /// When tasks were first seen running.
-    pub started: BTreeMap<(JobId, TaskIx), Ms>,
-    /// Jobs that failed here.
+    /// When each task was first seen running.
+    pub task_started_at: BTreeMap<(JobId, TaskIx), Ms>,
+    /// Tasks that failed on the machine, as evidence of a machine fault.
     pub suspicion: cleatfold_fault_attribution::Suspicion,
-    /// What works elsewhere fails here.
+    /// Tasks that succeed on other machines fail on this one.
     pub faulty: bool,
-    /// Being emptied to be returned.
+    /// The machine is given no new tasks and is deleted once it runs none.
     pub draining: bool,
+    /// A deletion has been requested from the cloud.
     pub deleting: bool,
+    /// Since when the machine has had neither claims nor tasks.
     pub idle_since: Option<Ms>,
-    /// Its lease has provably run out since its last report.
-    pub expired: bool,
-    /// First known of.
-    pub known: Ms,
+    /// The worker's lease has provably expired since its last heartbeat.
+    pub lease_expired: bool,
+    /// When the machine was first known, or this process last resumed after a stall. Silence before
+    /// this time does not count against the machine.
+    pub observed_since: Ms,
 }
 
 impl Machine {
@@ -74,47 +83,49 @@
             pool,
             spot,
             endpoint: None,
-            listed: None,
-            listed_at: now,
-            was_listed: false,
-            born: now,
+            state: None,
+            last_listed_at: now,
+            ever_listed: false,
+            created_at: now,
             heartbeat: None,
-            last_heartbeat: None,
+            last_heartbeat_at: None,
             partition_detector: Default::default(),
-            answered: None,
-            notice: None,
+            last_answer: None,
+            reclaim_at: None,
             images: VecDeque::new(),
             images_changed: false,
-            started: BTreeMap::new(),
+            task_started_at: BTreeMap::new(),
             suspicion: Default::default(),
             faulty: false,
             draining: false,
             deleting: false,
             idle_since: None,
-            expired: false,
-            known: now,
+            lease_expired: false,
+            observed_since: now,
         }
     }
 
-    /// May be given new tasks, as far as its own state goes.
-    pub(crate) fn takes_work(&self) -> bool {
+    /// Whether the machine's own state allows it to be given new tasks.
+    pub(crate) fn is_schedulable(&self) -> bool {
         !self.draining
             && !self.deleting
-            && self.notice.is_none()
+            && self.reclaim_at.is_none()
             && !self.partition_detector.is_partitioned()
     }
 
-    /// By its last report.
-    pub(crate) fn runs_something(&self) -> bool {
-        let listed = self.heartbeat.iter().flat_map(|r| &r.tasks);
-        listed.into_iter().any(|t| t.state != TaskState::Exited)
+    /// Whether its last heartbeat lists a task that has not exited.
+    pub(crate) fn has_running_tasks(&self) -> bool {
+        let tasks = self.heartbeat.iter().flat_map(|last| &last.tasks);
+        tasks.into_iter().any(|t| t.state != TaskState::Exited)
     }
 
-    pub(crate) fn last_heartbeat(&self) -> Option<Ms> {
-        self.last_heartbeat
+    /// When the last heartbeat arrived that proves the machine is running.
+    pub(crate) fn last_heartbeat_at(&self) -> Option<Ms> {
+        self.last_heartbeat_at
     }
 
-    /// Notes the use of an image and forgets the least recently used beyond the cache.
+    /// Marks an image as most recently used and evicts the least recently used ones beyond the size
+    /// of the machine's image cache.
     pub(crate) fn use_image(&mut self, image: &ImageId, gb: f64, cache_gb: f64) {
         if self.images.back().is_some_and(|i| i.0 == *image) {
             return;
@@ -129,24 +140,27 @@
     }
 }
 
+/// All known machines and machine types.
 #[derive(Debug, Default)]
 pub(crate) struct Inventory {
     pub types: BTreeMap<TypeId, MachineType>,
     pub machines: BTreeMap<MachineId, Machine>,
-    /// When the cloud's list last came whole.
-    pub listed_at: Ms,
-    /// Late news about these is ignored.
+    /// When the cloud's machine list was last received completely.
+    pub list_received_at: Ms,
+    /// Deleted machines; delayed messages about them are ignored.
     pub deleted: DeletedMachines,
 }
 
 impl Inventory {
-    pub(crate) fn total(&self, machine_type: &TypeId) -> Resources {
+    /// Resources of one machine of a type.
+    pub(crate) fn machine_resources(&self, machine_type: &TypeId) -> Resources {
         self.types
             .get(machine_type)
             .map(|t| Resources::new(t.cpus, t.gpus, t.memory_gb))
             .unwrap_or_default()
     }
 
+    /// Every pool that the cloud offers: each machine type in each of its zones.
     pub(crate) fn pools(&self) -> Vec<PoolId> {
         self.types
             .values()
@@ -160,22 +174,23 @@
         self.deleted.contains(id)
     }
 
-    pub(crate) fn note_deleted(&mut self, id: &MachineId) {
+    /// Removes a machine whose deletion the cloud has confirmed.
+    pub(crate) fn record_deletion(&mut self, id: &MachineId) {
         self.machines.remove(id);
         self.deleted.insert(id);
     }
 
-    /// Machines per pool.
-    pub(crate) fn sizes(&self) -> BTreeMap<&PoolId, usize> {
-        let mut sizes = BTreeMap::new();
+    /// The number of machines in each pool.
+    pub(crate) fn machine_counts(&self) -> BTreeMap<&PoolId, usize> {
+        let mut counts = BTreeMap::new();
         for m in self.machines.values() {
-            *sizes.entry(&m.pool).or_default() += 1;
+            *counts.entry(&m.pool).or_default() += 1;
         }
-        sizes
+        counts
     }
 
-    /// The machines of each pool, found in one pass: a pass per pool is dear in a large deployment.
-    pub(crate) fn by_pool(&self) -> BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> {
+    /// Groups the machines by pool in one pass; a pass per pool is expensive in a large deployment.
+    pub(crate) fn machines_by_pool(&self) -> BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> {
         let mut pools: BTreeMap<&PoolId, Vec<(&MachineId, &Machine)>> = BTreeMap::new();
         for (id, m) in &self.machines {
             pools.entry(&m.pool).or_default().push((id, m));
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -1,8 +1,8 @@
-//! Scaling out, under the role of that name: an intent first, then the call.
+//! Scaling out, by the controller that holds the scale-out role: an intent is written before the call.
 //!
-//! The cloud cannot tell a holder that was replaced from the one that came after it. So what is
-//! asked of it is first written under the role's epoch: a former holder's write fails, and it has
-//! nothing to ask for. Whoever comes next asks for the same by the same names.
+//! The cloud cannot tell a former holder of the role from its successor. Every request is therefore
+//! first recorded as an intent under the role's epoch: a former holder's write fails, so it makes no
+//! request. The successor repeats the recorded requests under the same names.
 
 use crate::config::ObjectiveKind;
 use crate::controller::{Controller, Pending};
@@ -21,14 +21,14 @@
 use std::collections::BTreeMap;
 
 const SCALE_OUT_INTERVAL_MS: u64 = 500;
-/// Less than this is a rounding error.
-const MIN_LACK_CPUS: f64 = 1e-9;
-/// Requests that stand in the record at one time.
+/// Smaller shortfalls are rounding errors.
+const MIN_SHORTFALL_CPUS: f64 = 1e-9;
+/// Maximum number of open intents in the record.
 const MAX_OPEN_INTENTS: usize = 4;
-/// Machines that one request may ask for, by the protocol.
+/// Machines that one request may ask for, by the cloud's protocol.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
-/// Machines of one pool, ordinary or spot: what the cloud offers at one price.
+/// Machines of one pool, on-demand or spot: the unit that the cloud sells at one price.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Offer {
     pool: PoolId,
@@ -43,66 +43,70 @@
 
 type CpusByOffer = BTreeMap<Offer, f64>;
 
-/// What one waiting job needs.
-struct Need {
-    /// Processors that are not found yet.
+/// Processors that one waiting job needs.
+struct CpuDemand {
+    /// Processors not yet covered by the supply.
     cpus: f64,
-    /// Processors that it may use in one zone.
-    per_zone: f64,
-    /// Processors of existing machines that are counted for it.
-    taken_by_zone: BTreeMap<ZoneId, f64>,
+    /// Maximum number of processors that the job may use in one zone.
+    max_per_zone: f64,
+    /// Processors of the supply allocated to the job, by zone.
+    allocated_by_zone: BTreeMap<ZoneId, f64>,
 }
 
-impl Need {
+impl CpuDemand {
     fn is_zone_full(&self, zone: &ZoneId) -> bool {
-        self.taken_by_zone.get(zone).is_some_and(|taken| *taken >= self.per_zone)
+        self.allocated_by_zone.get(zone).is_some_and(|allocated| *allocated >= self.max_per_zone)
     }
 }
 
-/// The state of the role of scaling out.
+/// State of the scale-out role.
 #[derive(Debug, Default)]
 pub(crate) struct ScaleOutState {
     tracker: ScaleOutTracker,
-    count: u64,
+    request_counter: u64,
     last_checked: Ms,
-    writing: bool,
-    /// Since when what we have read may be older than what we wrote.
-    stale: Option<Ms>,
+    write_in_flight: bool,
+    /// When the answer to an unconfirmed write arrived; the cache may lack its effect until a later sync.
+    unconfirmed_since: Option<Ms>,
 }
 
 impl Controller {
-    /// Requests the machines that are lacking, while this controller holds the role and the state
-    /// service confirms it.
+    /// Requests machines for the CPU shortfall, while this controller holds the role and is in contact
+    /// with the state service.
     pub(crate) fn maintain_scale_out(&mut self) {
-        let due = self.now.since(self.scale_out.last_checked)
+        let is_due = self.now.since(self.scale_out.last_checked)
             >= SCALE_OUT_INTERVAL_MS * self.backpressure;
-        if !due
+        if !is_due
             || !self.holds(Role::ScaleOut)
             || !self.has_store_contact()
-            || self.cloud_state.list_at.is_none()
+            || self.cloud_state.list_read_at.is_none()
         {
             return;
         }
         self.scale_out.last_checked = self.now;
-        let read =
-            self.scale_out.stale.is_none_or(|s| self.session.last_read.is_some_and(|f| f > s));
-        if self.scale_out.writing || !read {
+        let is_read = self
+            .scale_out
+            .unconfirmed_since
+            .is_none_or(|since| self.session.last_read.is_some_and(|read| read > since));
+        if self.scale_out.write_in_flight || !is_read {
             return;
         }
-        self.scale_out.stale = None;
-        let new = self.new_scale_out_intents();
+        self.scale_out.unconfirmed_since = None;
+        let new_intents = self.new_scale_out_intents();
         let Some(epoch) = self.epoch(Role::ScaleOut) else { return };
-        let lag_ms = 2 * self.cfg.list_lag_ms + 5000;
-        let Versioned { version, value: book } = &self.cache.scale_out_intents;
+        let list_lag_ms = 2 * self.cfg.list_lag_ms + 5000;
+        let Versioned { version, value: intents } = &self.cache.scale_out_intents;
         let times = (self.now, self.wall_ms);
-        let Some(step) = self.scale_out.tracker.next(book, epoch, new, times, lag_ms) else {
+        let Some(step) =
+            self.scale_out.tracker.next(intents, epoch, new_intents, times, list_lag_ms)
+        else {
             return;
         };
         let mut txn = Txn::default();
         txn.guard(SCALE_OUT_KEY, *version);
         txn.guard(Role::ScaleOut.key(), epoch);
         txn.put(SCALE_OUT_KEY, &step.book, None);
-        self.scale_out.writing = true;
+        self.scale_out.write_in_flight = true;
         self.call_store(
             CallPriority::Renewal,
             StoreRequest::Txn(txn),
@@ -110,31 +114,32 @@
         );
     }
 
+    /// Intents for the largest shortfalls that have no open intent yet.
     fn new_scale_out_intents(&mut self) -> Vec<ScaleOutIntent> {
         let Some(incarnation) = self.session.incarnation else { return vec![] };
-        // What is answered and only not yet out of the record holds nobody up.
-        let coming = self.scale_out.tracker.coming(&self.cache.scale_out_intents.value);
-        let open: Vec<Offer> = coming.map(Offer::of).collect();
-        let free = MAX_OPEN_INTENTS.saturating_sub(open.len());
-        if free == 0 {
+        // Intents that are answered but not yet removed from the record do not count as open.
+        let pending = self.scale_out.tracker.coming(&self.cache.scale_out_intents.value);
+        let open: Vec<Offer> = pending.map(Offer::of).collect();
+        let free_slots = MAX_OPEN_INTENTS.saturating_sub(open.len());
+        if free_slots == 0 {
             return vec![];
         }
-        let mut new = Vec::new();
-        for (offer, lack) in self.lacking() {
-            // One at a time for the same machines.
-            if new.len() >= free || open.contains(&offer) {
+        let mut new_intents = Vec::new();
+        for (offer, shortfall) in self.shortfalls() {
+            // At most one open intent per offer.
+            if new_intents.len() >= free_slots || open.contains(&offer) {
                 continue;
             }
             let Offer { pool, spot } = offer;
             let cpus =
                 self.inventory.types.get(&pool.machine_type).map_or(1.0, |t| t.cpus.max(0.1));
-            let count = ((lack / cpus).ceil() as u32).clamp(1, MAX_MACHINES_PER_REQUEST);
-            self.scale_out.count += 1;
-            tracing::info!(%pool, spot, count, lack, "scaling out");
-            new.push(ScaleOutIntent {
+            let count = ((shortfall / cpus).ceil() as u32).clamp(1, MAX_MACHINES_PER_REQUEST);
+            self.scale_out.request_counter += 1;
+            tracing::info!(%pool, spot, count, lack = shortfall, "scaling out");
+            new_intents.push(ScaleOutIntent {
                 name: format!(
                     "{}-{}-{}",
-                    self.cfg.controller_id, incarnation, self.scale_out.count
+                    self.cfg.controller_id, incarnation, self.scale_out.request_counter
                 ),
                 machine_type: pool.machine_type,
                 zone: pool.zone,
@@ -143,11 +148,12 @@
                 inherited: false,
             });
         }
-        new
+        new_intents
     }
 
+    /// Makes the cloud requests once their intents are durable.
     pub(crate) fn on_scale_out_written(&mut self, step: Step, reply: StoreReply) {
-        self.scale_out.writing = false;
+        self.scale_out.write_in_flight = false;
         match reply {
             StoreReply::Committed(version) => {
                 if self.cache.scale_out_intents.version < version {
@@ -163,34 +169,35 @@
                     self.call_cloud(CloudRequest::ScaleOut(request), pending);
                 }
             }
-            // Perhaps it is durable: then the intents stand, and are met like a former holder's.
+            // The write may have succeeded: the intents are then treated like those of a former holder.
             _ => {
-                self.scale_out.stale = Some(self.now);
+                self.scale_out.unconfirmed_since = Some(self.now);
                 self.session.sync_wanted = true;
             }
         }
     }
 
+    /// Handles the cloud's response to a scale-out request.
     pub(crate) fn on_scale_out(&mut self, request: ScaleOutRequest, tries: u32, reply: CloudReply) {
         let pool =
             PoolId { machine_type: request.machine_type.clone(), zone: request.zone.clone() };
         let answer = match reply {
             CloudReply::Created(machines) => {
                 tracing::info!(%pool, spot = request.spot, ?machines, "machines created");
-                let short = (machines.len() as u32) < request.count;
+                let is_short = (machines.len() as u32) < request.count;
                 let names = machines.iter().map(|m| m.to_string()).collect();
                 let message =
                     Message::Rented { pool: pool.to_string(), spot: request.spot, machines: names };
                 self.send_to_peers(None, message);
-                self.note_created_machines(&pool, request.spot, machines);
-                if short {
+                self.add_created_machines(&pool, request.spot, machines);
+                if is_short {
                     Answer::Short
                 } else {
                     Answer::Given
                 }
             }
             CloudReply::NoCapacity => Answer::Short,
-            // The same name again creates nothing twice.
+            // Requests are idempotent by name: a retry creates no further machines.
             _ if tries < 3 => {
                 let pending = Pending::ScaleOut { request: request.clone(), tries: tries + 1 };
                 return self.call_cloud(CloudRequest::ScaleOut(request), pending);
@@ -200,8 +207,9 @@
         self.scale_out.tracker.answered(&request.request, answer, self.now);
     }
 
-    /// Machines that will come up, as the cloud has just said to us or to the holder of the role.
-    pub(crate) fn note_created_machines(
+    /// Adds machines that the cloud has just created for this controller or for the holder of the
+    /// scale-out role.
+    pub(crate) fn add_created_machines(
         &mut self,
         pool: &PoolId,
         spot: bool,
@@ -210,112 +218,123 @@
         let now = self.now;
         for id in machines {
             if !self.inventory.is_deleted(&id) {
-                let new = || Machine::new(pool.clone(), spot, now);
-                self.inventory.machines.entry(id).or_insert_with(new);
+                let new_machine = || Machine::new(pool.clone(), spot, now);
+                self.inventory.machines.entry(id).or_insert_with(new_machine);
             }
         }
         self.replan_needed = true;
     }
 
-    /// Processors that the machines which exist or are requested will not provide in time, by the
-    /// offer that suits the waiting jobs best; most first. Each job in the order of the queue takes
-    /// what it may use of the supply, and lacks the rest. (The sum over the queue alone once filled
-    /// the region with machines that the waiting jobs could not use.)
-    fn lacking(&self) -> Vec<(Offer, f64)> {
-        let mut headroom = self.team_headroom(|cached| self.share_still_needed(cached));
+    /// CPU shortfall that existing and requested machines will not cover in time, by the best offer
+    /// for the waiting jobs, largest first. In queue order, each job is allocated what it may use of
+    /// the supply; the rest is its shortfall. (Comparing only the sum over the queue with the supply
+    /// filled the region with machines that the waiting jobs could not use.)
+    fn shortfalls(&self) -> Vec<(Offer, f64)> {
+        let mut headroom = self.team_headroom(|cached| self.fraction_still_used(cached));
         let mut supply = self.supply();
-        let mut lacking = CpusByOffer::new();
-        let sizes = self.inventory.sizes();
+        let mut shortfalls = CpusByOffer::new();
+        let machine_counts = self.inventory.machine_counts();
         for Queued { job: id, tasks: unclaimed, growth, .. } in self.queue() {
             let Some(cached) = self.cache.jobs.get(&id) else { continue };
-            // No machine is requested for another try of what fails wherever it runs.
+            // No machine is requested to retry a job that fails on every machine.
             let may_use = |offer: &Offer| self.may_use(cached, &offer.pool);
             if growth || (self.is_suspect(&id, cached) && supply.keys().any(may_use)) {
                 continue;
             }
-            let mut need = self.scale_out_need(cached, unclaimed);
-            // Nor for what the team's limit will not let start.
+            let mut demand = self.cpu_demand(cached, unclaimed);
+            // Nor for tasks that the team's limit keeps from starting.
             if let Some(headroom) = headroom.get_mut(&cached.record.spec.team) {
-                need.cpus = need.cpus.min(*headroom).max(0.0);
-                *headroom -= need.cpus;
+                demand.cpus = demand.cpus.min(*headroom).max(0.0);
+                *headroom -= demand.cpus;
             }
-            self.take_from_supply(cached, &mut need, &mut supply);
-            if need.cpus > MIN_LACK_CPUS {
-                if let Some(offer) = self.best_offer(cached, &lacking, &need, &sizes) {
-                    *lacking.entry(offer).or_default() += need.cpus;
+            self.allocate_supply(cached, &mut demand, &mut supply);
+            if demand.cpus > MIN_SHORTFALL_CPUS {
+                if let Some(offer) = self.best_offer(cached, &shortfalls, &demand, &machine_counts)
+                {
+                    *shortfalls.entry(offer).or_default() += demand.cpus;
                 }
             }
         }
-        let mut wanted: Vec<(Offer, f64)> = lacking.into_iter().collect();
-        wanted.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        wanted
+        let mut sorted: Vec<(Offer, f64)> = shortfalls.into_iter().collect();
+        sorted.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
+        sorted
     }
 
-    /// The share of its processors that a job still holds when those that wait now need them.
-    fn share_still_needed(&self, cached: &CachedJob) -> f64 {
+    /// The expected fraction of its processors that a running job still uses when the waiting jobs need
+    /// them.
+    fn fraction_still_used(&self, cached: &CachedJob) -> f64 {
         (0.5 * cached.record.spec.estimate_s / self.cfg.usual_wait_s).min(1.0)
     }
 
-    /// Processors of the machines that exist, less what their tasks go on using, and of those that
-    /// are requested.
+    /// Processors of existing machines, less those that their tasks will still use, and of requested
+    /// machines.
     fn supply(&self) -> CpusByOffer {
         let mut supply = CpusByOffer::new();
         for (id, m) in &self.inventory.machines {
-            // One that another controller has returned is no supply. (It counted for 50 s more, and
-            // what could have been requested waited that long.)
-            if !m.takes_work() || !self.may_be_there(m) {
+            // A machine that another controller has deleted is no supply: without this check it would
+            // count for another 50 s and delay the request for its replacement by as much.
+            if !m.is_schedulable() || !self.may_still_exist(m) {
                 continue;
             }
-            let mut free = self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
+            let mut free =
+                self.inventory.machine_resources(&m.pool.machine_type).cpus as f64 / 1000.0;
             for ((job, _), _) in self.cache.claims.get(id).into_iter().flatten() {
                 if let Some(cached) = self.cache.jobs.get(job) {
-                    free -= cached.record.spec.cpus * self.share_still_needed(cached);
+                    free -= cached.record.spec.cpus * self.fraction_still_used(cached);
                 }
             }
             let offer = Offer { pool: m.pool.clone(), spot: m.spot };
             *supply.entry(offer).or_default() += free.max(0.0);
         }
-        // What stands in the record is on its way, whoever asked for it.
+        // Recorded intents count as supply, whichever controller wrote them.
         for intent in self.scale_out.tracker.coming(&self.cache.scale_out_intents.value) {
-            let kind = self.inventory.types.get(&intent.machine_type);
-            let cpus = kind.map_or(0.0, |t| t.cpus) * f64::from(intent.count);
+            let machine_type = self.inventory.types.get(&intent.machine_type);
+            let cpus = machine_type.map_or(0.0, |t| t.cpus) * f64::from(intent.count);
             *supply.entry(Offer::of(intent)).or_default() += cpus;
         }
         supply
     }
 
-    /// What a job needs to start its unclaimed tasks in time.
-    fn scale_out_need(&self, cached: &CachedJob, unclaimed: u32) -> Need {
+    /// Processors that a job needs to start its unclaimed tasks in time.
+    fn cpu_demand(&self, cached: &CachedJob, unclaimed: u32) -> CpuDemand {
         let spec = &cached.record.spec;
-        let target = (self.slack_s(cached) * 0.8).clamp(5.0, 120.0);
-        let run = if spec.kind == Kind::Array { spec.estimate_s.max(1.0) } else { target };
-        let all = f64::from(unclaimed) * spec.cpus;
-        // Of a spread job, each zone can take only half.
-        let per_zone = if spec.spread { all / 2.0 + spec.cpus } else { f64::INFINITY };
-        let cpus = all.min(all * run / target).max(spec.cpus);
-        Need { cpus, per_zone, taken_by_zone: BTreeMap::new() }
+        let target_wait_s = (self.slack_s(cached) * 0.8).clamp(5.0, 120.0);
+        let run_s = if spec.kind == Kind::Array { spec.estimate_s.max(1.0) } else { target_wait_s };
+        let all_cpus = f64::from(unclaimed) * spec.cpus;
+        // Of a spread job, each zone may run only half.
+        let max_per_zone = if spec.spread { all_cpus / 2.0 + spec.cpus } else { f64::INFINITY };
+        let cpus = all_cpus.min(all_cpus * run_s / target_wait_s).max(spec.cpus);
+        CpuDemand { cpus, max_per_zone, allocated_by_zone: BTreeMap::new() }
     }
 
-    /// Lets a job take what it may use of the supply.
-    fn take_from_supply(&self, cached: &CachedJob, need: &mut Need, supply: &mut CpusByOffer) {
+    /// Allocates to a job what it may use of the supply.
+    fn allocate_supply(
+        &self,
+        cached: &CachedJob,
+        demand: &mut CpuDemand,
+        supply: &mut CpusByOffer,
+    ) {
         for (offer, free) in supply {
             if (offer.spot && !cached.record.spec.spot) || !self.may_use(cached, &offer.pool) {
                 continue;
             }
-            let in_zone = need.taken_by_zone.entry(offer.pool.zone.clone()).or_default();
-            let take = need.cpus.min(*free).min(need.per_zone - *in_zone).max(0.0);
-            *free -= take;
-            *in_zone += take;
-            need.cpus -= take;
+            let allocated_in_zone =
+                demand.allocated_by_zone.entry(offer.pool.zone.clone()).or_default();
+            let allocated =
+                demand.cpus.min(*free).min(demand.max_per_zone - *allocated_in_zone).max(0.0);
+            *free -= allocated;
+            *allocated_in_zone += allocated;
+            demand.cpus -= allocated;
         }
     }
 
-    /// How long the tasks of a job may still wait if it is to meet what is expected of it.
+    /// How long the tasks of a job may still wait if the job is to meet its service level objectives.
     fn slack_s(&self, cached: &CachedJob) -> f64 {
         let spec = &cached.record.spec;
         let elapsed = self.wall_ms.saturating_sub(cached.record.accepted_ms) as f64 / 1000.0;
-        let objectives = self.cfg.objectives.iter().filter(|a| a.class == spec.class);
-        let waits = objectives.filter_map(|a| match a.kind {
+        let objectives =
+            self.cfg.objectives.iter().filter(|objective| objective.class == spec.class);
+        let waits = objectives.filter_map(|objective| match objective.kind {
             ObjectiveKind::Finished(within) => Some(within - spec.estimate_s),
             ObjectiveKind::Deadline(times) => spec.deadline_s.map(|d| d * times - spec.estimate_s),
             ObjectiveKind::Wait(within) => Some(within),
@@ -323,38 +342,44 @@
         waits.min_by(f64::total_cmp).unwrap_or(self.cfg.usual_wait_s) - elapsed
     }
 
-    /// The offer that is best for a job: cheap per processor, soon up, and not all in one place.
+    /// The best offer for a job, by price per processor, boot time and how many of the machines are
+    /// already in that pool.
     fn best_offer(
         &self,
         cached: &CachedJob,
-        lacking: &CpusByOffer,
-        need: &Need,
-        sizes: &BTreeMap<&PoolId, usize>,
+        shortfalls: &CpusByOffer,
+        demand: &CpuDemand,
+        machine_counts: &BTreeMap<&PoolId, usize>,
     ) -> Option<Offer> {
         let mut best: Option<(f64, Offer)> = None;
-        let all = self.inventory.machines.len().max(1) as f64;
+        let machine_count = self.inventory.machines.len().max(1) as f64;
         for pool in self.inventory.pools() {
-            let Some(kind) = self.inventory.types.get(&pool.machine_type) else { continue };
-            if need.is_zone_full(&pool.zone) || kind.cpus <= 0.0 || !self.may_use(cached, &pool) {
+            let Some(machine_type) = self.inventory.types.get(&pool.machine_type) else { continue };
+            if demand.is_zone_full(&pool.zone)
+                || machine_type.cpus <= 0.0
+                || !self.may_use(cached, &pool)
+            {
                 continue;
             }
             for spot in [true, false] {
                 let offer = Offer { pool: pool.clone(), spot };
-                let book = &self.cache.scale_out_intents.value;
-                let refused = book.is_refused(&pool, spot, self.wall_ms)
-                    || self.scale_out.tracker.was_short(book, &pool, spot);
-                if (spot && !cached.record.spec.spot) || refused {
+                let intents = &self.cache.scale_out_intents.value;
+                let is_refused = intents.is_refused(&pool, spot, self.wall_ms)
+                    || self.scale_out.tracker.was_short(intents, &pool, spot);
+                if (spot && !cached.record.spec.spot) || is_refused {
                     continue;
                 }
-                let price = if spot { kind.spot_price } else { kind.price };
-                let crowd = 1.0 + 0.5 * sizes.get(&pool).copied().unwrap_or(0) as f64 / all;
-                let mut rank = price / kind.cpus * (1.0 + kind.boot_s / 60.0) * crowd;
-                if lacking.contains_key(&offer) {
-                    // Prefer what is requested anyway.
-                    rank *= 0.9;
+                let price = if spot { machine_type.spot_price } else { machine_type.price };
+                let concentration = 1.0
+                    + 0.5 * machine_counts.get(&pool).copied().unwrap_or(0) as f64 / machine_count;
+                let mut cost =
+                    price / machine_type.cpus * (1.0 + machine_type.boot_s / 60.0) * concentration;
+                if shortfalls.contains_key(&offer) {
+                    // Prefer an offer that is requested for other jobs anyway.
+                    cost *= 0.9;
                 }
-                if best.as_ref().is_none_or(|b| rank < b.0) {
-                    best = Some((rank, offer));
+                if best.as_ref().is_none_or(|(best_cost, _)| cost < *best_cost) {
+                    best = Some((cost, offer));
                 }
             }
         }
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -1,5 +1,5 @@
-//! Watching the machines of this controller's pools: silent ones, idle ones, those that are returned,
-//! and those that only their claims tell of.
+//! Monitors the machines of this controller's pools: detects failed, unresponsive and idle machines,
+//! deletes them, and adds machines that are known only from claims.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::CloudRequest;
@@ -10,164 +10,170 @@
 use cleatfold_wire::{FencingToken, MachineId, Ms, PoolId, TeamId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Looking at every machine costs by their number; nothing it finds is in a hurry.
+/// The cost of a check grows with the number of machines, and none of its results is urgent.
 const WATCH_INTERVAL_MS: u64 = 250;
-/// A machine that never reports is returned after so many boot times, and a moment.
-const MAX_BOOT_TIMES: u64 = 4;
+/// A machine that never sends a heartbeat is deleted after this multiple of its type's boot time,
+/// plus `BOOT_GRACE_MS`.
+const MAX_BOOT_TIME_FACTOR: u64 = 4;
 const BOOT_GRACE_MS: u64 = 30_000;
-/// Machines that one call to the cloud may delete, by the protocol.
+/// Machines that one call to the cloud may delete, by its protocol.
 const MAX_DELETED_PER_CALL: usize = 100;
-/// So few silent machines of a zone are dead machines; more of them may be a cut.
-const MAX_SINGLE_FAILURES: usize = 2;
+/// Up to this many unresponsive machines in a zone count as machine failures; more of them may be a
+/// network partition.
+const MAX_INDEPENDENT_FAILURES: usize = 2;
 
-/// A pool of ours, as its machines are watched by.
+/// What the check of a machine needs to know of its pool.
 struct WatchedPool {
     token: FencingToken,
-    /// Since when it is ours.
-    since: Ms,
+    /// When this controller's ownership was first read.
+    acquired_at: Ms,
     boot_ms: u64,
-    /// Of one machine.
+    /// Processors of one machine.
     cpus: f64,
-    /// Processors that waiting jobs may use of its ordinary and of its spot machines.
-    useful: [f64; 2],
+    /// Processors that waiting jobs can use on its on-demand machines and on its spot machines.
+    usable_cpus_left: [f64; 2],
 }
 
-/// Times after which something is concluded about a machine.
-struct WatchTimes {
+/// The time of a check, and its thresholds.
+struct WatchThresholds {
     now: Ms,
-    /// Without a heartbeat for so long its lease may have expired.
-    quiet_ms: u64,
-    /// Without a heartbeat for so long it is given up.
+    /// Without a heartbeat for longer than this, the worker's lease may have expired.
+    lease_check_ms: u64,
+    /// Without a heartbeat for longer than this, the machine counts as unresponsive.
     machine_timeout_ms: u64,
     lease_ms: u64,
     idle_ms: u64,
 }
 
-impl WatchTimes {
-    /// A worker's lease is over for certain after so long: it may be renewed late, and clocks drift.
-    fn certain_lease_ms(&self) -> u64 {
+impl WatchThresholds {
+    /// The time after which a worker's lease has certainly expired: the worker may receive the renewal
+    /// late, and clocks drift.
+    fn max_lease_ms(&self) -> u64 {
         self.lease_ms + self.lease_ms / 500 + 500
     }
 }
 
-/// Machines of one zone that are ours.
+/// Machines of the owned pools in one zone, by whether this controller reaches them.
 #[derive(Clone, Copy, Default)]
-struct ZoneCount {
-    unresponsive: usize,
-    responsive: usize,
+struct ZoneReachability {
+    unreachable: usize,
+    reachable: usize,
 }
 
-impl ZoneCount {
-    /// Many of one zone at once is a cut, or us: deleting them would make it worse. (Counted
-    /// over all of an owner's machines, a cut zone passed for a few dead ones among many.)
-    fn looks_cut(self) -> bool {
-        self.unresponsive > MAX_SINGLE_FAILURES && self.unresponsive * 2 > self.responsive
+impl ZoneReachability {
+    /// Whether so many machines of the zone are unreachable at once that a network partition, or a
+    /// fault of this controller, is the likely cause; deleting them would make it worse. Counted per
+    /// zone, because among all machines of an owner a partitioned zone looks like a few failures.
+    fn may_be_partitioned(self) -> bool {
+        self.unreachable > MAX_INDEPENDENT_FAILURES && self.unreachable * 2 > self.reachable
     }
 }
 
-/// A machine that has sent no heartbeat for so long that it is given up.
-struct SilentMachine {
+/// A machine that has sent no heartbeat for longer than the threshold.
+struct UnresponsiveMachine {
     id: MachineId,
     zone: ZoneId,
-    silent_ms: u64,
+    silence_ms: u64,
 }
 
-/// A machine that sends heartbeats and receives nothing.
+/// A machine that sends heartbeats but receives no responses.
 struct PartitionedMachine {
     id: MachineId,
     zone: ZoneId,
 }
 
-/// A machine whose lease has provably expired, under the ownership that proves it.
+/// A machine whose worker's lease has provably expired, with the pool ownership that proves it.
 struct ExpiredMachine {
     id: MachineId,
     fence: Fence,
 }
 
-/// What one look at the machines has found.
+/// Results of one check of all machines.
 #[derive(Default)]
-struct Findings {
-    /// To be deleted, whatever else is found.
-    delete: Vec<MachineId>,
-    silent: Vec<SilentMachine>,
+struct CheckResults {
+    /// Machines to be deleted regardless of the state of their zone.
+    to_delete: Vec<MachineId>,
+    unresponsive: Vec<UnresponsiveMachine>,
     partitioned: Vec<PartitionedMachine>,
     expired: Vec<ExpiredMachine>,
-    zones: BTreeMap<ZoneId, ZoneCount>,
+    zones: BTreeMap<ZoneId, ZoneReachability>,
 }
 
-impl Findings {
-    /// Looks at one machine. `is_needed`: not to be returned for idleness.
-    fn inspect(
+impl CheckResults {
+    /// Checks one machine. `is_needed` returns whether it must be kept even when idle.
+    fn check(
         &mut self,
         id: &MachineId,
         machine: &mut Machine,
         pool: &mut WatchedPool,
-        times: &WatchTimes,
+        thresholds: &WatchThresholds,
         has_claims: bool,
         is_needed: impl FnOnce() -> bool,
     ) {
-        if machine.listed == Some(MachineState::Failed) {
-            self.delete.push(id.clone());
+        if machine.state == Some(MachineState::Failed) {
+            self.to_delete.push(id.clone());
             return;
         }
-        if machine.last_heartbeat().is_none() && !has_claims {
-            self.inspect_booting(id, machine, pool, times);
+        if machine.last_heartbeat_at().is_none() && !has_claims {
+            self.check_booting(id, machine, pool, thresholds);
             return;
         }
-        if !self.inspect_liveness(id, machine, pool, times, has_claims) {
+        if !self.check_responsiveness(id, machine, pool, thresholds, has_claims) {
             return;
         }
-        if has_claims || machine.runs_something() {
+        if has_claims || machine.has_running_tasks() {
             machine.idle_since = None;
             return;
         }
-        let idle_since = *machine.idle_since.get_or_insert(times.now);
-        let useful = &mut pool.useful[usize::from(machine.spot)];
-        let is_useless = *useful <= 0.0;
-        *useful -= pool.cpus;
-        let is_idle = times.now.since(idle_since) > times.idle_ms;
-        let is_unused = is_idle && is_useless && !is_needed();
+        let idle_since = *machine.idle_since.get_or_insert(thresholds.now);
+        let usable_cpus_left = &mut pool.usable_cpus_left[usize::from(machine.spot)];
+        let is_unneeded = *usable_cpus_left <= 0.0;
+        *usable_cpus_left -= pool.cpus;
+        let is_idle = thresholds.now.since(idle_since) > thresholds.idle_ms;
+        let is_unused = is_idle && is_unneeded && !is_needed();
         if machine.draining || is_unused {
-            self.delete.push(id.clone());
+            self.to_delete.push(id.clone());
         }
     }
 
-    /// Booting, or never coming up.
-    fn inspect_booting(
+    /// Checks a machine that has not sent a heartbeat yet: it is deleted if it takes too long to boot.
+    fn check_booting(
         &mut self,
         id: &MachineId,
         machine: &Machine,
         pool: &WatchedPool,
-        times: &WatchTimes,
+        thresholds: &WatchThresholds,
     ) {
-        let age_ms = times.now.since(machine.born);
-        let owned_ms = times.now.since(pool.since);
-        if age_ms > pool.boot_ms * MAX_BOOT_TIMES + BOOT_GRACE_MS && owned_ms > BOOT_GRACE_MS {
-            self.delete.push(id.clone());
+        let age_ms = thresholds.now.since(machine.created_at);
+        let owned_ms = thresholds.now.since(pool.acquired_at);
+        if age_ms > pool.boot_ms * MAX_BOOT_TIME_FACTOR + BOOT_GRACE_MS && owned_ms > BOOT_GRACE_MS
+        {
+            self.to_delete.push(id.clone());
         }
     }
 
-    /// Whether the machine reports and receives what it is told.
-    fn inspect_liveness(
+    /// Returns whether the machine sends heartbeats and receives responses; records it if it does not,
+    /// or if its lease has expired.
+    fn check_responsiveness(
         &mut self,
         id: &MachineId,
         machine: &mut Machine,
         pool: &WatchedPool,
-        times: &WatchTimes,
+        thresholds: &WatchThresholds,
         has_claims: bool,
     ) -> bool {
-        let now = times.now;
-        let last = machine.last_heartbeat().unwrap_or(machine.known);
-        let quiet_ms = now.since(last.max(machine.known).max(pool.since));
-        if quiet_ms > times.quiet_ms {
-            // Its own lease: the last answer it can have had came from us, under the token it has
-            // seen, so nobody else can have renewed it.
-            let seen = machine.heartbeat.as_ref().is_some_and(|h| h.token == pool.token);
-            let answered = machine.answered.is_some_and(|(at, token)| {
-                token == pool.token && now.since(at) > times.certain_lease_ms()
+        let now = thresholds.now;
+        let last = machine.last_heartbeat_at().unwrap_or(machine.observed_since);
+        let silence_ms = now.since(last.max(machine.observed_since).max(pool.acquired_at));
+        if silence_ms > thresholds.lease_check_ms {
+            // The worker has seen this controller's token, so it accepts no response of an earlier
+            // owner: only this controller's last response can have renewed its lease.
+            let token_seen = machine.heartbeat.as_ref().is_some_and(|h| h.token == pool.token);
+            let renewal_expired = machine.last_answer.is_some_and(|(at, token)| {
+                token == pool.token && now.since(at) > thresholds.max_lease_ms()
             });
-            if seen && answered && !machine.expired {
-                machine.expired = true;
+            if token_seen && renewal_expired && !machine.lease_expired {
+                machine.lease_expired = true;
                 let fence = Fence { pool: machine.pool.clone(), token: pool.token };
                 self.expired.push(ExpiredMachine { id: id.clone(), fence });
             }
@@ -177,46 +183,53 @@
             Some(count) => count,
             None => self.zones.entry(zone.clone()).or_default(),
         };
-        if quiet_ms > times.machine_timeout_ms {
-            count.unresponsive += 1;
-            let silent = SilentMachine { id: id.clone(), zone: zone.clone(), silent_ms: quiet_ms };
-            self.silent.push(silent);
+        if silence_ms > thresholds.machine_timeout_ms {
+            count.unreachable += 1;
+            let unresponsive =
+                UnresponsiveMachine { id: id.clone(), zone: zone.clone(), silence_ms };
+            self.unresponsive.push(unresponsive);
             return false;
         }
-        // It reports, but receives nothing: no sign that the zone is reached, and of no use.
+        // It sends heartbeats but receives no responses: this does not show that the zone is
+        // reachable, and the machine cannot be used.
         if machine.partition_detector.is_partitioned() {
-            count.unresponsive += 1;
+            count.unreachable += 1;
             let partitioned_ms = machine.partition_detector.partitioned_ms(now);
-            if !has_claims && partitioned_ms > 2 * times.lease_ms {
+            if !has_claims && partitioned_ms > 2 * thresholds.lease_ms {
                 self.partitioned.push(PartitionedMachine { id: id.clone(), zone: zone.clone() });
             }
             return false;
         }
-        count.responsive += 1;
+        count.reachable += 1;
         true
     }
 
-    fn zone(&self, zone: &ZoneId) -> ZoneCount {
+    fn zone_reachability(&self, zone: &ZoneId) -> ZoneReachability {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
-    /// Every machine that is to be deleted.
-    fn to_delete(&self, lease_ms: u64) -> Vec<MachineId> {
-        let mut delete = self.delete.clone();
-        let is_given_up =
-            |m: &&SilentMachine| !self.zone(&m.zone).looks_cut() || m.silent_ms > lease_ms * 2;
-        delete.extend(self.silent.iter().filter(is_given_up).map(|m| m.id.clone()));
-        let partitioned = self.partitioned.iter().filter(|m| !self.zone(&m.zone).looks_cut());
-        delete.extend(partitioned.map(|m| m.id.clone()));
-        delete
+    /// All machines to be deleted.
+    fn deletions(&self, lease_ms: u64) -> Vec<MachineId> {
+        let mut deletions = self.to_delete.clone();
+        let is_failed = |m: &&UnresponsiveMachine| {
+            !self.zone_reachability(&m.zone).may_be_partitioned() || m.silence_ms > lease_ms * 2
+        };
+        deletions.extend(self.unresponsive.iter().filter(is_failed).map(|m| m.id.clone()));
+        let partitioned = self
+            .partitioned
+            .iter()
+            .filter(|m| !self.zone_reachability(&m.zone).may_be_partitioned());
+        deletions.extend(partitioned.map(|m| m.id.clone()));
+        deletions
     }
 }
 
 impl Controller {
-    /// Looks at our machines: releases the claims of those that are gone, and deletes those that are
-    /// failed, silent or idle.
+    /// Checks the machines of the owned pools: releases the claims of those whose lease has expired,
+    /// and deletes failed, unresponsive and idle ones.
     pub(crate) fn watch_machines(&mut self) {
-        // Cut off, we would take our own silence for the machines'. Others may hear them.
+        // While this controller is cut off from the state service, its own isolation would look like
+        // failures of the machines, which other controllers may still reach.
         let is_due =
             self.now.since(self.machines_checked_at) >= WATCH_INTERVAL_MS * self.backpressure;
         if !self.has_store_contact() || !is_due {
@@ -225,35 +238,36 @@
         self.machines_checked_at = self.now;
         self.adopt_claimed_machines();
         self.judge_machines();
-        let times = WatchTimes {
+        let thresholds = WatchThresholds {
             now: self.now,
-            quiet_ms: self.silent_ms(),
+            lease_check_ms: self.silent_ms(),
             machine_timeout_ms: self.cfg.machine_timeout_ms(),
             lease_ms: self.cfg.lease_ms,
             idle_ms: (self.cfg.idle_return_s * 1000.0) as u64,
         };
         let mut pools = self.watched_pools();
-        let mut findings = Findings::default();
+        let mut results = CheckResults::default();
         for (id, machine) in &mut self.inventory.machines {
             let watched = pools.get_mut(&machine.pool).filter(|_| !machine.deleting);
             let Some(pool) = watched else { continue };
             let has_claims = self.cache.claims.get(id).is_some_and(|c| !c.is_empty());
             let is_needed = || self.image_distribution.needs(id);
-            findings.inspect(id, machine, pool, &times, has_claims, is_needed);
+            results.check(id, machine, pool, &thresholds, has_claims, is_needed);
         }
-        for ExpiredMachine { id, fence } in &findings.expired {
-            // Claims made since are on no machine either: they were never ordered.
+        for ExpiredMachine { id, fence } in &results.expired {
+            // Claims made after the expiry can be released too: their tasks were never started.
             if self.cache.claims.contains_key(id) {
-                self.on_machine_gone(id, EndReason::LeaseExpired, Some(fence.clone()));
+                self.end_machine_claims(id, EndReason::LeaseExpired, Some(fence.clone()));
             }
         }
-        self.replan_needed |= !findings.silent.is_empty();
-        self.delete(findings.to_delete(times.lease_ms));
+        self.replan_needed |= !results.unresponsive.is_empty();
+        self.delete_machines(results.deletions(thresholds.lease_ms));
     }
 
+    /// Collects the data of the owned pools for the check.
     fn watched_pools(&self) -> BTreeMap<PoolId, WatchedPool> {
         let headroom = self.team_headroom(|_| 1.0);
-        // The same for every pool.
+        // Collected once, since it is the same for every pool.
         let waiting: Vec<&CachedJob> = self
             .cache
             .jobs
@@ -263,22 +277,22 @@
             .map(|(_, job)| job)
             .collect();
         let watched = self.pools.owned.iter().map(|(pool, owned)| {
-            let kind = self.inventory.types.get(&pool.machine_type);
-            let useful = |spot| self.useful_cpus(pool, spot, &waiting, &headroom);
+            let machine_type = self.inventory.types.get(&pool.machine_type);
+            let usable_cpus = |spot| self.usable_cpus(pool, spot, &waiting, &headroom);
             let watched = WatchedPool {
                 token: owned.token,
-                since: owned.since,
-                boot_ms: kind.map_or(60_000.0, |t| t.boot_s * 1000.0) as u64,
-                cpus: kind.map_or(1.0, |t| t.cpus),
-                useful: [useful(false), useful(true)],
+                acquired_at: owned.acquired_at,
+                boot_ms: machine_type.map_or(60_000.0, |t| t.boot_s * 1000.0) as u64,
+                cpus: machine_type.map_or(1.0, |t| t.cpus),
+                usable_cpus_left: [usable_cpus(false), usable_cpus(true)],
             };
             (pool.clone(), watched)
         });
         watched.collect()
     }
 
-    /// Processors that waiting jobs may use of a pool's ordinary or spot machines.
-    fn useful_cpus(
+    /// Processors that waiting jobs can use on the pool's on-demand or spot machines.
+    fn usable_cpus(
         &self,
         pool: &PoolId,
         spot: bool,
@@ -291,18 +305,18 @@
             if (spot && !spec.spot) || !self.may_use(job, pool) {
                 continue;
             }
-            // What waits for its team's limit alone keeps no idle machine. (Hundreds
-            // stood idle for a team that could not start anything.)
+            // Tasks that wait only because of their team's limit do not keep idle machines: otherwise
+            // hundreds stay idle for a team that cannot start anything.
             if !headroom.contains_key(&spec.team) {
                 return f64::INFINITY;
             }
             *teams.entry(&spec.team).or_default() += spec.cpus * f64::from(job.unclaimed());
         }
-        teams.into_iter().map(|(team, waits)| waits.min(headroom[team]).max(0.0)).sum()
+        teams.into_iter().map(|(team, cpus)| cpus.min(headroom[team]).max(0.0)).sum()
     }
 
-    /// All claims on a machine that is provably gone are over.
-    pub(super) fn on_machine_gone(
+    /// Ends all claims on a machine that provably runs no tasks any more.
+    pub(super) fn end_machine_claims(
         &mut self,
         id: &MachineId,
         reason: EndReason,
@@ -312,31 +326,35 @@
         tracing::info!(machine = %id, tasks = claims.len(), reason = %reason, "machine gone");
         for ((job, ix), claim) in claims {
             let (machine, attempt, fence) = (id.clone(), claim.attempt, fence.clone());
-            let started =
-                self.inventory.machines.get(id).and_then(|m| m.started.get(&(job.clone(), ix)));
+            let started = self
+                .inventory
+                .machines
+                .get(id)
+                .and_then(|m| m.task_started_at.get(&(job.clone(), ix)));
             let ran_ms = started.map_or(0, |s| self.now.since(*s));
             self.end(&job, ClaimEnd { machine, ix, attempt, done: false, reason, ran_ms, fence });
         }
     }
 
-    fn delete(&mut self, ids: Vec<MachineId>) {
-        // One call at a time, up to a hundred machines each: a call a machine kept the cloud's
-        // rate busy for a minute after a wave of losses, and proofs came late.
+    /// Requests the deletion of machines that no claim in flight names.
+    fn delete_machines(&mut self, ids: Vec<MachineId>) {
+        // One call at a time, with up to a hundred machines: one call per machine used up the cloud's
+        // rate limit for a minute after many machines had failed, which delayed the proofs of deletion.
         if self.calls.pending.values().any(|p| matches!(p, Pending::Delete { .. })) {
             return;
         }
         let mut batch = Vec::new();
         for id in ids {
-            let promised = self
+            let has_claim_in_flight = self
                 .job_states
                 .values()
-                .any(|l| l.placement_requests.iter().any(|w| w.machine == id))
+                .any(|state| state.placement_requests.iter().any(|w| w.machine == id))
                 || self
                     .calls
                     .pending
                     .values()
                     .any(|p| matches!(p, Pending::Job(tx) if tx.names(&id)));
-            if promised || batch.len() >= MAX_DELETED_PER_CALL {
+            if has_claim_in_flight || batch.len() >= MAX_DELETED_PER_CALL {
                 continue;
             }
             if let Some(m) = self.inventory.machines.get_mut(&id) {
@@ -352,7 +370,8 @@
         }
     }
 
-    /// Machines that only their claims tell of: taken over from a former owner, or deleted.
+    /// Adds machines that are known only from claims (those of a former owner) to the inventory, and
+    /// ends the claims of those that are already deleted.
     fn adopt_claimed_machines(&mut self) {
         let unknown: BTreeSet<MachineId> = self
             .cache
@@ -374,11 +393,11 @@
         }
         for (id, pool) in found {
             if self.inventory.is_deleted(&id) {
-                // Until the ends are recorded its claims stand; they are told of once.
+                // The claims remain until their ends are recorded; the ends are reported only once.
                 let claims = self.cache.claims.get(&id).into_iter().flatten();
-                let mut news = claims.map(|((job, ix), c)| self.is_ending(job, *ix, c.attempt));
-                if news.any(|ending| !ending) {
-                    self.on_machine_gone(&id, EndReason::MachineDeleted, None);
+                let mut ending = claims.map(|((job, ix), c)| self.is_ending(job, *ix, c.attempt));
+                if ending.any(|is_ending| !is_ending) {
+                    self.end_machine_claims(&id, EndReason::MachineDeleted, None);
                 }
             } else {
                 let now = self.now;
--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -1,16 +1,18 @@
-//! What the other controllers tell: hints, all of it.
+//! Handling of mesh messages from the other controllers. All of them are hints: what is authoritative
+//! is recorded in the state service.
 
 use crate::controller::Controller;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::{ControllerId, FencingToken, ImageId, MachineId, Ms, PoolId};
 
 impl Controller {
+    /// Handles a message from a peer.
     pub(crate) fn on_mesh(&mut self, from: ControllerId, message: Message) {
         self.reachability.view.peers.note_message(&from, self.now);
         match message {
             Message::Alive { contact_age_ms } => {
-                let contact = Ms(self.now.0.saturating_sub(contact_age_ms));
-                self.reachability.view.peers.read(&from, contact);
+                let read_at = Ms(self.now.0.saturating_sub(contact_age_ms));
+                self.reachability.view.peers.read(&from, read_at);
             }
             Message::Changed => {
                 self.session.sync_wanted = true;
@@ -19,9 +21,9 @@
             Message::Images { machines } => {
                 for (id, images) in machines {
                     let id = MachineId::new(id);
-                    let Some(m) = self.inventory.machines.get_mut(&id) else { continue };
-                    if !self.pools.owned.contains_key(&m.pool) {
-                        m.images = images
+                    let Some(machine) = self.inventory.machines.get_mut(&id) else { continue };
+                    if !self.pools.owned.contains_key(&machine.pool) {
+                        machine.images = images
                             .into_iter()
                             .map(|(image, gb)| (ImageId::new(image), gb))
                             .collect();
@@ -31,7 +33,7 @@
             Message::Rented { pool, spot, machines } => {
                 if let Some(pool) = PoolId::parse(&pool) {
                     let machines = machines.into_iter().map(MachineId::new).collect();
-                    self.note_created_machines(&pool, spot, machines);
+                    self.add_created_machines(&pool, spot, machines);
                 }
             }
             Message::Cancelled { jobs } => self.on_cancelled(from, jobs),
@@ -43,12 +45,17 @@
                     return;
                 };
                 let token = FencingToken(token);
-                let known = self.cache.pools.get(&pool).map(|h| h.token).unwrap_or_default();
-                if token > known {
-                    self.pools.hinted.insert(pool.clone(), (from, token));
+                let known_token = self
+                    .cache
+                    .pools
+                    .get(&pool)
+                    .map(|ownership| ownership.token)
+                    .unwrap_or_default();
+                if token > known_token {
+                    self.pools.superseded_by.insert(pool.clone(), (from, token));
                     self.session.sync_wanted = true;
                 }
-                if token >= known {
+                if token >= known_token {
                     self.plans.remote(pool, token, self.now, promises);
                     self.replan_needed = true;
                 }
--- a/crates/cleatfold-control/src/membership/state.rs
+++ b/crates/cleatfold-control/src/membership/state.rs
@@ -1,21 +1,22 @@
-//! What a controller has seen of who reaches whom.
+//! State of the reachability checks.
 
 use crate::config::Config;
 use cleatfold_reachability::{Reachability, Timing};
 use cleatfold_wire::{ControllerId, Ms, PoolId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who reaches whom, and what was last told and seen of it.
+/// A controller's view of reachability, with what it last sent to its peers and saw in the cache.
 pub(crate) struct ReachabilityState {
     pub view: Reachability,
     pub last_checked: Ms,
+    /// When the zone contacts were last sent to the peers.
     pub contacts_sent_at: Ms,
-    /// Zones that we do not reach, as we last saw.
-    pub lost: BTreeSet<ZoneId>,
-    /// Who held each pool when we last looked.
-    pub holders: BTreeMap<PoolId, ControllerId>,
-    /// To whom we have assigned pools ourselves.
-    pub assigned_to: BTreeMap<PoolId, ControllerId>,
+    /// Zones that this controller did not reach at the last check.
+    pub lost_zones: BTreeSet<ZoneId>,
+    /// The owner of each pool as of the last sync.
+    pub pool_owners: BTreeMap<PoolId, ControllerId>,
+    /// The owner to which this controller last assigned each pool.
+    pub own_assignments: BTreeMap<PoolId, ControllerId>,
 }
 
 impl ReachabilityState {
@@ -24,14 +25,14 @@
             view: Reachability::new(Timing { heartbeat_interval_ms: cfg.heartbeat_interval_ms }),
             last_checked: Ms(0),
             contacts_sent_at: Ms(0),
-            lost: BTreeSet::new(),
-            holders: BTreeMap::new(),
-            assigned_to: BTreeMap::new(),
+            lost_zones: BTreeSet::new(),
+            pool_owners: BTreeMap::new(),
+            own_assignments: BTreeMap::new(),
         }
     }
 
-    /// We gave a pool to a controller.
-    pub(crate) fn note_assignment(&mut self, pool: &PoolId, controller: &ControllerId) {
-        self.assigned_to.insert(pool.clone(), controller.clone());
+    /// Records that this controller assigned a pool.
+    pub(crate) fn record_own_assignment(&mut self, pool: &PoolId, controller: &ControllerId) {
+        self.own_assignments.insert(pool.clone(), controller.clone());
     }
 }
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -119,9 +119,9 @@
 
     fn plan_pools(&self, queue: &[Queued], usage: &Usage) -> Vec<PoolPlan> {
         let mut plans = Vec::new();
-        let by_pool = self.inventory.by_pool();
+        let by_pool = self.inventory.machines_by_pool();
         let long = self.long_work();
-        for (pool, token) in self.pools.undisputed() {
+        for (pool, token) in self.pools.not_superseded() {
             let members = by_pool.get(pool).map(Vec::as_slice).unwrap_or_default();
             let mut binding = self.binding_limits(pool, members.len(), usage, &long.limits);
             let (machines, mut profiles) = self.profiles(pool, token, members, &mut binding);
@@ -172,7 +172,7 @@
         };
         let mut ids = Vec::new();
         let mut profiles = Vec::new();
-        for &(id, machine) in members.iter().filter(|(_, machine)| machine.takes_work()) {
+        for &(id, machine) in members.iter().filter(|(_, machine)| machine.is_schedulable()) {
             let Some(mut profile) = self.empty_profile(machine, kind, token) else { continue };
             self.carve_claims(id, machine, kind, &mut profile, binding);
             ids.push(id.clone());
@@ -189,17 +189,17 @@
         token: FencingToken,
     ) -> Option<MachineProfile> {
         let now = self.now;
-        let total = self.inventory.total(&kind.name);
+        let total = self.inventory.machine_resources(&kind.name);
         let mut profile = match &machine.heartbeat {
-            Some(last) if now.since(last.at) > self.silent_ms() => return None,
+            Some(last) if now.since(last.received_at) > self.silent_ms() => return None,
             // This worker has seen our token, so nobody else commands it.
             Some(last) => MachineProfile::new(now, total, machine.spot, last.token == token),
             None => {
                 let overdue_ms = (kind.boot_s * 3000.0) as u64 + 10_000;
-                if now.since(machine.born) > overdue_ms {
+                if now.since(machine.created_at) > overdue_ms {
                     return None;
                 }
-                let booted = machine.born.plus_s(kind.boot_s * 1.2).max(now.plus(2000));
+                let booted = machine.created_at.plus_s(kind.boot_s * 1.2).max(now.plus(2000));
                 MachineProfile::new(booted, total, machine.spot, false)
             }
         };
@@ -290,7 +290,7 @@
         }
         let saved = job_state.and_then(|l| l.saved.get(&ix)).copied().unwrap_or(0);
         let run = run.saturating_sub(saved);
-        match machine.started.get(&(job.clone(), ix)) {
+        match machine.task_started_at.get(&(job.clone(), ix)) {
             Some(start) => {
                 let end = start.plus(run);
                 if end > self.now {
@@ -309,7 +309,7 @@
         spec.types.as_ref().is_none_or(|t| t.contains(&pool.machine_type))
             && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
             && cached.bound_zone().is_none_or(|z| *z == pool.zone)
-            && cached.task_resources.within(&self.inventory.total(&pool.machine_type))
+            && cached.task_resources.within(&self.inventory.machine_resources(&pool.machine_type))
     }
 
     fn requests_for(
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -188,7 +188,7 @@
     ) -> (Vec<MachineLoad>, Vec<Named>) {
         let mut names: Vec<Named> = Vec::new();
         let mut loads = Vec::new();
-        let total = self.inventory.total(&plan.pool.machine_type);
+        let total = self.inventory.machine_resources(&plan.pool.machine_type);
         for (i, id) in plan.machines.iter().enumerate() {
             let mut seat = MachineLoad { free: total, running: vec![] };
             let machine = self.inventory.machines.get(id).filter(|_| plan.open[i]);
@@ -234,7 +234,7 @@
             .and_then(|l| l.stopped.get(&task.ix))
             .copied()
             .unwrap_or(0);
-        let started = machine.started.get(&(task.job.clone(), task.ix));
+        let started = machine.task_started_at.get(&(task.job.clone(), task.ix));
         let ran = started.map_or(0, |s| self.now.since(*s));
         let yields = cached.width().is_some() && task.ix >= cached.first_surplus_member;
         let gained = yields || evictions == 0 || ran >= GAIN_MS * u64::from(evictions + 1);
@@ -369,7 +369,7 @@
                 && known.seq < heartbeat.seq
                 && heartbeat.machine == id
         });
-        if !newer || self.my_token(&machine.pool).is_none_or(|t| t != heartbeat.token) {
+        if !newer || self.owned_pool_token(&machine.pool).is_none_or(|t| t != heartbeat.token) {
             return;
         }
         let alive: HashSet<TaskId> = heartbeat
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -44,7 +44,7 @@
         let (read, assigned) = (self.session.last_read, self.priority.assigned);
         let gate = |taken| StartBarrier { taken, read, assigned };
         self.priority.start_barriers =
-            self.pools.owned.iter().map(|(p, o)| (p.clone(), gate(o.since))).collect();
+            self.pools.owned.iter().map(|(p, o)| (p.clone(), gate(o.acquired_at))).collect();
         self.refresh_waiting(queue);
         self.adopt_preemptions();
     }
@@ -145,7 +145,7 @@
         if let Ok(value) = serde_json::to_string(&uncommitted.record) {
             self.cache.set(&key, &value, version);
         }
-        if self.my_token(&uncommitted.pool) == Some(uncommitted.token) {
+        if self.owned_pool_token(&uncommitted.pool) == Some(uncommitted.token) {
             for preemption in uncommitted.preemptions {
                 self.evict(uncommitted.token, preemption);
             }
@@ -190,7 +190,7 @@
     }
 
     fn lives_by(&self, pool: &PoolId, listener_health: ListenerHealth) -> bool {
-        if self.my_token(pool).is_some() {
+        if self.owned_pool_token(pool).is_some() {
             return true;
         }
         let Some(holding) = self.cache.pools.get(pool) else { return false };
@@ -205,6 +205,6 @@
             lost_workers: peers.of_zone(controller, &pool.zone, now).is_some_and(|h| h.lost),
         };
         // One that was told us over the mesh, and not read yet, is its teller's.
-        self.pools.hinted.contains_key(pool) || lives(owner, listener_health)
+        self.pools.superseded_by.contains_key(pool) || lives(owner, listener_health)
     }
 }
--- a/crates/cleatfold-control/src/store/calls.rs
+++ b/crates/cleatfold-control/src/store/calls.rs
@@ -61,7 +61,7 @@
     /// Calls the cloud.
     pub(crate) fn call_cloud(&mut self, request: CloudRequest, pending: Pending) {
         let op = self.calls.register(pending);
-        let spacing_ms = self.cloud_spacing_ms();
+        let spacing_ms = self.cloud_call_interval_ms();
         self.effects.push(Effect::Cloud { op, request, spacing_ms });
     }
 
