--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -64,11 +64,11 @@
             Request::Submit(spec) => self.on_submit(rid, spec),
             Request::Poll(job) => match self.terminal_jobs.get(&job) {
                 Some(status) => self.reply(rid, Response::Status { code: 200, status }),
-                None => self.wait(rid, job, WaitReason::Poll),
+                None => self.wait_for_read(rid, job, WaitReason::Poll),
             },
             Request::Withdraw(job) => match self.terminal_jobs.get(&job) {
                 Some(status) => self.reply(rid, Response::Status { code: 200, status }),
-                None => self.wait(rid, job, WaitReason::Withdraw),
+                None => self.wait_for_read(rid, job, WaitReason::Withdraw),
             },
             Request::Steps(report) => self.on_steps(rid, report),
             Request::TeamLosses { team, since } => self.on_team_losses(rid, team, since),
@@ -87,7 +87,7 @@
         }
     }
 
-    pub(crate) fn wait(&mut self, rid: u64, job: JobId, kind: WaitReason) {
+    pub(crate) fn wait_for_read(&mut self, rid: u64, job: JobId, kind: WaitReason) {
         if self.store_away() {
             return self.reply(rid, Response::later("the state service does not answer"));
         }
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -52,7 +52,7 @@
             && cached.is_some_and(|l| !l.record.aborted && l.steps_left.is_some());
         if !stands && !read {
             // Its claim may be one that we have not read yet.
-            return self.wait(rid, job, WaitReason::Steps(report));
+            return self.wait_for_read(rid, job, WaitReason::Steps(report));
         }
         let why = match cached {
             None if self.terminal_jobs.get(&job).is_some() => Some("the job has ended"),
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -63,10 +63,10 @@
             return self.reply(rid, Response::Status { code: 200, status });
         }
         if self.cache.jobs.contains_key(&job) {
-            return self.wait(rid, job, WaitReason::Known(spec));
+            return self.wait_for_read(rid, job, WaitReason::Known(spec));
         }
         if let Some(why) = self.impossible(&spec) {
-            return self.wait(rid, job, WaitReason::Impossible(why));
+            return self.wait_for_read(rid, job, WaitReason::Impossible(why));
         }
         if self.store_away() {
             return self.reply(rid, Response::later("the state service does not answer"));
@@ -157,7 +157,7 @@
             }
             // Accepted elsewhere since it came.
             if self.cache.jobs.contains_key(&job) {
-                self.wait(next.rid, job, WaitReason::Known(next.spec));
+                self.wait_for_read(next.rid, job, WaitReason::Known(next.spec));
                 continue;
             }
             let record = JobRecord::new((*next.spec).clone(), self.wall_ms);
@@ -172,7 +172,7 @@
                 continue;
             }
             if batch.iter().any(|b| b.spec.id == job) {
-                self.wait(next.rid, job, WaitReason::Known(next.spec));
+                self.wait_for_read(next.rid, job, WaitReason::Known(next.spec));
                 continue;
             }
             size += length;
@@ -207,7 +207,7 @@
         {
             self.reply(rid, accepted(status));
         } else {
-            self.wait(rid, job, WaitReason::Known(spec));
+            self.wait_for_read(rid, job, WaitReason::Known(spec));
         }
     }
 
@@ -239,7 +239,7 @@
                     let job = submission.spec.id.clone();
                     let known = [job_key(&job), archive_key(&job)];
                     if failed.iter().any(|f| known.contains(f)) {
-                        self.wait(submission.rid, job, WaitReason::Known(submission.spec));
+                        self.wait_for_read(submission.rid, job, WaitReason::Known(submission.spec));
                     } else {
                         self.submitting.put_back(submission);
                     }
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -40,10 +40,10 @@
             self.job_states.remove(job);
         }
         for a in member_reports {
-            self.wait(a.rid, job.clone(), crate::controller::WaitReason::Steps(a.report));
+            self.wait_for_read(a.rid, job.clone(), crate::controller::WaitReason::Steps(a.report));
         }
         for rid in rids {
-            self.wait(rid, job.clone(), crate::controller::WaitReason::Withdraw);
+            self.wait_for_read(rid, job.clone(), crate::controller::WaitReason::Withdraw);
         }
     }
 
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -109,7 +109,7 @@
                 self.reply(submission.rid, Response::Status { code: 200, status });
             } else if self.cache.has_moved(&job_key(&job), Version(0)) {
                 // It was accepted and has ended since; the archive tells how.
-                self.wait(submission.rid, job, WaitReason::Known(submission.spec));
+                self.wait_for_read(submission.rid, job, WaitReason::Known(submission.spec));
             } else {
                 self.submitting.put_back(submission);
             }
