--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -52,7 +52,7 @@
         self.job_states.get(job).is_some_and(|l| l.is_ending(ix, attempt))
     }
 
-    pub(crate) fn end(&mut self, job: &JobId, end: ClaimEnd) {
+    pub(crate) fn queue_claim_end(&mut self, job: &JobId, end: ClaimEnd) {
         self.note_unsent(job);
         let job_state = self.job_state(job);
         match job_state.ends.iter_mut().find(|e| e.ix == end.ix && e.attempt == end.attempt) {
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -408,7 +408,7 @@
             ran_ms: 0,
             fence: Some(Fence { pool: arrival.pool.clone(), token: arrival.token }),
         };
-        self.end(&claim.task.job, end);
+        self.queue_claim_end(&claim.task.job, end);
     }
 
     /// Keeps the heartbeat as its machine's last. Whether its tasks differ from the one before.
--- a/crates/cleatfold-control/src/pools/tasks.rs
+++ b/crates/cleatfold-control/src/pools/tasks.rs
@@ -111,6 +111,6 @@
             ran_ms,
             fence: None,
         };
-        self.end(&task.job, end);
+        self.queue_claim_end(&task.job, end);
     }
 }
