--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -108,7 +108,7 @@
     }
 
     /// Why tasks of a job failed, since when, and what comes of it.
-    pub(crate) fn why(&self, id: &JobId, cached: &CachedJob) -> Option<String> {
+    pub(crate) fn failure_summary(&self, id: &JobId, cached: &CachedJob) -> Option<String> {
         let job_state = self.job_states.get(id);
         let mut failures = self.failures(id, job_state);
         failures.sort_by_key(|f| f.at_ms);
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -165,7 +165,7 @@
             status.done = finished;
             status.steps = Some(StepCount { finished, total: elastic.steps });
         }
-        status.why = self.why(job, cached);
+        status.why = self.failure_summary(job, cached);
         if self.cache.lossy.contains(job) {
             let mut losses = LossList::default();
             self.cache.tables(job).for_each(|t| losses.take(t.losses.clone()));
