--- a/crates/cleatfold-control/src/jobs/archive.rs
+++ b/crates/cleatfold-control/src/jobs/archive.rs
@@ -20,7 +20,7 @@
     /// By job: when its question was sent, and who waits for the answer.
     asked: BTreeMap<JobId, (EventNumber, Vec<WaitingRequest>)>,
     /// Ends up to this revision have been read.
-    pub read_to: Version,
+    pub read_revision: Version,
     pub following: bool,
     /// Jobs have gone since whose end we have not read.
     pub stale: bool,
@@ -74,7 +74,7 @@
 
     /// Whether to read now how jobs ended; then that is under way.
     pub(crate) fn follow(&mut self, applied: &Version) -> bool {
-        let due = self.stale && !self.following && self.read_to < *applied;
+        let due = self.stale && !self.following && self.read_revision < *applied;
         if due {
             (self.stale, self.following) = (false, true);
         }
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -267,7 +267,7 @@
         if !self.archive.follow(&self.cache.applied) {
             return;
         }
-        let from = self.archive.read_to;
+        let from = self.archive.read_revision;
         let request = StoreRequest::Changes { prefix: ARCHIVE.into(), from };
         self.store(CallPriority::Poll, request, Pending::Ended { from });
     }
@@ -288,7 +288,7 @@
                 self.note_archived(&job, value.get());
             }
         }
-        self.archive.read_to = events.revision;
+        self.archive.read_revision = events.revision;
         self.note_ended(from, &events);
         self.answer_teams(None);
     }
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -45,7 +45,7 @@
             // What ended while nobody kept the team.
             self.losses.back = false;
             let back = Version(self.cache.applied.0.saturating_sub(BACK_ENDED));
-            self.archive.read_to = self.archive.read_to.min(back);
+            self.archive.read_revision = self.archive.read_revision.min(back);
             self.archive.stale = true;
             self.follow_archive();
         }
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -209,7 +209,7 @@
         let upto = |t: &crate::config::Team| self.head(&t.name).value.upto;
         let near = self.cfg.teams.iter().map(upto).filter(|u| u + BACK >= applied);
         let from = near.min().unwrap_or(applied).min(applied);
-        self.archive.read_to = Version(from);
+        self.archive.read_revision = Version(from);
         self.archive.stale = true;
         self.workspaces.ended.read(from, from, []);
     }
@@ -218,12 +218,12 @@
     pub(crate) fn lose_ended(&mut self, from: Version) {
         // It was only to be read once more: on from where we are.
         if let Some(to) = self.workspaces.ended.to().filter(|to| *to > from.0) {
-            self.archive.read_to = Version(to);
+            self.archive.read_revision = Version(to);
             self.archive.stale = true;
             return;
         }
         let applied = self.cache.applied;
-        self.archive.read_to = applied;
+        self.archive.read_revision = applied;
         self.workspaces.ended.read(applied.0, applied.0, []);
     }
 
