--- a/crates/cleatfold-control/src/jobs/archive.rs
+++ b/crates/cleatfold-control/src/jobs/archive.rs
@@ -21,7 +21,7 @@
     asked: BTreeMap<JobId, (EventNumber, Vec<WaitingRequest>)>,
     /// Ends up to this revision have been read.
     pub read_revision: Version,
-    pub following: bool,
+    pub read_in_flight: bool,
     /// Jobs have gone since whose end we have not read.
     pub stale: bool,
 }
@@ -74,9 +74,9 @@
 
     /// Whether to read now how jobs ended; then that is under way.
     pub(crate) fn follow(&mut self, applied: &Version) -> bool {
-        let due = self.stale && !self.following && self.read_revision < *applied;
+        let due = self.stale && !self.read_in_flight && self.read_revision < *applied;
         if due {
-            (self.stale, self.following) = (false, true);
+            (self.stale, self.read_in_flight) = (false, true);
         }
         due
     }
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -273,7 +273,7 @@
     }
 
     pub(crate) fn on_ended(&mut self, from: Version, reply: StoreReply) {
-        self.archive.following = false;
+        self.archive.read_in_flight = false;
         let StoreReply::Events(events) = reply else {
             match reply {
                 // Too much has changed since: whoever asks is answered one by one.
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -41,7 +41,7 @@
             let request = StoreRequest::Changes { prefix: LOSS_LOG.into(), from };
             self.store(CallPriority::Poll, request, Pending::LossLog);
         }
-        if self.losses.back && !self.archive.following {
+        if self.losses.back && !self.archive.read_in_flight {
             // What ended while nobody kept the team.
             self.losses.back = false;
             let back = Version(self.cache.applied.0.saturating_sub(BACK_ENDED));
