--- a/crates/cleatfold-control/src/jobs/archive.rs
+++ b/crates/cleatfold-control/src/jobs/archive.rs
@@ -23,7 +23,7 @@
     pub read_revision: Version,
     pub read_in_flight: bool,
     /// Jobs have gone since whose end we have not read.
-    pub stale: bool,
+    pub is_stale: bool,
 }
 
 pub(crate) enum Joined {
@@ -74,9 +74,9 @@
 
     /// Whether to read now how jobs ended; then that is under way.
     pub(crate) fn follow(&mut self, applied: &Version) -> bool {
-        let due = self.stale && !self.read_in_flight && self.read_revision < *applied;
+        let due = self.is_stale && !self.read_in_flight && self.read_revision < *applied;
         if due {
-            (self.stale, self.read_in_flight) = (false, true);
+            (self.is_stale, self.read_in_flight) = (false, true);
         }
         due
     }
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -278,7 +278,7 @@
             match reply {
                 // Too much has changed since: whoever asks is answered one by one.
                 StoreReply::TooOld => self.lose_ended(from),
-                _ => self.archive.stale = true,
+                _ => self.archive.is_stale = true,
             }
             return;
         };
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -46,7 +46,7 @@
             self.losses.back = false;
             let back = Version(self.cache.applied.0.saturating_sub(BACK_ENDED));
             self.archive.read_revision = self.archive.read_revision.min(back);
-            self.archive.stale = true;
+            self.archive.is_stale = true;
             self.follow_archive();
         }
         let now = self.now;
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -79,7 +79,7 @@
             }
         }
         if behind {
-            self.archive.stale = true;
+            self.archive.is_stale = true;
             self.follow_archive();
         }
     }
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -210,7 +210,7 @@
         let near = self.cfg.teams.iter().map(upto).filter(|u| u + BACK >= applied);
         let from = near.min().unwrap_or(applied).min(applied);
         self.archive.read_revision = Version(from);
-        self.archive.stale = true;
+        self.archive.is_stale = true;
         self.workspaces.ended.read(from, from, []);
     }
 
@@ -219,7 +219,7 @@
         // It was only to be read once more: on from where we are.
         if let Some(to) = self.workspaces.ended.to().filter(|to| *to > from.0) {
             self.archive.read_revision = Version(to);
-            self.archive.stale = true;
+            self.archive.is_stale = true;
             return;
         }
         let applied = self.cache.applied;
@@ -247,7 +247,7 @@
         let behind = self.workspaces.ended.to().is_none_or(|to| to < self.cache.applied.0);
         if behind && self.now.since(self.workspaces.followed) >= FOLLOW_MS {
             self.workspaces.followed = self.now;
-            self.archive.stale = true;
+            self.archive.is_stale = true;
             self.follow_archive();
         }
     }
