--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -53,7 +53,7 @@
 
     /// How many of `tasks` that wait may be planned and rented for now. What pauses waits for its
     /// turn or its user: it holds no place, nothing is rented for it, and no idle machine kept.
-    pub(crate) fn may_start(&self, id: &JobId, cached: &CachedJob, tasks: u32) -> u32 {
+    pub(crate) fn startable_tasks(&self, id: &JobId, cached: &CachedJob, tasks: u32) -> u32 {
         if tasks == 0 {
             return 0;
         }
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -258,7 +258,7 @@
             .jobs
             .iter()
             .filter(|(_, job)| !job.record.aborted && job.unclaimed() > 0)
-            .filter(|(id, job)| self.may_start(id, job, 1) > 0)
+            .filter(|(id, job)| self.startable_tasks(id, job, 1) > 0)
             .map(|(_, job)| job)
             .collect();
         let watched = self.pools.owned.iter().map(|(pool, owned)| {
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -153,7 +153,7 @@
         limit_full: bool,
         up: &BTreeSet<&PoolId>,
     ) -> (Holdup, String) {
-        if self.may_start(id, cached, cached.unclaimed()) == 0 {
+        if self.startable_tasks(id, cached, cached.unclaimed()) == 0 {
             let why = self.failure_summary(id, cached).unwrap_or_else(|| "its failed tasks pause".into());
             return (Holdup::Pause, why);
         }
