--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -93,7 +93,7 @@
 
     /// Machines of a plan (by index) that a job should not be tried on again: those that it failed
     /// on, unless that is all of them.
-    pub(crate) fn avoided(&self, id: &JobId, machines: &[MachineId]) -> Vec<usize> {
+    pub(crate) fn machines_to_avoid(&self, id: &JobId, machines: &[MachineId]) -> Vec<usize> {
         let failures = self.failures(id, self.job_states.get(id));
         let failed = |m: &MachineId| failures.iter().any(|f| f.machine == *m);
         let avoid: Vec<usize> = match failures.is_empty() {
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -369,7 +369,7 @@
 
     /// Machines on which the job has failed, or on which room is kept for others.
     fn barred(&self, id: &JobId, urgency: Urgency, plan: &PoolPlan) -> Vec<usize> {
-        let mut barred = self.avoided(id, &plan.machines);
+        let mut barred = self.machines_to_avoid(id, &plan.machines);
         barred.extend(self.priority.kept_from(&plan.pool, (id, urgency), &plan.machines));
         barred
     }
