--- a/crates/cleatfold-control/src/pools/tasks.rs
+++ b/crates/cleatfold-control/src/pools/tasks.rs
@@ -87,7 +87,7 @@
         }
         match exit {
             Exit::Error => {
-                self.note_failed(id, task, attempt);
+                self.record_task_failure(id, task, attempt);
             }
             Exit::Unknown => {
                 self.job_state(&task.job).hold_until = now.plus(2000);
