--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -141,7 +141,7 @@
     }
 
     /// Returns machines that are at fault, by what is known of the jobs by now.
-    pub(crate) fn judge_machines(&mut self) {
+    pub(crate) fn return_faulty_machines(&mut self) {
         let mut suspects = Vec::new();
         for (id, m) in &mut self.inventory.machines {
             if !m.suspicion.is_empty() && !m.faulty && self.pools.owned.contains_key(&m.pool) {
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -223,7 +223,7 @@
         }
         self.watched = self.now;
         self.adopt_claimed_machines();
-        self.judge_machines();
+        self.return_faulty_machines();
         let times = WatchTimes {
             now: self.now,
             quiet_ms: self.silent_ms(),
