--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -79,7 +79,7 @@
 
     /// The state service has just failed and not answered since: requests that need it are
     /// told so at once, with the time to come back.
-    pub(crate) fn store_away(&self) -> bool {
+    pub(crate) fn is_store_unavailable(&self) -> bool {
         match (self.session.last_failure, self.session.last_read) {
             (Some(failed), Some(fresh)) => failed > fresh && self.now.since(fresh) > 1500,
             (failed, None) => failed.is_some(),
@@ -88,7 +88,7 @@
     }
 
     pub(crate) fn wait_for_read(&mut self, rid: u64, job: JobId, kind: WaitReason) {
-        if self.store_away() {
+        if self.is_store_unavailable() {
             return self.reply(rid, Response::later("the state service does not answer"));
         }
         let (arrived, arrived_at) = (self.now, self.event);
@@ -98,7 +98,7 @@
 
     /// Whoever has waited too long is told to come back.
     pub(crate) fn fail_stale_waits(&mut self) {
-        let away = self.store_away();
+        let away = self.is_store_unavailable();
         let now = self.now;
         let mut late = Vec::new();
         self.waiting.retain(|w| {
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -34,7 +34,7 @@
         if coordinator != self.cfg.me && !report.generate_load {
             return self.reply(rid, Response::Redirect(Some(coordinator)));
         }
-        if self.store_away() {
+        if self.is_store_unavailable() {
             return self.reply(rid, Response::store_unavailable());
         }
         self.take_steps(rid, report, false);
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -68,7 +68,7 @@
         if let Some(why) = self.impossible(&spec) {
             return self.wait_for_read(rid, job, WaitReason::Impossible(why));
         }
-        if self.store_away() {
+        if self.is_store_unavailable() {
             return self.reply(rid, Response::later("the state service does not answer"));
         }
         let wait_s = self.submitting.submission_queue.wait_s(&spec.team, self.submissions_per_s());
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -27,7 +27,7 @@
         if self.cfg.team(team).is_none() {
             return Some(Response::refuse(404, "no such team"));
         }
-        self.store_away().then(Response::store_unavailable)
+        self.is_store_unavailable().then(Response::store_unavailable)
     }
 
     pub(crate) fn on_team(&mut self, rid: u64, team: TeamId, what: TeamAsk, since: u64) {
