--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -194,7 +194,7 @@
     fn tick(&mut self) {
         self.note_stall();
         self.resend_due();
-        self.fail_stale_waits();
+        self.expire_waiting_requests();
         self.answer_long_polls(&[]);
         self.resolve_unanswered();
         self.keep_format();
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -97,7 +97,7 @@
     }
 
     /// Whoever has waited too long is told to come back.
-    pub(crate) fn fail_stale_waits(&mut self) {
+    pub(crate) fn expire_waiting_requests(&mut self) {
         let away = self.is_store_unavailable();
         let now = self.now;
         let mut late = Vec::new();
