--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -128,7 +128,7 @@
 
     /// A reading sent at event `sent_at` is in: it answers everyone who asked before. By events, not by the clock: who
     /// asks later in the same millisecond may have been told by another controller of what this reading does not show.
-    pub(crate) fn answer_waiting(&mut self, sent_at: EventNumber) {
+    pub(crate) fn answer_waiting_requests(&mut self, sent_at: EventNumber) {
         let (ripe, rest) =
             std::mem::take(&mut self.waiting).into_iter().partition(|w| w.arrived_at <= sent_at);
         self.waiting = rest;
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -257,7 +257,7 @@
         self.follow_archive();
         self.note_ownership();
         self.resolve_unanswered();
-        self.answer_waiting(sent_at);
+        self.answer_waiting_requests(sent_at);
         self.sync_if_due();
     }
 }
