--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -204,7 +204,7 @@
         }
     }
 
-    pub(crate) fn on_archive(&mut self, job: JobId, reply: StoreReply) {
+    pub(crate) fn on_archive_record(&mut self, job: JobId, reply: StoreReply) {
         let (sent_at, waiting) = self.archive.leave(&job);
         match reply {
             StoreReply::Item(item) => {
