--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -263,7 +263,7 @@
 
     /// Jobs left the live records by others' hands: reads how they ended, all of them at once, so
     /// that no poll has to ask for each.
-    pub(crate) fn follow_archive(&mut self) {
+    pub(crate) fn read_archive_changes(&mut self) {
         if !self.archive.follow(&self.cache.applied) {
             return;
         }
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -47,7 +47,7 @@
             let back = Version(self.cache.applied.0.saturating_sub(BACK_ENDED));
             self.archive.read_revision = self.archive.read_revision.min(back);
             self.archive.is_stale = true;
-            self.follow_archive();
+            self.read_archive_changes();
         }
         let now = self.now;
         if now.since(self.losses.last_checked) >= LOSS_SCAN_INTERVAL_MS {
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -80,7 +80,7 @@
         }
         if behind {
             self.archive.is_stale = true;
-            self.follow_archive();
+            self.read_archive_changes();
         }
     }
 
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -248,7 +248,7 @@
         if behind && self.now.since(self.workspaces.followed) >= FOLLOW_MS {
             self.workspaces.followed = self.now;
             self.archive.is_stale = true;
-            self.follow_archive();
+            self.read_archive_changes();
         }
     }
 
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -254,7 +254,7 @@
             self.archive.is_stale |= self.terminal_jobs.get(&job).is_none();
             self.discard_job_state(&job);
         }
-        self.follow_archive();
+        self.read_archive_changes();
         self.note_ownership();
         self.resolve_unanswered();
         self.answer_waiting_requests(sent_at);
