--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -289,7 +289,7 @@
             Pending::Job(tx) => self.on_job_tx(op, *tx, reply),
             Pending::Submit { batch, txn, .. } => self.on_submitted(batch, txn, reply),
             Pending::Archive { job } => self.on_archive_record(job, reply),
-            Pending::Ended { from } => self.on_ended(from, reply),
+            Pending::Ended { from } => self.on_archive_changes(from, reply),
             Pending::Grant { sent } => self.on_lease_granted(sent, reply),
             Pending::Extend { sent } => self.on_lease_extended(sent, reply),
             Pending::Registration => self.on_registered(reply),
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -272,7 +272,7 @@
         self.store(CallPriority::Poll, request, Pending::Ended { from });
     }
 
-    pub(crate) fn on_ended(&mut self, from: Version, reply: StoreReply) {
+    pub(crate) fn on_archive_changes(&mut self, from: Version, reply: StoreReply) {
         self.archive.read_in_flight = false;
         let StoreReply::Events(events) = reply else {
             match reply {
