--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -286,7 +286,7 @@
         match pending {
             Pending::Sync { sent, sent_at } => self.on_sync(sent, sent_at, reply),
             Pending::Load { sent } => self.on_load(sent, reply),
-            Pending::Job(tx) => self.on_job_tx(op, *tx, reply),
+            Pending::Job(tx) => self.on_job_transaction(op, *tx, reply),
             Pending::Submit { batch, txn, .. } => self.on_submitted(batch, txn, reply),
             Pending::Archive { job } => self.on_archive_record(job, reply),
             Pending::Ended { from } => self.on_archive_changes(from, reply),
