--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -96,7 +96,7 @@
 /// What this controller keeps about a job beside its record.
 #[derive(Debug, Default)]
 pub(crate) struct LocalJobState {
-    pub busy: bool,
+    pub transaction_in_flight: bool,
     /// Someone else changed it; nothing is sent before the next reading.
     pub stale_since: Option<EventNumber>,
     pub not_before: Ms,
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -36,7 +36,7 @@
         };
         let rids = std::mem::take(&mut job_state.withdrawals);
         let member_reports = std::mem::take(&mut job_state.member_reports);
-        if !job_state.busy {
+        if !job_state.transaction_in_flight {
             self.job_states.remove(job);
         }
         for a in member_reports {
@@ -195,7 +195,7 @@
                 }
                 let contact = self.in_contact();
                 let job_state = self.job_state(&tx.job);
-                job_state.busy = false;
+                job_state.transaction_in_flight = false;
                 if conflict {
                     job_state.stale_since = Some(event);
                 } else {
@@ -245,7 +245,7 @@
         self.answer_withdrawals(tx.withdrawals, &status);
         let is_gone = !self.cache.jobs.contains_key(&job);
         let job_state = self.job_state(&job);
-        job_state.busy = false;
+        job_state.transaction_in_flight = false;
         let recorded: BTreeSet<(TaskIx, Attempt)> =
             tx.ends.iter().map(|e| (e.ix, e.attempt)).collect();
         job_state.ends.retain(|e| !recorded.contains(&(e.ix, e.attempt)));
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -120,7 +120,7 @@
         tracing::debug!(job = %tx.job, "unknown outcome resolved by a reading");
         let JobTransaction { job, mut withdrawals, steps, .. } = tx;
         let job_state = self.job_state(&job);
-        job_state.busy = false;
+        job_state.transaction_in_flight = false;
         job_state.withdrawals.append(&mut withdrawals);
         // Members are judged anew by what stands now.
         job_state
