--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -118,7 +118,7 @@
     /// All steps are finished and all members gone.
     pub over: bool,
     /// When a member last gave way.
-    pub shrunk: Option<Ms>,
+    pub last_shrunk: Option<Ms>,
     /// How often tasks were stopped to make room.
     pub stopped: BTreeMap<TaskIx, u32>,
 }
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -43,7 +43,7 @@
     pub(crate) fn growth(&self, id: &JobId, cached: &CachedJob) -> u32 {
         let Some(width) = cached.width() else { return 0 };
         let job_state = self.job_states.get(id);
-        if job_state.is_some_and(|l| l.shrunk.is_some_and(|at| self.now.since(at) < GROW_AGAIN_MS))
+        if job_state.is_some_and(|l| l.last_shrunk.is_some_and(|at| self.now.since(at) < GROW_AGAIN_MS))
         {
             return 0;
         }
@@ -332,7 +332,7 @@
             let now = self.now;
             let job_state = self.job_state(&job);
             if elastic {
-                job_state.shrunk = Some(now);
+                job_state.last_shrunk = Some(now);
             } else {
                 *job_state.stopped.entry(ix).or_default() += 1;
             }
