--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -120,7 +120,7 @@
     /// When a member last gave way.
     pub last_shrunk: Option<Ms>,
     /// How often tasks were stopped to make room.
-    pub stopped: BTreeMap<TaskIx, u32>,
+    pub preemption_counts: BTreeMap<TaskIx, u32>,
 }
 
 impl LocalJobState {
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -231,7 +231,7 @@
         let evictions = self
             .job_states
             .get(&task.job)
-            .and_then(|l| l.stopped.get(&task.ix))
+            .and_then(|l| l.preemption_counts.get(&task.ix))
             .copied()
             .unwrap_or(0);
         let started = machine.started.get(&(task.job.clone(), task.ix));
@@ -334,7 +334,7 @@
             if elastic {
                 job_state.last_shrunk = Some(now);
             } else {
-                *job_state.stopped.entry(ix).or_default() += 1;
+                *job_state.preemption_counts.entry(ix).or_default() += 1;
             }
             tracing::info!(
                 %job, task = ix.0, machine = %id, grace_s, preempting_job = %choice.job, "evicting task"
