--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -112,7 +112,7 @@
     /// Time of day at which a task of it last failed here.
     pub failed_ms: u64,
     /// Progress that is saved, per task, in milliseconds of run time.
-    pub saved: BTreeMap<TaskIx, u64>,
+    pub saved_run_ms: BTreeMap<TaskIx, u64>,
     /// Members' reports that wait to be recorded.
     pub member_reports: Vec<MemberReport>,
     /// All steps are finished and all members gone.
--- a/crates/cleatfold-control/src/pools/tasks.rs
+++ b/crates/cleatfold-control/src/pools/tasks.rs
@@ -83,7 +83,7 @@
         if exit != Exit::Done && interval > 0 {
             let ran = started.map_or(0, |s| now.since(s));
             let kept = if saved { ran } else { ran / interval * interval };
-            *job_state.saved.entry(task.ix).or_default() += kept;
+            *job_state.saved_run_ms.entry(task.ix).or_default() += kept;
         }
         match exit {
             Exit::Error => {
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -288,7 +288,7 @@
             let beyond = ix >= cached.beyond;
             return self.now.plus(if beyond { width.yield_ms(YIELD_MS) } else { run });
         }
-        let saved = job_state.and_then(|l| l.saved.get(&ix)).copied().unwrap_or(0);
+        let saved = job_state.and_then(|l| l.saved_run_ms.get(&ix)).copied().unwrap_or(0);
         let run = run.saturating_sub(saved);
         match machine.started.get(&(job.clone(), ix)) {
             Some(start) => {
