--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -106,7 +106,7 @@
     pub placement_requests: Vec<PlacementRequest>,
     pub abort: bool,
     pub withdrawals: Vec<u64>,
-    pub hold_until: Ms,
+    pub no_placement_before: Ms,
     /// Pools that the leader sent it to.
     pub pools: Vec<PoolId>,
     /// Time of day at which a task of it last failed here.
--- a/crates/cleatfold-control/src/pools/tasks.rs
+++ b/crates/cleatfold-control/src/pools/tasks.rs
@@ -90,7 +90,7 @@
                 self.record_task_failure(id, task, attempt);
             }
             Exit::Unknown => {
-                self.job_state(&task.job).hold_until = now.plus(2000);
+                self.job_state(&task.job).no_placement_before = now.plus(2000);
             }
             Exit::Done => {
                 if let Some(machine) = self.inventory.machines.get_mut(id) {
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -328,7 +328,7 @@
                 continue;
             }
             let job_state = self.job_states.get(id);
-            if job_state.is_some_and(|l| l.hold_until > self.now) {
+            if job_state.is_some_and(|l| l.no_placement_before > self.now) {
                 continue;
             }
             // Not sent anywhere yet (a new job, or no leader): any pool may plan for it.
