--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -108,7 +108,7 @@
     pub withdrawals: Vec<u64>,
     pub no_placement_before: Ms,
     /// Pools that the leader sent it to.
-    pub pools: Vec<PoolId>,
+    pub assigned_pools: Vec<PoolId>,
     /// Time of day at which a task of it last failed here.
     pub failed_ms: u64,
     /// Progress that is saved, per task, in milliseconds of run time.
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -337,7 +337,7 @@
                 continue;
             };
             // Its base has been sent somewhere already, a moment ago or above.
-            if *growth && self.job_states.get(id).is_some_and(|l| !l.pools.is_empty()) {
+            if *growth && self.job_states.get(id).is_some_and(|l| !l.assigned_pools.is_empty()) {
                 continue;
             }
             let usable = || (0..pools.len()).filter(|&i| self.may_use(live, &pools[i]));
@@ -350,7 +350,7 @@
                 .job_states
                 .get(id)
                 .into_iter()
-                .flat_map(|l| l.pools.iter().filter_map(|p| index.get(p).copied()))
+                .flat_map(|l| l.assigned_pools.iter().filter_map(|p| index.get(p).copied()))
                 .collect();
             let spec = &live.record.spec;
             let work = spec.estimate_s.max(1.0) * spec.cpus * f64::from(*unclaimed);
@@ -391,8 +391,8 @@
             let chosen: Vec<PoolId> =
                 chosen.iter().filter_map(|&i| pools.get(i as usize).cloned().flatten()).collect();
             let job_state = self.job_state(&job);
-            if job_state.pools != chosen {
-                job_state.pools = chosen;
+            if job_state.assigned_pools != chosen {
+                job_state.assigned_pools = chosen;
                 self.replan_needed = true;
             }
         }
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -332,7 +332,7 @@
                 continue;
             }
             // Not sent anywhere yet (a new job, or no leader): any pool may plan for it.
-            let sent = job_state.map(|l| l.pools.as_slice()).unwrap_or_default();
+            let sent = job_state.map(|l| l.assigned_pools.as_slice()).unwrap_or_default();
             if !self.priority.considers(*urgency, id, sent, pool, self.now) {
                 continue;
             }
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -164,7 +164,7 @@
     /// The pool's part of what waits, without the places that are on their way there.
     fn part_here(&self, plan: &PoolPlan, wait: &Wait) -> u32 {
         let job = &plan.jobs[wait.request];
-        let pools = self.job_states.get(job).map(|l| l.pools.as_slice()).unwrap_or_default();
+        let pools = self.job_states.get(job).map(|l| l.assigned_pools.as_slice()).unwrap_or_default();
         let part = part_of_pool(job, pools, &plan.pool, wait.tasks, self.wall_ms);
         part.saturating_sub(self.coming(job, &plan.pool))
     }
