--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -144,7 +144,7 @@
     pub job: JobId,
     pub txn: Txn,
     /// The outcome of an earlier sending is unknown.
-    pub doubtful: bool,
+    pub maybe_executed: bool,
     /// When it was sent first.
     pub sent: Sent,
     pub ends: Vec<ClaimEnd>,
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -126,7 +126,7 @@
         Some(JobTransaction {
             job: job.clone(),
             txn: draft.txn,
-            doubtful: false,
+            maybe_executed: false,
             sent: Sent::now(self.now),
             ends: ends.recorded,
             claims,
@@ -172,12 +172,12 @@
         match reply {
             StoreReply::Committed(version) => self.on_job_committed(tx, version),
             StoreReply::Unknown => {
-                tx.doubtful = true;
+                tx.maybe_executed = true;
                 let txn = tx.txn.clone();
                 self.again(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 200);
             }
             // Not executed this time, but an earlier sending may yet be.
-            StoreReply::Refused if tx.doubtful => {
+            StoreReply::Refused if tx.maybe_executed => {
                 let txn = tx.txn.clone();
                 self.again(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 500);
             }
@@ -187,7 +187,7 @@
                 if conflict {
                     tracing::debug!(job = %tx.job, "transaction conflict");
                     self.session.sync_wanted = true;
-                    if tx.doubtful {
+                    if tx.maybe_executed {
                         // It may have been executed after all: its claims count against the
                         // team's limit, but only the next reading shows them.
                         self.quota.blind = Some(event);
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -77,7 +77,7 @@
         let (priority, txn) = match self.calls.pending.get_mut(&op) {
             Some(Pending::Submit { txn, .. }) => (CallPriority::Submission, txn.clone()),
             Some(Pending::Job(tx)) => {
-                tx.doubtful = true;
+                tx.maybe_executed = true;
                 (CallPriority::Claim, tx.txn.clone())
             }
             _ => return,
