--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -163,7 +163,7 @@
 
 impl JobTransaction {
     /// The claims this transaction would make: pool and number of tasks.
-    pub(crate) fn claimed(&self) -> impl Iterator<Item = (PoolId, u32)> + '_ {
+    pub(crate) fn claimed_by_pool(&self) -> impl Iterator<Item = (PoolId, u32)> + '_ {
         self.claims.iter().map(|(placement, tasks)| (placement.pool.clone(), tasks.len() as u32))
     }
 
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -148,7 +148,7 @@
             let Some(cached) = self.cache.jobs.get(&tx.job) else {
                 continue;
             };
-            for (pool, tasks) in tx.claimed() {
+            for (pool, tasks) in tx.claimed_by_pool() {
                 let key = (cached.record.spec.team.clone(), pool);
                 *usage.entry(key).or_default() += cached.each.times(tasks);
             }
@@ -207,7 +207,7 @@
         for pending in self.calls.pending.values() {
             let Pending::Job(tx) = pending else { continue };
             let Some(cached) = self.cache.jobs.get(&tx.job).filter(long) else { continue };
-            let claimed = tx.claimed().filter(|(p, _)| p == pool).map(|p| p.1);
+            let claimed = tx.claimed_by_pool().filter(|(p, _)| p == pool).map(|p| p.1);
             used += cached.each.times(claimed.sum()).cpus;
         }
         used
