--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -167,7 +167,7 @@
         self.claims.iter().map(|(placement, tasks)| (placement.pool.clone(), tasks.len() as u32))
     }
 
-    pub(crate) fn names(&self, machine: &MachineId) -> bool {
+    pub(crate) fn claims_on(&self, machine: &MachineId) -> bool {
         self.claims.iter().any(|(placement, _)| placement.machine == *machine)
     }
 }
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -334,7 +334,7 @@
                     .calls
                     .pending
                     .values()
-                    .any(|p| matches!(p, Pending::Job(tx) if tx.names(&id)));
+                    .any(|p| matches!(p, Pending::Job(tx) if tx.claims_on(&id)));
             if promised || batch.len() >= MAX_DELETED_PER_CALL {
                 continue;
             }
