--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -8,7 +8,7 @@
 use crate::jobs::cancellation_state::Cancellations;
 use crate::jobs::requests::TerminalJobCache;
 use crate::jobs::state::LocalJobState;
-use crate::jobs::submissions::Submitting;
+use crate::jobs::submissions::SubmissionState;
 use crate::leadership::state::Leadership;
 use crate::machines::cloud::CloudState;
 use crate::machines::inventory::Inventory;
@@ -91,7 +91,7 @@
     pub(crate) flush_due: bool,
     /// Jobs that may have something to be recorded.
     pub(crate) unsent: BTreeSet<JobId>,
-    pub(crate) submitting: Submitting,
+    pub(crate) submitting: SubmissionState,
     pub(crate) waiting: Vec<WaitingRequest>,
     pub(crate) terminal_jobs: TerminalJobCache,
     pub(crate) archive: ArchiveLookups,
@@ -142,7 +142,7 @@
             job_states: BTreeMap::new(),
             flush_due: false,
             unsent: BTreeSet::new(),
-            submitting: Submitting::default(),
+            submitting: SubmissionState::default(),
             waiting: Vec::new(),
             terminal_jobs: TerminalJobCache::default(),
             archive: ArchiveLookups::default(),
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -19,20 +19,20 @@
 /// What a claim takes of a record, alone on its machine, with its share of the description.
 const CLAIM_BYTES: usize = 120;
 
-pub(crate) struct Submitting {
+pub(crate) struct SubmissionState {
     pub submission_queue: SubmissionQueue<TeamId, Submission>,
     inflight: bool,
     /// Changes that submissions were ahead of the jobs' own.
     pub ahead: usize,
 }
 
-impl Default for Submitting {
+impl Default for SubmissionState {
     fn default() -> Self {
         Self { submission_queue: SubmissionQueue::new(SUBMIT_MS), inflight: false, ahead: 0 }
     }
 }
 
-impl Submitting {
+impl SubmissionState {
     pub(crate) fn push(&mut self, submission: Submission) {
         self.submission_queue.push(submission.spec.team.clone(), submission.arrived.0, submission);
     }
