--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -46,7 +46,7 @@
     }
 
     /// The last batch is decided; the next may go.
-    pub(crate) fn settled(&mut self) {
+    pub(crate) fn finish_batch(&mut self) {
         self.inflight = false;
     }
 
@@ -212,7 +212,7 @@
     }
 
     pub(crate) fn on_submitted(&mut self, batch: Vec<Submission>, txn: Txn, reply: StoreReply) {
-        self.submitting.settled();
+        self.submitting.finish_batch();
         match reply {
             StoreReply::Committed(version) => {
                 for (submission, change) in batch.into_iter().zip(txn.changes) {
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -101,7 +101,7 @@
     }
 
     fn resolve_submissions(&mut self, batch: Vec<Submission>) {
-        self.submitting.settled();
+        self.submitting.finish_batch();
         for submission in batch.into_iter().rev() {
             let job = submission.spec.id.clone();
             let known = self.terminal_jobs.get(&job).or_else(|| self.live_status(&job));
