--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -212,7 +212,7 @@
         self.maintain_priority();
         self.maintain_image_distribution();
         self.watch_machines();
-        self.complete_jobs();
+        self.end_completed_jobs();
         self.plan_if_due();
         self.keep_slices();
     }
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -119,7 +119,7 @@
     /// have known of the last step. And a cancelled job in parts is over with its last claim: two owners that
     /// ended the last ones in different parts at the same time each still saw the other's, and the job stayed
     /// for ever. So its coordinator looks.
-    pub(crate) fn complete_jobs(&mut self) {
+    pub(crate) fn end_completed_jobs(&mut self) {
         if self.now.since(self.completed_at) < COMPLETE_MS {
             return;
         }
