--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -182,7 +182,7 @@
             let job_state = self.job_state(&w.job);
             job_state.abort = true;
             job_state.withdrawals.push(w.rid);
-            self.note_unsent(&w.job);
+            self.mark_pending_updates(&w.job);
             return;
         }
         self.reply(w.rid, Response::Status { code: 200, status });
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -73,7 +73,7 @@
         let idle = report.wants > 0 && self.runs_out(&report);
         let arrived = self.now;
         self.job_state(&job).member_reports.push(MemberReport { rid, report, arrived, idle });
-        self.note_unsent(&job);
+        self.mark_pending_updates(&job);
     }
 
     /// Whether the member has no unfinished step left beside those that it reports.
@@ -135,7 +135,7 @@
             steps.chain(parts).filter(|id| self.coordinator(id) == self.cfg.me).cloned().collect();
         for job in over {
             self.job_state(&job).over = true;
-            self.note_unsent(&job);
+            self.mark_pending_updates(&job);
         }
     }
 }
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -53,7 +53,7 @@
     }
 
     pub(crate) fn queue_claim_end(&mut self, job: &JobId, end: ClaimEnd) {
-        self.note_unsent(job);
+        self.mark_pending_updates(job);
         let job_state = self.job_state(job);
         match job_state.ends.iter_mut().find(|e| e.ix == end.ix && e.attempt == end.attempt) {
             // A proof for ever replaces one that needs our token.
@@ -216,7 +216,7 @@
                 for rid in tx.withdrawals {
                     self.reply(rid, Response::later("the state service does not answer"));
                 }
-                self.note_unsent(&tx.job);
+                self.mark_pending_updates(&tx.job);
                 if !self.cache.jobs.contains_key(&tx.job) {
                     self.discard_job_state(&tx.job);
                 }
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -172,7 +172,7 @@
     }
 
     /// Something of the job waits to be recorded.
-    pub(crate) fn note_unsent(&mut self, job: &JobId) {
+    pub(crate) fn mark_pending_updates(&mut self, job: &JobId) {
         self.flush_due = true;
         if !self.unsent.contains(job) {
             self.unsent.insert(job.clone());
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -479,7 +479,7 @@
             tasks,
         };
         self.job_state(&job).placement_requests.push(placement);
-        self.note_unsent(&job);
+        self.mark_pending_updates(&job);
         tasks
     }
 
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -126,7 +126,7 @@
         job_state
             .member_reports
             .extend(steps.verdicts.into_iter().map(|(member_reports, _)| member_reports));
-        self.note_unsent(&job);
+        self.mark_pending_updates(&job);
         if !self.cache.jobs.contains_key(&job) {
             self.discard_job_state(&job);
         }
