--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -34,7 +34,7 @@
     }
 
     /// Cancellations that a reading brought.
-    pub(crate) fn note_read_cancellations(&mut self) {
+    pub(crate) fn on_cancellations_read(&mut self) {
         let read = std::mem::take(&mut self.cache.cancelled);
         if read.is_empty() {
             return;
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -249,7 +249,7 @@
     }
 
     fn after_sync(&mut self, sent_at: EventNumber) {
-        self.note_read_cancellations();
+        self.on_cancellations_read();
         for job in std::mem::take(&mut self.cache.gone) {
             self.archive.is_stale |= self.terminal_jobs.get(&job).is_none();
             self.discard_job_state(&job);
