--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -202,7 +202,7 @@
         self.keep_cache();
         self.keep_cloud();
         self.tell_alive();
-        self.keep_cancellations();
+        self.resend_cancellations();
         if !self.serving() {
             return;
         }
--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -45,7 +45,7 @@
     }
 
     /// At each tick.
-    pub(crate) fn keep_cancellations(&mut self) {
+    pub(crate) fn resend_cancellations(&mut self) {
         if self.now.since(self.cancellations.last_checked) >= BROADCAST_INTERVAL_MS {
             self.cancellations.last_checked = self.now;
             self.tell_cancelled();
