--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    pub(crate) fn on_cancelled(&mut self, from: ControllerId, jobs: Vec<String>) {
+    pub(crate) fn on_cancellation(&mut self, from: ControllerId, jobs: Vec<String>) {
         let mut broadcast = std::mem::take(&mut self.cancellations.broadcast);
         for job in jobs.iter().map(JobId::new) {
             if broadcast.received(&job, &from, self.peers(), self.now) {
--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -34,7 +34,7 @@
                     self.note_created_machines(&pool, spot, machines);
                 }
             }
-            Message::Cancelled { jobs } => self.on_cancelled(from, jobs),
+            Message::Cancelled { jobs } => self.on_cancellation(from, jobs),
             Message::CancelledAck { jobs } => self.on_cancelled_ack(&from, &jobs),
             Message::ZoneContact { zones } => self.on_zone_contacts(&from, zones),
             Message::Assign { pools, jobs } => self.on_assign(&from, pools, jobs),
