--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -74,7 +74,7 @@
         self.tell_cancelled();
     }
 
-    pub(crate) fn on_cancelled_ack(&mut self, from: &ControllerId, jobs: &[String]) {
+    pub(crate) fn on_cancellation_ack(&mut self, from: &ControllerId, jobs: &[String]) {
         jobs.iter()
             .for_each(|job| self.cancellations.broadcast.acknowledged(from, &JobId::new(job)));
     }
--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -35,7 +35,7 @@
                 }
             }
             Message::Cancelled { jobs } => self.on_cancellation(from, jobs),
-            Message::CancelledAck { jobs } => self.on_cancelled_ack(&from, &jobs),
+            Message::CancelledAck { jobs } => self.on_cancellation_ack(&from, &jobs),
             Message::ZoneContact { zones } => self.on_zone_contacts(&from, zones),
             Message::Assign { pools, jobs } => self.on_assign(&from, pools, jobs),
             Message::Promises { pool, token, promises } => {
