--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -130,7 +130,12 @@
     }
 
     /// A task has failed on one of our machines.
-    pub(crate) fn record_task_failure(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
+    pub(crate) fn record_task_failure(
+        &mut self,
+        machine: &MachineId,
+        task: &TaskId,
+        attempt: Attempt,
+    ) {
         let wall_ms = self.wall_ms;
         self.job_state(&task.job).failed_ms = wall_ms;
         let pause_s = pause_ms(attempt) / 1000;
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -168,7 +168,12 @@
         }
     }
 
-    pub(crate) fn on_job_transaction(&mut self, op: u64, mut tx: JobTransaction, reply: StoreReply) {
+    pub(crate) fn on_job_transaction(
+        &mut self,
+        op: u64,
+        mut tx: JobTransaction,
+        reply: StoreReply,
+    ) {
         match reply {
             StoreReply::Committed(version) => self.on_job_committed(tx, version),
             StoreReply::Unknown => {
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -47,10 +47,15 @@
         let ample = self.rate_limiter.is_ample();
         let mut best: Option<((bool, u64), JobId)> = None;
         let mut unsent = std::mem::take(&mut self.unsent);
-        unsent.retain(|id| self.job_states.get(id).is_some_and(|l| l.transaction_in_flight || l.has_updates()));
+        unsent.retain(|id| {
+            self.job_states.get(id).is_some_and(|l| l.transaction_in_flight || l.has_updates())
+        });
         for id in &unsent {
             let Some(job_state) = self.job_states.get_mut(id) else { continue };
-            if job_state.transaction_in_flight || job_state.stale_since.is_some() || job_state.not_before > now {
+            if job_state.transaction_in_flight
+                || job_state.stale_since.is_some()
+                || job_state.not_before > now
+            {
                 continue;
             }
             let waited = now.since(*job_state.unsent_since.get_or_insert(now));
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -314,7 +314,10 @@
             let started =
                 self.inventory.machines.get(id).and_then(|m| m.started.get(&(job.clone(), ix)));
             let ran_ms = started.map_or(0, |s| self.now.since(*s));
-            self.queue_claim_end(&job, ClaimEnd { machine, ix, attempt, done: false, reason, ran_ms, fence });
+            self.queue_claim_end(
+                &job,
+                ClaimEnd { machine, ix, attempt, done: false, reason, ran_ms, fence },
+            );
         }
     }
 
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -154,7 +154,8 @@
         up: &BTreeSet<&PoolId>,
     ) -> (Holdup, String) {
         if self.startable_tasks(id, cached, cached.unclaimed()) == 0 {
-            let why = self.failure_summary(id, cached).unwrap_or_else(|| "its failed tasks pause".into());
+            let why =
+                self.failure_summary(id, cached).unwrap_or_else(|| "its failed tasks pause".into());
             return (Holdup::Pause, why);
         }
         if limit_full {
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -434,7 +434,9 @@
     /// Whether tasks of the job may be requested now, of `remaining` that are left of it.
     fn may_start_now(&mut self, start: &DueStart, remaining: u32) -> bool {
         let is_blocked = |state: &LocalJobState| {
-            state.transaction_in_flight || state.stale_since.is_some() || state.not_before > self.now
+            state.transaction_in_flight
+                || state.stale_since.is_some()
+                || state.not_before > self.now
         };
         if self.job_states.get(start.job()).is_some_and(is_blocked) {
             // One transaction per job at a time; the plan comes round again.
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -43,7 +43,8 @@
     pub(crate) fn growth(&self, id: &JobId, cached: &CachedJob) -> u32 {
         let Some(width) = cached.width() else { return 0 };
         let job_state = self.job_states.get(id);
-        if job_state.is_some_and(|l| l.last_shrunk.is_some_and(|at| self.now.since(at) < GROW_AGAIN_MS))
+        if job_state
+            .is_some_and(|l| l.last_shrunk.is_some_and(|at| self.now.since(at) < GROW_AGAIN_MS))
         {
             return 0;
         }
@@ -164,7 +165,8 @@
     /// The pool's part of what waits, without the places that are on their way there.
     fn part_here(&self, plan: &PoolPlan, wait: &Wait) -> u32 {
         let job = &plan.jobs[wait.request];
-        let pools = self.job_states.get(job).map(|l| l.assigned_pools.as_slice()).unwrap_or_default();
+        let pools =
+            self.job_states.get(job).map(|l| l.assigned_pools.as_slice()).unwrap_or_default();
         let part = part_of_pool(job, pools, &plan.pool, wait.tasks, self.wall_ms);
         part.saturating_sub(self.coming(job, &plan.pool))
     }
