--- a/crates/cleatfold-control/src/event_number.rs
+++ b/crates/cleatfold-control/src/event_number.rs
@@ -1,6 +1,7 @@
-//! The order of events within one millisecond.
+//! Order of events within one millisecond.
 
-/// The number of a handled event. It orders what happens within one millisecond: what an event brings comes before
-/// whatever is sent while it is handled, and after all that was sent at earlier events.
+/// Sequence number of a handled event. It orders actions that share a millisecond: an event comes
+/// before everything that is sent while it is handled, and after everything that was sent while
+/// earlier events were handled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EventNumber(pub u64);
--- a/crates/cleatfold-control/src/jobs/archive.rs
+++ b/crates/cleatfold-control/src/jobs/archive.rs
@@ -1,79 +1,88 @@
-//! Questions to the archive of ended jobs.
+//! Lookups of ended jobs in the archive.
 //!
-//! A poll for an ended job that this controller does not know of needs a request of its own to the
-//! state service, behind everything else. Each poll once sent one. When requests ran short they
-//! came so late that every asker had left, and asked again: the queue only grew, a deployment with
-//! two thirds of its processors idle told a fifth of its finished jobs as done, and it stayed
-//! so after the load was over. So there is one question a job at a time, its askers are
-//! answered in time whatever comes of it, and their number is bounded; and what others ended is
-//! read for all jobs at once (`follow`), so that hardly anybody has to ask.
+//! A poll for an ended job that is not cached here needs a read of the job's archive record, at the
+//! lowest call priority. Concurrent lookups of the same job share one read, the number of reads in
+//! flight is bounded, and waiting requests time out independently of the reply. With one read per
+//! poll, a shortage of requests led to congestion collapse: replies came after their users had
+//! timed out and retried, the queue kept growing even after the load had passed, and a deployment
+//! with two thirds of its CPUs idle reported only a fifth of its finished jobs as done. For the same
+//! reason, jobs that other controllers ended are read in bulk (`start_changes_read`), so few lookups
+//! are needed.
 
 use crate::pending::{EventNumber, WaitingRequest};
 use cleatfold_wire::{JobId, Version};
 use std::collections::BTreeMap;
 
-/// Questions under way at one time.
-const MOST: usize = 128;
+/// Archive reads in flight at one time.
+const MAX_LOOKUPS_IN_FLIGHT: usize = 128;
 
+/// Archive lookups in flight, and how far the archive's changes have been read.
 #[derive(Default)]
 pub(crate) struct ArchiveLookups {
-    /// By job: when its question was sent, and who waits for the answer.
-    asked: BTreeMap<JobId, (EventNumber, Vec<WaitingRequest>)>,
-    /// Ends up to this revision have been read.
+    /// By job: the event at which the read was sent, and the requests that wait for its reply.
+    in_flight: BTreeMap<JobId, (EventNumber, Vec<WaitingRequest>)>,
+    /// Changes of the archive up to this revision have been read.
     pub read_revision: Version,
+    /// A read of the archive's changes is in flight.
     pub read_in_flight: bool,
-    /// Jobs have gone since whose end we have not read.
+    /// Jobs have left the cache whose archive records have not been read.
     pub is_stale: bool,
 }
 
-pub(crate) enum Joined {
-    /// The caller sends the question.
-    Ask,
-    UnderWay,
-    /// Too many are under way.
+/// Result of adding requests to a lookup.
+pub(crate) enum JoinOutcome {
+    /// A new lookup: the caller sends the read.
+    Started,
+    /// A read for the job is already in flight.
+    Joined,
+    /// Too many reads are in flight; returns the requests.
     Full(Vec<WaitingRequest>),
 }
 
 impl ArchiveLookups {
-    pub(crate) fn join(
+    /// Adds the requests to the job's lookup, or starts one.
+    pub(crate) fn join_or_start(
         &mut self,
         job: &JobId,
         waiting: Vec<WaitingRequest>,
         now: EventNumber,
-    ) -> Joined {
-        if let Some((_, known)) = self.asked.get_mut(job) {
-            known.extend(waiting);
-            return Joined::UnderWay;
+    ) -> JoinOutcome {
+        if let Some((_, requests)) = self.in_flight.get_mut(job) {
+            requests.extend(waiting);
+            return JoinOutcome::Joined;
         }
-        if self.asked.len() >= MOST {
-            return Joined::Full(waiting);
+        if self.in_flight.len() >= MAX_LOOKUPS_IN_FLIGHT {
+            return JoinOutcome::Full(waiting);
         }
-        self.asked.insert(job.clone(), (now, waiting));
-        Joined::Ask
+        self.in_flight.insert(job.clone(), (now, waiting));
+        JoinOutcome::Started
     }
 
-    /// The answer is here: when its question was sent, and who waits for it.
-    pub(crate) fn leave(&mut self, job: &JobId) -> (EventNumber, Vec<WaitingRequest>) {
-        self.asked.remove(job).unwrap_or_default()
+    /// Ends the job's lookup. Returns the event at which its read was sent, and the waiting requests.
+    pub(crate) fn finish(&mut self, job: &JobId) -> (EventNumber, Vec<WaitingRequest>) {
+        self.in_flight.remove(job).unwrap_or_default()
     }
 
-    /// Takes out whoever has waited too long.
-    pub(crate) fn give_up(&mut self, mut late: impl FnMut(&WaitingRequest) -> bool) -> Vec<u64> {
-        let mut gone = Vec::new();
-        for (_, waiting) in self.asked.values_mut() {
+    /// Removes the requests for which `is_expired` holds, and returns their ids.
+    pub(crate) fn remove_expired(
+        &mut self,
+        mut is_expired: impl FnMut(&WaitingRequest) -> bool,
+    ) -> Vec<u64> {
+        let mut removed = Vec::new();
+        for (_, waiting) in self.in_flight.values_mut() {
             waiting.retain(|w| {
-                let late = late(w);
-                if late {
-                    gone.push(w.rid);
+                let expired = is_expired(w);
+                if expired {
+                    removed.push(w.rid);
                 }
-                !late
+                !expired
             });
         }
-        gone
+        removed
     }
 
-    /// Whether to read now how jobs ended; then that is under way.
-    pub(crate) fn follow(&mut self, applied: &Version) -> bool {
+    /// Whether the archive's changes have to be read now; if so, the read counts as in flight.
+    pub(crate) fn start_changes_read(&mut self, applied: &Version) -> bool {
         let due = self.is_stale && !self.read_in_flight && self.read_revision < *applied;
         if due {
             (self.is_stale, self.read_in_flight) = (false, true);
--- a/crates/cleatfold-control/src/jobs/cancellation_state.rs
+++ b/crates/cleatfold-control/src/jobs/cancellation_state.rs
@@ -1,12 +1,12 @@
-//! Cancellations that are being told to the peers, until each has acknowledged them.
+//! State of the cancellation broadcast.
 
 use cleatfold_cancellation_broadcast::CancellationBroadcast;
 use cleatfold_wire::Ms;
 
-/// A controller's part in the broadcast of cancellations.
+/// Cancellations that are sent to the peers until each peer has acknowledged them.
 #[derive(Debug, Default)]
 pub(crate) struct Cancellations {
     pub broadcast: CancellationBroadcast,
-    /// When it was last looked what has to be told again.
+    /// When unacknowledged cancellations were last checked for being due again.
     pub last_checked: Ms,
 }
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::{Controller, EventNumber, Pending, Submission, WaitReason, WaitingRequest};
 use crate::effects::{CallPriority, Request, Response, StoreReply, StoreRequest};
-use crate::jobs::archive::Joined;
+use crate::jobs::archive::JoinOutcome;
 use crate::jobs::submissions::SUBMIT_MS;
 use crate::store::records::{archive_key, status, ArchiveRecord, LossList, ARCHIVE};
 use cleatfold_wire::job::{JobState, JobStatus, StepCount};
@@ -117,7 +117,7 @@
         late.extend(gone.into_iter().map(|s| s.rid));
         late.extend(self.late_steps(away));
         late.extend(self.late_questions(away));
-        late.extend(self.archive.give_up(|w| {
+        late.extend(self.archive.remove_expired(|w| {
             let limit = if matches!(w.kind, WaitReason::Poll) { POLL_MS } else { REQUEST_MS };
             now.since(w.arrived) > limit
         }));
@@ -190,13 +190,13 @@
 
     /// Asks the archive about a job that is not among the live ones.
     fn query_archive(&mut self, job: JobId, waiting: Vec<WaitingRequest>) {
-        match self.archive.join(&job, waiting, self.event) {
-            Joined::Ask => {
+        match self.archive.join_or_start(&job, waiting, self.event) {
+            JoinOutcome::Started => {
                 let request = StoreRequest::Get(archive_key(&job));
                 self.store(CallPriority::Poll, request, Pending::Archive { job });
             }
-            Joined::UnderWay => {}
-            Joined::Full(waiting) => {
+            JoinOutcome::Joined => {}
+            JoinOutcome::Full(waiting) => {
                 for w in waiting {
                     self.reply(w.rid, Response::later("too many such questions"));
                 }
@@ -205,7 +205,7 @@
     }
 
     pub(crate) fn on_archive_record(&mut self, job: JobId, reply: StoreReply) {
-        let (sent_at, waiting) = self.archive.leave(&job);
+        let (sent_at, waiting) = self.archive.finish(&job);
         match reply {
             StoreReply::Item(item) => {
                 if !self.note_archived(&job, item.value.get()) {
@@ -264,7 +264,7 @@
     /// Jobs left the live records by others' hands: reads how they ended, all of them at once, so
     /// that no poll has to ask for each.
     pub(crate) fn read_archive_changes(&mut self) {
-        if !self.archive.follow(&self.cache.applied) {
+        if !self.archive.start_changes_read(&self.cache.applied) {
             return;
         }
         let from = self.archive.read_revision;
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -245,7 +245,7 @@
         self.answer_steps(tx.steps.verdicts);
         let status = self.note_outcome(&job, tx.result);
         if status.state == JobState::Aborted {
-            self.note_confirmed(&job);
+            self.on_cancellation_committed(&job);
         }
         self.answer_withdrawals(tx.withdrawals, &status);
         let is_gone = !self.cache.jobs.contains_key(&job);
