--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -1,15 +1,15 @@
-//! What users ask: submissions, polls, cancellations.
+//! User requests: submissions, polls and cancellations.
 
 use crate::controller::{Controller, EventNumber, Pending, Submission, WaitReason, WaitingRequest};
 use crate::effects::{CallPriority, Request, Response, StoreReply, StoreRequest};
 use crate::jobs::archive::JoinOutcome;
-use crate::jobs::submissions::SUBMIT_MS;
+use crate::jobs::submissions::SUBMISSION_TIMEOUT_MS;
 use crate::store::records::{archive_key, status, ArchiveRecord, LossList, ARCHIVE};
 use cleatfold_wire::job::{JobState, JobStatus, StepCount};
 use cleatfold_wire::{JobId, Ms, Version};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Answers that are final may be kept: they never change. Bounded; the archive has them all.
+/// Bounded cache of archive records. Final states never change; the archive holds all of them.
 #[derive(Default)]
 pub(crate) struct TerminalJobCache {
     states: BTreeMap<JobId, ArchiveRecord>,
@@ -43,11 +43,13 @@
     }
 }
 
-/// How long a user waits for the answer to a poll and to the other requests.
-const POLL_MS: u64 = 1700;
-const REQUEST_MS: u64 = 4000;
+/// How long a poll waits before it is answered 503.
+const POLL_TIMEOUT_MS: u64 = 1700;
+/// How long any other request waits before it is answered 503.
+const REQUEST_TIMEOUT_MS: u64 = 4000;
 
 impl Controller {
+    /// Handles a user request.
     pub(crate) fn on_request(&mut self, rid: u64, request: Request) {
         if let Request::Ready = request {
             let response = if self.is_ready() {
@@ -70,23 +72,24 @@
                 Some(status) => self.reply(rid, Response::Status { code: 200, status }),
                 None => self.wait_for_read(rid, job, WaitReason::Withdraw),
             },
-            Request::Steps(report) => self.on_steps(rid, report),
+            Request::Steps(report) => self.on_step_report(rid, report),
             Request::TeamLosses { team, since } => self.on_team_losses(rid, team, since),
             Request::Team { team, what, since } => self.on_team(rid, team, what, since),
             Request::Ready => unreachable!("answered above"),
         }
     }
 
-    /// The state service has just failed and not answered since: requests that need it are
-    /// told so at once, with the time to come back.
+    /// Whether the state service has failed recently and not answered since. Requests that need it are
+    /// then answered 503 with a retry time at once.
     pub(crate) fn is_store_unavailable(&self) -> bool {
         match (self.session.last_failure, self.session.last_read) {
-            (Some(failed), Some(fresh)) => failed > fresh && self.now.since(fresh) > 1500,
-            (failed, None) => failed.is_some(),
+            (Some(failure), Some(read)) => failure > read && self.now.since(read) > 1500,
+            (failure, None) => failure.is_some(),
             _ => false,
         }
     }
 
+    /// Queues a request until a read of the state service that is sent after it arrived.
     pub(crate) fn wait_for_read(&mut self, rid: u64, job: JobId, kind: WaitReason) {
         if self.is_store_unavailable() {
             return self.reply(rid, Response::later("the state service does not answer"));
@@ -96,62 +99,75 @@
         self.sync_if_due();
     }
 
-    /// Whoever has waited too long is told to come back.
+    /// Answers requests that have waited too long with 503.
     pub(crate) fn expire_waiting_requests(&mut self) {
-        let away = self.is_store_unavailable();
+        let store_unavailable = self.is_store_unavailable();
         let now = self.now;
-        let mut late = Vec::new();
+        let mut expired = Vec::new();
         self.waiting.retain(|w| {
-            let limit = if matches!(w.kind, WaitReason::Poll) { POLL_MS } else { REQUEST_MS };
-            let give_up = away || now.since(w.arrived) > limit;
+            let limit = if matches!(w.kind, WaitReason::Poll) {
+                POLL_TIMEOUT_MS
+            } else {
+                REQUEST_TIMEOUT_MS
+            };
+            let give_up = store_unavailable || now.since(w.arrived) > limit;
             if give_up {
-                late.push(w.rid);
+                expired.push(w.rid);
             }
             !give_up
         });
-        // Work whose asker has left is not done: he has asked again, most likely another controller.
-        // (Both kept it, each batch met jobs that the other had accepted, and failed as a whole;
-        // so the more had asked again the fewer were accepted, for good.)
-        let gone =
-            self.submitting.submission_queue.take_late(|at| away || now.since(Ms(at)) > SUBMIT_MS);
-        late.extend(gone.into_iter().map(|s| s.rid));
-        late.extend(self.late_steps(away));
-        late.extend(self.late_questions(away));
-        late.extend(self.archive.remove_expired(|w| {
-            let limit = if matches!(w.kind, WaitReason::Poll) { POLL_MS } else { REQUEST_MS };
+        // Drop submissions whose users have timed out: they have retried, most likely at another
+        // controller. If both controllers kept a submission, each batch would contain jobs that the
+        // other had accepted and would fail as a whole: the more retries, the fewer acceptances, and
+        // the system would not recover.
+        let expired_submissions = self
+            .submitting
+            .submission_queue
+            .take_late(|at| store_unavailable || now.since(Ms(at)) > SUBMISSION_TIMEOUT_MS);
+        expired.extend(expired_submissions.into_iter().map(|s| s.rid));
+        expired.extend(self.take_expired_step_reports(store_unavailable));
+        expired.extend(self.late_questions(store_unavailable));
+        expired.extend(self.archive.remove_expired(|w| {
+            let limit = if matches!(w.kind, WaitReason::Poll) {
+                POLL_TIMEOUT_MS
+            } else {
+                REQUEST_TIMEOUT_MS
+            };
             now.since(w.arrived) > limit
         }));
-        for rid in late {
+        for rid in expired {
             self.reply(rid, Response::later("the state service does not answer"));
         }
     }
 
-    /// A reading sent at event `sent_at` is in: it answers everyone who asked before. By events, not by the clock: who
-    /// asks later in the same millisecond may have been told by another controller of what this reading does not show.
+    /// Answers the requests that arrived at or before event `sent_at`, at which a read was sent whose
+    /// reply is now applied. Ordered by event, not by clock: a user whose request arrives later in the same millisecond may already
+    /// have seen, through another controller, a change that this read does not show.
     pub(crate) fn answer_waiting_requests(&mut self, sent_at: EventNumber) {
-        let (ripe, rest) =
+        let (answerable, rest) =
             std::mem::take(&mut self.waiting).into_iter().partition(|w| w.arrived_at <= sent_at);
         self.waiting = rest;
         let mut unknown: BTreeMap<JobId, Vec<WaitingRequest>> = BTreeMap::new();
-        for w in ripe {
+        for w in answerable {
             let w: WaitingRequest = w;
             if let WaitReason::Steps(report) = w.kind {
-                // What is not claimed by a reading sent after it came is not claimed.
-                self.take_steps(w.rid, report, true);
+                // The read was sent after the report arrived: a claim that it does not show is not held.
+                self.admit_step_report(w.rid, report, true);
             } else if let Some(status) = self.terminal_jobs.get(&w.job) {
                 self.reply(w.rid, Response::Status { code: 200, status });
             } else if self.cache.jobs.contains_key(&w.job) {
-                self.answer_live(w);
+                self.answer_from_live_record(w);
             } else {
                 unknown.entry(w.job.clone()).or_default().push(w);
             }
         }
         for (job, waiting) in unknown {
-            self.query_archive(job, waiting);
+            self.look_up_in_archive(job, waiting);
         }
         self.answer_teams(Some(sent_at));
     }
 
+    /// Status of a job from its live records; `None` if it has none.
     pub(crate) fn live_status(&self, job: &JobId) -> Option<JobStatus> {
         let cached = self.cache.jobs.get(job)?;
         let state = match (cached.record.aborted, cached.claimed) {
@@ -174,7 +190,7 @@
         Some(status)
     }
 
-    fn answer_live(&mut self, w: WaitingRequest) {
+    fn answer_from_live_record(&mut self, w: WaitingRequest) {
         let Some(status) = self.live_status(&w.job) else {
             return;
         };
@@ -188,8 +204,8 @@
         self.reply(w.rid, Response::Status { code: 200, status });
     }
 
-    /// Asks the archive about a job that is not among the live ones.
-    fn query_archive(&mut self, job: JobId, waiting: Vec<WaitingRequest>) {
+    /// Looks up a job without live records in the archive.
+    fn look_up_in_archive(&mut self, job: JobId, waiting: Vec<WaitingRequest>) {
         match self.archive.join_or_start(&job, waiting, self.event) {
             JoinOutcome::Started => {
                 let request = StoreRequest::Get(archive_key(&job));
@@ -204,11 +220,12 @@
         }
     }
 
+    /// Handles the reply to an archive lookup.
     pub(crate) fn on_archive_record(&mut self, job: JobId, reply: StoreReply) {
         let (sent_at, waiting) = self.archive.finish(&job);
         match reply {
             StoreReply::Item(item) => {
-                if !self.note_archived(&job, item.value.get()) {
+                if !self.cache_archive_record(&job, item.value.get()) {
                     return;
                 }
                 for w in waiting {
@@ -219,11 +236,11 @@
             }
             StoreReply::Missing => {
                 for w in waiting {
-                    // It may have been accepted since we looked: then it waits once more.
-                    let later = w.arrived_at > sent_at;
+                    // The job may have been accepted after the lookup was sent: wait for another read.
+                    let arrived_after_lookup = w.arrived_at > sent_at;
                     let known = self.cache.jobs.contains_key(&job)
                         || self.terminal_jobs.get(&job).is_some();
-                    if later || known {
+                    if arrived_after_lookup || known {
                         self.waiting.push(w);
                         continue;
                     }
@@ -247,7 +264,8 @@
         }
     }
 
-    fn note_archived(&mut self, job: &JobId, record: &str) -> bool {
+    /// Caches an archive record. False if it is unreadable.
+    fn cache_archive_record(&mut self, job: &JobId, record: &str) -> bool {
         match serde_json::from_str::<ArchiveRecord>(record) {
             Ok(archive) => {
                 self.find_ended_losses(job, &archive);
@@ -261,8 +279,8 @@
         true
     }
 
-    /// Jobs left the live records by others' hands: reads how they ended, all of them at once, so
-    /// that no poll has to ask for each.
+    /// Reads in bulk how jobs ended that other controllers removed from the live records, so that polls
+    /// need no lookup each.
     pub(crate) fn read_archive_changes(&mut self) {
         if !self.archive.start_changes_read(&self.cache.applied) {
             return;
@@ -272,11 +290,12 @@
         self.store(CallPriority::Poll, request, Pending::Ended { from });
     }
 
+    /// Handles the reply to a read of the archive's changes.
     pub(crate) fn on_archive_changes(&mut self, from: Version, reply: StoreReply) {
         self.archive.read_in_flight = false;
         let StoreReply::Events(events) = reply else {
             match reply {
-                // Too much has changed since: whoever asks is answered one by one.
+                // The changes are no longer available: polls are answered by individual lookups.
                 StoreReply::TooOld => self.lose_ended(from),
                 _ => self.archive.is_stale = true,
             }
@@ -285,7 +304,7 @@
         for event in &events.events {
             let job = event.put.as_deref().and_then(|k| k.strip_prefix(ARCHIVE)).map(JobId::new);
             if let (Some(job), Some(value)) = (job, &event.value) {
-                self.note_archived(&job, value.get());
+                self.cache_archive_record(&job, value.get());
             }
         }
         self.archive.read_revision = events.revision;
--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -116,7 +116,7 @@
     /// Members' reports that wait to be recorded.
     pub member_reports: Vec<MemberReport>,
     /// All steps are finished and all members gone.
-    pub over: bool,
+    pub completion_pending: bool,
     /// When a member last gave way.
     pub last_shrunk: Option<Ms>,
     /// How often tasks were stopped to make room.
@@ -131,7 +131,7 @@
     /// Something waits to be recorded.
     pub(crate) fn has_updates(&self) -> bool {
         self.abort
-            || self.over
+            || self.completion_pending
             || !(self.ends.is_empty()
                 && self.placement_requests.is_empty()
                 && self.member_reports.is_empty())
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -1,10 +1,11 @@
-//! Steps of elastic jobs: members' reports to transactions and answers.
+//! Step reports of elastic jobs: admission, answers, and completion of jobs.
 //!
-//! A job's reports go to its *coordinator*, one of the live controllers, so that they gather and do not
-//! make each other fail. Who coordinates a job is a hint: any controller that is asked insistently
-//! decides as well. What counts is the transaction. It is guarded by the version of the job's
-//! record, which holds the members' claims, and of each part of the progress that it changes:
-//! a report of a member whose claim has ended meanwhile fails, and is judged anew.
+//! A job's reports are redirected to its *coordinator*, one of the live controllers, so that they
+//! are batched and do not conflict with each other. The coordinator is only a hint: a member may
+//! insist, and then any controller accepts its report. Safety rests on the transaction, which is
+//! guarded by the version of the job's record, which holds the members' claims, and by the version
+//! of each part of the progress that it changes. If a member's claim has ended in the meantime the
+//! transaction fails, and its reports are evaluated again.
 
 use crate::controller::{Controller, WaitReason};
 use crate::effects::Response;
@@ -14,22 +15,25 @@
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::{ControllerId, JobId};
 
-/// A report that could not be recorded for so long is answered 503.
-const ASK_MS: u64 = 4000;
-const COMPLETE_MS: u64 = 250;
+/// A report that has not been recorded after this time is answered 503.
+const REPORT_TIMEOUT_MS: u64 = 4000;
+/// Interval between checks for jobs that have completed.
+const COMPLETION_CHECK_INTERVAL_MS: u64 = 250;
 
 impl Controller {
-    /// Rendezvous hashing over the live controllers: as few jobs as possible change their coordinator when
-    /// a controller comes or goes, and all controllers that know the same members agree.
+    /// The job's coordinator, by rendezvous hashing over the live controllers: as few jobs as possible
+    /// change their coordinator when a controller joins or leaves, and controllers that know the same
+    /// members agree.
     fn coordinator(&self, job: &JobId) -> ControllerId {
         let rank = |controller: &ControllerId| {
             xxhash_rust::xxh3::xxh3_64(format!("{job}@{controller}").as_bytes())
         };
-        let cached = self.cache.controllers.keys();
-        cached.max_by_key(|n| rank(n)).cloned().unwrap_or_else(|| self.cfg.me.clone())
+        let controllers = self.cache.controllers.keys();
+        controllers.max_by_key(|n| rank(n)).cloned().unwrap_or_else(|| self.cfg.me.clone())
     }
 
-    pub(crate) fn on_steps(&mut self, rid: u64, report: Box<StepReport>) {
+    /// Handles a step report of a member.
+    pub(crate) fn on_step_report(&mut self, rid: u64, report: Box<StepReport>) {
         let coordinator = self.coordinator(&report.member.job);
         if coordinator != self.cfg.me && !report.generate_load {
             return self.reply(rid, Response::Redirect(Some(coordinator)));
@@ -37,21 +41,27 @@
         if self.is_store_unavailable() {
             return self.reply(rid, Response::store_unavailable());
         }
-        self.take_steps(rid, report, false);
+        self.admit_step_report(rid, report, false);
     }
 
-    /// `read`: what stands was read after the report came.
-    pub(crate) fn take_steps(&mut self, rid: u64, report: Box<StepReport>, read: bool) {
+    /// Queues a report to be recorded if the member holds its claim, and refuses it otherwise.
+    /// `read_since_arrival`: the cache was read from the state service after the report arrived.
+    pub(crate) fn admit_step_report(
+        &mut self,
+        rid: u64,
+        report: Box<StepReport>,
+        read_since_arrival: bool,
+    ) {
         let job = report.member.job.clone();
         let cached = self.cache.jobs.get(&job);
         let claim = cached.and_then(|cached| {
             let mut tasks = cached.record.table.claims.iter().flat_map(|g| &g.tasks);
             tasks.find(|t| t.0 == report.member.ix).map(|t| t.1)
         });
-        let stands = claim == Some(report.attempt)
-            && cached.is_some_and(|l| !l.record.aborted && l.steps_left.is_some());
-        if !stands && !read {
-            // Its claim may be one that we have not read yet.
+        let is_current = claim == Some(report.attempt)
+            && cached.is_some_and(|job| !job.record.aborted && job.steps_left.is_some());
+        if !is_current && !read_since_arrival {
+            // The member's claim may not be in the cache yet.
             return self.wait_for_read(rid, job, WaitReason::Steps(report));
         }
         let why = match cached {
@@ -70,71 +80,79 @@
             tracing::info!(member = %report.member, attempt = report.attempt.0, why, "step report refused");
             return self.reply(rid, Response::refuse(409, why));
         }
-        let idle = report.wants > 0 && self.runs_out(&report);
+        let idle = report.wants > 0 && self.finishes_held_steps(&report);
         let arrived = self.now;
         self.job_state(&job).member_reports.push(MemberReport { rid, report, arrived, idle });
         self.mark_pending_updates(&job);
     }
 
-    /// Whether the member has no unfinished step left beside those that it reports.
-    fn runs_out(&self, report: &StepReport) -> bool {
+    /// Whether the member holds no unfinished steps apart from those that it reports as finished.
+    fn finishes_held_steps(&self, report: &StepReport) -> bool {
         let parts = self.cache.progress.get(&report.member.job).into_iter().flatten();
         let held = parts.flat_map(|(_, part)| part.value.held.iter());
-        let mine = held.filter(|h| h.member == report.member.ix && h.attempt == report.attempt);
+        let own = held.filter(|h| h.member == report.member.ix && h.attempt == report.attempt);
         let reported = |s: u32| report.finished.iter().any(|r| r.0 <= s && s < r.1);
-        !mine.flat_map(|h| h.from..h.to).any(|s| !reported(s))
+        !own.flat_map(|h| h.from..h.to).any(|s| !reported(s))
     }
 
-    pub(crate) fn answer_steps(&mut self, verdicts: Vec<(MemberReport, Verdict)>) {
-        for (member_reports, verdict) in verdicts {
+    /// Answers evaluated reports.
+    pub(crate) fn answer_step_reports(&mut self, verdicts: Vec<(MemberReport, Verdict)>) {
+        for (member_report, verdict) in verdicts {
             let response = match verdict {
                 Verdict::Accepted(reply) => Response::Steps(reply),
                 Verdict::Lost(why) => {
-                    let member = &member_reports.report.member;
-                    tracing::info!(%member, attempt = member_reports.report.attempt.0, why, "step report refused");
+                    let member = &member_report.report.member;
+                    tracing::info!(%member, attempt = member_report.report.attempt.0, why, "step report refused");
                     Response::refuse(409, why)
                 }
             };
-            self.reply(member_reports.rid, response);
+            self.reply(member_report.rid, response);
         }
     }
 
-    /// Reports that waited too long, or have nothing to wait for.
-    pub(crate) fn late_steps(&mut self, away: bool) -> Vec<u64> {
+    /// Removes the reports that have waited too long, or all reports if the state service is
+    /// unavailable, and returns their request ids.
+    pub(crate) fn take_expired_step_reports(&mut self, store_unavailable: bool) -> Vec<u64> {
         let now = self.now;
-        let mut late = Vec::new();
-        for job_state in self.job_states.values_mut().filter(|l| !l.member_reports.is_empty()) {
-            job_state.member_reports.retain(|a| {
-                let give_up = away || now.since(a.arrived) > ASK_MS;
+        let mut expired = Vec::new();
+        for job_state in self.job_states.values_mut().filter(|s| !s.member_reports.is_empty()) {
+            job_state.member_reports.retain(|r| {
+                let give_up = store_unavailable || now.since(r.arrived) > REPORT_TIMEOUT_MS;
                 if give_up {
-                    late.push(a.rid);
+                    expired.push(r.rid);
                 }
                 !give_up
             });
         }
-        late
+        expired
     }
 
-    /// Jobs whose steps are all finished end when their last member is gone; whoever recorded that need not
-    /// have known of the last step. And a cancelled job in parts is over with its last claim: two owners that
-    /// ended the last ones in different parts at the same time each still saw the other's, and the job stayed
-    /// for ever. So its coordinator looks.
+    /// Ends jobs that have completed without any transaction recording it; done by the coordinator.
+    ///
+    /// An elastic job ends when all steps are finished and its last claim has ended, but the
+    /// controller that records the end of that claim may not have read the last step yet. A cancelled
+    /// job in parts ends with its last claim: when two owners concurrently record the last claim
+    /// ends in different parts, each still sees the other's claim, and the job would never end.
     pub(crate) fn end_completed_jobs(&mut self) {
-        if self.now.since(self.completed_at) < COMPLETE_MS {
+        if self.now.since(self.completed_at) < COMPLETION_CHECK_INTERVAL_MS {
             return;
         }
         self.completed_at = self.now;
-        let cached = |id: &JobId| self.cache.jobs.get(id).filter(|l| l.claimed == 0);
-        let steps = self.cache.progress.keys();
-        let steps =
-            steps.filter(|id| cached(id).is_some_and(|l| l.is_complete() && !l.record.aborted));
-        // Whether any part of it has a record or not: cancelled before its first claim, it has none.
-        let cancelled = |l: &CachedJob| l.record.aborted && l.record.in_parts() && l.claimed == 0;
-        let parts = self.cache.jobs.iter().filter(|(_, l)| cancelled(l)).map(|(id, _)| id);
-        let over: Vec<JobId> =
-            steps.chain(parts).filter(|id| self.coordinator(id) == self.cfg.me).cloned().collect();
-        for job in over {
-            self.job_state(&job).over = true;
+        let unclaimed = |id: &JobId| self.cache.jobs.get(id).filter(|job| job.claimed == 0);
+        let elastic = self.cache.progress.keys();
+        let elastic = elastic
+            .filter(|id| unclaimed(id).is_some_and(|job| job.is_complete() && !job.record.aborted));
+        // Not looked up by part: a job that is cancelled before its first claim has no part records.
+        let cancelled =
+            |job: &CachedJob| job.record.aborted && job.record.in_parts() && job.claimed == 0;
+        let in_parts = self.cache.jobs.iter().filter(|(_, job)| cancelled(job)).map(|(id, _)| id);
+        let completed: Vec<JobId> = elastic
+            .chain(in_parts)
+            .filter(|id| self.coordinator(id) == self.cfg.me)
+            .cloned()
+            .collect();
+        for job in completed {
+            self.job_state(&job).completion_pending = true;
             self.mark_pending_updates(&job);
         }
     }
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions: who may, in what order they are made durable, and what became of them.
+//! Submissions of jobs: admission checks, group commit, and answers to users.
 
 use crate::controller::{Controller, Pending, Submission, WaitReason};
 use crate::effects::{CallPriority, Response, StoreReply, StoreRequest};
@@ -11,24 +11,30 @@
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::{TeamId, Version};
 
-/// After so long whoever submits has left, and asks again.
-pub(crate) const SUBMIT_MS: u64 = 4500;
-/// Submissions for more than so long are not kept waiting but sent away at once.
-const SUBMIT_QUEUE_S: f64 = 3.0;
+/// After this time the user has given up on a submission and retries it.
+pub(crate) const SUBMISSION_TIMEOUT_MS: u64 = 4500;
+/// A submission that would be queued for longer than this is refused at once.
+const MAX_QUEUE_WAIT_S: f64 = 3.0;
 
-/// What a claim takes of a record, alone on its machine, with its share of the description.
-const CLAIM_BYTES: usize = 120;
+/// Size of one claim in a record if it is the only one on its machine, including its share of the
+/// job description.
+const CLAIM_RECORD_BYTES: usize = 120;
 
+/// Submissions that wait to be made durable, and the batch in flight.
 pub(crate) struct SubmissionState {
     pub submission_queue: SubmissionQueue<TeamId, Submission>,
-    inflight: bool,
-    /// Changes that submissions were ahead of the jobs' own.
-    pub ahead: usize,
+    batch_in_flight: bool,
+    /// Changes that updates of running jobs are owed because submissions were sent before them.
+    pub changes_owed: usize,
 }
 
 impl Default for SubmissionState {
     fn default() -> Self {
-        Self { submission_queue: SubmissionQueue::new(SUBMIT_MS), inflight: false, ahead: 0 }
+        Self {
+            submission_queue: SubmissionQueue::new(SUBMISSION_TIMEOUT_MS),
+            batch_in_flight: false,
+            changes_owed: 0,
+        }
     }
 }
 
@@ -45,18 +51,19 @@
         );
     }
 
-    /// The last batch is decided; the next may go.
+    /// The outcome of the last batch is known; the next batch may be sent.
     pub(crate) fn finish_batch(&mut self) {
-        self.inflight = false;
+        self.batch_in_flight = false;
     }
 
-    /// More than a second's worth of half of our changes waits.
-    fn are_many(&self, rate: f64) -> bool {
+    /// Whether more submissions are queued than half of the change rate accepts in one second.
+    fn is_backlogged(&self, rate: f64) -> bool {
         self.submission_queue.len() as f64 > rate / 2.0
     }
 }
 
 impl Controller {
+    /// Handles a submission: answers it, refuses it or queues it.
     pub(crate) fn on_submit(&mut self, rid: u64, spec: Box<JobSpec>) {
         let job = spec.id.clone();
         if let Some(status) = self.terminal_jobs.get(&job) {
@@ -65,18 +72,18 @@
         if self.cache.jobs.contains_key(&job) {
             return self.wait_for_read(rid, job, WaitReason::Known(spec));
         }
-        if let Some(why) = self.impossible(&spec) {
+        if let Some(why) = self.rejection_reason(&spec) {
             return self.wait_for_read(rid, job, WaitReason::Impossible(why));
         }
         if self.is_store_unavailable() {
             return self.reply(rid, Response::later("the state service does not answer"));
         }
         let wait_s = self.submitting.submission_queue.wait_s(&spec.team, self.submissions_per_s());
-        if wait_s > SUBMIT_QUEUE_S {
-            // Spread by the job, or all would be back together.
-            let spread = xxhash_rust::xxh3::xxh3_64(job.as_str().as_bytes()) % 4;
+        if wait_s > MAX_QUEUE_WAIT_S {
+            // Jitter by job id, so that refused users do not all retry at once.
+            let jitter_s = xxhash_rust::xxh3::xxh3_64(job.as_str().as_bytes()) % 4;
             let why = "more is submitted than can be accepted now".to_string();
-            let retry_after_s = Some((wait_s as u32 + spread as u32).clamp(1, 15));
+            let retry_after_s = Some((wait_s as u32 + jitter_s as u32).clamp(1, 15));
             return self.reply(rid, Response::Refusal { code: 503, why, retry_after_s });
         }
         if let Some(retry_after_s) = self.refused_for_now(&spec) {
@@ -88,80 +95,84 @@
         self.flush_due = true;
     }
 
-    /// What goes to submissions of our changes when jobs have use for the rest: every other one, and
-    /// three of four while they wait long. A job that is not accepted in time is late already, and
-    /// whoever has to come back costs another request.
+    /// Change rate available to submissions while updates of running jobs use the rest: every other
+    /// change, and three of four while submissions are backlogged. A job that is not accepted in time
+    /// is already late, and a retry costs another request.
     fn submissions_per_s(&self) -> f64 {
-        let part = if self.submitting.are_many(self.rate_limiter.rate()) { 0.75 } else { 0.5 };
-        (self.rate_limiter.rate() * part).max(1.0)
+        let share =
+            if self.submitting.is_backlogged(self.rate_limiter.rate()) { 0.75 } else { 0.5 };
+        (self.rate_limiter.rate() * share).max(1.0)
     }
 
-    /// So many changes are owed to the jobs after submissions took some before them.
-    pub(crate) fn owed(&self, sent: usize) -> usize {
-        if self.submitting.are_many(self.rate_limiter.rate()) {
+    /// Number of changes owed to updates of running jobs after submissions used `sent` changes.
+    pub(crate) fn changes_owed_for(&self, sent: usize) -> usize {
+        if self.submitting.is_backlogged(self.rate_limiter.rate()) {
             sent.div_ceil(3)
         } else {
             sent
         }
     }
 
-    /// Why a job can never run here, if so.
-    fn impossible(&self, spec: &JobSpec) -> Option<String> {
+    /// Why the job can never run in this deployment, if so.
+    fn rejection_reason(&self, spec: &JobSpec) -> Option<String> {
         let Some(team) = self.cfg.team(&spec.team) else {
             return Some(format!("unknown team {}", spec.team));
         };
-        let each = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
+        let per_task = Resources::new(spec.cpus, spec.gpus, spec.memory_gb);
         let fits = self.inventory.types.values().any(|t| {
             spec.types.as_ref().is_none_or(|allowed| allowed.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-                && each.within(&self.inventory.total(&t.name))
+                && per_task.within(&self.inventory.total(&t.name))
         });
         if !fits {
             return Some("a task fits no allowed machine type".into());
         }
-        let n = match &spec.elastic {
+        let min_tasks = match &spec.elastic {
             Some(elastic) => f64::from(elastic.least.max(1)),
             None if spec.kind == Kind::Array => 1.0,
             None => f64::from(spec.tasks),
         };
-        let over = |need: f64, max: f64| max > 0.0 && need * n > max + 1e-9;
-        // Each member's claim takes its room in the one record that fences them all.
-        if spec.elastic.is_some() && spec.tasks as usize * CLAIM_BYTES > self.cfg.max_value_bytes {
-            let most = self.cfg.max_value_bytes / CLAIM_BYTES;
-            return Some(format!("an elastic job may have at most {most} members here"));
+        let exceeds = |per_task: f64, max: f64| max > 0.0 && per_task * min_tasks > max + 1e-9;
+        // The claims of all members must fit into the one record that fences them.
+        if spec.elastic.is_some()
+            && spec.tasks as usize * CLAIM_RECORD_BYTES > self.cfg.max_value_bytes
+        {
+            let max_members = self.cfg.max_value_bytes / CLAIM_RECORD_BYTES;
+            return Some(format!("an elastic job may have at most {max_members} members here"));
         }
-        if over(spec.cpus, team.cpus_max) || over(spec.gpus, team.gpus_max) {
+        if exceeds(spec.cpus, team.cpus_max) || exceeds(spec.gpus, team.gpus_max) {
             return Some(format!("more than the limit of team {}", team.name));
         }
         None
     }
 
-    /// Group commit: what came in while the last batch was under way goes together.
-    /// Returns the number of changes.
+    /// Group commit: sends the submissions that arrived while the last batch was in flight as one
+    /// transaction. Returns the number of changes.
     pub(crate) fn flush_submissions(&mut self) -> usize {
-        if self.submitting.inflight || self.submitting.submission_queue.is_empty() {
+        if self.submitting.batch_in_flight || self.submitting.submission_queue.is_empty() {
             return 0;
         }
         let mut batch: Vec<Submission> = Vec::new();
         let mut txn = Txn::default();
         let mut size = 0;
-        // Each costs a change whether alone or not, and one that is known already fails them all:
-        // no more at a time than half a second's worth.
-        let most = (self.submissions_per_s().ceil() as usize).clamp(2, self.cfg.max_txn_changes);
-        while batch.len() < most {
+        // Batching saves no changes, and one job that is already accepted fails the whole batch: limit
+        // a batch to about half a second's worth of all changes.
+        let max_batch =
+            (self.submissions_per_s().ceil() as usize).clamp(2, self.cfg.max_txn_changes);
+        while batch.len() < max_batch {
             let Some((_, next)) = self.submitting.submission_queue.pop(self.now.0) else { break };
             let job = next.spec.id.clone();
             if let Some(status) = self.terminal_jobs.get(&job) {
                 self.reply(next.rid, Response::Status { code: 200, status });
                 continue;
             }
-            // Accepted elsewhere since it came.
+            // Accepted by another controller in the meantime.
             if self.cache.jobs.contains_key(&job) {
                 self.wait_for_read(next.rid, job, WaitReason::Known(next.spec));
                 continue;
             }
             let record = JobRecord::new((*next.spec).clone(), self.wall_ms);
-            // Long names and type lists count; 48 KiB leave room for the guards.
+            // Long names and type lists add up; 48 KiB leaves room for the guards.
             let length = serde_json::to_string(&record).map_or(0, |s| s.len()) + 200;
             if size + length > 48 * 1024 && !batch.is_empty() {
                 self.submitting.put_back(next);
@@ -184,7 +195,7 @@
         if batch.is_empty() {
             return 0;
         }
-        self.submitting.inflight = true;
+        self.submitting.batch_in_flight = true;
         let changes = txn.changes.len();
         let request = StoreRequest::Txn(txn.clone());
         self.store(
@@ -195,8 +206,9 @@
         changes
     }
 
-    /// The acceptance at `version` is durable. Where its answer was slow, others may have run, ended or cancelled the job
-    /// by now and told its user so: what we have read of that is told instead of what stood at first.
+    /// Answers a submission whose acceptance at `version` is durable. If the state service replied
+    /// late, other controllers may have started, ended or cancelled the job and reported that to the
+    /// user, so a later state that this controller has read takes precedence over the initial one.
     fn answer_accepted(&mut self, submission: Submission, version: Version) {
         let Submission { rid, spec, .. } = submission;
         let job = spec.id.clone();
@@ -211,6 +223,7 @@
         }
     }
 
+    /// Handles the outcome of a batch.
     pub(crate) fn on_submitted(&mut self, batch: Vec<Submission>, txn: Txn, reply: StoreReply) {
         self.submitting.finish_batch();
         match reply {
@@ -234,7 +247,7 @@
                 self.tell(None, Message::Changed);
             }
             StoreReply::Conflict(failed) => {
-                // Those that are known get their state; the others go again.
+                // Jobs that are already known are answered with their state; the others are retried.
                 for submission in batch.into_iter().rev() {
                     let job = submission.spec.id.clone();
                     let known = [job_key(&job), archive_key(&job)];
@@ -246,7 +259,7 @@
                 }
             }
             StoreReply::Unknown => {
-                // It may be accepted yet; the users are told to ask again, which will tell.
+                // The batch may still be accepted; the users retry and then learn the outcome.
                 for submission in &batch {
                     self.reply(submission.rid, Response::later("the outcome is not known yet"));
                 }
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -93,7 +93,7 @@
                 let known = self.cache.progress.get(job);
                 judge_steps(&mut draft, job_state, progress, known, max_parts)
             });
-        job_state.over = false;
+        job_state.completion_pending = false;
         let mut claims = Vec::new();
         if !draft.record.aborted && !job_state.abort {
             claims = draft.claim(placements, bounds, owns);
@@ -119,7 +119,7 @@
             let status = status(job, state, draft.done, draft.claimed);
             self.answer_withdrawals(withdrawals, &status);
             // What these steps rest on was read from the state service: it is durable.
-            self.answer_steps(std::mem::take(&mut steps.verdicts));
+            self.answer_step_reports(std::mem::take(&mut steps.verdicts));
             return None;
         }
         let result = finish(&mut draft, end, &steps, &self.cache, self.wall_ms);
@@ -242,7 +242,7 @@
                 _ => {}
             }
         }
-        self.answer_steps(tx.steps.verdicts);
+        self.answer_step_reports(tx.steps.verdicts);
         let status = self.note_outcome(&job, tx.result);
         if status.state == JobState::Aborted {
             self.on_cancellation_committed(&job);
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -24,17 +24,18 @@
         while self.rate_limiter.is_open() {
             let due = if self.session.is_loaded { self.weightiest() } else { None };
             // Submissions first, but a flood of them leaves the jobs every other change.
-            if self.submitting.ahead == 0 || due.is_none() {
+            if self.submitting.changes_owed == 0 || due.is_none() {
                 let sent = self.flush_submissions();
                 if sent > 0 {
                     // Only what went ahead of a job that waited is owed to the jobs. (Counted
                     // while none waited, a busy hour's submissions would have held up later ones.)
-                    self.submitting.ahead += if due.is_some() { self.owed(sent) } else { 0 };
+                    self.submitting.changes_owed +=
+                        if due.is_some() { self.changes_owed_for(sent) } else { 0 };
                     continue;
                 }
             }
             let Some(job) = due else { return };
-            self.submitting.ahead = self.submitting.ahead.saturating_sub(1);
+            self.submitting.changes_owed = self.submitting.changes_owed.saturating_sub(1);
             self.send_job_tx(job);
         }
     }
@@ -114,7 +115,7 @@
             member_reports: job_state.member_reports.len() as u32,
             idle: job_state.member_reports.iter().filter(|a| a.idle).count() as u32,
             abort: job_state.abort,
-            over: job_state.over,
+            over: job_state.completion_pending,
             finishes,
             mine_left: mine.saturating_sub(job_state.ends.len() as u32),
             unclaimed: cached.unclaimed(),
