--- a/crates/cleatfold-control/src/jobs/draft.rs
+++ b/crates/cleatfold-control/src/jobs/draft.rs
@@ -1,8 +1,9 @@
-//! The draft of one transaction on a job's records.
+//! Builder for one transaction on a job's records.
 //!
-//! A [`Draft`] starts from what the cache holds of a job, records ends and claims in copies of its
-//! records, and collects the guards under which the copies may replace what stands. Each changed
-//! part of a large job is one change; the job's own record (its head) is written only if it changed.
+//! A [`Draft`] starts from the cached records of a job, records claim ends and new claims in copies
+//! of them, and collects the guards under which the copies may replace the stored records. Each
+//! changed part of a large job is one change; the job's own record (its head) is written only if it
+//! changed.
 
 use crate::jobs::state::{part_of, ClaimEnd, Fence, PlacementRequest};
 use crate::store::cache::{CachedJob, PartMap};
@@ -13,36 +14,36 @@
 use cleatfold_write_batching::{claim_order, Selection};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What became of the ends of claims that wait to be recorded.
+/// How a draft handled the claim ends that were waiting to be recorded.
 #[derive(Debug, Default)]
-pub(super) struct RecordedEnds {
-    /// Part of this transaction.
+pub(super) struct ClaimEndOutcomes {
+    /// Recorded by this transaction.
     pub recorded: Vec<ClaimEnd>,
-    /// Settled by somebody else, or without proof by now: to be forgotten.
-    pub void: Vec<ClaimEnd>,
-    /// Of parts that this transaction does not change, so far.
+    /// Already recorded by another controller, or no longer proven: to be dropped.
+    pub obsolete: Vec<ClaimEnd>,
+    /// In parts that this transaction does not change so far.
     pub postponed: Vec<ClaimEnd>,
 }
 
-/// Claims made for one placement request.
-pub(super) type Claimed = (PlacementRequest, Vec<(TaskIx, Attempt)>);
+/// The claims that were made for one placement request.
+pub(super) type PlacementClaims = (PlacementRequest, Vec<(TaskIx, Attempt)>);
 
-/// What bounds the claims of one transaction.
+/// Limits on the claims of one transaction.
 #[derive(Debug)]
-pub(super) struct ClaimBounds {
-    /// Tasks that must not be claimed now.
+pub(super) struct ClaimLimits {
+    /// Tasks that must not be claimed now because they are in backoff after a failure.
     pub pausing: BTreeSet<TaskIx>,
-    /// How many of the others may be.
+    /// Maximum number of other tasks that may be claimed.
     pub max_tasks: u32,
-    /// Guards that claims may add up to.
+    /// Maximum number of guards of the transaction after claims have added theirs.
     pub max_guards: usize,
-    /// This controller's place among the live ones, and their number.
-    pub rank: (usize, usize),
-    /// Tasks of a spread job by zone.
-    pub by_zone: BTreeMap<ZoneId, u32>,
+    /// Rank of this controller among the live controllers, and their number.
+    pub controller_rank: (usize, usize),
+    /// Claimed tasks of a spread job by zone.
+    pub claimed_by_zone: BTreeMap<ZoneId, u32>,
 }
 
-/// A transaction on one job's records that is being put together.
+/// A transaction on one job's records that is being built.
 #[derive(Debug)]
 pub(super) struct Draft<'a> {
     job: &'a JobId,
@@ -53,9 +54,9 @@
     pub head_changed: bool,
     pub done: u32,
     pub claimed: u32,
-    /// Tables of parts as they will be.
-    touched: BTreeMap<u32, Table>,
-    /// How many parts this transaction may change.
+    /// New tables of the parts that this transaction changes.
+    changed_parts: BTreeMap<u32, Table>,
+    /// Maximum number of parts that this transaction may change.
     max_parts: usize,
     wall_ms: u64,
 }
@@ -66,7 +67,7 @@
     }
 }
 
-/// The transaction fails unless the pool is still ours.
+/// Guards the transaction by the pool's record: it fails unless the pool still has this owner.
 fn guard_pool(txn: &mut Txn, pool: &PoolId, token: FencingToken) {
     guard_once(txn, pool_key(pool), Version(token.0));
 }
@@ -85,12 +86,12 @@
         wall_ms: u64,
     ) -> Self {
         let mut record = cached.record.clone();
-        // From now on the record's version is another: its place in the queue stays.
+        // The queue position is the revision of the acceptance. This write changes the version: store it.
         record.place = Some(cached.place());
         let mut txn = Txn::default();
         txn.guard(job_key(job), cached.version);
         let (done, claimed) = (cached.done, cached.claimed);
-        let touched = BTreeMap::new();
+        let changed_parts = BTreeMap::new();
         Self {
             job,
             parts,
@@ -99,27 +100,28 @@
             head_changed: false,
             done,
             claimed,
-            touched,
+            changed_parts,
             max_parts,
             wall_ms,
         }
     }
 
-    // ---- ends ----
+    // ---- claim ends ----
 
-    /// Records the ends whose proof still holds, as far as their parts may be changed: those in
-    /// `selection`, all without one.
+    /// Records the claim ends whose proof still holds and whose parts may be changed: the parts in
+    /// `selection`, or all parts if there is none.
     pub(super) fn record_ends(
         &mut self,
         ends: &[ClaimEnd],
         selection: Option<&Selection>,
         owns: impl Fn(&PoolId, FencingToken) -> bool,
-    ) -> RecordedEnds {
-        let mut outcome = RecordedEnds::default();
+    ) -> ClaimEndOutcomes {
+        let mut outcome = ClaimEndOutcomes::default();
         for end in ends {
-            let unproven = end.fence.as_ref().is_some_and(|fence| !owns(&fence.pool, fence.token));
-            if unproven {
-                outcome.void.push(end.clone());
+            let is_unproven =
+                end.fence.as_ref().is_some_and(|fence| !owns(&fence.pool, fence.token));
+            if is_unproven {
+                outcome.obsolete.push(end.clone());
             } else if !self.may_change_part_of(end, selection) {
                 outcome.postponed.push(end.clone());
             } else {
@@ -129,11 +131,11 @@
         outcome
     }
 
-    /// Records completed tasks of parts that are changed in any case.
-    pub(super) fn record_postponed(&mut self, outcome: &mut RecordedEnds) {
+    /// Records postponed completions of tasks whose part is changed by this transaction anyway.
+    pub(super) fn record_postponed(&mut self, outcome: &mut ClaimEndOutcomes) {
         for end in std::mem::take(&mut outcome.postponed).into_iter().filter(|e| e.done) {
             let part = part_of(&self.record, end.ix);
-            if part.is_some_and(|part| self.touched.contains_key(&part)) {
+            if part.is_some_and(|part| self.changed_parts.contains_key(&part)) {
                 self.record_end(end, outcome);
             }
         }
@@ -142,15 +144,16 @@
     fn may_change_part_of(&self, end: &ClaimEnd, selection: Option<&Selection>) -> bool {
         let Some(part) = part_of(&self.record, end.ix) else { return true };
         let selected = selection.is_none_or(|s| s.contains(part));
-        self.touched.contains_key(&part) || (selected && self.touched.len() < self.max_parts)
+        self.changed_parts.contains_key(&part)
+            || (selected && self.changed_parts.len() < self.max_parts)
     }
 
-    fn record_end(&mut self, end: ClaimEnd, outcome: &mut RecordedEnds) {
+    fn record_end(&mut self, end: ClaimEnd, outcome: &mut ClaimEndOutcomes) {
         let part = part_of(&self.record, end.ix);
         let wall_ms = self.wall_ms;
         let table = self.table_mut(part);
         if !table.end(&end.machine, end.ix, end.attempt, end.done) {
-            outcome.void.push(end);
+            outcome.obsolete.push(end);
             return;
         }
         table.ran_ms += end.ran_ms;
@@ -166,61 +169,69 @@
         outcome.recorded.push(end);
     }
 
-    /// The table of a part, or of a job in one record, to be changed.
+    /// The mutable table of a part, or of the job itself if it is stored in one record.
     fn table_mut(&mut self, part: Option<u32>) -> &mut Table {
         let Some(part) = part else { return &mut self.record.table };
-        let known = || self.parts.and_then(|p| p.get(&part)).map(|p| p.value.clone());
-        self.touched.entry(part).or_insert_with(|| known().unwrap_or_default())
+        let cached = || self.parts.and_then(|p| p.get(&part)).map(|p| p.value.clone());
+        self.changed_parts.entry(part).or_insert_with(|| cached().unwrap_or_default())
     }
 
     // ---- claims ----
 
-    /// Makes the claims that the placement requests ask for, in their order, within the bounds.
-    /// A gang is claimed whole or not at all.
+    /// Makes the requested claims in the order of the placement requests, within `limits`.
+    /// A gang is claimed as a whole or not at all.
     pub(super) fn claim(
         &mut self,
         placements: Vec<PlacementRequest>,
-        mut bounds: ClaimBounds,
+        mut limits: ClaimLimits,
         owns: impl Fn(&PoolId, FencingToken) -> bool,
-    ) -> Vec<Claimed> {
+    ) -> Vec<PlacementClaims> {
         let unclaimed = self.record.spec.tasks - self.done - self.claimed;
         let is_gang = self.record.spec.kind == Kind::Gang;
-        let before = is_gang.then(|| {
-            (self.record.clone(), self.touched.clone(), self.txn.guards.len(), self.head_changed)
+        let rollback_state = is_gang.then(|| {
+            (
+                self.record.clone(),
+                self.changed_parts.clone(),
+                self.txn.guards.len(),
+                self.head_changed,
+            )
         });
         let mut claims = Vec::new();
         for placement in placements {
             let zone = &placement.pool.zone;
             let placeable = owns(&placement.pool, placement.token)
-                && (!self.record.spec.one_zone || self.bind_to_zone(zone, bounds.max_guards));
+                && (!self.record.spec.one_zone || self.bind_to_zone(zone, limits.max_guards));
             if !placeable {
                 continue;
             }
-            let tasks = self.claim_one(&placement, &mut bounds);
+            let tasks = self.claim_for_placement(&placement, &mut limits);
             if !tasks.is_empty() {
                 let count = tasks.len() as u32;
-                bounds.max_tasks = bounds.max_tasks.saturating_sub(count);
+                limits.max_tasks = limits.max_tasks.saturating_sub(count);
                 self.claimed += count;
                 guard_pool(&mut self.txn, &placement.pool, placement.token);
                 claims.push((placement, tasks));
             }
         }
-        let made: u32 = claims.iter().map(|c| c.1.len() as u32).sum();
-        if let Some((record, touched, guards, head_changed)) = before {
-            if made > 0 && made < unclaimed {
+        let claimed_now: u32 = claims.iter().map(|c| c.1.len() as u32).sum();
+        if let Some((record, changed_parts, guards, head_changed)) = rollback_state {
+            if claimed_now > 0 && claimed_now < unclaimed {
                 claims.clear();
-                self.claimed -= made;
-                (self.record, self.touched, self.head_changed) = (record, touched, head_changed);
+                self.claimed -= claimed_now;
+                (self.record, self.changed_parts, self.head_changed) =
+                    (record, changed_parts, head_changed);
                 self.txn.guards.truncate(guards);
             }
         }
         claims
     }
 
-    /// Whether tasks of a one-zone job may be claimed in this zone; then the job is bound to it.
+    /// Binds a one-zone job to the zone. False if it is bound to another zone
+    /// and cannot move yet.
     ///
-    /// It is bound while any task of it may run; then it may go on elsewhere. (A job whose zone had
-    /// no machine left waited for ever beside free ones of other zones.)
+    /// The binding lasts while any task of the job may be running; after that the job may move to
+    /// another zone. Otherwise a job whose zone has no machines left would wait forever while other
+    /// zones have free machines.
     fn bind_to_zone(&mut self, zone: &ZoneId, max_guards: usize) -> bool {
         if self.record.zone.as_ref() == Some(zone) {
             return true;
@@ -234,41 +245,41 @@
         true
     }
 
-    /// The transaction fails if any part of the job has changed: a claim in a part does not change
-    /// the job's record, so one that we have not read would go unnoticed. False if that takes more
-    /// guards than a transaction may have.
+    /// Guards the transaction by every part of the job that is not done. A claim in a part does not
+    /// change the job's record, so without these guards a claim that is not in the cache would go
+    /// undetected. False if that takes more guards than a transaction may have.
     fn guard_parts(&mut self, max_guards: usize) -> bool {
         if !self.record.in_parts() {
             return true;
         }
-        let open = |part: &u32| !self.record.parts_done.contains(part);
-        let open: Vec<u32> = (0..self.record.part_count()).filter(open).collect();
-        if self.txn.guards.len() + open.len() > max_guards {
+        let unfinished = |part: &u32| !self.record.parts_done.contains(part);
+        let unfinished: Vec<u32> = (0..self.record.part_count()).filter(unfinished).collect();
+        if self.txn.guards.len() + unfinished.len() > max_guards {
             return false;
         }
-        for part in open {
+        for part in unfinished {
             guard_once(&mut self.txn, part_key(self.job, part), version_of_part(self.parts, part));
         }
         true
     }
 
-    fn claim_one(
+    fn claim_for_placement(
         &mut self,
         placement: &PlacementRequest,
-        bounds: &mut ClaimBounds,
+        limits: &mut ClaimLimits,
     ) -> Vec<(TaskIx, Attempt)> {
-        let mut wanted = placement.tasks.min(bounds.max_tasks);
+        let mut wanted = placement.tasks.min(limits.max_tasks);
         if self.record.spec.spread {
             // At most half of the tasks, rounded up, may be in one zone.
             let half = self.record.spec.tasks.div_ceil(2);
-            let here = bounds.by_zone.entry(placement.pool.zone.clone()).or_default();
-            wanted = wanted.min(half.saturating_sub(*here));
-            *here += wanted;
+            let in_zone = limits.claimed_by_zone.entry(placement.pool.zone.clone()).or_default();
+            wanted = wanted.min(half.saturating_sub(*in_zone));
+            *in_zone += wanted;
         }
         if self.record.in_parts() {
-            self.claim_in_parts(placement, wanted, bounds)
+            self.claim_in_parts(placement, wanted, limits)
         } else {
-            self.claim_in_record(placement, wanted, &bounds.pausing)
+            self.claim_in_record(placement, wanted, &limits.pausing)
         }
     }
 
@@ -282,38 +293,38 @@
         let wall_ms = self.wall_ms;
         let table = &mut self.record.table;
         let free = table.free(0, tasks).into_iter().filter(|ix| !pausing.contains(ix));
-        let mut made = Vec::new();
+        let mut claimed = Vec::new();
         for ix in free.take(wanted as usize) {
             let attempt = table.claim(&placement.machine, placement.token, &placement.pool, ix);
-            made.push((ix, attempt));
+            claimed.push((ix, attempt));
         }
-        if !made.is_empty() {
+        if !claimed.is_empty() {
             table.begun_ms.get_or_insert(wall_ms);
         }
-        self.head_changed |= !made.is_empty();
-        made
+        self.head_changed |= !claimed.is_empty();
+        claimed
     }
 
     fn claim_in_parts(
         &mut self,
         placement: &PlacementRequest,
         wanted: u32,
-        bounds: &ClaimBounds,
+        limits: &ClaimLimits,
     ) -> Vec<(TaskIx, Attempt)> {
-        let (rank, controllers) = bounds.rank;
-        let mut made = Vec::new();
+        let (rank, controllers) = limits.controller_rank;
+        let mut claimed = Vec::new();
         for part in claim_order(self.record.part_count(), rank, controllers) {
-            let missing = wanted as usize - made.len();
+            let missing = wanted as usize - claimed.len();
             if missing == 0 {
                 break;
             }
-            let full = self.touched.len() >= self.max_parts;
-            let closed = full && !self.touched.contains_key(&part);
-            if self.record.parts_done.contains(&part) || closed {
+            let at_limit = self.changed_parts.len() >= self.max_parts;
+            let excluded = at_limit && !self.changed_parts.contains_key(&part);
+            if self.record.parts_done.contains(&part) || excluded {
                 continue;
             }
             let mut free = self.free_in_part(part);
-            free.retain(|ix| !bounds.pausing.contains(ix));
+            free.retain(|ix| !limits.pausing.contains(ix));
             if free.is_empty() {
                 continue;
             }
@@ -322,29 +333,30 @@
             table.begun_ms.get_or_insert(wall_ms);
             for ix in free.into_iter().take(missing) {
                 let attempt = table.claim(&placement.machine, placement.token, &placement.pool, ix);
-                made.push((ix, attempt));
+                claimed.push((ix, attempt));
             }
         }
-        // Guards of other claims of a spread job must notice this one.
+        // Changing the head makes concurrent claims of a spread job conflict; together they could
+        // exceed the limit per zone.
         self.head_changed |= self.record.spec.spread;
-        made
+        claimed
     }
 
     fn free_in_part(&self, part: u32) -> Vec<TaskIx> {
         let (from, to) = self.record.part_range(part);
-        let known = self.parts.and_then(|p| p.get(&part)).map(|p| &p.value);
-        match self.touched.get(&part).or(known) {
+        let cached = self.parts.and_then(|p| p.get(&part)).map(|p| &p.value);
+        match self.changed_parts.get(&part).or(cached) {
             Some(table) => table.free(from, to),
             None => (from..to).map(TaskIx).collect(),
         }
     }
 
-    // ---- what is written ----
+    // ---- writes ----
 
-    /// Writes the changed parts. A part whose tasks are all done goes; what it lost and how long it
-    /// ran stays with the job.
+    /// Writes the changed parts. A part whose tasks are all done is deleted; its losses and run time
+    /// move to the job's record.
     pub(super) fn write_parts(&mut self) {
-        for (part, table) in std::mem::take(&mut self.touched) {
+        for (part, table) in std::mem::take(&mut self.changed_parts) {
             let key = part_key(self.job, part);
             let version = version_of_part(self.parts, part);
             guard_once(&mut self.txn, key.clone(), version);
@@ -353,10 +365,10 @@
                 self.txn.put(key, &table, None);
                 continue;
             }
-            let own = &mut self.record.table;
-            own.losses.take(table.losses);
-            own.ran_ms += table.ran_ms;
-            own.begun_ms = own.begun_ms.into_iter().chain(table.begun_ms).min();
+            let job_table = &mut self.record.table;
+            job_table.losses.take(table.losses);
+            job_table.ran_ms += table.ran_ms;
+            job_table.begun_ms = job_table.begun_ms.into_iter().chain(table.begun_ms).min();
             self.record.parts_done.push(part);
             self.head_changed = true;
             if version > Version(0) {
@@ -365,7 +377,7 @@
         }
     }
 
-    /// Whether there is nothing to be written.
+    /// Whether the draft changes no record.
     pub(super) fn is_empty(&self) -> bool {
         !self.head_changed && self.txn.changes.is_empty()
     }
--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -1,4 +1,5 @@
-//! Failed tasks: what the records and the machines' owners know of them, as `cleatfold_fault_attribution` judges.
+//! Fault attribution: collects the evidence on failed tasks from job records and local state, and
+//! applies the verdicts of `cleatfold_fault_attribution`.
 
 use crate::controller::Controller;
 use crate::jobs::state::{EndReason, LocalJobState};
@@ -10,8 +11,8 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// The job's failed starts: those in its record, which every controller reads, and those that
-    /// are on their way there.
+    /// The job's failed starts: those in its records, which every controller reads, and those that
+    /// wait to be recorded.
     fn failures(&self, id: &JobId, job_state: Option<&LocalJobState>) -> Vec<Failure> {
         let mut failures = Vec::new();
         if self.cache.lossy.contains(id) {
@@ -19,17 +20,17 @@
         }
         for end in job_state
             .iter()
-            .flat_map(|l| &l.ends)
+            .flat_map(|s| &s.ends)
             .filter(|e| e.reason == EndReason::Exit(Exit::Error))
         {
-            let at_ms = job_state.map_or(0, |l| l.failed_ms);
+            let at_ms = job_state.map_or(0, |s| s.last_failure_ms);
             let (machine, task, attempt) = (end.machine.clone(), end.ix, end.attempt);
             failures.push(Failure { machine, task, attempt, at_ms });
         }
         failures
     }
 
-    /// What is to be thought of a job, if anything of it has failed.
+    /// The verdict on a job; `None` if no start of it has failed.
     fn verdict(
         &self,
         id: &JobId,
@@ -37,99 +38,106 @@
         job_state: Option<&LocalJobState>,
     ) -> Option<Verdict> {
         let failures = self.failures(id, job_state);
-        (!failures.is_empty()).then(|| self.judged(&failures, cached, job_state))
+        (!failures.is_empty()).then(|| self.verdict_on(&failures, cached, job_state))
     }
 
-    fn judged(
+    /// The verdict on a job with these failures.
+    fn verdict_on(
         &self,
         failures: &[Failure],
         cached: &CachedJob,
         job_state: Option<&LocalJobState>,
     ) -> Verdict {
         let done =
-            cached.done + job_state.map_or(0, |l| l.ends.iter().filter(|e| e.done).count() as u32);
+            cached.done + job_state.map_or(0, |s| s.ends.iter().filter(|e| e.done).count() as u32);
         verdict(failures, done, |id| self.is_faulty(id), self.wall_ms)
     }
 
-    /// How many of `tasks` that wait may be planned and rented for now. What pauses waits for its
-    /// turn or its user: it holds no place, nothing is rented for it, and no idle machine kept.
+    /// How many of `tasks` unclaimed tasks may be planned now, and machines rented for them. Tasks in
+    /// backoff get no reservation, no machine is rented for them, and no idle machine is kept.
     pub(crate) fn startable_tasks(&self, id: &JobId, cached: &CachedJob, tasks: u32) -> u32 {
         if tasks == 0 {
             return 0;
         }
         let verdict = self.verdict(id, cached, self.job_states.get(id));
-        verdict.map_or(tasks, |s| self.startable(&s, cached, tasks))
+        verdict.map_or(tasks, |v| self.startable_under(&v, cached, tasks))
     }
 
-    fn startable(&self, verdict: &Verdict, cached: &CachedJob, tasks: u32) -> u32 {
-        let may = verdict.may_start(tasks, cached.claimed, self.wall_ms);
-        let pauses = matches!(verdict, Verdict::Sound { pausing } if !pausing.is_empty());
+    /// How many of `tasks` may be started under this verdict.
+    fn startable_under(&self, verdict: &Verdict, cached: &CachedJob, tasks: u32) -> u32 {
+        let startable = verdict.may_start(tasks, cached.claimed, self.wall_ms);
+        let has_paused_tasks = matches!(verdict, Verdict::Sound { pausing } if !pausing.is_empty());
         match cached.record.spec.kind {
-            // Whole or not at all.
-            Kind::Gang if may > 0 && !pauses => tasks,
+            // A gang starts as a whole or not at all.
+            Kind::Gang if startable > 0 && !has_paused_tasks => tasks,
             Kind::Gang => 0,
-            _ => may,
+            _ => startable,
         }
     }
 
-    /// The tasks that must not be claimed now, and how many may be of the others.
-    pub(crate) fn claimable(&self, id: &JobId, cached: &CachedJob) -> (BTreeSet<TaskIx>, u32) {
+    /// The tasks that must not be claimed now, and how many of the others may be.
+    pub(crate) fn claim_restrictions(
+        &self,
+        id: &JobId,
+        cached: &CachedJob,
+    ) -> (BTreeSet<TaskIx>, u32) {
         let tasks = cached.record.spec.tasks;
         let Some(verdict) = self.verdict(id, cached, self.job_states.get(id)) else {
             return (BTreeSet::new(), tasks);
         };
-        let most = self.startable(&verdict, cached, tasks);
+        let max_tasks = self.startable_under(&verdict, cached, tasks);
         match verdict {
-            Verdict::Sound { pausing } => (pausing, most),
-            Verdict::Suspect { .. } => (BTreeSet::new(), most),
+            Verdict::Sound { pausing } => (pausing, max_tasks),
+            Verdict::Suspect { .. } => (BTreeSet::new(), max_tasks),
         }
     }
 
-    /// It fails wherever it runs, and its record says so.
+    /// Whether the job fails on every machine according to its recorded failures.
     pub(crate) fn is_suspect(&self, id: &JobId, cached: &CachedJob) -> bool {
         self.cache.lossy.contains(id)
             && matches!(self.verdict(id, cached, None), Some(Verdict::Suspect { .. }))
     }
 
-    /// Machines of a plan (by index) that a job should not be tried on again: those that it failed
-    /// on, unless that is all of them.
+    /// Indices of the machines that the job failed on and should avoid; none if it failed on all of
+    /// them.
     pub(crate) fn machines_to_avoid(&self, id: &JobId, machines: &[MachineId]) -> Vec<usize> {
         let failures = self.failures(id, self.job_states.get(id));
         let failed = |m: &MachineId| failures.iter().any(|f| f.machine == *m);
-        let avoid: Vec<usize> = match failures.is_empty() {
+        let failed_on: Vec<usize> = match failures.is_empty() {
             true => vec![],
             false => (0..machines.len()).filter(|&i| failed(&machines[i])).collect(),
         };
-        if avoid.len() < machines.len() {
-            avoid
+        if failed_on.len() < machines.len() {
+            failed_on
         } else {
             vec![]
         }
     }
 
-    /// Why tasks of a job failed, since when, and what comes of it.
+    /// Status text on the failed starts of a job: the last one, their number, since when, and the next
+    /// try of a suspect job.
     pub(crate) fn failure_summary(&self, id: &JobId, cached: &CachedJob) -> Option<String> {
         let job_state = self.job_states.get(id);
         let mut failures = self.failures(id, job_state);
         failures.sort_by_key(|f| f.at_ms);
         let (first, last) = (failures.first()?, failures.last()?);
         let machines: BTreeSet<&MachineId> = failures.iter().map(|f| &f.machine).collect();
-        let since = self.wall_ms.saturating_sub(first.at_ms) / 1000;
-        let mut why = format!(
-            "task {} failed on {}; {} failed starts on {} machines since {since} s ago",
+        let since_s = self.wall_ms.saturating_sub(first.at_ms) / 1000;
+        let mut summary = format!(
+            "task {} failed on {}; {} failed starts on {} machines since {since_s} s ago",
             last.task,
             last.machine,
             failures.len(),
             machines.len()
         );
-        if let Verdict::Suspect { until_ms } = self.judged(&failures, cached, job_state) {
-            let next = until_ms.saturating_sub(self.wall_ms) / 1000;
-            why += &format!("; it fails wherever it runs, next try in {next} s");
+        if let Verdict::Suspect { until_ms } = self.verdict_on(&failures, cached, job_state) {
+            let next_s = until_ms.saturating_sub(self.wall_ms) / 1000;
+            summary += &format!("; it fails wherever it runs, next try in {next_s} s");
         }
-        Some(why)
+        Some(summary)
     }
 
-    /// A task has failed on one of our machines.
+    /// Records that a task has failed on a machine of an owned pool.
     pub(crate) fn record_task_failure(
         &mut self,
         machine: &MachineId,
@@ -137,7 +145,7 @@
         attempt: Attempt,
     ) {
         let wall_ms = self.wall_ms;
-        self.job_state(&task.job).failed_ms = wall_ms;
+        self.job_state(&task.job).last_failure_ms = wall_ms;
         let pause_s = pause_ms(attempt) / 1000;
         tracing::info!(job = %task.job, task = task.ix.0, attempt = attempt.0, %machine, pause_s, "task failed");
         if let Some(machine) = self.inventory.machines.get_mut(machine) {
@@ -145,7 +153,7 @@
         }
     }
 
-    /// Returns machines that are at fault, by what is known of the jobs by now.
+    /// Drains machines that the evidence on their failed tasks shows to be faulty, to return them.
     pub(crate) fn return_faulty_machines(&mut self) {
         let mut suspects = Vec::new();
         for (id, m) in &mut self.inventory.machines {
@@ -165,18 +173,19 @@
         }
     }
 
+    /// Evidence that a failed task gives against its machine.
     fn evidence(&self, machine: &MachineId, job: &JobId, task: TaskIx) -> Evidence {
         let Some(cached) = self.cache.jobs.get(job) else {
             let done = self.terminal_jobs.get(job).is_some_and(|s| s.state == JobState::Done);
             return if done { Evidence::WorksElsewhere } else { Evidence::NoEvidence };
         };
         let job_state = self.job_states.get(job);
-        let elsewhere =
+        let failed_elsewhere =
             |f: &Failure| f.task == task && f.machine != *machine && !self.is_faulty(&f.machine);
-        if self.failures(job, job_state).iter().any(elsewhere) {
+        if self.failures(job, job_state).iter().any(failed_elsewhere) {
             return Evidence::NoEvidence;
         }
-        let ends = job_state.iter().flat_map(|l| &l.ends);
+        let ends = job_state.iter().flat_map(|s| &s.ends);
         if cached.done > 0 || ends.into_iter().any(|e| e.done) {
             return Evidence::WorksElsewhere;
         }
--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -1,7 +1,7 @@
-//! What a controller keeps about a job beside its record, and the transaction on it that is under way.
+//! Local state of a job that is not part of its record, and the job transaction in flight.
 
 use crate::event_number::EventNumber;
-use crate::jobs::step_reports::{JudgedReports, MemberReport};
+use crate::jobs::step_reports::{EvaluatedReports, MemberReport};
 use crate::store::records::{ArchiveRecord, JobRecord, PART};
 use crate::store::sent::Sent;
 use cleatfold_wire::losses::LossCause;
@@ -10,18 +10,18 @@
 use cleatfold_wire::{Attempt, FencingToken, JobId, MachineId, Ms, PoolId, TaskIx};
 use std::collections::BTreeMap;
 
-/// Why a claim is over.
+/// Why a claim has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndReason {
     /// The task exited.
     Exit(Exit),
-    /// Its machine was deleted, or found to be gone.
+    /// Its machine was deleted, or is no longer listed by the cloud.
     MachineDeleted,
     /// Its machine's lease has provably expired.
     LeaseExpired,
-    /// A former owner's claim whose task the worker does not list.
+    /// A claim of a previous pool owner whose task the worker does not report.
     AbsentAfterFailover,
-    /// Claimed, and given up before it was started.
+    /// Claimed, but abandoned before it was started.
     NotStarted,
 }
 
@@ -43,14 +43,14 @@
     }
 }
 
-/// The ownership of a pool under which something was proven.
+/// Pool ownership that a proof depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Fence {
     pub pool: PoolId,
     pub token: FencingToken,
 }
 
-/// A claim that is over, with proof.
+/// A claim that has provably ended.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ClaimEnd {
     pub machine: MachineId,
@@ -58,17 +58,17 @@
     pub attempt: Attempt,
     pub done: bool,
     pub reason: EndReason,
-    /// How long it ran, as far as we saw.
+    /// Observed run time.
     pub ran_ms: u64,
-    /// The proof holds only while the pool is ours under this token. An exit and a deletion
-    /// are facts for ever; an absence or a lease that ran out are not: after a take-over the
-    /// new owner may have heard the worker and renewed its lease, and our transaction may be
-    /// applied minutes late.
+    /// If set, the proof holds only while this controller owns the pool under this token. An exit
+    /// or a deletion is final. An absence or an expired lease is not: after a failover the new
+    /// owner may receive the worker's heartbeat and renew its lease, while this controller's
+    /// transaction may still be applied minutes later.
     pub fence: Option<Fence>,
 }
 
 impl ClaimEnd {
-    /// Whether a start was lost, and how: what a team wants to hear of.
+    /// How the start was lost, for the team's loss log; `None` if it does not count as a loss.
     pub(crate) fn loss(&self) -> Option<LossCause> {
         if self.done {
             return None;
@@ -78,13 +78,13 @@
             EndReason::LeaseExpired => Some(LossCause::Lease),
             EndReason::AbsentAfterFailover => Some(LossCause::Vanished),
             EndReason::Exit(Exit::Error) => Some(LossCause::Failed),
-            // Stopped on purpose, or never begun.
+            // Stopped intentionally, or never started.
             EndReason::Exit(_) | EndReason::NotStarted => None,
         }
     }
 }
 
-/// Tasks to be claimed for one machine.
+/// Request to claim a number of tasks for one machine.
 #[derive(Clone, Debug)]
 pub(crate) struct PlacementRequest {
     pub machine: MachineId,
@@ -93,42 +93,51 @@
     pub tasks: u32,
 }
 
-/// What this controller keeps about a job beside its record.
+/// State of a job that this controller keeps in memory only.
 #[derive(Debug, Default)]
 pub(crate) struct LocalJobState {
+    /// A transaction on the job awaits its outcome.
     pub transaction_in_flight: bool,
-    /// Someone else changed it; nothing is sent before the next reading.
+    /// Event of the last conflict with another controller's change; nothing is sent before a later
+    /// read of the state service.
     pub stale_since: Option<EventNumber>,
+    /// No transaction on the job is sent before this time.
     pub not_before: Ms,
-    /// Since when something of it has waited to be recorded.
-    pub unsent_since: Option<Ms>,
+    /// Since when updates have been waiting to be recorded.
+    pub pending_since: Option<Ms>,
+    /// Claim ends that wait to be recorded.
     pub ends: Vec<ClaimEnd>,
     pub placement_requests: Vec<PlacementRequest>,
+    /// A user has asked to cancel the job.
     pub abort: bool,
+    /// Ids of the cancellation requests that wait for an answer.
     pub withdrawals: Vec<u64>,
+    /// No placement of its tasks is planned before this time.
     pub no_placement_before: Ms,
-    /// Pools that the leader sent it to.
+    /// Pools that the leader assigned the job to.
     pub assigned_pools: Vec<PoolId>,
-    /// Time of day at which a task of it last failed here.
-    pub failed_ms: u64,
-    /// Progress that is saved, per task, in milliseconds of run time.
+    /// Wall-clock time at which a task last failed in a pool of this controller.
+    pub last_failure_ms: u64,
+    /// Run time covered by checkpoints, per task, in milliseconds.
     pub saved_run_ms: BTreeMap<TaskIx, u64>,
-    /// Members' reports that wait to be recorded.
+    /// Step reports of members that wait to be recorded.
     pub member_reports: Vec<MemberReport>,
-    /// All steps are finished and all members gone.
+    /// No claim is left and either all steps are finished or the job is cancelled: its end has to
+    /// be recorded.
     pub completion_pending: bool,
-    /// When a member last gave way.
+    /// When a member was last stopped to make room for other work.
     pub last_shrunk: Option<Ms>,
-    /// How often tasks were stopped to make room.
+    /// How often each task was preempted.
     pub preemption_counts: BTreeMap<TaskIx, u32>,
 }
 
 impl LocalJobState {
+    /// Whether the end of this claim waits to be recorded.
     pub(crate) fn is_ending(&self, ix: TaskIx, attempt: Attempt) -> bool {
         self.ends.iter().any(|e| e.ix == ix && e.attempt == attempt)
     }
 
-    /// Something waits to be recorded.
+    /// Whether any update waits to be recorded.
     pub(crate) fn has_updates(&self) -> bool {
         self.abort
             || self.completion_pending
@@ -143,36 +152,37 @@
 pub(crate) struct JobTransaction {
     pub job: JobId,
     pub txn: Txn,
-    /// The outcome of an earlier sending is unknown.
+    /// An earlier send had an unknown outcome: the transaction may have been executed.
     pub maybe_executed: bool,
-    /// When it was sent first.
+    /// When it was first sent.
     pub sent: Sent,
     pub ends: Vec<ClaimEnd>,
     pub claims: Vec<(PlacementRequest, Vec<(TaskIx, Attempt)>)>,
     pub withdrawals: Vec<u64>,
-    pub result: Outcome,
-    pub steps: JudgedReports,
+    pub result: JobOutcome,
+    pub steps: EvaluatedReports,
 }
 
-/// What becomes of the job with the transaction.
+/// State of the job once the transaction is committed.
 #[derive(Debug)]
-pub(crate) enum Outcome {
+pub(crate) enum JobOutcome {
     Active { aborted: bool },
     Ended(ArchiveRecord),
 }
 
 impl JobTransaction {
-    /// The claims this transaction would make: pool and number of tasks.
+    /// The claims of this transaction, as pool and number of tasks.
     pub(crate) fn claimed_by_pool(&self) -> impl Iterator<Item = (PoolId, u32)> + '_ {
         self.claims.iter().map(|(placement, tasks)| (placement.pool.clone(), tasks.len() as u32))
     }
 
+    /// Whether the transaction claims tasks for the machine.
     pub(crate) fn claims_on(&self, machine: &MachineId) -> bool {
         self.claims.iter().any(|(placement, _)| placement.machine == *machine)
     }
 }
 
-/// The part of a job in parts that has the task; none of a job in one record.
+/// The part of the job that holds the task; `None` if the job is stored in one record.
 pub(crate) fn part_of(record: &JobRecord, ix: TaskIx) -> Option<u32> {
     record.in_parts().then_some(ix.0 / PART)
 }
--- a/crates/cleatfold-control/src/jobs/step_reports.rs
+++ b/crates/cleatfold-control/src/jobs/step_reports.rs
@@ -1,6 +1,7 @@
-//! Reports of elastic jobs' members that wait to be recorded, and what a transaction makes of them.
+//! Step reports of elastic jobs' members, and their evaluation for one transaction.
 //!
-//! Decided from the records alone; who records a report, and when, is the controller's to say.
+//! The evaluation depends on the records only. Which controller records a report, and when, is
+//! decided in `steps` and `write_batching`.
 
 use crate::store::cache::ProgressMap;
 use crate::store::records::{progress_key, JobRecord};
@@ -9,42 +10,46 @@
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::{JobId, Ms};
 
-/// Finished steps of members that still have work gather for so long.
-const GATHER_MS: u64 = 1000;
+/// How long finished steps are batched while their members still have work.
+const BATCH_WINDOW_MS: u64 = 1000;
 
-/// A member's report that waits to be recorded.
+/// A step report that waits to be recorded.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberReport {
     pub rid: u64,
     pub report: Box<StepReport>,
     pub arrived: Ms,
-    /// The member has nothing to do until it is answered.
+    /// The member has no unfinished steps until it is answered.
     pub idle: bool,
 }
 
-/// What a transaction makes of reports.
+/// Result of evaluating step reports for one transaction.
 #[derive(Debug, Default)]
-pub(crate) struct JudgedReports {
+pub(crate) struct EvaluatedReports {
     pub verdicts: Vec<(MemberReport, Verdict)>,
+    /// Changed parts of the job's progress, by number.
     pub changes: Vec<(u32, Part)>,
+    /// Whether all steps are finished.
     pub complete: bool,
+    /// Number of finished steps.
     pub finished: u32,
 }
 
-/// Judges as many reports as fit into one transaction; the others stay in `member_reports`.
-pub(crate) fn judge(
+/// Evaluates as many reports as fit into one transaction; the others stay in `member_reports`.
+pub(crate) fn evaluate_reports(
     progress: Progress,
     record: &JobRecord,
     member_reports: &mut Vec<MemberReport>,
-    parts: usize,
-) -> JudgedReports {
+    max_parts: usize,
+) -> EvaluatedReports {
     let members: Members =
         record.table.claims.iter().flat_map(|g| g.tasks.iter().copied()).collect();
     let mut accounts = StepAccounts::new(progress, &members, members.len() as u32);
     let mut verdicts = Vec::new();
     let mut waiting = std::mem::take(member_reports).into_iter();
-    // A report changes its own parts and at most two that it is given steps of.
-    while accounts.touched() + 2 < parts.max(3) {
+    // A report changes the parts of its own steps and at most two parts that it is assigned steps
+    // from.
+    while accounts.touched() + 2 < max_parts.max(3) {
         let Some(next) = waiting.next() else { break };
         let verdict = accounts.report(&next.report);
         verdicts.push((next, verdict));
@@ -52,24 +57,24 @@
     member_reports.extend(waiting);
     let (changes, progress) = accounts.into_changes();
     let (complete, finished) = (progress.is_complete(), progress.finished());
-    JudgedReports { verdicts, changes, complete, finished }
+    EvaluatedReports { verdicts, changes, complete, finished }
 }
 
 /// Adds the changes of a job's progress to its transaction.
-pub(crate) fn write(
+pub(crate) fn write_progress(
     txn: &mut Txn,
     job: &JobId,
-    known: Option<&ProgressMap>,
-    judged: &JudgedReports,
+    cached: Option<&ProgressMap>,
+    evaluated: &EvaluatedReports,
 ) {
-    for (number, part) in &judged.changes {
-        let version = known.and_then(|p| p.get(number)).map(|p| p.version).unwrap_or_default();
+    for (number, part) in &evaluated.changes {
+        let version = cached.and_then(|p| p.get(number)).map(|p| p.version).unwrap_or_default();
         txn.guard(progress_key(job, *number), version);
         txn.put(progress_key(job, *number), &part.to_record(), None);
     }
 }
 
-/// Nothing in the reports presses: members go on working meanwhile.
-pub(crate) fn can_gather(member_reports: &[MemberReport], now: Ms) -> bool {
-    member_reports.iter().all(|a| !a.idle && now.since(a.arrived) < GATHER_MS)
+/// Whether the reports may wait for more: every member still has work and no report is too old.
+pub(crate) fn can_batch(member_reports: &[MemberReport], now: Ms) -> bool {
+    member_reports.iter().all(|r| !r.idle && now.since(r.arrived) < BATCH_WINDOW_MS)
 }
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -1,14 +1,15 @@
-//! Changes to a job's records: ends, claims and cancellation, each one guarded transaction.
+//! Transactions on a job's records. Claim ends, new claims, step reports and cancellation are written
+//! in one guarded transaction.
 //!
-//! One transaction per job is under way at a time. An unknown outcome is met by sending the
-//! very same transaction again: if it was executed, its guards fail now, and the next reading
-//! shows what stands. Until then nothing is built on it.
+//! At most one transaction per job is in flight. After an unknown outcome the same transaction is sent
+//! again: if it had been executed, its guards now fail, and the next read shows the current records.
+//! Until then no decision depends on its outcome.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, Response, StoreReply};
-use crate::jobs::draft::{ClaimBounds, Draft};
-use crate::jobs::state::{ClaimEnd, JobTransaction, LocalJobState, Outcome};
-use crate::jobs::step_reports::{judge, write, JudgedReports};
+use crate::jobs::draft::{ClaimLimits, Draft};
+use crate::jobs::state::{ClaimEnd, JobOutcome, JobTransaction, LocalJobState};
+use crate::jobs::step_reports::{evaluate_reports, write_progress, EvaluatedReports};
 use crate::store::cache::{CachedJob, ProgressMap, StateCache};
 use crate::store::records::{archive_key, job_key, status, ArchiveRecord};
 use crate::store::sent::Sent;
@@ -19,17 +20,19 @@
 use cleatfold_write_batching::Selection;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Guards that the state service takes in one transaction, per change that it takes.
+/// Maximum number of guards in a transaction, per change that the state service accepts in one.
 const GUARDS_PER_CHANGE: usize = 4;
-/// Changes of a transaction that are kept for the head, the archive and the end of a part.
+/// Changes of a transaction that are reserved for the head, the archive record and completed parts.
 const RESERVED_CHANGES: usize = 4;
 
 impl Controller {
+    /// The local state of the job, created if it is missing.
     pub(crate) fn job_state(&mut self, job: &JobId) -> &mut LocalJobState {
         self.job_states.entry(job.clone()).or_default()
     }
 
-    /// The job left the live records: answer who waits by the archive.
+    /// Drops the local state of a job that has no live record any more. Requests that wait for it are
+    /// answered from the archive.
     pub(crate) fn discard_job_state(&mut self, job: &JobId) {
         let Some(job_state) = self.job_states.get_mut(job) else {
             return;
@@ -39,45 +42,46 @@
         if !job_state.transaction_in_flight {
             self.job_states.remove(job);
         }
-        for a in member_reports {
-            self.wait_for_read(a.rid, job.clone(), crate::controller::WaitReason::Steps(a.report));
+        for r in member_reports {
+            self.wait_for_read(r.rid, job.clone(), crate::controller::WaitReason::Steps(r.report));
         }
         for rid in rids {
             self.wait_for_read(rid, job.clone(), crate::controller::WaitReason::Withdraw);
         }
     }
 
-    /// A claim whose end is proven and waits to be recorded: the task is on no machine any more.
+    /// Whether the claim's end is proven and waits to be recorded: the task runs on no machine any more.
     pub(crate) fn is_ending(&self, job: &JobId, ix: TaskIx, attempt: Attempt) -> bool {
-        self.job_states.get(job).is_some_and(|l| l.is_ending(ix, attempt))
+        self.job_states.get(job).is_some_and(|s| s.is_ending(ix, attempt))
     }
 
+    /// Queues the end of a claim to be recorded.
     pub(crate) fn queue_claim_end(&mut self, job: &JobId, end: ClaimEnd) {
         self.mark_pending_updates(job);
         let job_state = self.job_state(job);
         match job_state.ends.iter_mut().find(|e| e.ix == end.ix && e.attempt == end.attempt) {
-            // A proof for ever replaces one that needs our token.
-            Some(known) if known.fence.is_some() && end.fence.is_none() => *known = end,
+            // A final proof replaces one that depends on this controller's ownership of the pool.
+            Some(queued) if queued.fence.is_some() && end.fence.is_none() => *queued = end,
             Some(_) => {}
             None => job_state.ends.push(end),
         }
     }
 
-    /// Builds the transaction that records what waits of a job: ends, reports of steps, claims and a
-    /// cancellation. None if there is nothing to be written, whatever waits then being answered.
-    pub(crate) fn build(
+    /// Builds the transaction that records a job's pending updates: claim ends, step reports, claims
+    /// and cancellation. None if there is nothing to write; waiting requests are then answered.
+    pub(crate) fn build_job_transaction(
         &mut self,
         job: &JobId,
         selection: Option<Selection>,
     ) -> Option<JobTransaction> {
-        let bounds = self.claim_bounds(job);
-        // Each touched part is one change; the head, the archive and a part's end need some.
+        let limits = self.claim_limits(job);
+        // Each changed part is one change; some are reserved for other records.
         let max_parts = self.cfg.max_txn_changes.saturating_sub(RESERVED_CHANGES).max(1);
         let max_parts = max_parts.min(self.rate_limiter.max_changes());
         let job_state = self.job_states.get_mut(job)?;
         let placements = std::mem::take(&mut job_state.placement_requests);
         let Some(cached) = self.cache.jobs.get(job) else {
-            // Gone meanwhile: what it still wanted is moot.
+            // The job has ended in the meantime; its pending updates are obsolete.
             job_state.ends.clear();
             job_state.abort = false;
             return None;
@@ -89,40 +93,41 @@
 
         let mut ends = draft.record_ends(&job_state.ends, selection.as_ref(), owns);
         let mut steps =
-            self.cache.progress_of(job).map_or_else(JudgedReports::default, |progress| {
-                let known = self.cache.progress.get(job);
-                judge_steps(&mut draft, job_state, progress, known, max_parts)
+            self.cache.progress_of(job).map_or_else(EvaluatedReports::default, |progress| {
+                let cached = self.cache.progress.get(job);
+                evaluate_step_reports(&mut draft, job_state, progress, cached, max_parts)
             });
         job_state.completion_pending = false;
         let mut claims = Vec::new();
         if !draft.record.aborted && !job_state.abort {
-            claims = draft.claim(placements, bounds, owns);
+            claims = draft.claim(placements, limits, owns);
         }
         draft.record_postponed(&mut ends);
-        // What no longer stands in the record was settled by someone else.
-        job_state.ends.retain(|e| !ends.void.contains(e));
+        // Claims that are no longer in the record were ended by another controller.
+        job_state.ends.retain(|e| !ends.obsolete.contains(e));
         if job_state.abort && !draft.record.aborted && draft.done < draft.record.spec.tasks {
             draft.record.aborted = true;
             draft.head_changed = true;
         }
-        let end = final_state(&draft, cached, &steps, self.cache.applied);
+        let final_state = final_state(&draft, cached, &steps, self.cache.applied);
         draft.write_parts();
 
         let mut withdrawals = Vec::new();
         if job_state.abort {
             withdrawals = std::mem::take(&mut job_state.withdrawals);
         }
-        if end.is_none() && draft.is_empty() {
-            // Nothing left to say (an abort of an aborted job, an end that was settled).
+        if final_state.is_none() && draft.is_empty() {
+            // Nothing to write: for example the job is already cancelled, or the claim end is already
+            // recorded.
             job_state.abort = false;
             let state = if draft.record.aborted { JobState::Aborted } else { JobState::Queued };
             let status = status(job, state, draft.done, draft.claimed);
             self.answer_withdrawals(withdrawals, &status);
-            // What these steps rest on was read from the state service: it is durable.
+            // The verdicts depend only on records read from the state service, which are durable.
             self.answer_step_reports(std::mem::take(&mut steps.verdicts));
             return None;
         }
-        let result = finish(&mut draft, end, &steps, &self.cache, self.wall_ms);
+        let result = write_outcome(&mut draft, final_state, &steps, &self.cache, self.wall_ms);
         Some(JobTransaction {
             job: job.clone(),
             txn: draft.txn,
@@ -136,30 +141,30 @@
         })
     }
 
-    /// What bounds the claims of the job's next transaction.
-    fn claim_bounds(&self, job: &JobId) -> ClaimBounds {
+    /// Limits on the claims of the job's next transaction.
+    fn claim_limits(&self, job: &JobId) -> ClaimLimits {
         let cached = self.cache.jobs.get(job);
         let (pausing, max_tasks) =
-            cached.map_or_else(Default::default, |cached| self.claimable(job, cached));
-        ClaimBounds {
+            cached.map_or_else(Default::default, |cached| self.claim_restrictions(job, cached));
+        ClaimLimits {
             pausing,
             max_tasks,
-            // A quarter is left for pools and whatever else claims are guarded by.
+            // A quarter is reserved for pools and other records that claims are guarded by.
             max_guards: self.cfg.max_txn_changes * (GUARDS_PER_CHANGE - 1),
-            rank: self.rank(),
-            by_zone: self.spread_by_zone(job),
+            controller_rank: self.controller_rank(),
+            claimed_by_zone: self.claimed_by_zone(job),
         }
     }
 
-    /// Of a spread job, how many of its tasks are claimed in each zone.
-    fn spread_by_zone(&self, job: &JobId) -> BTreeMap<ZoneId, u32> {
-        let mut by_zone: BTreeMap<ZoneId, u32> = BTreeMap::new();
+    /// Claimed tasks of a spread job by zone; empty for other jobs.
+    fn claimed_by_zone(&self, job: &JobId) -> BTreeMap<ZoneId, u32> {
+        let mut claimed: BTreeMap<ZoneId, u32> = BTreeMap::new();
         if self.cache.jobs.get(job).is_some_and(|cached| cached.record.spec.spread) {
             for group in self.cache.tables(job).flat_map(|table| &table.claims) {
-                *by_zone.entry(group.pool.zone.clone()).or_default() += group.tasks.len() as u32;
+                *claimed.entry(group.pool.zone.clone()).or_default() += group.tasks.len() as u32;
             }
         }
-        by_zone
+        claimed
     }
 
     fn answer_withdrawals(&mut self, rids: Vec<u64>, status: &JobStatus) {
@@ -168,6 +173,7 @@
         }
     }
 
+    /// Handles the reply to a job transaction.
     pub(crate) fn on_job_transaction(
         &mut self,
         op: u64,
@@ -181,7 +187,7 @@
                 let txn = tx.txn.clone();
                 self.again(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 200);
             }
-            // Not executed this time, but an earlier sending may yet be.
+            // This send was not executed, but an earlier one may still be.
             StoreReply::Refused if tx.maybe_executed => {
                 let txn = tx.txn.clone();
                 self.again(op, CallPriority::Claim, txn, Pending::Job(Box::new(tx)), 500);
@@ -193,12 +199,12 @@
                     tracing::debug!(job = %tx.job, "transaction conflict");
                     self.session.sync_wanted = true;
                     if tx.maybe_executed {
-                        // It may have been executed after all: its claims count against the
-                        // team's limit, but only the next reading shows them.
+                        // An earlier send may have been executed: its claims would count against the
+                        // team's limit, but only the next read shows them.
                         self.quota.blind = Some(event);
                     }
                 }
-                let contact = self.in_contact();
+                let in_contact = self.in_contact();
                 let job_state = self.job_state(&tx.job);
                 job_state.transaction_in_flight = false;
                 if conflict {
@@ -207,17 +213,17 @@
                     job_state.not_before = now.plus(500);
                 }
                 if !tx.withdrawals.is_empty() {
-                    if conflict || contact {
+                    if conflict || in_contact {
                         job_state.withdrawals.append(&mut tx.withdrawals);
                     } else {
-                        // The state service is away: say so now; the user comes back.
+                        // The state service is unavailable: answer now; the user retries.
                         job_state.abort = false;
                     }
                 }
-                // Members are judged anew by what stands then.
-                job_state.member_reports.extend(
-                    tx.steps.verdicts.into_iter().map(|(member_reports, _)| member_reports),
-                );
+                // The reports are evaluated again on the records that are current then.
+                job_state
+                    .member_reports
+                    .extend(tx.steps.verdicts.into_iter().map(|(member_report, _)| member_report));
                 for rid in tx.withdrawals {
                     self.reply(rid, Response::later("the state service does not answer"));
                 }
@@ -233,8 +239,8 @@
     fn on_job_committed(&mut self, tx: JobTransaction, version: Version) {
         log_committed(&tx);
         let job = tx.job;
-        // Each key by its version, like any news: a reading may have shown what others made of it since, also
-        // that it is gone. (A part that came back so counted its completed tasks twice.)
+        // Apply each change by version: a read may already have shown a later change or deletion of
+        // the key. (Restoring a deleted part would count its completed tasks twice.)
         for change in &tx.txn.changes {
             match (&change.put, &change.value, &change.delete) {
                 (Some(key), Some(value), _) => self.cache.set(key, value.get(), version),
@@ -243,12 +249,12 @@
             }
         }
         self.answer_step_reports(tx.steps.verdicts);
-        let status = self.note_outcome(&job, tx.result);
+        let status = self.apply_outcome(&job, tx.result);
         if status.state == JobState::Aborted {
             self.on_cancellation_committed(&job);
         }
         self.answer_withdrawals(tx.withdrawals, &status);
-        let is_gone = !self.cache.jobs.contains_key(&job);
+        let has_ended = !self.cache.jobs.contains_key(&job);
         let job_state = self.job_state(&job);
         job_state.transaction_in_flight = false;
         let recorded: BTreeSet<(TaskIx, Attempt)> =
@@ -257,7 +263,7 @@
         if status.state == JobState::Aborted {
             job_state.abort = false;
         }
-        if is_gone {
+        if has_ended {
             self.discard_job_state(&job);
         }
         for other in std::mem::take(&mut self.cache.gone) {
@@ -269,16 +275,16 @@
         self.tell(None, Message::Changed);
     }
 
-    /// What the job's user is told after a transaction.
-    fn note_outcome(&mut self, job: &JobId, outcome: Outcome) -> JobStatus {
+    /// Applies the outcome of a committed transaction and returns the job's status.
+    fn apply_outcome(&mut self, job: &JobId, outcome: JobOutcome) -> JobStatus {
         match outcome {
-            Outcome::Active { aborted } => {
+            JobOutcome::Active { aborted } => {
                 let state = if aborted { JobState::Aborted } else { JobState::Running };
                 let cached = self.cache.jobs.get(job);
                 let (done, claimed) = cached.map_or((0, 0), |cached| (cached.done, cached.claimed));
                 status(job, state, done, claimed)
             }
-            Outcome::Ended(archive) => {
+            JobOutcome::Ended(archive) => {
                 tracing::info!(%job, state = ?archive.state, "job ended");
                 let status = status(job, archive.state, archive.done, 0);
                 self.find_ended_losses(job, &archive);
@@ -304,61 +310,61 @@
     }
 }
 
-/// Judges the reports of an elastic job's members, and adds what they change to the draft.
-fn judge_steps(
+/// Evaluates the step reports of an elastic job's members, and adds their changes to the draft.
+fn evaluate_step_reports(
     draft: &mut Draft,
     job_state: &mut LocalJobState,
     progress: Progress,
-    known: Option<&ProgressMap>,
+    cached: Option<&ProgressMap>,
     max_parts: usize,
-) -> JudgedReports {
+) -> EvaluatedReports {
     let finished = progress.finished();
     if draft.record.aborted {
-        // What stays here would be looked at for ever.
+        // Refuse all reports: any that stayed queued would keep the job due for writing forever.
         let cancelled = Verdict::Lost("the job is cancelled");
         let reports = job_state.member_reports.drain(..);
         let verdicts = reports.map(|report| (report, cancelled.clone())).collect();
-        return JudgedReports { verdicts, finished, ..JudgedReports::default() };
+        return EvaluatedReports { verdicts, finished, ..EvaluatedReports::default() };
     }
     if job_state.abort {
-        return JudgedReports { finished, ..JudgedReports::default() };
+        return EvaluatedReports { finished, ..EvaluatedReports::default() };
     }
-    let steps = judge(progress, &draft.record, &mut job_state.member_reports, max_parts);
-    write(&mut draft.txn, &draft.record.spec.id, known, &steps);
+    let steps = evaluate_reports(progress, &draft.record, &mut job_state.member_reports, max_parts);
+    write_progress(&mut draft.txn, &draft.record.spec.id, cached, &steps);
     steps
 }
 
-/// Writes how the job stands, or how it has ended.
-fn finish(
+/// Writes the job's record, or its archive record if the job ends.
+fn write_outcome(
     draft: &mut Draft,
-    end: Option<JobState>,
-    steps: &JudgedReports,
+    final_state: Option<JobState>,
+    steps: &EvaluatedReports,
     cache: &StateCache,
     wall_ms: u64,
-) -> Outcome {
+) -> JobOutcome {
     let key = job_key(&draft.record.spec.id);
-    let Some(state) = end else {
+    let Some(state) = final_state else {
         if draft.head_changed {
             draft.txn.put(key, &draft.record, None);
         }
-        return Outcome::Active { aborted: draft.record.aborted };
+        return JobOutcome::Active { aborted: draft.record.aborted };
     };
     let archive = archive_record(draft, state, steps, cache, wall_ms);
     draft.txn.put(archive_key(&draft.record.spec.id), &archive, None);
     draft.txn.delete(key);
-    Outcome::Ended(archive)
+    JobOutcome::Ended(archive)
 }
 
-/// How the job ends with this draft, if it does.
+/// The final state of the job if it ends with this draft.
 fn final_state(
     draft: &Draft,
     cached: &CachedJob,
-    steps: &JudgedReports,
+    steps: &EvaluatedReports,
     applied: Version,
 ) -> Option<JobState> {
     let record = &draft.record;
-    // Of an elastic job what has to be done are its steps; its members must be gone, for
-    // as long as one is on a machine it counts against its team's limit.
+    // An elastic job is done when all its steps are finished and no member is claimed any more: as
+    // long as a member is on a machine it counts against its team's limit.
     let all_done = match record.spec.elastic {
         Some(_) => steps.complete && draft.claimed == 0,
         None => draft.done >= record.spec.tasks,
@@ -366,16 +372,18 @@
     if all_done && !record.aborted {
         return Some(JobState::Done);
     }
-    // A claim in a part does not change the head. Whoever cancels may not have read one that was made
-    // before; once the cancelled head itself was read none is missing, and none can be added.
-    let all_read = !record.in_parts() || (cached.record.aborted && cached.version <= applied);
-    (record.aborted && draft.claimed == 0 && all_read).then_some(JobState::Aborted)
+    // A claim in a part does not change the head, so the cancelling controller may not have read an
+    // earlier claim. Once a read has shown the cancelled head, no claim is missing from the cache and
+    // none can be added.
+    let all_claims_read =
+        !record.in_parts() || (cached.record.aborted && cached.version <= applied);
+    (record.aborted && draft.claimed == 0 && all_claims_read).then_some(JobState::Aborted)
 }
 
 fn archive_record(
     draft: &Draft,
     state: JobState,
-    steps: &JudgedReports,
+    steps: &EvaluatedReports,
     cache: &StateCache,
     wall_ms: u64,
 ) -> ArchiveRecord {
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -1,4 +1,4 @@
-//! Which job's news is recorded next.
+//! Batching of updates to job records: which job's transaction is sent next, and when.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreRequest};
@@ -9,26 +9,28 @@
 use cleatfold_write_batching::{PendingPartUpdates, PendingUpdates, Selection};
 use std::collections::BTreeMap;
 
-/// Completed tasks of a job that goes on are kept back for as long as one of them takes, within
-/// these bounds. Their workers keep them; what a controller's death costs is reading them again.
-const LEAST_WAIT_MS: u64 = 30_000;
-const MOST_WAIT_MS: u64 = 90_000;
+/// Completions of a job that still runs are batched for the estimated duration of one task, within
+/// these limits. Workers keep reporting them until they are recorded, so the cost of a controller
+/// failure is to read them again.
+const MIN_BATCHING_DELAY_MS: u64 = 30_000;
+/// Upper limit of the batching delay for jobs of teams without a resource limit.
+const MAX_BATCHING_DELAY_MS: u64 = 90_000;
 
 impl Controller {
-    /// Sends what is due, as far as our part of the state service's changes goes: what weighs
-    /// most goes first, the rest gathers until its turn.
+    /// Sends due transactions, highest weight first, as long as this controller's share of the state
+    /// service's change rate allows; other updates are batched until their turn.
     pub(crate) fn flush(&mut self) {
         let controllers = if self.in_contact() { self.cache.controllers.len() } else { 0 };
         let controllers = if controllers == 0 { self.cfg.peers.len() + 1 } else { controllers };
         self.rate_limiter.refill(self.now.0, self.cfg.changes_per_s, controllers);
         while self.rate_limiter.is_open() {
-            let due = if self.session.is_loaded { self.weightiest() } else { None };
-            // Submissions first, but a flood of them leaves the jobs every other change.
+            let due = if self.session.is_loaded { self.next_job_to_write() } else { None };
+            // Submissions go first, but under load every other change is left to updates of jobs.
             if self.submitting.changes_owed == 0 || due.is_none() {
                 let sent = self.flush_submissions();
                 if sent > 0 {
-                    // Only what went ahead of a job that waited is owed to the jobs. (Counted
-                    // while none waited, a busy hour's submissions would have held up later ones.)
+                    // Changes are owed only if a job was waiting. Otherwise the submissions of a busy
+                    // hour would delay later submissions.
                     self.submitting.changes_owed +=
                         if due.is_some() { self.changes_owed_for(sent) } else { 0 };
                     continue;
@@ -40,16 +42,16 @@
         }
     }
 
-    /// The job whose change is worth most now: how many starts and ends it would record, how
-    /// long they have waited and how urgent they are. Long waits win in the end, so nothing
-    /// starves.
-    fn weightiest(&mut self) -> Option<JobId> {
+    /// The job whose transaction has the highest weight now, by the number of starts and ends that it
+    /// records, how long they have waited, and their urgency. The weight grows with the waiting time,
+    /// so no job starves.
+    fn next_job_to_write(&mut self) -> Option<JobId> {
         let now = self.now;
         let ample = self.rate_limiter.is_ample();
         let mut best: Option<((bool, u64), JobId)> = None;
         let mut unsent = std::mem::take(&mut self.unsent);
         unsent.retain(|id| {
-            self.job_states.get(id).is_some_and(|l| l.transaction_in_flight || l.has_updates())
+            self.job_states.get(id).is_some_and(|s| s.transaction_in_flight || s.has_updates())
         });
         for id in &unsent {
             let Some(job_state) = self.job_states.get_mut(id) else { continue };
@@ -59,20 +61,20 @@
             {
                 continue;
             }
-            let waited = now.since(*job_state.unsent_since.get_or_insert(now));
+            let waited_ms = now.since(*job_state.pending_since.get_or_insert(now));
             let job_state = &self.job_states[id];
-            // Gone meanwhile, or to be cancelled: at once.
+            // A job that has no live record any more is handled at once, like a cancellation.
             let pending_updates = match self.cache.jobs.get(id) {
                 Some(cached) => self.pending_updates(id, job_state, cached),
                 None => PendingUpdates { abort: true, ..PendingUpdates::default() },
             };
-            let pressing = pending_updates.presses(waited);
-            // Steps gather even while changes are plenty: nobody waits for these.
+            let pressing = pending_updates.presses(waited_ms);
+            // Step reports are batched even while change rate is available: no user waits for them.
             let only_steps = pending_updates.member_reports > 0 && job_state.ends.is_empty();
             if !pressing && (!ample || only_steps) {
                 continue;
             }
-            let weight = (pressing, pending_updates.weight(waited));
+            let weight = (pressing, pending_updates.weight(waited_ms));
             if best.as_ref().is_none_or(|b| weight > b.0) {
                 best = Some((weight, id.clone()));
             }
@@ -90,7 +92,7 @@
         let spec = &cached.record.spec;
         let done = job_state.ends.iter().filter(|e| e.done).count() as u32;
         let starts = job_state.placement_requests.iter().map(|w| w.tasks).sum();
-        let mine: u32 = cached
+        let claimed_in_owned_pools: u32 = cached
             .by_pool
             .iter()
             .filter(|(p, _)| self.pools.owned.contains_key(p))
@@ -98,26 +100,26 @@
             .sum();
         let finishes = cached.done + done >= spec.tasks;
         let changes = match cached.record.in_parts() {
-            true => self.touched(job_state, cached) + u32::from(starts > 0),
-            // The archive's record and the end of its own.
+            true => self.changed_part_count(job_state, cached) + u32::from(starts > 0),
+            // One more to write the archive record when the job's record is deleted.
             false => 1 + u32::from(finishes),
         };
-        // Nothing of it may start before its pause is over: its failures can gather too.
+        // A suspect job cannot start tasks before its backoff ends, so its failures can be batched too.
         let lost = job_state.ends.len() as u32 - done;
         let (done, lost) =
             if lost > 0 && self.is_suspect(id, cached) { (done + lost, 0) } else { (done, lost) };
         let limited = self.cfg.team(&spec.team).is_some_and(|t| t.is_limited());
-        let most = if limited { LEAST_WAIT_MS } else { MOST_WAIT_MS };
+        let max_delay_ms = if limited { MIN_BATCHING_DELAY_MS } else { MAX_BATCHING_DELAY_MS };
         PendingUpdates {
             done,
             lost,
             starts,
             member_reports: job_state.member_reports.len() as u32,
-            idle: job_state.member_reports.iter().filter(|a| a.idle).count() as u32,
+            idle: job_state.member_reports.iter().filter(|r| r.idle).count() as u32,
             abort: job_state.abort,
             over: job_state.completion_pending,
             finishes,
-            mine_left: mine.saturating_sub(job_state.ends.len() as u32),
+            mine_left: claimed_in_owned_pools.saturating_sub(job_state.ends.len() as u32),
             unclaimed: cached.unclaimed(),
             changes,
             urgency: match spec.urgency {
@@ -126,12 +128,14 @@
                 Urgency::Normal => 2,
                 Urgency::BestEffort => 1,
             },
-            patience_ms: ((spec.estimate_s * 1000.0) as u64).clamp(LEAST_WAIT_MS, most),
-            gathers: crate::jobs::step_reports::can_gather(&job_state.member_reports, self.now),
+            patience_ms: ((spec.estimate_s * 1000.0) as u64)
+                .clamp(MIN_BATCHING_DELAY_MS, max_delay_ms),
+            gathers: crate::jobs::step_reports::can_batch(&job_state.member_reports, self.now),
         }
     }
 
-    fn touched(&self, job_state: &LocalJobState, cached: &CachedJob) -> u32 {
+    /// Number of parts in which claim ends wait to be recorded.
+    fn changed_part_count(&self, job_state: &LocalJobState, cached: &CachedJob) -> u32 {
         let mut parts: Vec<u32> =
             job_state.ends.iter().filter_map(|e| part_of(&cached.record, e.ix)).collect();
         parts.sort_unstable();
@@ -139,9 +143,9 @@
         parts.len() as u32
     }
 
-    /// Of a job in parts, whose ends are worth their changes now.
-    fn select(&self, job: &JobId, job_state: &LocalJobState) -> Option<Selection> {
-        let cached = self.cache.jobs.get(job).filter(|l| l.record.in_parts())?;
+    /// The parts whose claim ends are recorded now; `None` for a job in one record.
+    fn select_parts(&self, job: &JobId, job_state: &LocalJobState) -> Option<Selection> {
+        let cached = self.cache.jobs.get(job).filter(|job| job.record.in_parts())?;
         let mut parts: BTreeMap<u32, PendingPartUpdates> = BTreeMap::new();
         for end in &job_state.ends {
             let part = parts.entry(end.ix.0 / crate::store::records::PART).or_default();
@@ -151,33 +155,34 @@
         for (number, pending_updates) in &mut parts {
             let Some(part) = tables.and_then(|t| t.get(number)) else { continue };
             let table = &part.value;
-            let claims = |mine: bool| -> u32 {
+            let claimed = |only_owned: bool| -> u32 {
                 let groups = table.claims.iter();
-                let groups = groups.filter(|g| !mine || self.pools.owned.contains_key(&g.pool));
+                let groups =
+                    groups.filter(|g| !only_owned || self.pools.owned.contains_key(&g.pool));
                 groups.map(|g| g.tasks.len() as u32).sum()
             };
             let (from, to) = cached.record.part_range(*number);
             pending_updates.unclaimed =
-                (to - from).saturating_sub(table.done_count() + claims(false));
+                (to - from).saturating_sub(table.done_count() + claimed(false));
             pending_updates.mine_left =
-                claims(true).saturating_sub(pending_updates.done + pending_updates.lost);
+                claimed(true).saturating_sub(pending_updates.done + pending_updates.lost);
         }
-        let waited = job_state.unsent_since.map_or(0, |s| self.now.since(s));
+        let waited_ms = job_state.pending_since.map_or(0, |s| self.now.since(s));
         let pending_updates = self.pending_updates(job, job_state, cached);
-        let everything = pending_updates.is_all()
-            || waited >= pending_updates.patience_ms
+        let select_all = pending_updates.is_all()
+            || waited_ms >= pending_updates.patience_ms
             || self.rate_limiter.is_ample();
-        Some(Selection::new(&parts, everything, self.rate_limiter.max_changes()))
+        Some(Selection::new(&parts, select_all, self.rate_limiter.max_changes()))
     }
 
-    /// Our place among the live controllers, and how many there are.
-    pub(crate) fn rank(&self) -> (usize, usize) {
+    /// Rank of this controller among the live controllers, and their number.
+    pub(crate) fn controller_rank(&self) -> (usize, usize) {
         let controllers = &self.cache.controllers;
         let rank = controllers.keys().position(|n| *n == self.cfg.me).unwrap_or(0);
         (rank, controllers.len())
     }
 
-    /// Something of the job waits to be recorded.
+    /// Marks the job as having updates that wait to be recorded.
     pub(crate) fn mark_pending_updates(&mut self, job: &JobId) {
         self.flush_due = true;
         if !self.unsent.contains(job) {
@@ -186,12 +191,13 @@
     }
 
     fn send_job_tx(&mut self, job: JobId) {
-        let selection = self.job_states.get(&job).and_then(|l| self.select(&job, l));
-        let Some(tx) = self.build(&job, selection) else {
-            // Nothing of it can be said now; looked at again at once it would keep us here.
-            let again = self.now.plus(100);
-            if let Some(job_state) = self.job_states.get_mut(&job).filter(|l| l.has_updates()) {
-                job_state.not_before = job_state.not_before.max(again);
+        let selection = self.job_states.get(&job).and_then(|s| self.select_parts(&job, s));
+        let Some(tx) = self.build_job_transaction(&job, selection) else {
+            // Nothing can be written now. Without a delay `flush` would select the same job again and
+            // never return.
+            let retry_at = self.now.plus(100);
+            if let Some(job_state) = self.job_states.get_mut(&job).filter(|s| s.has_updates()) {
+                job_state.not_before = job_state.not_before.max(retry_at);
             }
             return;
         };
@@ -199,7 +205,7 @@
             return;
         };
         job_state.transaction_in_flight = true;
-        job_state.unsent_since = None;
+        job_state.pending_since = None;
         let txn = tx.txn.clone();
         self.store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::Job(Box::new(tx)));
     }
