--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -8,7 +8,7 @@
 use crate::jobs::cancellation_state::Cancellations;
 use crate::jobs::requests::TerminalJobCache;
 use crate::jobs::state::LocalJobState;
-use crate::jobs::submissions::Submitting;
+use crate::jobs::submissions::SubmissionState;
 use crate::leadership::state::Leadership;
 use crate::machines::cloud::CloudState;
 use crate::machines::inventory::Inventory;
@@ -93,7 +93,7 @@
     pub(crate) flush_due: bool,
     /// Jobs that may have updates to be written.
     pub(crate) dirty_jobs: BTreeSet<JobId>,
-    pub(crate) submitting: Submitting,
+    pub(crate) submitting: SubmissionState,
     pub(crate) waiting_requests: Vec<WaitingRequest>,
     pub(crate) terminal_jobs: TerminalJobCache,
     pub(crate) archive: ArchiveLookups,
@@ -144,7 +144,7 @@
             job_states: BTreeMap::new(),
             flush_due: false,
             dirty_jobs: BTreeSet::new(),
-            submitting: Submitting::default(),
+            submitting: SubmissionState::default(),
             waiting_requests: Vec::new(),
             terminal_jobs: TerminalJobCache::default(),
             archive: ArchiveLookups::default(),
@@ -199,7 +199,7 @@
     fn tick(&mut self) {
         self.detect_stall();
         self.resend_due();
-        self.fail_stale_waits();
+        self.expire_waiting_requests();
         self.answer_long_polls(&[]);
         self.resolve_unanswered();
         self.check_format();
@@ -207,7 +207,7 @@
         self.maintain_cache();
         self.maintain_cloud_state();
         self.broadcast_contact_age();
-        self.keep_cancellations();
+        self.resend_cancellations();
         if !self.is_serving() {
             return;
         }
@@ -217,7 +217,7 @@
         self.maintain_priority();
         self.maintain_image_distribution();
         self.watch_machines();
-        self.complete_jobs();
+        self.end_completed_jobs();
         self.plan_if_due();
         self.keep_slices();
     }
@@ -298,10 +298,10 @@
         match pending {
             Pending::Sync { sent, sent_event } => self.on_sync(sent, sent_event, reply),
             Pending::Load { sent } => self.on_load(sent, reply),
-            Pending::Job(tx) => self.on_job_tx(op, *tx, reply),
+            Pending::Job(tx) => self.on_job_transaction(op, *tx, reply),
             Pending::Submit { batch, txn, .. } => self.on_submitted(batch, txn, reply),
-            Pending::ArchivedJob { job } => self.on_archive(job, reply),
-            Pending::EndedJobs { from } => self.on_ended(from, reply),
+            Pending::ArchivedJob { job } => self.on_archive_record(job, reply),
+            Pending::EndedJobs { from } => self.on_archive_changes(from, reply),
             Pending::Grant { sent } => self.on_lease_granted(sent, reply),
             Pending::Extend { sent } => self.on_lease_extended(sent, reply),
             Pending::Registration => self.on_registered(reply),
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -1,15 +1,15 @@
-//! What users ask: submissions, polls, cancellations.
+//! User requests: submissions, polls and cancellations.
 
 use crate::controller::{Controller, EventNumber, Pending, Submission, WaitReason, WaitingRequest};
 use crate::effects::{CallPriority, Request, Response, StoreReply, StoreRequest};
-use crate::jobs::archive::Joined;
-use crate::jobs::submissions::SUBMIT_MS;
+use crate::jobs::archive::JoinOutcome;
+use crate::jobs::submissions::SUBMISSION_TIMEOUT_MS;
 use crate::store::records::{archive_key, job_status, ArchiveRecord, LossList, ARCHIVE_PREFIX};
 use cleatfold_wire::job::{JobState, JobStatus, StepCount};
 use cleatfold_wire::{JobId, Ms, Version};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Answers that are final may be kept: they never change. Bounded; the archive has them all.
+/// Bounded cache of archive records. Final states never change; the archive holds all of them.
 #[derive(Default)]
 pub(crate) struct TerminalJobCache {
     states: BTreeMap<JobId, ArchiveRecord>,
@@ -43,11 +43,13 @@
     }
 }
 
-/// How long a user waits for the answer to a poll and to the other requests.
-const POLL_MS: u64 = 1700;
-const REQUEST_MS: u64 = 4000;
+/// How long a poll waits before it is answered 503.
+const POLL_TIMEOUT_MS: u64 = 1700;
+/// How long any other request waits before it is answered 503.
+const REQUEST_TIMEOUT_MS: u64 = 4000;
 
 impl Controller {
+    /// Handles a user request.
     pub(crate) fn on_request(&mut self, rid: u64, request: Request) {
         if let Request::Ready = request {
             let response = if self.is_ready() {
@@ -64,31 +66,32 @@
             Request::Submit(spec) => self.on_submit(rid, spec),
             Request::Poll(job) => match self.terminal_jobs.get(&job) {
                 Some(status) => self.reply(rid, Response::Status { code: 200, status }),
-                None => self.wait(rid, job, WaitReason::Poll),
+                None => self.wait_for_read(rid, job, WaitReason::Poll),
             },
             Request::Withdraw(job) => match self.terminal_jobs.get(&job) {
                 Some(status) => self.reply(rid, Response::Status { code: 200, status }),
-                None => self.wait(rid, job, WaitReason::Withdraw),
+                None => self.wait_for_read(rid, job, WaitReason::Withdraw),
             },
-            Request::Steps(report) => self.on_steps(rid, report),
+            Request::Steps(report) => self.on_step_report(rid, report),
             Request::TeamLosses { team, since } => self.on_team_losses(rid, team, since),
             Request::Workspace { team, view, since } => self.on_team(rid, team, view, since),
             Request::Ready => unreachable!("answered above"),
         }
     }
 
-    /// The state service has just failed and not answered since: requests that need it are
-    /// told so at once, with the time to come back.
-    pub(crate) fn store_away(&self) -> bool {
+    /// Whether the state service has failed recently and not answered since. Requests that need it are
+    /// then answered 503 with a retry time at once.
+    pub(crate) fn is_store_unavailable(&self) -> bool {
         match (self.session.last_failure, self.session.last_read) {
-            (Some(failed), Some(fresh)) => failed > fresh && self.now.since(fresh) > 1500,
-            (failed, None) => failed.is_some(),
+            (Some(failure), Some(read)) => failure > read && self.now.since(read) > 1500,
+            (failure, None) => failure.is_some(),
             _ => false,
         }
     }
 
-    pub(crate) fn wait(&mut self, rid: u64, job: JobId, kind: WaitReason) {
-        if self.store_away() {
+    /// Queues a request until a read of the state service that is sent after it arrived.
+    pub(crate) fn wait_for_read(&mut self, rid: u64, job: JobId, kind: WaitReason) {
+        if self.is_store_unavailable() {
             return self.reply(rid, Response::retry_later("the state service does not answer"));
         }
         let (arrived, arrival_event) = (self.now, self.event);
@@ -96,63 +99,77 @@
         self.sync_if_due();
     }
 
-    /// Whoever has waited too long is told to come back.
-    pub(crate) fn fail_stale_waits(&mut self) {
-        let away = self.store_away();
+    /// Answers requests that have waited too long with 503.
+    pub(crate) fn expire_waiting_requests(&mut self) {
+        let store_unavailable = self.is_store_unavailable();
         let now = self.now;
-        let mut late = Vec::new();
+        let mut expired = Vec::new();
         self.waiting_requests.retain(|w| {
-            let limit = if matches!(w.kind, WaitReason::Poll) { POLL_MS } else { REQUEST_MS };
-            let give_up = away || now.since(w.arrived) > limit;
+            let limit = if matches!(w.kind, WaitReason::Poll) {
+                POLL_TIMEOUT_MS
+            } else {
+                REQUEST_TIMEOUT_MS
+            };
+            let give_up = store_unavailable || now.since(w.arrived) > limit;
             if give_up {
-                late.push(w.rid);
+                expired.push(w.rid);
             }
             !give_up
         });
-        // Work whose asker has left is not done: he has asked again, most likely another controller.
-        // (Both kept it, each batch met jobs that the other had accepted, and failed as a whole;
-        // so the more had asked again the fewer were accepted, for good.)
-        let gone =
-            self.submitting.submission_queue.take_late(|at| away || now.since(Ms(at)) > SUBMIT_MS);
-        late.extend(gone.into_iter().map(|s| s.rid));
-        late.extend(self.late_steps(away));
-        late.extend(self.late_questions(away));
-        late.extend(self.archive.give_up(|w| {
-            let limit = if matches!(w.kind, WaitReason::Poll) { POLL_MS } else { REQUEST_MS };
+        // Drop submissions whose users have timed out: they have retried, most likely at another
+        // controller. If both controllers kept a submission, each batch would contain jobs that the
+        // other had accepted and would fail as a whole: the more retries, the fewer acceptances, and
+        // the system would not recover.
+        let expired_submissions = self
+            .submitting
+            .submission_queue
+            .take_late(|at| store_unavailable || now.since(Ms(at)) > SUBMISSION_TIMEOUT_MS);
+        expired.extend(expired_submissions.into_iter().map(|s| s.rid));
+        expired.extend(self.take_expired_step_reports(store_unavailable));
+        expired.extend(self.late_questions(store_unavailable));
+        expired.extend(self.archive.remove_expired(|w| {
+            let limit = if matches!(w.kind, WaitReason::Poll) {
+                POLL_TIMEOUT_MS
+            } else {
+                REQUEST_TIMEOUT_MS
+            };
             now.since(w.arrived) > limit
         }));
-        for rid in late {
+        for rid in expired {
             self.reply(rid, Response::retry_later("the state service does not answer"));
         }
     }
 
-    /// A reading sent at event `sent_event` is in: it answers everyone who asked before. By events, not by the clock: who
-    /// asks later in the same millisecond may have been told by another controller of what this reading does not show.
-    pub(crate) fn answer_waiting(&mut self, sent_event: EventNumber) {
-        let (ripe, rest) = std::mem::take(&mut self.waiting_requests)
+    /// Answers the requests that arrived at or before event `sent_event`, at which a read was sent whose
+    /// reply is now applied. Ordered by event, not by clock: a user whose request arrives later in the
+    /// same millisecond may already have seen, through another controller, a change that this read does
+    /// not show.
+    pub(crate) fn answer_waiting_requests(&mut self, sent_event: EventNumber) {
+        let (answerable, rest) = std::mem::take(&mut self.waiting_requests)
             .into_iter()
             .partition(|w| w.arrival_event <= sent_event);
         self.waiting_requests = rest;
         let mut unknown: BTreeMap<JobId, Vec<WaitingRequest>> = BTreeMap::new();
-        for w in ripe {
+        for w in answerable {
             let w: WaitingRequest = w;
             if let WaitReason::Steps(report) = w.kind {
-                // What is not claimed by a reading sent after it came is not claimed.
-                self.take_steps(w.rid, report, true);
+                // The read was sent after the report arrived: a claim that it does not show is not held.
+                self.admit_step_report(w.rid, report, true);
             } else if let Some(status) = self.terminal_jobs.get(&w.job) {
                 self.reply(w.rid, Response::Status { code: 200, status });
             } else if self.cache.jobs.contains_key(&w.job) {
-                self.answer_live(w);
+                self.answer_from_live_record(w);
             } else {
                 unknown.entry(w.job.clone()).or_default().push(w);
             }
         }
         for (job, waiting) in unknown {
-            self.query_archive(job, waiting);
+            self.look_up_in_archive(job, waiting);
         }
         self.answer_teams(Some(sent_event));
     }
 
+    /// Status of a job from its live records; `None` if it has none.
     pub(crate) fn live_status(&self, job: &JobId) -> Option<JobStatus> {
         let cached = self.cache.jobs.get(job)?;
         let state = match (cached.record.aborted, cached.claimed) {
@@ -166,7 +183,7 @@
             status.done = finished;
             status.steps = Some(StepCount { finished, total: elastic.steps });
         }
-        status.why = self.why(job, cached);
+        status.why = self.failure_summary(job, cached);
         if self.cache.jobs_with_losses.contains(job) {
             let mut losses = LossList::default();
             self.cache.tables(job).for_each(|t| losses.merge(t.losses.clone()));
@@ -175,7 +192,7 @@
         Some(status)
     }
 
-    fn answer_live(&mut self, w: WaitingRequest) {
+    fn answer_from_live_record(&mut self, w: WaitingRequest) {
         let Some(status) = self.live_status(&w.job) else {
             return;
         };
@@ -183,21 +200,21 @@
             let job_state = self.job_state(&w.job);
             job_state.abort = true;
             job_state.withdrawals.push(w.rid);
-            self.note_unsent(&w.job);
+            self.mark_pending_updates(&w.job);
             return;
         }
         self.reply(w.rid, Response::Status { code: 200, status });
     }
 
-    /// Asks the archive about a job that is not among the live ones.
-    fn query_archive(&mut self, job: JobId, waiting: Vec<WaitingRequest>) {
-        match self.archive.join(&job, waiting, self.event) {
-            Joined::Ask => {
+    /// Looks up a job without live records in the archive.
+    fn look_up_in_archive(&mut self, job: JobId, waiting: Vec<WaitingRequest>) {
+        match self.archive.join_or_start(&job, waiting, self.event) {
+            JoinOutcome::Started => {
                 let request = StoreRequest::Get(archive_key(&job));
                 self.call_store(CallPriority::Poll, request, Pending::ArchivedJob { job });
             }
-            Joined::UnderWay => {}
-            Joined::Full(waiting) => {
+            JoinOutcome::Joined => {}
+            JoinOutcome::Full(waiting) => {
                 for w in waiting {
                     self.reply(w.rid, Response::retry_later("too many such questions"));
                 }
@@ -205,11 +222,12 @@
         }
     }
 
-    pub(crate) fn on_archive(&mut self, job: JobId, reply: StoreReply) {
-        let (sent_event, waiting) = self.archive.leave(&job);
+    /// Handles the reply to an archive lookup.
+    pub(crate) fn on_archive_record(&mut self, job: JobId, reply: StoreReply) {
+        let (sent_event, waiting) = self.archive.finish(&job);
         match reply {
             StoreReply::Item(item) => {
-                if !self.note_archived(&job, item.value.get()) {
+                if !self.cache_archive_record(&job, item.value.get()) {
                     return;
                 }
                 for w in waiting {
@@ -220,11 +238,11 @@
             }
             StoreReply::Missing => {
                 for w in waiting {
-                    // It may have been accepted since we looked: then it waits once more.
-                    let later = w.arrival_event > sent_event;
+                    // The job may have been accepted after the lookup was sent: wait for another read.
+                    let arrived_after_lookup = w.arrival_event > sent_event;
                     let known = self.cache.jobs.contains_key(&job)
                         || self.terminal_jobs.get(&job).is_some();
-                    if later || known {
+                    if arrived_after_lookup || known {
                         self.waiting_requests.push(w);
                         continue;
                     }
@@ -248,7 +266,8 @@
         }
     }
 
-    fn note_archived(&mut self, job: &JobId, record: &str) -> bool {
+    /// Caches an archive record. False if it is unreadable.
+    fn cache_archive_record(&mut self, job: &JobId, record: &str) -> bool {
         match serde_json::from_str::<ArchiveRecord>(record) {
             Ok(archive) => {
                 self.find_ended_losses(job, &archive);
@@ -262,24 +281,25 @@
         true
     }
 
-    /// Jobs left the live records by others' hands: reads how they ended, all of them at once, so
-    /// that no poll has to ask for each.
-    pub(crate) fn follow_archive(&mut self) {
-        if !self.archive.follow(&self.cache.applied_revision) {
+    /// Reads in bulk how jobs ended that other controllers removed from the live records, so that polls
+    /// need no lookup each.
+    pub(crate) fn read_archive_changes(&mut self) {
+        if !self.archive.start_changes_read(&self.cache.applied_revision) {
             return;
         }
-        let from = self.archive.read_to;
+        let from = self.archive.read_revision;
         let request = StoreRequest::Changes { prefix: ARCHIVE_PREFIX.into(), from };
         self.call_store(CallPriority::Poll, request, Pending::EndedJobs { from });
     }
 
-    pub(crate) fn on_ended(&mut self, from: Version, reply: StoreReply) {
-        self.archive.following = false;
+    /// Handles the reply to a read of the archive's changes.
+    pub(crate) fn on_archive_changes(&mut self, from: Version, reply: StoreReply) {
+        self.archive.read_in_flight = false;
         let StoreReply::Events(events) = reply else {
             match reply {
-                // Too much has changed since: whoever asks is answered one by one.
+                // The changes are no longer available: polls are answered by individual lookups.
                 StoreReply::TooOld => self.lose_ended(from),
-                _ => self.archive.stale = true,
+                _ => self.archive.is_stale = true,
             }
             return;
         };
@@ -287,10 +307,10 @@
             let job =
                 event.put.as_deref().and_then(|k| k.strip_prefix(ARCHIVE_PREFIX)).map(JobId::new);
             if let (Some(job), Some(value)) = (job, &event.value) {
-                self.note_archived(&job, value.get());
+                self.cache_archive_record(&job, value.get());
             }
         }
-        self.archive.read_to = events.revision;
+        self.archive.read_revision = events.revision;
         self.note_ended(from, &events);
         self.answer_teams(None);
     }
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -373,7 +373,9 @@
             };
             // The job's base tasks are already assigned to pools, in an earlier round or in this one;
             // its growth uses the same pools.
-            if *growth && self.job_states.get(id).is_some_and(|state| !state.pools.is_empty()) {
+            if *growth
+                && self.job_states.get(id).is_some_and(|state| !state.assigned_pools.is_empty())
+            {
                 continue;
             }
             let usable = || (0..pools.len()).filter(|&i| self.may_use(cached, &pools[i]));
@@ -386,7 +388,7 @@
                 .job_states
                 .get(id)
                 .into_iter()
-                .flat_map(|state| state.pools.iter().filter_map(|p| index.get(p).copied()))
+                .flat_map(|state| state.assigned_pools.iter().filter_map(|p| index.get(p).copied()))
                 .collect();
             let spec = &cached.record.spec;
             let work = spec.estimate_s.max(1.0) * spec.cpus * f64::from(*unclaimed);
@@ -430,8 +432,8 @@
             let chosen: Vec<PoolId> =
                 chosen.iter().filter_map(|&i| pools.get(i as usize).cloned().flatten()).collect();
             let job_state = self.job_state(&job);
-            if job_state.pools != chosen {
-                job_state.pools = chosen;
+            if job_state.assigned_pools != chosen {
+                job_state.assigned_pools = chosen;
                 self.replan_needed = true;
             }
         }
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -237,7 +237,7 @@
         }
         self.machines_checked_at = self.now;
         self.adopt_claimed_machines();
-        self.judge_machines();
+        self.return_faulty_machines();
         let thresholds = WatchThresholds {
             now: self.now,
             lease_check_ms: self.silent_ms(),
@@ -273,7 +273,7 @@
             .jobs
             .iter()
             .filter(|(_, job)| !job.record.aborted && job.unclaimed() > 0)
-            .filter(|(id, job)| self.may_start(id, job, 1) > 0)
+            .filter(|(id, job)| self.startable_tasks(id, job, 1) > 0)
             .map(|(_, job)| job)
             .collect();
         let watched = self.pools.owned.iter().map(|(pool, owned)| {
@@ -332,7 +332,10 @@
                 .get(id)
                 .and_then(|m| m.task_started_at.get(&(job.clone(), ix)));
             let ran_ms = started.map_or(0, |s| self.now.since(*s));
-            self.end(&job, ClaimEnd { machine, ix, attempt, done: false, reason, ran_ms, fence });
+            self.queue_claim_end(
+                &job,
+                ClaimEnd { machine, ix, attempt, done: false, reason, ran_ms, fence },
+            );
         }
     }
 
@@ -353,7 +356,7 @@
                     .calls
                     .pending
                     .values()
-                    .any(|p| matches!(p, Pending::Job(tx) if tx.names(&id)));
+                    .any(|p| matches!(p, Pending::Job(tx) if tx.claims_on(&id)));
             if has_claim_in_flight || batch.len() >= MAX_DELETED_PER_CALL {
                 continue;
             }
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -42,13 +42,13 @@
             let request = StoreRequest::Changes { prefix: LOSS_LOG_PREFIX.into(), from };
             self.call_store(CallPriority::Poll, request, Pending::LossLog);
         }
-        if self.losses.back && !self.archive.following {
+        if self.losses.back && !self.archive.read_in_flight {
             // What ended while nobody kept the team.
             self.losses.back = false;
             let back = Version(self.cache.applied_revision.0.saturating_sub(BACK_ENDED));
-            self.archive.read_to = self.archive.read_to.min(back);
-            self.archive.stale = true;
-            self.follow_archive();
+            self.archive.read_revision = self.archive.read_revision.min(back);
+            self.archive.is_stale = true;
+            self.read_archive_changes();
         }
         let now = self.now;
         if now.since(self.losses.last_checked) >= LOSS_SCAN_INTERVAL_MS {
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -29,7 +29,7 @@
         if self.cfg.team(team).is_none() {
             return Some(Response::rejection(404, "no such team"));
         }
-        self.store_away().then(Response::store_unavailable)
+        self.is_store_unavailable().then(Response::store_unavailable)
     }
 
     pub(crate) fn on_team(&mut self, rid: u64, team: TeamId, view: WorkspaceView, since: u64) {
@@ -81,8 +81,8 @@
             }
         }
         if behind {
-            self.archive.stale = true;
-            self.follow_archive();
+            self.archive.is_stale = true;
+            self.read_archive_changes();
         }
     }
 
@@ -155,8 +155,9 @@
         limit_full: bool,
         up: &BTreeSet<&PoolId>,
     ) -> (Holdup, String) {
-        if self.may_start(id, cached, cached.unclaimed()) == 0 {
-            let why = self.why(id, cached).unwrap_or_else(|| "its failed tasks pause".into());
+        if self.startable_tasks(id, cached, cached.unclaimed()) == 0 {
+            let why =
+                self.failure_summary(id, cached).unwrap_or_else(|| "its failed tasks pause".into());
             return (Holdup::Pause, why);
         }
         if limit_full {
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -453,7 +453,7 @@
             ran_ms: 0,
             fence: Some(Fence { pool: context.pool.clone(), token: context.token }),
         };
-        self.end(&claim.task.job, end);
+        self.queue_claim_end(&claim.task.job, end);
     }
 
     /// Stores the heartbeat as its machine's latest; returns whether its tasks differ from those of
--- a/crates/cleatfold-control/src/pools/tasks.rs
+++ b/crates/cleatfold-control/src/pools/tasks.rs
@@ -85,14 +85,14 @@
         if exit != Exit::Done && checkpoint_ms > 0 {
             let ran_ms = started.map_or(0, |s| now.since(s));
             let saved_ms = if saved { ran_ms } else { ran_ms / checkpoint_ms * checkpoint_ms };
-            *job_state.saved.entry(task.ix).or_default() += saved_ms;
+            *job_state.saved_run_ms.entry(task.ix).or_default() += saved_ms;
         }
         match exit {
             Exit::Error => {
-                self.note_failed(id, task, attempt);
+                self.record_task_failure(id, task, attempt);
             }
             Exit::Unknown => {
-                self.job_state(&task.job).hold_until = now.plus(2000);
+                self.job_state(&task.job).no_placement_before = now.plus(2000);
             }
             Exit::Done => {
                 if let Some(machine) = self.inventory.machines.get_mut(id) {
@@ -113,6 +113,6 @@
             ran_ms,
             fence: None,
         };
-        self.end(&task.job, end);
+        self.queue_claim_end(&task.job, end);
     }
 }
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -288,7 +288,7 @@
             let beyond = ix >= cached.first_surplus_member;
             return self.now.plus(if beyond { width.yield_ms(YIELD_MS) } else { run });
         }
-        let saved = job_state.and_then(|l| l.saved.get(&ix)).copied().unwrap_or(0);
+        let saved = job_state.and_then(|l| l.saved_run_ms.get(&ix)).copied().unwrap_or(0);
         let run = run.saturating_sub(saved);
         match machine.task_started_at.get(&(job.clone(), ix)) {
             Some(start) => {
@@ -328,11 +328,11 @@
                 continue;
             }
             let job_state = self.job_states.get(id);
-            if job_state.is_some_and(|l| l.hold_until > self.now) {
+            if job_state.is_some_and(|l| l.no_placement_before > self.now) {
                 continue;
             }
             // Not sent anywhere yet (a new job, or no leader): any pool may plan for it.
-            let sent = job_state.map(|l| l.pools.as_slice()).unwrap_or_default();
+            let sent = job_state.map(|l| l.assigned_pools.as_slice()).unwrap_or_default();
             if !self.priority.considers(*urgency, id, sent, pool, self.now) {
                 continue;
             }
@@ -369,7 +369,7 @@
 
     /// Machines on which the job has failed, or on which room is kept for others.
     fn barred(&self, id: &JobId, urgency: Urgency, plan: &PoolPlan) -> Vec<usize> {
-        let mut barred = self.avoided(id, &plan.machines);
+        let mut barred = self.machines_to_avoid(id, &plan.machines);
         barred.extend(self.priority.kept_from(&plan.pool, (id, urgency), &plan.machines));
         barred
     }
@@ -434,7 +434,9 @@
     /// Whether tasks of the job may be requested now, of `remaining` that are left of it.
     fn may_start_now(&mut self, start: &DueStart, remaining: u32) -> bool {
         let is_blocked = |state: &LocalJobState| {
-            state.busy || state.stale_since.is_some() || state.not_before > self.now
+            state.transaction_in_flight
+                || state.stale_since.is_some()
+                || state.not_before > self.now
         };
         if self.job_states.get(start.job()).is_some_and(is_blocked) {
             // One transaction per job at a time; the plan comes round again.
@@ -479,7 +481,7 @@
             tasks,
         };
         self.job_state(&job).placement_requests.push(placement);
-        self.note_unsent(&job);
+        self.mark_pending_updates(&job);
         tasks
     }
 
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -265,15 +265,15 @@
 
     /// Handles the consequences of a read.
     fn after_sync(&mut self, sent_event: EventNumber) {
-        self.note_read_cancellations();
+        self.on_cancellations_read();
         for job in std::mem::take(&mut self.cache.removed_jobs) {
-            self.archive.stale |= self.terminal_jobs.get(&job).is_none();
+            self.archive.is_stale |= self.terminal_jobs.get(&job).is_none();
             self.discard_job_state(&job);
         }
-        self.follow_archive();
+        self.read_archive_changes();
         self.update_ownership();
         self.resolve_unanswered();
-        self.answer_waiting(sent_event);
+        self.answer_waiting_requests(sent_event);
         self.sync_if_due();
     }
 }
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -83,7 +83,7 @@
         let (priority, txn) = match self.calls.pending.get_mut(&op) {
             Some(Pending::Submit { txn, .. }) => (CallPriority::Submission, txn.clone()),
             Some(Pending::Job(tx)) => {
-                tx.doubtful = true;
+                tx.maybe_executed = true;
                 (CallPriority::Claim, tx.txn.clone())
             }
             _ => return,
@@ -107,7 +107,7 @@
     }
 
     fn resolve_submissions(&mut self, batch: Vec<Submission>) {
-        self.submitting.settled();
+        self.submitting.finish_batch();
         for submission in batch.into_iter().rev() {
             let job = submission.spec.id.clone();
             let known = self.terminal_jobs.get(&job).or_else(|| self.live_status(&job));
@@ -115,7 +115,7 @@
                 self.reply(submission.rid, Response::Status { code: 200, status });
             } else if self.cache.changed_since(&job_key(&job), Version(0)) {
                 // The job was accepted and has ended since; its state is in the archive.
-                self.wait(submission.rid, job, WaitReason::Known(submission.spec));
+                self.wait_for_read(submission.rid, job, WaitReason::Known(submission.spec));
             } else {
                 self.submitting.put_back(submission);
             }
@@ -126,13 +126,13 @@
         tracing::debug!(job = %tx.job, "unknown outcome resolved by a read");
         let JobTransaction { job, mut withdrawals, steps, .. } = tx;
         let job_state = self.job_state(&job);
-        job_state.busy = false;
+        job_state.transaction_in_flight = false;
         job_state.withdrawals.append(&mut withdrawals);
         // Step reports are evaluated again against the current state.
         job_state
             .member_reports
             .extend(steps.verdicts.into_iter().map(|(member_reports, _)| member_reports));
-        self.note_unsent(&job);
+        self.mark_pending_updates(&job);
         if !self.cache.jobs.contains_key(&job) {
             self.discard_job_state(&job);
         }
