--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -16,7 +16,7 @@
 use crate::membership::state::ReachabilityState;
 use crate::namespaces::loss_logs::Losses;
 use crate::namespaces::question_state::Teams;
-use crate::namespaces::workspace_state::Workspaces;
+use crate::namespaces::workspace_state::WorkspaceState;
 use crate::pools::ownership::OwnedPools;
 use crate::quota::QuotaState;
 use crate::scheduling::evictions::Evictions;
@@ -100,7 +100,7 @@
     pub(crate) completed_at: Ms,
 
     // Namespaces.
-    pub(crate) workspaces: Workspaces,
+    pub(crate) workspaces: WorkspaceState,
     pub(crate) teams: Teams,
     pub(crate) losses: Losses,
 }
@@ -148,7 +148,7 @@
             archive: ArchiveLookups::default(),
             cancellations: Cancellations::default(),
             completed_at: Ms(0),
-            workspaces: Workspaces::default(),
+            workspaces: WorkspaceState::default(),
             teams: Teams::default(),
             losses: Losses::default(),
         }
@@ -208,7 +208,7 @@
         }
         self.maintain_reachability();
         self.maintain_roles();
-        self.keep_workspaces();
+        self.maintain_workspaces();
         self.maintain_priority();
         self.maintain_image_distribution();
         self.watch_machines();
@@ -304,9 +304,11 @@
                 self.on_loss_group(op, (team, token), count, txn, reply)
             }
             Pending::TeamLosses { rid, since } => self.on_team_losses_read(rid, since, reply),
-            Pending::Workspaces(teams, holder) => self.on_workspaces(teams, holder, reply),
-            Pending::History(write) => self.on_history(op, *write, reply),
-            Pending::Oldest { team, token } => self.on_oldest(team, token, reply),
+            Pending::Workspaces(teams, holder) => {
+                self.on_workspace_owners_written(teams, holder, reply)
+            }
+            Pending::History(write) => self.on_history_written(op, *write, reply),
+            Pending::Oldest { team, token } => self.on_oldest_groups_listed(team, token, reply),
             Pending::ArchivePage => self.on_archive_page(reply),
             Pending::TeamHistory(read) => self.on_team_history(*read, reply),
             Pending::OverloadQuota => self.on_overload_quota_written(),
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -277,7 +277,7 @@
         let StoreReply::Events(events) = reply else {
             match reply {
                 // Too much has changed since: whoever asks is answered one by one.
-                StoreReply::TooOld => self.lose_ended(from),
+                StoreReply::TooOld => self.on_ended_jobs_too_old(from),
                 _ => self.archive.stale = true,
             }
             return;
@@ -289,7 +289,7 @@
             }
         }
         self.archive.read_to = events.revision;
-        self.note_ended(from, &events);
+        self.record_ended_jobs(from, &events);
         self.answer_teams(None);
     }
 }
--- a/crates/cleatfold-control/src/namespaces/workspace_state.rs
+++ b/crates/cleatfold-control/src/namespaces/workspace_state.rs
@@ -9,7 +9,7 @@
 
 /// Which teams' workspaces are ours, and how far their histories are written.
 #[derive(Default)]
-pub(crate) struct Workspaces {
+pub(crate) struct WorkspaceState {
     pub vacancies: Vacancies<TeamId>,
     pub kept: BTreeMap<TeamId, Kept>,
     pub ended: Ended,
@@ -50,7 +50,7 @@
 
 /// A change to a history, until its outcome is known.
 #[derive(Debug)]
-pub(crate) struct Write {
+pub(crate) struct HistoryWrite {
     pub team: TeamId,
     pub token: Version,
     pub head: HistoryHead,
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -7,7 +7,7 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
-use crate::namespaces::workspace_state::{read_group, Kept, Listing, Write};
+use crate::namespaces::workspace_state::{read_group, HistoryWrite, Kept, Listing};
 use crate::store::cache::Versioned;
 use crate::store::records::{
     history_group_key, history_head_key, history_prefix, workspace_key, ArchiveRecord,
@@ -44,7 +44,7 @@
 
 impl Controller {
     /// At each tick, once we serve.
-    pub(crate) fn keep_workspaces(&mut self) {
+    pub(crate) fn maintain_workspaces(&mut self) {
         if self.now.since(self.workspaces.last_checked) < WORKSPACE_INTERVAL_MS {
             return;
         }
@@ -147,7 +147,7 @@
         self.store(priority, StoreRequest::Txn(txn), Pending::Workspaces(teams, holder));
     }
 
-    pub(crate) fn on_workspaces(
+    pub(crate) fn on_workspace_owners_written(
         &mut self,
         teams: Vec<TeamId>,
         holder: HolderRecord,
@@ -204,7 +204,7 @@
     // ---- what has ended ----
 
     /// Everything was read: what ended is read from where the histories stand, as far back as that goes.
-    pub(crate) fn begin_ended(&mut self) {
+    pub(crate) fn init_ended_jobs(&mut self) {
         let applied = self.cache.applied.0;
         let upto = |t: &crate::config::Team| self.head(&t.name).value.upto;
         let near = self.cfg.teams.iter().map(upto).filter(|u| u + BACK >= applied);
@@ -215,7 +215,7 @@
     }
 
     /// More has changed since `from` than the state service keeps.
-    pub(crate) fn lose_ended(&mut self, from: Version) {
+    pub(crate) fn on_ended_jobs_too_old(&mut self, from: Version) {
         // It was only to be read once more: on from where we are.
         if let Some(to) = self.workspaces.ended.to().filter(|to| *to > from.0) {
             self.archive.read_to = Version(to);
@@ -227,7 +227,7 @@
         self.workspaces.ended.read(applied.0, applied.0, []);
     }
 
-    pub(crate) fn note_ended(&mut self, from: Version, events: &Events) {
+    pub(crate) fn record_ended_jobs(&mut self, from: Version, events: &Events) {
         let records = events.events.iter().filter_map(|e| {
             let job = JobId::new(e.put.as_deref()?.strip_prefix(ARCHIVE)?);
             // Most are among those that have just been noted.
@@ -358,11 +358,11 @@
         }
         gone.iter().for_each(|number| txn.delete(history_group_key(&team, *number)));
         kept.writing = true;
-        let write = Write { token: kept.token, team, head: next, txn: txn.clone() };
+        let write = HistoryWrite { token: kept.token, team, head: next, txn: txn.clone() };
         self.store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::History(Box::new(write)));
     }
 
-    pub(crate) fn on_history(&mut self, op: u64, write: Write, reply: StoreReply) {
+    pub(crate) fn on_history_written(&mut self, op: u64, write: HistoryWrite, reply: StoreReply) {
         let now = self.now;
         match reply {
             StoreReply::Committed(version) => {
@@ -413,7 +413,12 @@
         );
     }
 
-    pub(crate) fn on_oldest(&mut self, team: TeamId, token: Version, reply: StoreReply) {
+    pub(crate) fn on_oldest_groups_listed(
+        &mut self,
+        team: TeamId,
+        token: Version,
+        reply: StoreReply,
+    ) {
         let head = self.head(&team).value;
         let Some(kept) = self.workspaces.kept.get_mut(&team) else { return };
         if kept.token != token {
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -79,7 +79,7 @@
     },
     /// Taking workspaces, or giving one over.
     Workspaces(Vec<TeamId>, HolderRecord),
-    History(Box<crate::namespaces::workspace_state::Write>),
+    History(Box<crate::namespaces::workspace_state::HistoryWrite>),
     /// The oldest groups of a team's history.
     Oldest {
         team: TeamId,
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -207,7 +207,7 @@
     }
 
     fn finish_load(&mut self, sent: Ms) {
-        self.begin_ended();
+        self.init_ended_jobs();
         let gone = |id: &&JobId| !self.cache.jobs.contains_key(*id);
         let gone: Vec<JobId> = self.job_states.keys().filter(gone).cloned().collect();
         gone.iter().for_each(|job| self.discard_job_state(job));
