--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -14,7 +14,7 @@
 use crate::machines::inventory::Inventory;
 use crate::machines::scale_out::ScaleOutState;
 use crate::membership::state::ReachabilityState;
-use crate::namespaces::loss_logs::Losses;
+use crate::namespaces::loss_logs::LossLogs;
 use crate::namespaces::question_state::Teams;
 use crate::namespaces::workspace_state::WorkspaceState;
 use crate::pools::ownership::OwnedPools;
@@ -102,7 +102,7 @@
     // Namespaces.
     pub(crate) workspaces: WorkspaceState,
     pub(crate) teams: Teams,
-    pub(crate) losses: Losses,
+    pub(crate) loss_logs: LossLogs,
 }
 
 impl Controller {
@@ -150,7 +150,7 @@
             completed_at: Ms(0),
             workspaces: WorkspaceState::default(),
             teams: Teams::default(),
-            losses: Losses::default(),
+            loss_logs: LossLogs::default(),
         }
     }
 
@@ -299,9 +299,9 @@
             Pending::ScaleOutIntents(step) => self.on_scale_out_written(*step, reply),
             Pending::PoolAssignment => self.on_assignment_written(reply),
             Pending::Slice(sent) => self.on_slice(op, *sent, reply),
-            Pending::LossLog => self.on_loss_log(reply),
+            Pending::LossLog => self.on_loss_logs_read(reply),
             Pending::LossGroup { team, token, count, txn } => {
-                self.on_loss_group(op, (team, token), count, txn, reply)
+                self.on_loss_group_written(op, (team, token), count, txn, reply)
             }
             Pending::TeamLosses { rid, since } => self.on_team_losses_read(rid, since, reply),
             Pending::Workspaces(teams, holder) => {
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -71,7 +71,7 @@
                 None => self.wait(rid, job, WaitReason::Withdraw),
             },
             Request::Steps(report) => self.on_steps(rid, report),
-            Request::TeamLosses { team, since } => self.on_team_losses(rid, team, since),
+            Request::TeamLosses { team, since } => self.on_team_losses_query(rid, team, since),
             Request::Team { team, what, since } => self.on_team(rid, team, what, since),
             Request::Ready => unreachable!("answered above"),
         }
@@ -250,7 +250,7 @@
     fn note_archived(&mut self, job: &JobId, record: &str) -> bool {
         match serde_json::from_str::<ArchiveRecord>(record) {
             Ok(archive) => {
-                self.find_ended_losses(job, &archive);
+                self.record_ended_job_losses(job, &archive);
                 self.terminal_jobs.insert(job.clone(), archive);
             }
             Err(error) => {
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -276,7 +276,7 @@
             Outcome::Ended(archive) => {
                 tracing::info!(%job, state = ?archive.state, "job ended");
                 let status = status(job, archive.state, archive.done, 0);
-                self.find_ended_losses(job, &archive);
+                self.record_ended_job_losses(job, &archive);
                 self.terminal_jobs.insert(job.clone(), archive);
                 status
             }
--- a/crates/cleatfold-control/src/namespaces/loss_logs.rs
+++ b/crates/cleatfold-control/src/namespaces/loss_logs.rs
@@ -28,7 +28,7 @@
 
 /// The logs of the teams whose workspaces we keep.
 #[derive(Default)]
-pub(crate) struct Losses {
+pub(crate) struct LossLogs {
     pub last_checked: Ms,
     pub reading: bool,
     /// How jobs ended is to be read once more from a while back on.
@@ -36,7 +36,7 @@
     pub logs: BTreeMap<TeamId, Log>,
 }
 
-impl Losses {
+impl LossLogs {
     /// The workspaces of these teams are ours, each under its token; their logs are ours to write.
     pub(crate) fn own(&mut self, owned: &BTreeMap<TeamId, Version>) {
         self.logs.retain(|team, log| owned.get(team) == Some(&log.token));
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -31,42 +31,42 @@
 impl Controller {
     /// Whose logs are ours to write, and under which token.
     pub(crate) fn note_logs(&mut self, mine: &BTreeMap<TeamId, Version>) {
-        self.losses.own(mine);
+        self.loss_logs.own(mine);
     }
 
     /// Now and then, once we serve.
     pub(crate) fn keep_losses(&mut self) {
-        if self.losses.begin_reading() {
+        if self.loss_logs.begin_reading() {
             let from = Version(self.cache.applied.0.saturating_sub(BACK));
             let request = StoreRequest::Changes { prefix: LOSS_LOG.into(), from };
             self.store(CallPriority::Poll, request, Pending::LossLog);
         }
-        if self.losses.back && !self.archive.following {
+        if self.loss_logs.back && !self.archive.following {
             // What ended while nobody kept the team.
-            self.losses.back = false;
+            self.loss_logs.back = false;
             let back = Version(self.cache.applied.0.saturating_sub(BACK_ENDED));
             self.archive.read_to = self.archive.read_to.min(back);
             self.archive.stale = true;
             self.follow_archive();
         }
         let now = self.now;
-        if now.since(self.losses.last_checked) >= LOSS_SCAN_INTERVAL_MS {
-            self.losses.last_checked = now;
+        if now.since(self.loss_logs.last_checked) >= LOSS_SCAN_INTERVAL_MS {
+            self.loss_logs.last_checked = now;
             for id in &self.cache.lossy {
                 let Some(cached) = self.cache.jobs.get(id) else { continue };
-                let Some(log) = self.losses.log(&cached.record.spec.team) else { continue };
+                let Some(log) = self.loss_logs.log(&cached.record.spec.team) else { continue };
                 for table in self.cache.tables(id) {
                     log.find(now, id, &table.losses);
                 }
             }
-            self.losses.forget_written();
+            self.loss_logs.forget_written();
         }
         self.write_losses();
     }
 
     /// An ended job's losses, as its archive record has them.
-    pub(crate) fn find_ended_losses(&mut self, job: &JobId, archive: &ArchiveRecord) {
-        if let Some(log) = self.losses.log(&archive.team) {
+    pub(crate) fn record_ended_job_losses(&mut self, job: &JobId, archive: &ArchiveRecord) {
+        if let Some(log) = self.loss_logs.log(&archive.team) {
             log.find(self.now, job, &archive.losses);
         }
     }
@@ -78,13 +78,13 @@
         let now = self.now;
         // One that cannot be read is not written over, and keeps no other team waiting.
         let unreadable = &self.cache.unreadable;
-        let logs = self.losses.logs.iter_mut().filter(|(team, log)| {
+        let logs = self.loss_logs.logs.iter_mut().filter(|(team, log)| {
             let readable = unreadable.is_empty() || !unreadable.contains(&loss_head_key(team));
             !log.writing && !log.waiting.is_empty() && readable
         });
         let Some((team, log)) = logs.max_by_key(|(_, l)| l.waited(now)) else { return };
         let pressing = log.waited(now) >= WAIT_MS;
-        if !pressing && (!self.rate_limiter.is_ample() || self.losses.last_checked != now) {
+        if !pressing && (!self.rate_limiter.is_ample() || self.loss_logs.last_checked != now) {
             return;
         }
         let (team, token) = (team.clone(), log.token);
@@ -101,16 +101,16 @@
         self.store(CallPriority::Poll, StoreRequest::Txn(txn), pending);
     }
 
-    pub(crate) fn on_loss_log(&mut self, reply: StoreReply) {
+    pub(crate) fn on_loss_logs_read(&mut self, reply: StoreReply) {
         match reply {
-            StoreReply::Events(events) => self.losses.note_read(&events.events),
+            StoreReply::Events(events) => self.loss_logs.note_read(&events.events),
             // What stands in the records now is told again.
-            StoreReply::TooOld => self.losses.note_read(&[]),
-            _ => self.losses.reading = false,
+            StoreReply::TooOld => self.loss_logs.note_read(&[]),
+            _ => self.loss_logs.reading = false,
         }
     }
 
-    pub(crate) fn on_loss_group(
+    pub(crate) fn on_loss_group_written(
         &mut self,
         op: u64,
         (team, token): (TeamId, Version),
@@ -118,7 +118,7 @@
         txn: Txn,
         reply: StoreReply,
     ) {
-        let Some(log) = self.losses.logs.get_mut(&team).filter(|l| l.token == token) else {
+        let Some(log) = self.loss_logs.logs.get_mut(&team).filter(|l| l.token == token) else {
             return;
         };
         match reply {
@@ -140,7 +140,7 @@
 
     // ---- what a team asks ----
 
-    pub(crate) fn on_team_losses(&mut self, rid: u64, team: TeamId, since: u64) {
+    pub(crate) fn on_team_losses_query(&mut self, rid: u64, team: TeamId, since: u64) {
         if let Some(refusal) = self.refuse_team(&team) {
             return self.reply(rid, refusal);
         }
