--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -15,7 +15,7 @@
 use crate::machines::scale_out::ScaleOutState;
 use crate::membership::state::ReachabilityState;
 use crate::namespaces::loss_logs::LossLogs;
-use crate::namespaces::question_state::Teams;
+use crate::namespaces::team_query_state::TeamQueries;
 use crate::namespaces::workspace_state::WorkspaceState;
 use crate::pools::ownership::OwnedPools;
 use crate::quota::QuotaState;
@@ -101,7 +101,7 @@
 
     // Namespaces.
     pub(crate) workspaces: WorkspaceState,
-    pub(crate) teams: Teams,
+    pub(crate) team_queries: TeamQueries,
     pub(crate) loss_logs: LossLogs,
 }
 
@@ -149,7 +149,7 @@
             cancellations: Cancellations::default(),
             completed_at: Ms(0),
             workspaces: WorkspaceState::default(),
-            teams: Teams::default(),
+            team_queries: TeamQueries::default(),
             loss_logs: LossLogs::default(),
         }
     }
@@ -310,7 +310,7 @@
             Pending::History(write) => self.on_history_written(op, *write, reply),
             Pending::Oldest { team, token } => self.on_oldest_groups_listed(team, token, reply),
             Pending::ArchivePage => self.on_archive_page(reply),
-            Pending::TeamHistory(read) => self.on_team_history(*read, reply),
+            Pending::TeamHistory(read) => self.on_team_history_read(*read, reply),
             Pending::OverloadQuota => self.on_overload_quota_written(),
             Pending::Preemption(making) => self.on_preemption_written(*making, reply),
             Pending::Origin { txn, record } => self.on_origin(op, txn, record, reply),
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -72,7 +72,7 @@
             },
             Request::Steps(report) => self.on_steps(rid, report),
             Request::TeamLosses { team, since } => self.on_team_losses_query(rid, team, since),
-            Request::Team { team, what, since } => self.on_team(rid, team, what, since),
+            Request::Team { team, what, since } => self.on_team_query(rid, team, what, since),
             Request::Ready => unreachable!("answered above"),
         }
     }
@@ -116,7 +116,7 @@
             self.submitting.submission_queue.take_late(|at| away || now.since(Ms(at)) > SUBMIT_MS);
         late.extend(gone.into_iter().map(|s| s.rid));
         late.extend(self.late_steps(away));
-        late.extend(self.late_questions(away));
+        late.extend(self.take_expired_team_queries(away));
         late.extend(self.archive.give_up(|w| {
             let limit = if matches!(w.kind, WaitReason::Poll) { POLL_MS } else { REQUEST_MS };
             now.since(w.arrived) > limit
@@ -149,7 +149,7 @@
         for (job, waiting) in unknown {
             self.query_archive(job, waiting);
         }
-        self.answer_teams(Some(sent_at));
+        self.answer_team_queries(Some(sent_at));
     }
 
     pub(crate) fn live_status(&self, job: &JobId) -> Option<JobStatus> {
@@ -290,6 +290,6 @@
         }
         self.archive.read_to = events.revision;
         self.record_ended_jobs(from, &events);
-        self.answer_teams(None);
+        self.answer_team_queries(None);
     }
 }
--- a/crates/cleatfold-control/src/namespaces/mod.rs
+++ b/crates/cleatfold-control/src/namespaces/mod.rs
@@ -3,7 +3,7 @@
 
 pub(crate) mod loss_logs;
 mod losses;
-pub(crate) mod question_state;
-mod questions;
+pub(crate) mod team_query_state;
+mod team_queries;
 pub(crate) mod workspace_state;
 mod workspaces;
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/team_queries.rs
@@ -6,7 +6,7 @@
 
 use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::{CallPriority, Response, StoreReply, StoreRequest, TeamAnswer, TeamAsk};
-use crate::namespaces::question_state::{HistoryRead, Question, Ranks};
+use crate::namespaces::team_query_state::{HistoryRead, Question, Ranks};
 use crate::namespaces::workspace_state::read_group;
 use crate::store::cache::CachedJob;
 use crate::store::records::{history_group_key, history_head_key, history_prefix};
@@ -30,33 +30,33 @@
         self.store_away().then(Response::store_unavailable)
     }
 
-    pub(crate) fn on_team(&mut self, rid: u64, team: TeamId, what: TeamAsk, since: u64) {
+    pub(crate) fn on_team_query(&mut self, rid: u64, team: TeamId, what: TeamAsk, since: u64) {
         if let Some(refusal) = self.refuse_team(&team) {
             return self.reply(rid, refusal);
         }
-        if self.teams.is_full(&team) {
+        if self.team_queries.is_full(&team) {
             return self.reply(rid, Response::later("too many such questions"));
         }
         let (arrived, arrived_at) = (self.now, self.event);
         let question = Question { rid, team, what, since, arrived, arrived_at, upto: None };
-        self.teams.waiting.push(question);
+        self.team_queries.waiting.push(question);
         self.session.sync_wanted = true;
         self.sync_if_due();
     }
 
-    pub(crate) fn late_questions(&mut self, away: bool) -> Vec<u64> {
-        self.teams.take_late(self.now, away)
+    pub(crate) fn take_expired_team_queries(&mut self, away: bool) -> Vec<u64> {
+        self.team_queries.take_late(self.now, away)
     }
 
     /// A reading sent at event `sent_at` is in (none: more is known of what has ended).
-    pub(crate) fn answer_teams(&mut self, sent_at: Option<EventNumber>) {
-        if self.teams.waiting.is_empty() {
+    pub(crate) fn answer_team_queries(&mut self, sent_at: Option<EventNumber>) {
+        if self.team_queries.waiting.is_empty() {
             return;
         }
         let applied = self.cache.applied.0;
         let read = self.workspaces.ended.to();
         let mut behind = false;
-        for mut question in std::mem::take(&mut self.teams.waiting) {
+        for mut question in std::mem::take(&mut self.team_queries.waiting) {
             if question.upto.is_none() && sent_at.is_some_and(|s| question.arrived_at <= s) {
                 question.upto = Some(applied);
             }
@@ -74,7 +74,7 @@
                 }
                 (ripe, _) => {
                     behind |= ripe.is_some();
-                    self.teams.waiting.push(question);
+                    self.team_queries.waiting.push(question);
                 }
             }
         }
@@ -126,7 +126,7 @@
         let waits = |cached: &CachedJob| !cached.record.aborted && cached.unclaimed() > 0;
         let jobs = self.live_jobs(team, since).filter(|j| waits(j.2)).map(|(place, id, cached)| {
             let spec = &cached.record.spec;
-            let rank = self.teams.ranks.get(id);
+            let rank = self.team_queries.ranks.get(id);
             let (holdup, why) = self.holdup(id, cached, rank, full, &up);
             let job = WaitingJob {
                 place,
@@ -187,7 +187,7 @@
     }
 
     fn rank_queue(&mut self) {
-        if !self.teams.ranks.are_due(self.now) {
+        if !self.team_queries.ranks.are_due(self.now) {
             return;
         }
         let queue = self.queue();
@@ -196,7 +196,7 @@
             let cached = self.cache.jobs.get(&queued.job)?;
             Some((&queued.job, &cached.record.spec.team))
         });
-        self.teams.ranks = Ranks::of_queue(self.now, teams);
+        self.team_queries.ranks = Ranks::of_queue(self.now, teams);
     }
 
     // ---- history ----
@@ -225,7 +225,7 @@
         self.store(CallPriority::Poll, request, Pending::TeamHistory(Box::new(read)));
     }
 
-    pub(crate) fn on_team_history(&mut self, read: HistoryRead, reply: StoreReply) {
+    pub(crate) fn on_team_history_read(&mut self, read: HistoryRead, reply: StoreReply) {
         let StoreReply::Page(page) = reply else {
             return self.reply(read.rid, Response::store_unavailable());
         };
--- a/crates/cleatfold-control/src/namespaces/question_state.rs
+++ b/crates/cleatfold-control/src/namespaces/team_query_state.rs
@@ -29,7 +29,7 @@
 
 /// The teams' questions, and the order of the queue that answers them.
 #[derive(Default)]
-pub(crate) struct Teams {
+pub(crate) struct TeamQueries {
     pub waiting: Vec<Question>,
     pub ranks: Ranks,
 }
@@ -69,7 +69,7 @@
     }
 }
 
-impl Teams {
+impl TeamQueries {
     /// Whether as many questions of the team wait as may.
     pub(crate) fn is_full(&self, team: &TeamId) -> bool {
         self.waiting.iter().filter(|question| question.team == *team).count() >= QUESTIONS
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -87,7 +87,7 @@
     },
     /// The whole archive, for teams of which it is not known what has ended.
     ArchivePage,
-    TeamHistory(Box<crate::namespaces::question_state::HistoryRead>),
+    TeamHistory(Box<crate::namespaces::team_query_state::HistoryRead>),
     Types,
     List {
         sent: Ms,
