--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -240,7 +240,7 @@
             let contact_age_ms = self.now.since(read);
             self.tell(None, Message::Alive { contact_age_ms });
         }
-        self.tell_images();
+        self.broadcast_image_changes();
     }
 
     /// When this controller began.
@@ -313,8 +313,8 @@
             Pending::TeamHistory(read) => self.on_team_history_read(*read, reply),
             Pending::OverloadQuota => self.on_overload_quota_written(),
             Pending::Preemption(making) => self.on_preemption_written(*making, reply),
-            Pending::Origin { txn, record } => self.on_origin(op, txn, record, reply),
-            Pending::Spread => self.on_spread(),
+            Pending::Origin { txn, record } => self.on_origin_slots_written(op, txn, record, reply),
+            Pending::Spread => self.on_image_holders_written(),
             Pending::GarbageCollection => self.on_garbage_collected(),
             // The cloud's; its answers come as events of their own.
             Pending::Types
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -106,7 +106,7 @@
                     mb_per_s: settings.slot(kind.map_or(1.0, |t| t.fetch_gb_per_s)),
                     // Of others' machines nothing is known: they decide themselves.
                     supports_peer_fetch: images.is_none_or(|i| i.is_some()),
-                    stuck: images.is_some_and(Controller::is_stuck),
+                    stuck: images.is_some_and(Controller::has_stuck_fetch),
                     pushes_out: None,
                 });
             }
@@ -158,7 +158,7 @@
                     endpoint: machine.endpoint.clone().filter(|_| heartbeat.images.is_some()),
                     images: self.image_distribution.images_there(id, machine),
                     fetching,
-                    stuck: Controller::is_stuck(&heartbeat.images),
+                    stuck: Controller::has_stuck_fetch(&heartbeat.images),
                     source: held().find_map(|i| i.source.clone()),
                     serves: held().map(|i| i.serves).sum(),
                     leaving: !machine.takes_work(),
@@ -168,13 +168,17 @@
         seen
     }
 
-    pub(crate) fn is_stuck(images: &Option<Vec<HeldImage>>) -> bool {
+    pub(crate) fn has_stuck_fetch(images: &Option<Vec<HeldImage>>) -> bool {
         images.iter().flatten().any(|i| i.stuck)
     }
 
     /// Whether a claim's machine may be told to start, and where from it fetches what is not there
     /// (nothing: from the origin). None: its turn has not come.
-    pub(crate) fn fetch_turn(&self, id: &MachineId, job: &JobId) -> Option<Vec<String>> {
+    pub(crate) fn permitted_fetch_sources(
+        &self,
+        id: &MachineId,
+        job: &JobId,
+    ) -> Option<Vec<String>> {
         let Some(settings) = &self.cfg.image_distribution else { return Some(vec![]) };
         let Some(cached) = self.cache.jobs.get(job) else { return Some(vec![]) };
         let spec = &cached.record.spec;
@@ -204,7 +208,11 @@
     }
 
     /// A machine whose sources failed, or for which there are better ones, is told others, by the command that it has had already.
-    pub(crate) fn new_sources(&self, id: &MachineId, tasks: &[TaskReport]) -> Vec<Command> {
+    pub(crate) fn fetch_redirect_commands(
+        &self,
+        id: &MachineId,
+        tasks: &[TaskReport],
+    ) -> Vec<Command> {
         // Only what was decided since it said so. (By the turn that it had, a stuck machine was sent back
         // to the source that had failed it at each report, and never stood still long enough to be seen.)
         if !self.image_distribution.distributor.is_moved(id) {
@@ -217,14 +225,14 @@
             claim.is_some_and(|c| c.attempt == t.attempt)
         });
         ours.filter_map(|t| {
-            let sources = self.fetch_turn(id, &t.task.job)?;
+            let sources = self.permitted_fetch_sources(id, &t.task.job)?;
             Some(Command::Start { task: t.task.clone(), attempt: t.attempt, sources })
         })
         .collect()
     }
 
     /// What a machine was told to fetch shows in its next report, or it was not told.
-    pub(crate) fn note_fetches(&mut self, id: &MachineId, commands: &[Command]) {
+    pub(crate) fn record_fetch_commands(&mut self, id: &MachineId, commands: &[Command]) {
         let Some(settings) = &self.cfg.image_distribution else { return };
         let large = commands.iter().any(|c| {
             let Command::Start { task, .. } = c else { return false };
@@ -268,7 +276,13 @@
         self.store(CallPriority::Claim, request, Pending::Origin { txn, record });
     }
 
-    pub(crate) fn on_origin(&mut self, op: u64, txn: Txn, record: OriginRecord, reply: StoreReply) {
+    pub(crate) fn on_origin_slots_written(
+        &mut self,
+        op: u64,
+        txn: Txn,
+        record: OriginRecord,
+        reply: StoreReply,
+    ) {
         match reply {
             // It may yet be executed: until that is decided what it gives back is not used.
             StoreReply::Unknown | StoreReply::Refused => {
@@ -366,13 +380,13 @@
     }
 
     /// Whatever came of it, the next reading tells.
-    pub(crate) fn on_spread(&mut self) {
+    pub(crate) fn on_image_holders_written(&mut self) {
         self.image_distribution.holders_inflight = false;
         self.session.sync_wanted = true;
     }
 
     /// Tells the others what images our machines hold, a machine when that has changed.
-    pub(crate) fn tell_images(&mut self) {
+    pub(crate) fn broadcast_image_changes(&mut self) {
         let mut machines = Vec::new();
         for (id, m) in &mut self.inventory.machines {
             if self.pools.owned.contains_key(&m.pool) && m.images_changed {
--- a/crates/cleatfold-control/src/images/state.rs
+++ b/crates/cleatfold-control/src/images/state.rs
@@ -26,7 +26,7 @@
 
 impl ImageDistribution {
     /// Not to be returned for idleness: others fetch from it, or nobody else has what it has.
-    pub(crate) fn needs(&self, id: &MachineId) -> bool {
+    pub(crate) fn blocks_idle_return(&self, id: &MachineId) -> bool {
         self.distributor.serves(id) || self.last.contains(id)
     }
 
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -237,7 +237,7 @@
             let watched = pools.get_mut(&machine.pool).filter(|_| !machine.deleting);
             let Some(pool) = watched else { continue };
             let has_claims = self.cache.claims.get(id).is_some_and(|c| !c.is_empty());
-            let is_needed = || self.image_distribution.needs(id);
+            let is_needed = || self.image_distribution.blocks_idle_return(id);
             findings.inspect(id, machine, pool, &times, has_claims, is_needed);
         }
         for ExpiredMachine { id, fence } in &findings.expired {
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -208,10 +208,10 @@
         let arrival = self.note_arrival(pool, token, &heartbeat);
         let Listed { mut commands, exits, claims } = self.judge_listed(&arrival, &heartbeat);
         if !arrival.is_draining && arrival.notice.is_none() {
-            commands.append(&mut self.new_sources(&id, &heartbeat.tasks));
+            commands.append(&mut self.fetch_redirect_commands(&id, &heartbeat.tasks));
         }
         let Unlisted { lost, mut starts, withheld } = self.judge_unlisted(&arrival, &claims);
-        let is_stuck = !arrival.is_draining && Controller::is_stuck(&heartbeat.images);
+        let is_stuck = !arrival.is_draining && Controller::has_stuck_fetch(&heartbeat.images);
         let is_quiet = commands.is_empty() && starts.is_empty() && lost.is_empty();
         let is_quiet = is_quiet && exits.is_empty() && !withheld && !is_stuck;
         // What elastic members do changes without a change of their claims.
@@ -228,7 +228,7 @@
         commands.append(&mut starts);
         let news = arrival.is_first || arrival.delivery_changed;
         self.replan_needed |= self.keep_heartbeat(heartbeat, text, settled) || news;
-        self.note_fetches(&id, &commands);
+        self.record_fetch_commands(&id, &commands);
         commands
     }
 
@@ -388,7 +388,7 @@
             if self.is_over(job) || arrival.is_draining || is_evicted || arrival.notice.is_some() {
                 let reason = EndReason::NotStarted;
                 unlisted.lost.push(LostClaim { task, attempt: claim.attempt, reason });
-            } else if let Some(sources) = self.fetch_turn(&arrival.machine, job) {
+            } else if let Some(sources) = self.permitted_fetch_sources(&arrival.machine, job) {
                 unlisted.starts.push(Command::Start { task, attempt: claim.attempt, sources });
             } else {
                 unlisted.withheld = true;
--- a/crates/cleatfold-control/src/pools/long_polls.rs
+++ b/crates/cleatfold-control/src/pools/long_polls.rs
@@ -61,7 +61,7 @@
                 Ok(authority) if authority.token() != poll.token => Response::Redirect(None),
                 Ok(authority) => {
                     let commands = self.starts(&id, poll.token);
-                    self.note_fetches(&id, &commands);
+                    self.record_fetch_commands(&id, &commands);
                     if let Some(machine) = self.inventory.machines.get_mut(&id) {
                         machine.partition_detector.answered_late(self.now, &commands);
                     }
@@ -95,12 +95,12 @@
                 || self.evictions.get(id, job, *ix).is_some();
             if claim.token == token && !over && !leaving && !listed.contains(&task) {
                 // A claim whose machine has to wait for its image is nothing to the worker yet.
-                if let Some(sources) = self.fetch_turn(id, job) {
+                if let Some(sources) = self.permitted_fetch_sources(id, job) {
                     starts.push(Command::Start { task, attempt: claim.attempt, sources });
                 }
             }
         }
-        starts.extend(self.new_sources(id, &heartbeat.tasks));
+        starts.extend(self.fetch_redirect_commands(id, &heartbeat.tasks));
         starts
     }
 }
