--- a/crates/cleatfold-control/src/images/mod.rs
+++ b/crates/cleatfold-control/src/images/mod.rs
@@ -1,4 +1,4 @@
-//! Distribution of large images that many machines want at once.
+//! Distribution of large images that many machines need at the same time.
 
 mod distribution;
 pub(crate) mod state;
--- a/crates/cleatfold-control/src/images/state.rs
+++ b/crates/cleatfold-control/src/images/state.rs
@@ -1,4 +1,4 @@
-//! The distribution of images that many machines want at once, as one controller keeps it.
+//! One controller's state of the image distribution.
 
 use crate::machines::inventory::Machine;
 use crate::store::cache::CachedJob;
@@ -7,60 +7,64 @@
 use cleatfold_wire::{AgentEpoch, ImageId, JobId, MachineId, Ms};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which machine fetches which image from where, and the changes to its records that are on their way.
+/// Which machine fetches which image from which source, and the writes of the two records in
+/// flight.
 #[derive(Debug, Default)]
 pub(crate) struct ImageDistribution {
     pub distributor: ImageDistributor,
     pub last_checked: Ms,
-    pub slots_at: Ms,
+    pub slots_written_at: Ms,
     pub slots_inflight: bool,
-    /// Machines whose slot the change that is on its way gives back.
-    pub given_back: BTreeSet<MachineId>,
-    pub holders_at: Ms,
+    /// Machines whose origin slot is released by the write in flight.
+    pub releasing_slots: BTreeSet<MachineId>,
+    pub holders_written_at: Ms,
     pub holders_inflight: bool,
-    /// What was seen running in a machine's present session, so that its image is there.
-    ran: BTreeMap<MachineId, (AgentEpoch, BTreeSet<ImageId>)>,
-    /// Machines with the last copy of something in use.
-    pub last: BTreeSet<MachineId>,
+    /// Images of the tasks seen running in each machine's present session: the machine holds these.
+    run_images: BTreeMap<MachineId, (AgentEpoch, BTreeSet<ImageId>)>,
+    /// Machines that hold the last copy of an image in use.
+    pub last_copies: BTreeSet<MachineId>,
 }
 
 impl ImageDistribution {
-    /// Not to be returned for idleness: others fetch from it, or nobody else has what it has.
+    /// Whether the machine must not be returned for idleness: others fetch from it, or it holds the
+    /// last copy of an image.
     pub(crate) fn blocks_idle_return(&self, id: &MachineId) -> bool {
-        self.distributor.serves(id) || self.last.contains(id)
+        self.distributor.serves(id) || self.last_copies.contains(id)
     }
 
-    /// What is on a machine for certain. A worker that lists its images is believed; of another we
-    /// know what runs, and what ran in this session and was not pushed out since.
-    pub(crate) fn images_there(&self, id: &MachineId, machine: &Machine) -> BTreeMap<ImageId, f64> {
+    /// The images that a machine certainly holds, each with the fraction that is present. A worker
+    /// that lists its images is trusted. Any other certainly holds the images that ran in its
+    /// present session and were not evicted since.
+    pub(crate) fn held_images(&self, id: &MachineId, machine: &Machine) -> BTreeMap<ImageId, f64> {
         let Some(heartbeat) = &machine.heartbeat else { return BTreeMap::new() };
         if let Some(held) = &heartbeat.images {
             return held.iter().map(|i| (i.image.clone(), i.part)).collect();
         }
-        let ran = self.ran.get(id).filter(|r| r.0 == heartbeat.agent_epoch);
-        let kept = |i: &&ImageId| machine.images.iter().any(|m| m.0 == **i);
-        let ran = ran.into_iter().flat_map(|r| r.1.iter()).filter(kept);
-        ran.map(|image| (image.clone(), 1.0)).collect()
+        let run_images =
+            self.run_images.get(id).filter(|(epoch, _)| *epoch == heartbeat.agent_epoch);
+        let is_kept = |image: &&ImageId| machine.images.iter().any(|kept| kept.0 == **image);
+        let images = run_images.into_iter().flat_map(|(_, images)| images.iter()).filter(is_kept);
+        images.map(|image| (image.clone(), 1.0)).collect()
     }
 
-    /// Notes the images of what runs by the machines' newest reports.
-    pub(crate) fn note_ran(
+    /// Records the images of the tasks that run according to the machines' latest heartbeats.
+    pub(crate) fn record_run_images(
         &mut self,
         machines: &BTreeMap<MachineId, Machine>,
         jobs: &BTreeMap<JobId, CachedJob>,
     ) {
-        self.ran.retain(|id, _| machines.contains_key(id));
+        self.run_images.retain(|id, _| machines.contains_key(id));
         for (id, machine) in machines {
             let Some(heartbeat) = &machine.heartbeat else { continue };
             let running = heartbeat.tasks.iter().filter(|t| t.state == TaskState::Running);
             for task in running {
                 let Some(cached) = jobs.get(&task.task.job) else { continue };
-                let fresh = || (heartbeat.agent_epoch, BTreeSet::new());
-                let ran = self.ran.entry(id.clone()).or_insert_with(fresh);
-                if ran.0 != heartbeat.agent_epoch {
-                    *ran = fresh();
+                let new_session = || (heartbeat.agent_epoch, BTreeSet::new());
+                let run_images = self.run_images.entry(id.clone()).or_insert_with(new_session);
+                if run_images.0 != heartbeat.agent_epoch {
+                    *run_images = new_session();
                 }
-                ran.1.insert(cached.record.spec.image.clone());
+                run_images.1.insert(cached.record.spec.image.clone());
             }
         }
     }
