--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -1,10 +1,10 @@
-//! Nothing vanishes: which starts of tasks were lost, with what, when and why.
+//! The teams' logs of lost task starts: the machine, the time and the cause of each.
 //!
-//! A loss is recorded in the job's own record by the very change that ends the claim, so it costs
-//! none of its own and outlives every controller. For a team to hear of its losses without
-//! asking for each job, its workspace's owner copies them into the team's log, many in one record,
-//! when there are changes to spare: told late rather than never, and at least once (a new owner reads
-//! what is there and adds what is missing).
+//! A loss is recorded in the job's own record by the same change that ends the claim, so it costs
+//! no change of its own and survives every controller. So that a team can learn of its losses
+//! without a query for each job, the owner of its workspace copies them into the team's log, many
+//! in one record, when the change rate leaves capacity. Delivery is at least once and may be late:
+//! a new owner reads the log and adds what is missing.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, Response, StoreReply, StoreRequest};
@@ -17,81 +17,87 @@
 use cleatfold_wire::{JobId, TeamId, Version};
 use std::collections::BTreeMap;
 
-/// An owner looks for losses that are not in the log yet so often.
+/// Interval between an owner's scans for losses that are not in the log yet.
 const LOSS_SCAN_INTERVAL_MS: u64 = 5000;
-/// Losses that have waited so long go even where changes are short.
-const WAIT_MS: u64 = 60_000;
-/// Of one record of the log; some 100 bytes each.
-const GROUP: usize = 100;
-/// A new owner reads back so many revisions of the logs, and of jobs that ended before it looked; the
-/// service keeps 10,000.
-const BACK: u64 = 9000;
-const BACK_ENDED: u64 = 3000;
+/// A loss that has waited this long is written even if the change rate leaves no spare capacity.
+const MAX_WRITE_DELAY_MS: u64 = 60_000;
+/// Losses in one record of the log, about 100 bytes each.
+const LOSSES_PER_GROUP: usize = 100;
+/// How many revisions of the logs a new owner reads back. The state service keeps 10,000.
+const LOG_READ_BACK_REVISIONS: u64 = 9000;
+/// How many revisions of the archive a new owner reads back, for jobs that ended before it owned
+/// their team's log.
+const ARCHIVE_READ_BACK_REVISIONS: u64 = 3000;
 
 impl Controller {
-    /// Whose logs are ours to write, and under which token.
-    pub(crate) fn note_logs(&mut self, mine: &BTreeMap<TeamId, Version>) {
-        self.loss_logs.own(mine);
+    /// Sets the teams whose logs this controller writes, each with its workspace's token.
+    pub(crate) fn set_owned_loss_logs(&mut self, tokens: &BTreeMap<TeamId, Version>) {
+        self.loss_logs.set_owned(tokens);
     }
 
-    /// Now and then, once we serve.
-    pub(crate) fn keep_losses(&mut self) {
-        if self.loss_logs.begin_reading() {
-            let from = Version(self.cache.applied.0.saturating_sub(BACK));
+    /// Reads the logs if needed, collects new losses and writes them. Called periodically once the
+    /// controller serves.
+    pub(crate) fn maintain_loss_logs(&mut self) {
+        if self.loss_logs.begin_read_if_due() {
+            let from = Version(self.cache.applied.0.saturating_sub(LOG_READ_BACK_REVISIONS));
             let request = StoreRequest::Changes { prefix: LOSS_LOG.into(), from };
             self.store(CallPriority::Poll, request, Pending::LossLog);
         }
-        if self.loss_logs.back && !self.archive.following {
-            // What ended while nobody kept the team.
-            self.loss_logs.back = false;
-            let back = Version(self.cache.applied.0.saturating_sub(BACK_ENDED));
-            self.archive.read_to = self.archive.read_to.min(back);
+        if self.loss_logs.archive_reread_due && !self.archive.following {
+            // Finds the losses of jobs that ended while the team's workspace had no owner.
+            self.loss_logs.archive_reread_due = false;
+            let from = Version(self.cache.applied.0.saturating_sub(ARCHIVE_READ_BACK_REVISIONS));
+            self.archive.read_to = self.archive.read_to.min(from);
             self.archive.stale = true;
             self.follow_archive();
         }
         let now = self.now;
-        if now.since(self.loss_logs.last_checked) >= LOSS_SCAN_INTERVAL_MS {
-            self.loss_logs.last_checked = now;
+        if now.since(self.loss_logs.scanned_at) >= LOSS_SCAN_INTERVAL_MS {
+            self.loss_logs.scanned_at = now;
             for id in &self.cache.lossy {
                 let Some(cached) = self.cache.jobs.get(id) else { continue };
-                let Some(log) = self.loss_logs.log(&cached.record.spec.team) else { continue };
+                let team = &cached.record.spec.team;
+                let Some(log) = self.loss_logs.loaded_log(team) else { continue };
                 for table in self.cache.tables(id) {
-                    log.find(now, id, &table.losses);
+                    log.add_new_losses(now, id, &table.losses);
                 }
             }
-            self.loss_logs.forget_written();
+            self.loss_logs.clear_full();
         }
-        self.write_losses();
+        self.write_loss_group();
     }
 
-    /// An ended job's losses, as its archive record has them.
+    /// Collects an ended job's losses from its archive record.
     pub(crate) fn record_ended_job_losses(&mut self, job: &JobId, archive: &ArchiveRecord) {
-        if let Some(log) = self.loss_logs.log(&archive.team) {
-            log.find(self.now, job, &archive.losses);
+        if let Some(log) = self.loss_logs.loaded_log(&archive.team) {
+            log.add_new_losses(self.now, job, &archive.losses);
         }
     }
 
-    fn write_losses(&mut self) {
+    /// Writes one group of losses: of the team whose oldest unwritten loss has waited longest.
+    fn write_loss_group(&mut self) {
         if !self.rate_limiter.is_open() {
             return;
         }
         let now = self.now;
-        // One that cannot be read is not written over, and keeps no other team waiting.
+        // A log with an unreadable head is not overwritten, and does not delay the other teams'
+        // logs.
         let unreadable = &self.cache.unreadable;
         let logs = self.loss_logs.logs.iter_mut().filter(|(team, log)| {
-            let readable = unreadable.is_empty() || !unreadable.contains(&loss_head_key(team));
-            !log.writing && !log.waiting.is_empty() && readable
+            let is_readable = unreadable.is_empty() || !unreadable.contains(&loss_head_key(team));
+            !log.write_inflight && !log.unwritten.is_empty() && is_readable
         });
-        let Some((team, log)) = logs.max_by_key(|(_, l)| l.waited(now)) else { return };
-        let pressing = log.waited(now) >= WAIT_MS;
-        if !pressing && (!self.rate_limiter.is_ample() || self.loss_logs.last_checked != now) {
+        let Some((team, log)) = logs.max_by_key(|(_, log)| log.oldest_wait_ms(now)) else { return };
+        let is_urgent = log.oldest_wait_ms(now) >= MAX_WRITE_DELAY_MS;
+        if !is_urgent && (!self.rate_limiter.is_ample() || self.loss_logs.scanned_at != now) {
             return;
         }
         let (team, token) = (team.clone(), log.token);
         let Versioned { version, value: head } =
             self.cache.loss_heads.get(&team).cloned().unwrap_or_default();
-        let group: Vec<Loss> = log.waiting.iter().take(GROUP).map(|(_, l)| l.clone()).collect();
-        log.writing = true;
+        let unwritten = log.unwritten.iter().take(LOSSES_PER_GROUP);
+        let group: Vec<Loss> = unwritten.map(|(_, loss)| loss.clone()).collect();
+        log.write_inflight = true;
         let mut txn = Txn::default();
         txn.guard(workspace_key(&team), token);
         txn.guard(loss_head_key(&team), version);
@@ -103,10 +109,10 @@
 
     pub(crate) fn on_loss_logs_read(&mut self, reply: StoreReply) {
         match reply {
-            StoreReply::Events(events) => self.loss_logs.note_read(&events.events),
-            // What stands in the records now is told again.
-            StoreReply::TooOld => self.loss_logs.note_read(&[]),
-            _ => self.loss_logs.reading = false,
+            StoreReply::Events(events) => self.loss_logs.apply_read(&events.events),
+            // The logs' content remains unknown, so the losses in the records are logged once more.
+            StoreReply::TooOld => self.loss_logs.apply_read(&[]),
+            _ => self.loss_logs.read_inflight = false,
         }
     }
 
@@ -118,34 +124,34 @@
         txn: Txn,
         reply: StoreReply,
     ) {
-        let Some(log) = self.loss_logs.logs.get_mut(&team).filter(|l| l.token == token) else {
+        let Some(log) = self.loss_logs.logs.get_mut(&team).filter(|log| log.token == token) else {
             return;
         };
         match reply {
             StoreReply::Committed(_) => {
                 tracing::info!(%team, losses = count, "losses logged");
-                log.waiting.drain(..count.min(log.waiting.len()));
+                log.unwritten.drain(..count.min(log.unwritten.len()));
             }
-            // Perhaps it is there: the same again, its guard decides. If it was there the guard
-            // fails and the group is written once more under the next number.
+            // The write may have been executed. Sending it again is safe: if it was executed the
+            // guard fails, and the group is written a second time under the next number.
             StoreReply::Unknown => {
                 let pending = Pending::LossGroup { team, token, count, txn: txn.clone() };
                 return self.again(op, CallPriority::Poll, txn, pending, 500);
             }
             _ => {}
         }
-        log.writing = false;
+        log.write_inflight = false;
         self.session.sync_wanted = true;
     }
 
-    // ---- what a team asks ----
+    // ---- team queries ----
 
     pub(crate) fn on_team_losses_query(&mut self, rid: u64, team: TeamId, since: u64) {
-        if let Some(refusal) = self.refuse_team(&team) {
+        if let Some(refusal) = self.team_query_refusal(&team) {
             return self.reply(rid, refusal);
         }
         let prefix = loss_log_prefix(&team);
-        let from = since.checked_sub(1).map(|last| loss_log_key(&team, last));
+        let from = since.checked_sub(1).map(|previous| loss_log_key(&team, previous));
         self.store(
             CallPriority::Poll,
             StoreRequest::List { prefix, from, most: None },
@@ -157,11 +163,11 @@
         let StoreReply::Page(page) = reply else {
             return self.reply(rid, Response::store_unavailable());
         };
-        // Whoever has heard all goes on from where he was.
+        // A client that has received all groups keeps its position.
         let mut answer = TeamLosses { losses: Vec::new(), next: since, more: page.more };
         for item in &page.items {
-            // No line of an answer may be longer than the protocol allows.
-            if answer.losses.len() >= 4 * GROUP {
+            // The answer is one line, whose length the protocol limits.
+            if answer.losses.len() >= 4 * LOSSES_PER_GROUP {
                 answer.more = true;
                 break;
             }
