--- a/crates/cleatfold-control/src/namespaces/workspace_state.rs
+++ b/crates/cleatfold-control/src/namespaces/workspace_state.rs
@@ -1,4 +1,4 @@
-//! The workspaces that a controller owns, and what is on its way to their histories.
+//! The workspaces that this controller owns, and the changes to their histories that are in flight.
 
 use crate::store::records::{HistoryGroup, HistoryHead};
 use cleatfold_roles::Vacancies;
@@ -7,48 +7,52 @@
 use cleatfold_workspace::{Ended, JobEnd};
 use std::collections::BTreeMap;
 
-/// Which teams' workspaces are ours, and how far their histories are written.
+/// Ownership of workspaces, the ended jobs that no history holds yet, and when each was last
+/// checked.
 #[derive(Default)]
 pub(crate) struct WorkspaceState {
     pub vacancies: Vacancies<TeamId>,
-    pub kept: BTreeMap<TeamId, Kept>,
-    pub ended: Ended,
-    /// The whole archive is being gone through.
-    pub listing: Option<Listing>,
-    pub last_checked: Ms,
-    pub wrote: Ms,
-    pub followed: Ms,
-    /// Nothing is taken or given before a reading sent after this.
-    pub unsure: Option<Ms>,
+    pub owned: BTreeMap<TeamId, OwnedWorkspace>,
+    pub ended_jobs: Ended,
+    /// The scan of the whole archive, while one is in progress.
+    pub archive_scan: Option<ArchiveScan>,
+    pub ownership_checked_at: Ms,
+    pub histories_checked_at: Ms,
+    /// When changes of the archive were last requested for the histories.
+    pub archive_requested_at: Ms,
+    /// When a write of ownership records last failed or had an unknown outcome. No workspace is
+    /// taken or handed over until the reply to a read that was sent since has arrived.
+    pub ownership_uncertain_at: Option<Ms>,
 }
 
-/// A workspace of ours, under its token.
-pub(crate) struct Kept {
+/// A workspace that this controller owns under a fencing token.
+pub(crate) struct OwnedWorkspace {
     pub token: Version,
-    pub writing: bool,
-    /// Nothing is written before a reading sent after this.
-    pub unsure: Option<Ms>,
+    pub write_inflight: bool,
+    /// When a write of the history last failed or had an unknown outcome. Nothing is written until
+    /// the reply to a read that was sent since has arrived.
+    pub history_uncertain_at: Option<Ms>,
     pub retention_checked_at: Ms,
     pub retention_running: bool,
-    /// Groups that go with the next change, and the first entry that stays.
-    pub gone: (Vec<u64>, u64),
+    /// Groups that the next write deletes, and the number of the first entry that remains.
+    pub expired_groups: (Vec<u64>, u64),
 }
 
-/// Ended jobs by the revision that ended them.
-type Found = BTreeMap<(u64, JobId), JobEnd>;
+/// Ended jobs, ordered by the revision that ended them.
+type EndedByRevision = BTreeMap<(u64, JobId), JobEnd>;
 
-/// A reading of the whole archive, page by page.
+/// A scan of the whole archive, page by page.
 #[derive(Default)]
-pub(crate) struct Listing {
-    /// By team: from which revision on its ended jobs are looked for, and what was found.
-    pub teams: BTreeMap<TeamId, (u64, Found)>,
+pub(crate) struct ArchiveScan {
+    /// By team: the revision after which its ended jobs are wanted, and those found so far.
+    pub teams: BTreeMap<TeamId, (u64, EndedByRevision)>,
     /// The revision of the first page.
-    pub at: Option<u64>,
-    pub from: Option<String>,
-    pub asked: bool,
+    pub first_page_revision: Option<u64>,
+    pub next_page_from: Option<String>,
+    pub page_requested: bool,
 }
 
-/// A change to a history, until its outcome is known.
+/// A change to a history whose outcome is not known yet.
 #[derive(Debug)]
 pub(crate) struct HistoryWrite {
     pub team: TeamId,
@@ -57,8 +61,8 @@
     pub txn: Txn,
 }
 
-/// A group of a history and its number; nothing if it cannot be read.
-pub(crate) fn read_group(item: &Item) -> Option<(u64, HistoryGroup)> {
+/// Parses a history group and its number from a stored item. Returns `None` if it is unreadable.
+pub(crate) fn parse_history_group(item: &Item) -> Option<(u64, HistoryGroup)> {
     let number = item.key.rsplit('/').next()?.parse().ok()?;
     match serde_json::from_str(item.value.get()) {
         Ok(group) => Some((number, group)),
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -1,13 +1,16 @@
-//! Each team's workspace: who owns it, and its history. `cleatfold_workspace` decides.
+//! Ownership of the teams' workspaces, and the histories of their ended jobs. The decisions are
+//! made in `cleatfold_workspace`.
 //!
-//! Everything an owner writes is guarded by the version of the workspace's key, so an owner that was
-//! replaced writes nothing any more, however late. Which jobs have ended is read from the archive, where
-//! each is written once: a history is a copy of it in the order of its revisions, and whoever keeps the
-//! team next goes on from the revision that the head names.
+//! Every write of an owner is guarded by the version of the workspace's key, so a replaced owner
+//! can no longer write, however late its transaction is executed. Ended jobs are read from the
+//! archive, where each is written once: a history is a copy of the archive's records in the order
+//! of their revisions, and a new owner continues after the revision named in the history's head.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
-use crate::namespaces::workspace_state::{read_group, HistoryWrite, Kept, Listing};
+use crate::namespaces::workspace_state::{
+    parse_history_group, ArchiveScan, HistoryWrite, OwnedWorkspace,
+};
 use crate::store::cache::Versioned;
 use crate::store::records::{
     history_group_key, history_head_key, history_prefix, workspace_key, ArchiveRecord,
@@ -18,111 +21,122 @@
 use cleatfold_workspace::{owner, JobEnd, GROUP};
 use std::collections::BTreeMap;
 
-/// How often it is looked whether a workspace stands empty, and whether a history is to be written.
-const WORKSPACE_INTERVAL_MS: u64 = 200;
-const HISTORY_MS: u64 = 1000;
-/// What we ended ourselves is read from the archive so often, if nobody asks earlier.
-const FOLLOW_MS: u64 = 2000;
-/// How often it is looked for groups that are too old.
-const OLD_MS: u64 = 3_600_000;
-/// Groups that are looked at then.
-const OLDEST: u32 = 12;
-/// A new life reads back so many revisions; the service keeps 10,000.
-const BACK: u64 = 9000;
-/// So many workspaces at most are taken ahead of claims.
-const MAX_EARLY_WORKSPACES: usize = 4;
+/// Interval between two checks for workspaces without an owner.
+const OWNERSHIP_INTERVAL_MS: u64 = 200;
+/// Interval between two checks for histories and loss logs to be written.
+const HISTORY_INTERVAL_MS: u64 = 1000;
+/// Interval between two reads of the archive for jobs that this controller ended itself, unless a
+/// query requests one earlier.
+const ARCHIVE_READ_INTERVAL_MS: u64 = 2000;
+/// Interval between two checks for history groups that are past their retention.
+const RETENTION_INTERVAL_MS: u64 = 3_600_000;
+/// The number of oldest groups that one retention check reads.
+const GROUPS_PER_RETENTION_CHECK: u32 = 12;
+/// How many revisions of the archive are read back once the cache is loaded. The state service
+/// keeps 10,000.
+const MAX_READ_BACK_REVISIONS: u64 = 9000;
+/// Ownership of up to this many workspaces is written with the priority of a renewal, ahead of
+/// claims.
+const MAX_WORKSPACES_AT_RENEWAL_PRIORITY: usize = 4;
 
-fn end(job: &JobId, archive: &ArchiveRecord, version: Version) -> JobEnd {
+fn job_end(job: &JobId, archive: &ArchiveRecord, version: Version) -> JobEnd {
     JobEnd { version: version.0, team: archive.team.clone(), entry: archive.entry(job) }
 }
 
-/// Unreadable ones are skipped by everybody alike, so numbers agree. Whoever polls them is told nothing.
-fn ended(item: &Item) -> Option<(JobId, ArchiveRecord)> {
+/// Parses an archived job from a stored item. Every controller skips an unreadable record, so they
+/// all assign the same numbers to the entries of a history. A poll for such a job gets no reply.
+fn parse_archived_job(item: &Item) -> Option<(JobId, ArchiveRecord)> {
     let job = item.key.strip_prefix(ARCHIVE)?;
     Some((JobId::new(job), serde_json::from_str(item.value.get()).ok()?))
 }
 
 impl Controller {
-    /// At each tick, once we serve.
+    /// Maintains ownership, histories and loss logs. Called at each tick once the controller
+    /// serves.
     pub(crate) fn maintain_workspaces(&mut self) {
-        if self.now.since(self.workspaces.last_checked) < WORKSPACE_INTERVAL_MS {
+        if self.now.since(self.workspaces.ownership_checked_at) < OWNERSHIP_INTERVAL_MS {
             return;
         }
-        self.workspaces.last_checked = self.now;
-        self.keep_ownership();
-        self.note_kept();
-        if self.now.since(self.workspaces.wrote) >= HISTORY_MS {
-            self.workspaces.wrote = self.now;
-            self.keep_ended();
-            self.keep_histories();
-            self.keep_losses();
+        self.workspaces.ownership_checked_at = self.now;
+        self.maintain_ownership();
+        self.refresh_owned_workspaces();
+        if self.now.since(self.workspaces.histories_checked_at) >= HISTORY_INTERVAL_MS {
+            self.workspaces.histories_checked_at = self.now;
+            self.maintain_ended_jobs();
+            self.maintain_histories();
+            self.maintain_loss_logs();
         }
     }
 
-    /// Our token for a workspace, by what was read last.
-    pub(crate) fn workspace(&self, team: &TeamId) -> Option<Version> {
+    /// The fencing token of a workspace that this controller owns, according to the cache.
+    pub(crate) fn workspace_token(&self, team: &TeamId) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.workspaces.get(team)?;
-        let ours =
+        let is_owner =
             holder.owner == self.cfg.me && Some(holder.incarnation) == self.session.incarnation;
-        (ours && self.readable(&workspace_key(team))).then_some(*version)
+        (is_owner && self.is_readable(&workspace_key(team))).then_some(*version)
     }
 
-    fn readable(&self, key: &str) -> bool {
+    fn is_readable(&self, key: &str) -> bool {
         self.cache.unreadable.is_empty() || !self.cache.unreadable.contains(key)
     }
 
-    // ---- who keeps what ----
+    // ---- ownership ----
 
-    fn keep_ownership(&mut self) {
+    fn maintain_ownership(&mut self) {
         let (now, me) = (self.now, self.cfg.me.clone());
         let teams: Vec<TeamId> = self.cfg.teams.iter().map(|t| t.name.clone()).collect();
         let mut vacancies = std::mem::take(&mut self.workspaces.vacancies);
         let cache = &self.cache;
-        // As pools are: an owner is whoever the record names, as long as that life of it has its key.
-        // What cannot be read is nobody's to write over.
-        let held = |team: &TeamId| {
+        // As with pools, the record's owner holds the workspace as long as the incarnation that the
+        // record names is registered. An unreadable record counts as held, so it is never
+        // overwritten.
+        let is_held = |team: &TeamId| {
             let holder = cache.workspaces.get(team).map(|w| &w.value);
             holder.is_some_and(|h| {
                 cache
                     .controllers
                     .get(&h.owner)
-                    .is_some_and(|n| n.value.incarnation == h.incarnation)
-            }) || !self.readable(&workspace_key(team))
+                    .is_some_and(|c| c.value.incarnation == h.incarnation)
+            }) || !self.is_readable(&workspace_key(team))
         };
-        vacancies.see(now, &me, cache.controllers.keys(), teams.iter(), held);
-        let known = cache.controllers.get(&me).map(|n| n.value.incarnation);
-        let unsure =
-            self.workspaces.unsure.is_some_and(|t| self.session.last_read.is_none_or(|f| f < t));
-        let incarnation = self.session.incarnation.filter(|i| known == Some(*i) && !unsure);
+        vacancies.see(now, &me, cache.controllers.keys(), teams.iter(), is_held);
+        let registered = cache.controllers.get(&me).map(|c| c.value.incarnation);
+        let last_read = self.session.last_read;
+        let is_uncertain = self
+            .workspaces
+            .ownership_uncertain_at
+            .is_some_and(|at| last_read.is_none_or(|read| read < at));
+        let incarnation =
+            self.session.incarnation.filter(|i| registered == Some(*i) && !is_uncertain);
         if let Some(incarnation) =
             incarnation.filter(|_| self.in_contact() && self.rate_limiter.is_open())
         {
-            self.workspaces.unsure = None;
-            let rank = |team: &TeamId, cached: &_| owner::rank(team, &me, cached);
-            let former = |team: &TeamId| {
+            self.workspaces.ownership_uncertain_at = None;
+            let rank = |team: &TeamId, live: &_| owner::rank(team, &me, live);
+            let owned_before_restart = |team: &TeamId| {
                 let holder = cache.workspaces.get(team).map(|w| &w.value);
                 holder.is_some_and(|h| h.owner == me && h.incarnation != incarnation)
-                    && self.readable(&workspace_key(team))
+                    && self.is_readable(&workspace_key(team))
             };
-            let most = self.cfg.max_txn_changes.min(self.rate_limiter.max_changes());
-            let taken = vacancies.take(now, most, teams.iter(), rank, former);
+            let max_changes = self.cfg.max_txn_changes.min(self.rate_limiter.max_changes());
+            let taken = vacancies.take(now, max_changes, teams.iter(), rank, owned_before_restart);
             if !taken.is_empty() {
                 let holder = HolderRecord { owner: me.clone(), incarnation };
-                self.hand(taken, holder);
+                self.write_owners(taken, holder);
             }
-            let kept = &self.workspaces.kept;
-            let idle = kept.iter().filter(|(_, k)| !k.writing).map(|(t, _)| t);
+            let owned = &self.workspaces.owned;
+            let idle = owned.iter().filter(|(_, w)| !w.write_inflight).map(|(team, _)| team);
             if let Some(team) = vacancies.give(now, idle, rank) {
-                let first = owner::first(&team, vacancies.live().iter()).cloned();
-                let first = first.filter(|n| *n != me);
-                let holder = first.and_then(|owner| {
+                let preferred = owner::first(&team, vacancies.live().iter()).cloned();
+                let preferred = preferred.filter(|controller| *controller != me);
+                let holder = preferred.and_then(|owner| {
                     let incarnation = self.cache.controllers.get(&owner)?.value.incarnation;
                     Some(HolderRecord { owner, incarnation })
                 });
                 match holder {
                     Some(holder) => {
                         tracing::info!(%team, to = %holder.owner, "handing over workspace ownership");
-                        self.hand(vec![team], holder);
+                        self.write_owners(vec![team], holder);
                     }
                     None => vacancies.settled(&team),
                 }
@@ -131,15 +145,15 @@
         self.workspaces.vacancies = vacancies;
     }
 
-    /// Writes who keeps these workspaces, guarded by what stands there.
-    fn hand(&mut self, teams: Vec<TeamId>, holder: HolderRecord) {
+    /// Writes the owner of these workspaces, guarded by the versions of their present records.
+    fn write_owners(&mut self, teams: Vec<TeamId>, holder: HolderRecord) {
         let mut txn = Txn::default();
         for team in &teams {
             let version = self.cache.workspaces.get(team).map(|w| w.version).unwrap_or_default();
             txn.guard(workspace_key(team), version);
             txn.put(workspace_key(team), &holder, None);
         }
-        let priority = if teams.len() <= MAX_EARLY_WORKSPACES {
+        let priority = if teams.len() <= MAX_WORKSPACES_AT_RENEWAL_PRIORITY {
             CallPriority::Renewal
         } else {
             CallPriority::Claim
@@ -156,15 +170,16 @@
         let committed = match reply {
             StoreReply::Committed(version) => Some(version),
             _ => {
-                // Perhaps it stands, perhaps another one's: the next reading tells.
-                self.workspaces.unsure = Some(self.now);
+                // The write may have been executed, or another controller's may have: the next read
+                // of the state service shows which.
+                self.workspaces.ownership_uncertain_at = Some(self.now);
                 None
             }
         };
         for team in teams {
             self.workspaces.vacancies.settled(&team);
-            let known = self.cache.workspaces.get(&team).map(|w| w.version).unwrap_or_default();
-            if let Some(version) = committed.filter(|v| *v > known) {
+            let cached = self.cache.workspaces.get(&team).map(|w| w.version).unwrap_or_default();
+            if let Some(version) = committed.filter(|v| *v > cached) {
                 self.cache.workspaces.insert(team, Versioned::new(version, holder.clone()));
             }
         }
@@ -174,191 +189,201 @@
         }
     }
 
-    /// Sees which workspaces came to us since, and under which token.
-    fn note_kept(&mut self) {
-        let mut mine = BTreeMap::new();
+    /// Updates the set of owned workspaces and their tokens from the cache.
+    fn refresh_owned_workspaces(&mut self) {
+        let mut tokens = BTreeMap::new();
         for team in &self.cfg.teams {
-            if let Some(token) = self.workspace(&team.name) {
-                mine.insert(team.name.clone(), token);
+            if let Some(token) = self.workspace_token(&team.name) {
+                tokens.insert(team.name.clone(), token);
             }
         }
-        self.workspaces.kept.retain(|team, kept| mine.get(team) == Some(&kept.token));
-        for (team, token) in &mine {
-            if self.workspaces.kept.contains_key(team) {
+        self.workspaces.owned.retain(|team, owned| tokens.get(team) == Some(&owned.token));
+        for (team, token) in &tokens {
+            if self.workspaces.owned.contains_key(team) {
                 continue;
             }
             tracing::info!(%team, fencing_token = token.0, "workspace ownership acquired");
-            let kept = Kept {
+            let owned = OwnedWorkspace {
                 token: *token,
-                writing: false,
-                unsure: None,
+                write_inflight: false,
+                history_uncertain_at: None,
                 retention_checked_at: self.now,
                 retention_running: false,
-                gone: Default::default(),
+                expired_groups: Default::default(),
             };
-            self.workspaces.kept.insert(team.clone(), kept);
+            self.workspaces.owned.insert(team.clone(), owned);
         }
-        self.note_logs(&mine);
+        self.set_owned_loss_logs(&tokens);
     }
 
-    // ---- what has ended ----
+    // ---- ended jobs ----
 
-    /// Everything was read: what ended is read from where the histories stand, as far back as that goes.
+    /// Sets the revision from which ended jobs are read, once the cache is loaded: the lowest that
+    /// a history's head names, among those that the state service surely still keeps.
     pub(crate) fn init_ended_jobs(&mut self) {
         let applied = self.cache.applied.0;
-        let upto = |t: &crate::config::Team| self.head(&t.name).value.upto;
-        let near = self.cfg.teams.iter().map(upto).filter(|u| u + BACK >= applied);
-        let from = near.min().unwrap_or(applied).min(applied);
+        let upto = |t: &crate::config::Team| self.history_head(&t.name).value.upto;
+        let in_reach =
+            self.cfg.teams.iter().map(upto).filter(|u| u + MAX_READ_BACK_REVISIONS >= applied);
+        let from = in_reach.min().unwrap_or(applied).min(applied);
         self.archive.read_to = Version(from);
         self.archive.stale = true;
-        self.workspaces.ended.read(from, from, []);
+        self.workspaces.ended_jobs.read(from, from, []);
     }
 
-    /// More has changed since `from` than the state service keeps.
+    /// Handles a refused read of ended jobs: the state service no longer keeps the changes since
+    /// `from`.
     pub(crate) fn on_ended_jobs_too_old(&mut self, from: Version) {
-        // It was only to be read once more: on from where we are.
-        if let Some(to) = self.workspaces.ended.to().filter(|to| *to > from.0) {
+        // These changes had been read before and were only read again: continue after the last one.
+        if let Some(to) = self.workspaces.ended_jobs.to().filter(|to| *to > from.0) {
             self.archive.read_to = Version(to);
             self.archive.stale = true;
             return;
         }
         let applied = self.cache.applied;
         self.archive.read_to = applied;
-        self.workspaces.ended.read(applied.0, applied.0, []);
+        self.workspaces.ended_jobs.read(applied.0, applied.0, []);
     }
 
+    /// Adds the ended jobs of a read of the archive's changes since `from`.
     pub(crate) fn record_ended_jobs(&mut self, from: Version, events: &Events) {
         let records = events.events.iter().filter_map(|e| {
             let job = JobId::new(e.put.as_deref()?.strip_prefix(ARCHIVE)?);
-            // Most are among those that have just been noted.
+            // Most have just been put into the cache of ended jobs and need no second parsing.
             let archive = match self.terminal_jobs.record(&job) {
-                Some(known) => return Some(end(&job, known, e.version)),
+                Some(cached) => return Some(job_end(&job, cached, e.version)),
                 None => serde_json::from_str::<ArchiveRecord>(e.value.as_ref()?.get()).ok()?,
             };
-            Some(end(&job, &archive, e.version))
+            Some(job_end(&job, &archive, e.version))
         });
-        self.workspaces.ended.read(from.0, events.revision.0, records);
+        self.workspaces.ended_jobs.read(from.0, events.revision.0, records);
     }
 
-    fn keep_ended(&mut self) {
+    fn maintain_ended_jobs(&mut self) {
         for (team, head) in &self.cache.histories {
-            self.workspaces.ended.forget(team, &head.value);
+            self.workspaces.ended_jobs.forget(team, &head.value);
         }
-        let behind = self.workspaces.ended.to().is_none_or(|to| to < self.cache.applied.0);
-        if behind && self.now.since(self.workspaces.followed) >= FOLLOW_MS {
-            self.workspaces.followed = self.now;
+        let is_behind = self.workspaces.ended_jobs.to().is_none_or(|to| to < self.cache.applied.0);
+        let since_request = self.now.since(self.workspaces.archive_requested_at);
+        if is_behind && since_request >= ARCHIVE_READ_INTERVAL_MS {
+            self.workspaces.archive_requested_at = self.now;
             self.archive.stale = true;
             self.follow_archive();
         }
     }
 
-    /// Goes through the archive for teams of which it is not known what has ended since their head was
-    /// written: the store is of an earlier version, or nobody has kept them for thousands of changes.
-    fn list_archive(&mut self, uncovered: Vec<TeamId>) {
-        if self.workspaces.listing.is_none() && !uncovered.is_empty() {
+    /// Scans the whole archive for teams whose jobs that ended since their history's head was
+    /// written are not all known: the records are of an earlier version, or the workspace has had
+    /// no owner for thousands of changes.
+    fn scan_archive(&mut self, uncovered: Vec<TeamId>) {
+        if self.workspaces.archive_scan.is_none() && !uncovered.is_empty() {
             let teams = uncovered.into_iter().map(|team| {
-                let from = self.head(&team).value.upto;
+                let from = self.history_head(&team).value.upto;
                 tracing::info!(%team, from, "scanning archive");
                 (team, (from, BTreeMap::new()))
             });
             let teams = teams.collect();
-            self.workspaces.listing = Some(Listing { teams, ..Listing::default() });
+            self.workspaces.archive_scan = Some(ArchiveScan { teams, ..ArchiveScan::default() });
         }
-        if let Some(listing) = self.workspaces.listing.as_mut().filter(|l| !l.asked) {
-            listing.asked = true;
-            let (prefix, from) = (ARCHIVE.to_string(), listing.from.clone());
+        if let Some(scan) = self.workspaces.archive_scan.as_mut().filter(|s| !s.page_requested) {
+            scan.page_requested = true;
+            let (prefix, from) = (ARCHIVE.to_string(), scan.next_page_from.clone());
             let request = StoreRequest::List { prefix, from, most: None };
             self.store(CallPriority::Poll, request, Pending::ArchivePage);
         }
     }
 
     pub(crate) fn on_archive_page(&mut self, reply: StoreReply) {
-        let most = self.cfg.history.jobs as usize;
-        let Some(listing) = &mut self.workspaces.listing else { return };
-        listing.asked = false;
-        // Anything else: the same page again, a second later.
+        let max_jobs = self.cfg.history.jobs as usize;
+        let Some(scan) = &mut self.workspaces.archive_scan else { return };
+        scan.page_requested = false;
+        // On any other reply the same page is requested again, one second later.
         let StoreReply::Page(page) = reply else { return };
-        listing.at.get_or_insert(page.revision.0);
+        scan.first_page_revision.get_or_insert(page.revision.0);
         for item in &page.items {
-            let Some((job, archive)) = ended(item) else { continue };
-            let Some((from, found)) = listing.teams.get_mut(&archive.team) else { continue };
+            let Some((job, archive)) = parse_archived_job(item) else { continue };
+            let Some((from, found)) = scan.teams.get_mut(&archive.team) else { continue };
             if item.version.0 > *from {
-                found.insert((item.version.0, job.clone()), end(&job, &archive, item.version));
-                // More than is kept would go again at once.
-                if found.len() > most {
+                found.insert((item.version.0, job.clone()), job_end(&job, &archive, item.version));
+                // The oldest entries beyond the retention limit would be deleted again at once.
+                if found.len() > max_jobs {
                     found.pop_first();
                 }
             }
         }
-        listing.from = page.items.last().map(|i| i.key.clone()).or(listing.from.take());
+        scan.next_page_from =
+            page.items.last().map(|i| i.key.clone()).or(scan.next_page_from.take());
         if page.more {
-            return self.list_archive(vec![]);
+            return self.scan_archive(vec![]);
         }
-        let Some(listing) = self.workspaces.listing.take() else { return };
-        let at = listing.at.unwrap_or_default();
-        for (team, (from, found)) in listing.teams {
+        let Some(scan) = self.workspaces.archive_scan.take() else { return };
+        let revision = scan.first_page_revision.unwrap_or_default();
+        for (team, (from, found)) in scan.teams {
             let jobs = found.len();
-            let joins =
-                self.workspaces.ended.listed(&team, from, at, found.into_values().collect());
-            tracing::info!(%team, jobs, joins, "archive scanned");
+            let ends = found.into_values().collect();
+            let is_contiguous = self.workspaces.ended_jobs.listed(&team, from, revision, ends);
+            tracing::info!(%team, jobs, joins = is_contiguous, "archive scanned");
         }
     }
 
     // ---- histories ----
 
-    pub(crate) fn head(&self, team: &TeamId) -> Versioned<HistoryHead> {
+    pub(crate) fn history_head(&self, team: &TeamId) -> Versioned<HistoryHead> {
         self.cache.histories.get(team).cloned().unwrap_or_default()
     }
 
-    fn keep_histories(&mut self) {
+    fn maintain_histories(&mut self) {
         let mut uncovered = Vec::new();
-        let teams: Vec<TeamId> = self.workspaces.kept.keys().cloned().collect();
+        let teams: Vec<TeamId> = self.workspaces.owned.keys().cloned().collect();
         for team in teams {
-            // It stops for this team alone; the cache has said why.
-            if !self.readable(&history_head_key(&team)) {
+            // An unreadable head stops the history of this team only; the cache has logged the
+            // error.
+            if !self.is_readable(&history_head_key(&team)) {
                 continue;
             }
-            let Versioned { version, value: head } = self.head(&team);
-            let fresh = self.session.last_read;
-            let Some(kept) = self.workspaces.kept.get_mut(&team) else { continue };
-            if kept.writing || kept.unsure.is_some_and(|t| fresh.is_none_or(|f| f < t)) {
+            let Versioned { version, value: head } = self.history_head(&team);
+            let last_read = self.session.last_read;
+            let Some(owned) = self.workspaces.owned.get_mut(&team) else { continue };
+            let is_uncertain =
+                owned.history_uncertain_at.is_some_and(|at| last_read.is_none_or(|read| read < at));
+            if owned.write_inflight || is_uncertain {
                 continue;
             }
-            kept.unsure = None;
-            if !self.workspaces.ended.covers(&team, &head) {
+            owned.history_uncertain_at = None;
+            if !self.workspaces.ended_jobs.covers(&team, &head) {
                 uncovered.push(team);
                 continue;
             }
             self.apply_retention(&team, &head);
             self.write_history(team, version, head);
         }
-        self.list_archive(uncovered);
+        self.scan_archive(uncovered);
     }
 
     fn write_history(&mut self, team: TeamId, version: Version, head: HistoryHead) {
-        let piece = self.workspaces.ended.piece(&team, &head, self.cfg.max_value_bytes);
-        let pressing = piece.as_ref().is_some_and(|p| p.pressing);
-        if !self.rate_limiter.is_open() || !(pressing || self.rate_limiter.is_ample()) {
+        let piece = self.workspaces.ended_jobs.piece(&team, &head, self.cfg.max_value_bytes);
+        let is_urgent = piece.as_ref().is_some_and(|p| p.pressing);
+        if !self.rate_limiter.is_open() || !(is_urgent || self.rate_limiter.is_ample()) {
             return;
         }
-        let Some(kept) = self.workspaces.kept.get_mut(&team) else { return };
-        let (gone, first) = std::mem::take(&mut kept.gone);
-        if piece.is_none() && gone.is_empty() {
+        let Some(owned) = self.workspaces.owned.get_mut(&team) else { return };
+        let (expired, first) = std::mem::take(&mut owned.expired_groups);
+        if piece.is_none() && expired.is_empty() {
             return;
         }
         let (entries, mut next) = piece.map_or((vec![], head.clone()), |p| (p.entries, p.head));
         next.first = head.first.max(first);
         let mut txn = Txn::default();
-        txn.guard(workspace_key(&team), kept.token);
+        txn.guard(workspace_key(&team), owned.token);
         txn.guard(history_head_key(&team), version);
         txn.put(history_head_key(&team), &next, None);
         if !entries.is_empty() {
             let group = HistoryGroup { entries };
             txn.put(history_group_key(&team, head.entries), &group, None);
         }
-        gone.iter().for_each(|number| txn.delete(history_group_key(&team, *number)));
-        kept.writing = true;
-        let write = HistoryWrite { token: kept.token, team, head: next, txn: txn.clone() };
+        expired.iter().for_each(|number| txn.delete(history_group_key(&team, *number)));
+        owned.write_inflight = true;
+        let write = HistoryWrite { token: owned.token, team, head: next, txn: txn.clone() };
         self.store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::History(Box::new(write)));
     }
 
@@ -366,49 +391,54 @@
         let now = self.now;
         match reply {
             StoreReply::Committed(version) => {
-                if self.head(&write.team).version < version {
+                if self.history_head(&write.team).version < version {
                     tracing::info!(
                         team = %write.team, entries = write.head.entries, upto = write.head.upto,
                         "history written"
                     );
-                    self.workspaces.ended.forget(&write.team, &write.head);
+                    self.workspaces.ended_jobs.forget(&write.team, &write.head);
                     self.cache
                         .histories
                         .insert(write.team.clone(), Versioned::new(version, write.head));
                 }
             }
-            // Perhaps it is there: the same again, its guards decide.
-            StoreReply::Unknown if self.workspace(&write.team) == Some(write.token) => {
+            // The write may have been executed. Sending it again is safe: its guards fail if it
+            // was.
+            StoreReply::Unknown if self.workspace_token(&write.team) == Some(write.token) => {
                 let txn = write.txn.clone();
                 let pending = Pending::History(Box::new(write));
                 return self.again(op, CallPriority::Poll, txn, pending, 500);
             }
             _ => {
-                if let Some(kept) = self.workspaces.kept.get_mut(&write.team) {
-                    kept.unsure = Some(now);
+                if let Some(owned) = self.workspaces.owned.get_mut(&write.team) {
+                    owned.history_uncertain_at = Some(now);
                 }
                 self.session.sync_wanted = true;
             }
         }
-        if let Some(kept) = self.workspaces.kept.get_mut(&write.team) {
-            kept.writing &= kept.token != write.token;
+        if let Some(owned) = self.workspaces.owned.get_mut(&write.team) {
+            owned.write_inflight &= owned.token != write.token;
         }
     }
 
+    /// Requests the oldest groups of a history if it has too many entries or the last check is long
+    /// ago.
     fn apply_retention(&mut self, team: &TeamId, head: &HistoryHead) {
-        let most = self.cfg.history.jobs.saturating_add(GROUP as u64);
-        let Some(kept) = self.workspaces.kept.get_mut(team) else { return };
-        let since = self.now.since(kept.retention_checked_at);
-        let many = head.entries - head.first.min(head.entries) > most && since >= 10 * HISTORY_MS;
-        if kept.retention_running || !kept.gone.0.is_empty() || !(many || since >= OLD_MS) {
+        let max_entries = self.cfg.history.jobs.saturating_add(GROUP as u64);
+        let Some(owned) = self.workspaces.owned.get_mut(team) else { return };
+        let since_check = self.now.since(owned.retention_checked_at);
+        let entries = head.entries - head.first.min(head.entries);
+        let is_oversized = entries > max_entries && since_check >= 10 * HISTORY_INTERVAL_MS;
+        let is_due = is_oversized || since_check >= RETENTION_INTERVAL_MS;
+        if owned.retention_running || !owned.expired_groups.0.is_empty() || !is_due {
             return;
         }
-        (kept.retention_running, kept.retention_checked_at) = (true, self.now);
-        let pending = Pending::Oldest { team: team.clone(), token: kept.token };
+        (owned.retention_running, owned.retention_checked_at) = (true, self.now);
+        let pending = Pending::Oldest { team: team.clone(), token: owned.token };
         let prefix = history_prefix(team);
         self.store(
             CallPriority::Poll,
-            StoreRequest::List { prefix, from: None, most: Some(OLDEST) },
+            StoreRequest::List { prefix, from: None, most: Some(GROUPS_PER_RETENTION_CHECK) },
             pending,
         );
     }
@@ -419,22 +449,22 @@
         token: Version,
         reply: StoreReply,
     ) {
-        let head = self.head(&team).value;
-        let Some(kept) = self.workspaces.kept.get_mut(&team) else { return };
-        if kept.token != token {
+        let head = self.history_head(&team).value;
+        let Some(owned) = self.workspaces.owned.get_mut(&team) else { return };
+        if owned.token != token {
             return;
         }
-        kept.retention_running = false;
+        owned.retention_running = false;
         let StoreReply::Page(page) = reply else { return };
         let mut oldest = Vec::new();
         for item in &page.items {
-            // What cannot be read stays, and all after it.
-            let Some((number, group)) = read_group(item) else { break };
-            let ended = group.entries.iter().filter_map(|e| e.summary.as_ref());
-            let ended = ended.map(|s| s.ended_ms).max();
-            oldest.push((number, group.entries.len() as u64, ended));
+            // An unreadable group is kept, and so are all groups after it.
+            let Some((number, group)) = parse_history_group(item) else { break };
+            let summaries = group.entries.iter().filter_map(|e| e.summary.as_ref());
+            let last_ended_ms = summaries.map(|s| s.ended_ms).max();
+            oldest.push((number, group.entries.len() as u64, last_ended_ms));
         }
         oldest.truncate(self.cfg.max_txn_changes.saturating_sub(2));
-        kept.gone = self.cfg.history.gone(&head, &oldest, self.wall_ms);
+        owned.expired_groups = self.cfg.history.gone(&head, &oldest, self.wall_ms);
     }
 }
