--- a/crates/cleatfold-control/src/namespaces/team_queries.rs
+++ b/crates/cleatfold-control/src/namespaces/team_queries.rs
@@ -1,13 +1,14 @@
-//! What a team asks of its workspace: its jobs, its queue, its history.
+//! Queries of a team about its workspace: its live jobs, its queue, its history.
 //!
-//! Any controller answers. Jobs and queue are told from a reading that was sent after the question came,
-//! as polls are; history from the groups in the state service and, beyond them, from what has ended by such
-//! a reading. A team is told of nobody else: no ids, no names, no numbers.
+//! Every controller answers them. Like polls, queries for jobs and queue are answered from the
+//! cache once it reflects a read that was sent after the query arrived. A history is read from its
+//! groups in the state service, followed by the jobs in no group yet that had ended as of such a
+//! read. An answer reveals nothing about other teams: no ids, no names, no counts.
 
 use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::{CallPriority, Response, StoreReply, StoreRequest, TeamAnswer, TeamAsk};
-use crate::namespaces::team_query_state::{HistoryRead, Question, Ranks};
-use crate::namespaces::workspace_state::read_group;
+use crate::namespaces::team_query_state::{HistoryRead, PendingTeamQuery, TeamRanks};
+use crate::namespaces::workspace_state::parse_history_group;
 use crate::store::cache::CachedJob;
 use crate::store::records::{history_group_key, history_head_key, history_prefix};
 use cleatfold_wire::team::{
@@ -18,80 +19,91 @@
 use cleatfold_workspace::GROUP_MOST;
 use std::collections::BTreeSet;
 
-/// Groups of a history that are read at once.
-const GROUPS: u32 = 12;
+/// The number of history groups in one read.
+const GROUPS_PER_READ: u32 = 12;
 
 impl Controller {
-    /// What a team's question is answered with at once, if it cannot be answered now.
-    pub(crate) fn refuse_team(&self, team: &TeamId) -> Option<Response> {
+    /// The immediate refusal of a team's query, if it cannot be answered now.
+    pub(crate) fn team_query_refusal(&self, team: &TeamId) -> Option<Response> {
         if self.cfg.team(team).is_none() {
             return Some(Response::refuse(404, "no such team"));
         }
         self.store_away().then(Response::store_unavailable)
     }
 
-    pub(crate) fn on_team_query(&mut self, rid: u64, team: TeamId, what: TeamAsk, since: u64) {
-        if let Some(refusal) = self.refuse_team(&team) {
+    pub(crate) fn on_team_query(&mut self, rid: u64, team: TeamId, kind: TeamAsk, since: u64) {
+        if let Some(refusal) = self.team_query_refusal(&team) {
             return self.reply(rid, refusal);
         }
         if self.team_queries.is_full(&team) {
             return self.reply(rid, Response::later("too many such questions"));
         }
-        let (arrived, arrived_at) = (self.now, self.event);
-        let question = Question { rid, team, what, since, arrived, arrived_at, upto: None };
-        self.team_queries.waiting.push(question);
+        let query = PendingTeamQuery {
+            rid,
+            team,
+            kind,
+            since,
+            arrived: self.now,
+            arrival_event: self.event,
+            required_revision: None,
+        };
+        self.team_queries.waiting.push(query);
         self.session.sync_wanted = true;
         self.sync_if_due();
     }
 
-    pub(crate) fn take_expired_team_queries(&mut self, away: bool) -> Vec<u64> {
-        self.team_queries.take_late(self.now, away)
+    pub(crate) fn take_expired_team_queries(&mut self, store_unavailable: bool) -> Vec<u64> {
+        self.team_queries.take_expired(self.now, store_unavailable)
     }
 
-    /// A reading sent at event `sent_at` is in (none: more is known of what has ended).
+    /// Answers the queries that can be answered after a read of the live records that was sent at
+    /// the event `sent_at`, or, if that is `None`, after a read of the archive.
     pub(crate) fn answer_team_queries(&mut self, sent_at: Option<EventNumber>) {
         if self.team_queries.waiting.is_empty() {
             return;
         }
         let applied = self.cache.applied.0;
-        let read = self.workspaces.ended.to();
-        let mut behind = false;
-        for mut question in std::mem::take(&mut self.team_queries.waiting) {
-            if question.upto.is_none() && sent_at.is_some_and(|s| question.arrived_at <= s) {
-                question.upto = Some(applied);
+        let ended_jobs_revision = self.workspaces.ended_jobs.to();
+        let mut is_archive_behind = false;
+        for mut query in std::mem::take(&mut self.team_queries.waiting) {
+            let is_covered = sent_at.is_some_and(|sent_at| query.arrival_event <= sent_at);
+            if query.required_revision.is_none() && is_covered {
+                query.required_revision = Some(applied);
             }
-            match (question.upto, question.what) {
+            match (query.required_revision, query.kind) {
                 (Some(_), TeamAsk::Jobs) => {
-                    let jobs = self.team_jobs(&question.team, question.since);
-                    self.reply(question.rid, Response::Team(TeamAnswer::Jobs(jobs)));
+                    let jobs = self.team_jobs(&query.team, query.since);
+                    self.reply(query.rid, Response::Team(TeamAnswer::Jobs(jobs)));
                 }
                 (Some(_), TeamAsk::Queue) => {
-                    let queue = self.team_queue(&question.team, question.since);
-                    self.reply(question.rid, Response::Team(TeamAnswer::Queue(queue)));
+                    let queue = self.team_queue(&query.team, query.since);
+                    self.reply(query.rid, Response::Team(TeamAnswer::Queue(queue)));
                 }
-                (Some(upto), TeamAsk::History) if read.is_some_and(|r| r >= upto) => {
-                    self.tell_history(question)
+                (Some(required), TeamAsk::History)
+                    if ended_jobs_revision.is_some_and(|revision| revision >= required) =>
+                {
+                    self.answer_history_query(query)
                 }
-                (ripe, _) => {
-                    behind |= ripe.is_some();
-                    self.team_queries.waiting.push(question);
+                (required, _) => {
+                    is_archive_behind |= required.is_some();
+                    self.team_queries.waiting.push(query);
                 }
             }
         }
-        if behind {
+        if is_archive_behind {
             self.archive.stale = true;
             self.follow_archive();
         }
     }
 
-    /// The team's live jobs from a place on.
+    /// The team's live jobs whose place is at least `since`.
     fn live_jobs(
         &self,
         team: &TeamId,
         since: u64,
     ) -> impl Iterator<Item = (u64, &JobId, &CachedJob)> {
         let jobs = self.cache.by_team.get(team).into_iter();
-        let jobs = jobs.flat_map(move |j| j.range((since, JobId::new(""))..));
+        let jobs = jobs.flat_map(move |jobs| jobs.range((since, JobId::new(""))..));
         jobs.filter_map(|(place, id)| Some((*place, id, self.cache.jobs.get(id)?)))
     }
 
@@ -119,15 +131,16 @@
     }
 
     fn team_queue(&mut self, team: &TeamId, since: u64) -> TeamQueue {
-        self.rank_queue();
-        let full = self.is_limit_full(team);
+        self.refresh_ranks();
+        let limit_exhausted = self.is_limit_exhausted(team);
         let sizes = self.inventory.sizes();
-        let up: BTreeSet<&PoolId> = sizes.iter().filter(|s| *s.1 > 0).map(|s| *s.0).collect();
-        let waits = |cached: &CachedJob| !cached.record.aborted && cached.unclaimed() > 0;
-        let jobs = self.live_jobs(team, since).filter(|j| waits(j.2)).map(|(place, id, cached)| {
+        let pools: BTreeSet<&PoolId> = sizes.iter().filter(|s| *s.1 > 0).map(|s| *s.0).collect();
+        let is_waiting = |cached: &CachedJob| !cached.record.aborted && cached.unclaimed() > 0;
+        let waiting = self.live_jobs(team, since).filter(|(_, _, cached)| is_waiting(cached));
+        let jobs = waiting.map(|(place, id, cached)| {
             let spec = &cached.record.spec;
             let rank = self.team_queries.ranks.get(id);
-            let (holdup, why) = self.holdup(id, cached, rank, full, &up);
+            let (holdup, why) = self.holdup(id, cached, rank, limit_exhausted, &pools);
             let job = WaitingJob {
                 place,
                 id: id.clone(),
@@ -144,84 +157,90 @@
         TeamQueue { waiting, next, more }
     }
 
-    /// Of its own team only: what keeps a job from starting.
+    /// What keeps a job from starting, in terms of its own team only. `pools` are those that have
+    /// machines.
     fn holdup(
         &self,
         id: &JobId,
         cached: &CachedJob,
         rank: Option<u32>,
-        limit_full: bool,
-        up: &BTreeSet<&PoolId>,
+        limit_exhausted: bool,
+        pools: &BTreeSet<&PoolId>,
     ) -> (Holdup, String) {
         if self.may_start(id, cached, cached.unclaimed()) == 0 {
             let why = self.why(id, cached).unwrap_or_else(|| "its failed tasks pause".into());
             return (Holdup::Pause, why);
         }
-        if limit_full {
+        if limit_exhausted {
             return (Holdup::Limit, "its team's limit is used up".into());
         }
-        if !up.iter().any(|pool| self.may_use(cached, pool)) {
+        if !pools.iter().any(|pool| self.may_use(cached, pool)) {
             return (Holdup::Machines, "no machine that it may run on is up yet".into());
         }
-        let before = rank.map_or(0, |r| r.saturating_sub(1));
-        let why = match before {
+        let jobs_before = rank.map_or(0, |rank| rank.saturating_sub(1));
+        let why = match jobs_before {
             0 => "what goes before it has the room".into(),
             n => format!("{n} of its team's jobs go before it"),
         };
         (Holdup::Order, why)
     }
 
-    fn is_limit_full(&self, team: &TeamId) -> bool {
+    /// Whether what is left of the team's limit is too small for any of its waiting tasks.
+    fn is_limit_exhausted(&self, team: &TeamId) -> bool {
         let Some(limit) = self.cfg.team(team).filter(|t| t.is_limited()) else { return false };
-        let (mut cpus, mut gpus, mut least) = (0.0, 0.0, (f64::MAX, f64::MAX));
+        let (mut cpus, mut gpus, mut smallest) = (0.0, 0.0, (f64::MAX, f64::MAX));
         for (_, _, cached) in self.live_jobs(team, 0) {
             let spec = &cached.record.spec;
             cpus += spec.cpus * f64::from(cached.claimed);
             gpus += spec.gpus * f64::from(cached.claimed);
             if cached.unclaimed() > 0 {
-                least = (least.0.min(spec.cpus), least.1.min(spec.gpus));
+                smallest = (smallest.0.min(spec.cpus), smallest.1.min(spec.gpus));
             }
         }
-        let full = |max: f64, used: f64, least: f64| max > 0.0 && used + least > max + 1e-9;
-        full(limit.cpus_max, cpus, least.0) || full(limit.gpus_max, gpus, least.1)
+        let is_exhausted =
+            |max: f64, used: f64, smallest: f64| max > 0.0 && used + smallest > max + 1e-9;
+        is_exhausted(limit.cpus_max, cpus, smallest.0)
+            || is_exhausted(limit.gpus_max, gpus, smallest.1)
     }
 
-    fn rank_queue(&mut self) {
-        if !self.team_queries.ranks.are_due(self.now) {
+    fn refresh_ranks(&mut self) {
+        if !self.team_queries.ranks.are_stale(self.now) {
             return;
         }
         let queue = self.queue();
         let waiting = queue.iter().filter(|queued| !queued.growth);
-        let teams = waiting.filter_map(|queued| {
+        let jobs_with_team = waiting.filter_map(|queued| {
             let cached = self.cache.jobs.get(&queued.job)?;
             Some((&queued.job, &cached.record.spec.team))
         });
-        self.team_queries.ranks = Ranks::of_queue(self.now, teams);
+        self.team_queries.ranks = TeamRanks::from_queue(self.now, jobs_with_team);
     }
 
     // ---- history ----
 
-    fn tell_history(&mut self, question: Question) {
-        let Question { rid, team, since, .. } = question;
-        let head = self.head(&team).value;
-        let unreadable = self.cache.unreadable.contains(&history_head_key(&team));
-        if unreadable || !self.workspaces.ended.covers(&team, &head) {
+    fn answer_history_query(&mut self, query: PendingTeamQuery) {
+        let PendingTeamQuery { rid, team, since, .. } = query;
+        let head = self.history_head(&team).value;
+        let is_unreadable = self.cache.unreadable.contains(&history_head_key(&team));
+        if is_unreadable || !self.workspaces.ended_jobs.covers(&team, &head) {
             return self.reply(rid, Response::later("the history is being brought up to date"));
         }
         let since = since.max(head.first);
         if since >= head.entries {
-            let history = self.beyond_groups(&team, since, AnswerPage::default());
+            let history = self.append_ungrouped(&team, since, AnswerPage::default());
             return self.reply(rid, Response::Team(TeamAnswer::History(history)));
         }
-        // The group that has it begins at most so far before it.
+        // A group has at most `GROUP_MOST` entries, so the one that contains `since` begins after
+        // this.
         let from = since.checked_sub(GROUP_MOST as u64);
         let from = from.map(|number| history_group_key(&team, number));
-        self.read_history_page(HistoryRead { rid, team, since, entries: head.entries }, from);
+        let read = HistoryRead { rid, team, since, grouped_entries: head.entries };
+        self.read_history_page(read, from);
     }
 
     fn read_history_page(&mut self, read: HistoryRead, from: Option<String>) {
         let prefix = history_prefix(&read.team);
-        let request = StoreRequest::List { prefix, from, most: Some(GROUPS) };
+        let request = StoreRequest::List { prefix, from, most: Some(GROUPS_PER_READ) };
         self.store(CallPriority::Poll, request, Pending::TeamHistory(Box::new(read)));
     }
 
@@ -232,8 +251,8 @@
         let mut answer_page = AnswerPage::default();
         let mut next = read.since;
         for item in &page.items {
-            // What cannot be read is left out; the numbers show it.
-            let Some((number, group)) = read_group(item) else { continue };
+            // An unreadable group is left out. The gap in the entries' numbers shows that.
+            let Some((number, group)) = parse_history_group(item) else { continue };
             for (number, entry) in (number..).zip(&group.entries) {
                 if number < next {
                     continue;
@@ -254,23 +273,26 @@
             let history = TeamHistory { ended: answer_page.entries, next, more: true };
             return self.reply(read.rid, Response::Team(TeamAnswer::History(history)));
         }
-        let history = self.beyond_groups(&read.team, next.max(read.entries), answer_page);
+        let from = next.max(read.grouped_entries);
+        let history = self.append_ungrouped(&read.team, from, answer_page);
         self.reply(read.rid, Response::Team(TeamAnswer::History(history)));
     }
 
-    /// What has ended and is in no group yet, from `next` on. Every controller numbers it alike.
-    fn beyond_groups(
+    /// Completes an answer with the ended jobs that are in no group yet, from the number `next` on.
+    /// Every controller numbers them alike.
+    fn append_ungrouped(
         &self,
         team: &TeamId,
         next: u64,
         mut answer_page: AnswerPage<EndedJob>,
     ) -> TeamHistory {
-        let head = self.head(team).value;
+        let head = self.history_head(team).value;
         let mut next = next;
-        // A group was written since the groups were read, or the reading was lost: asked again.
-        let mut more = head.entries > next || !self.workspaces.ended.covers(team, &head);
+        // If a group was written since the groups were read, or ended jobs since the head was
+        // written are not all known, the client has to ask again.
+        let mut more = head.entries > next || !self.workspaces.ended_jobs.covers(team, &head);
         if !more {
-            for (number, entry) in self.workspaces.ended.beyond(team, &head) {
+            for (number, entry) in self.workspaces.ended_jobs.beyond(team, &head) {
                 if number < next {
                     continue;
                 }
