--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -344,13 +344,11 @@
         }
         let mut last_copies = BTreeSet::new();
         for image in wanted.keys() {
-            let mut own_holders = seen.iter().filter(|(_, s)| s.has(image)).map(|(m, _)| m);
+            let mut own = seen.iter().filter(|(_, s)| s.has(image)).map(|(m, _)| m);
             let record = self.cache.image_holders.get(*image).into_iter();
             let holders = record.flat_map(|r| &r.value.holders);
-            let mut other_pools = holders.filter(|(p, _)| !self.pools.owned.contains_key(*p));
-            if let (Some(only), None, None) =
-                (own_holders.next(), own_holders.next(), other_pools.next())
-            {
+            let mut others = holders.filter(|(p, _)| !self.pools.owned.contains_key(*p));
+            if let (Some(only), None, None) = (own.next(), own.next(), others.next()) {
                 last_copies.insert(only.clone());
             }
         }
@@ -374,11 +372,10 @@
                 let mut new = old.map(|o| o.value.clone()).unwrap_or_default();
                 for pool in self.pools.owned.keys() {
                     let Some(token) = self.my_token(pool) else { continue };
-                    let serving = seen.iter().filter(|(_, s)| {
+                    let hosts = seen.iter().filter(|(_, s)| {
                         s.pool == *pool && s.endpoint.is_some() && !s.leaving && s.has(image)
                     });
-                    let mut holders: BTreeSet<MachineId> =
-                        serving.map(|(m, _)| m.clone()).collect();
+                    let mut holders: BTreeSet<MachineId> = hosts.map(|(m, _)| m.clone()).collect();
                     // Machines that have not reported yet but are still in the inventory stay as
                     // recorded.
                     let recorded = new.holders.get(pool).map(|n| n.read()).unwrap_or_default();
