--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -14,9 +14,9 @@
 use crate::machines::inventory::Inventory;
 use crate::machines::scale_out::ScaleOutState;
 use crate::membership::state::ReachabilityState;
-use crate::namespaces::loss_logs::Losses;
-use crate::namespaces::question_state::Teams;
-use crate::namespaces::workspace_state::Workspaces;
+use crate::namespaces::loss_logs::LossLogs;
+use crate::namespaces::team_query_state::TeamQueries;
+use crate::namespaces::workspace_state::WorkspaceState;
 use crate::pools::ownership::OwnedPools;
 use crate::quota::QuotaState;
 use crate::scheduling::evictions::Evictions;
@@ -102,9 +102,9 @@
     pub(crate) completion_checked_at: Ms,
 
     // Namespaces.
-    pub(crate) workspaces: Workspaces,
-    pub(crate) teams: Teams,
-    pub(crate) losses: Losses,
+    pub(crate) workspaces: WorkspaceState,
+    pub(crate) team_queries: TeamQueries,
+    pub(crate) loss_logs: LossLogs,
 }
 
 impl Controller {
@@ -150,9 +150,9 @@
             archive: ArchiveLookups::default(),
             cancellations: Cancellations::default(),
             completion_checked_at: Ms(0),
-            workspaces: Workspaces::default(),
-            teams: Teams::default(),
-            losses: Losses::default(),
+            workspaces: WorkspaceState::default(),
+            team_queries: TeamQueries::default(),
+            loss_logs: LossLogs::default(),
         }
     }
 
@@ -213,7 +213,7 @@
         }
         self.maintain_reachability();
         self.maintain_roles();
-        self.keep_workspaces();
+        self.maintain_workspaces();
         self.maintain_priority();
         self.maintain_image_distribution();
         self.watch_machines();
@@ -247,7 +247,7 @@
             let contact_age_ms = self.now.since(read);
             self.send_to_peers(None, Message::Alive { contact_age_ms });
         }
-        self.tell_images();
+        self.broadcast_image_changes();
     }
 
     /// Time of the first event.
@@ -311,20 +311,24 @@
             Pending::ScaleOutIntents(step) => self.on_scale_out_written(*step, reply),
             Pending::PoolAssignment => self.on_assignment_written(reply),
             Pending::QuotaSlice(sent) => self.on_slice(op, *sent, reply),
-            Pending::LossLog => self.on_loss_log(reply),
+            Pending::LossLog => self.on_loss_logs_read(reply),
             Pending::LossGroup { team, token, count, txn } => {
-                self.on_loss_group(op, (team, token), count, txn, reply)
+                self.on_loss_group_written(op, (team, token), count, txn, reply)
             }
             Pending::TeamLosses { rid, since } => self.on_team_losses_read(rid, since, reply),
-            Pending::Workspaces(teams, holder) => self.on_workspaces(teams, holder, reply),
-            Pending::History(write) => self.on_history(op, *write, reply),
-            Pending::OldestHistory { team, token } => self.on_oldest(team, token, reply),
+            Pending::Workspaces(teams, holder) => {
+                self.on_workspace_owners_written(teams, holder, reply)
+            }
+            Pending::History(write) => self.on_history_written(op, *write, reply),
+            Pending::OldestHistory { team, token } => {
+                self.on_oldest_groups_listed(team, token, reply)
+            }
             Pending::ArchivePage => self.on_archive_page(reply),
-            Pending::TeamHistory(read) => self.on_team_history(*read, reply),
+            Pending::TeamHistory(read) => self.on_team_history_read(*read, reply),
             Pending::OverloadQuota => self.on_overload_quota_written(),
             Pending::Preemption(preemption) => self.on_preemption_written(*preemption, reply),
-            Pending::Origin { txn, record } => self.on_origin(op, txn, record, reply),
-            Pending::ImageHolders => self.on_spread(),
+            Pending::Origin { txn, record } => self.on_origin_slots_written(op, txn, record, reply),
+            Pending::ImageHolders => self.on_image_holders_written(),
             Pending::GarbageCollection => self.on_garbage_collected(),
             // Calls to the cloud; their replies arrive as `Event::Cloud`.
             Pending::Types
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -73,8 +73,8 @@
                 None => self.wait_for_read(rid, job, WaitReason::Withdraw),
             },
             Request::Steps(report) => self.on_step_report(rid, report),
-            Request::TeamLosses { team, since } => self.on_team_losses(rid, team, since),
-            Request::Workspace { team, view, since } => self.on_team(rid, team, view, since),
+            Request::TeamLosses { team, since } => self.on_team_losses_query(rid, team, since),
+            Request::Workspace { team, view, since } => self.on_team_query(rid, team, view, since),
             Request::Ready => unreachable!("answered above"),
         }
     }
@@ -126,7 +126,7 @@
             .take_late(|at| store_unavailable || now.since(Ms(at)) > SUBMISSION_TIMEOUT_MS);
         expired.extend(expired_submissions.into_iter().map(|s| s.rid));
         expired.extend(self.take_expired_step_reports(store_unavailable));
-        expired.extend(self.late_questions(store_unavailable));
+        expired.extend(self.take_expired_team_queries(store_unavailable));
         expired.extend(self.archive.remove_expired(|w| {
             let limit = if matches!(w.kind, WaitReason::Poll) {
                 POLL_TIMEOUT_MS
@@ -166,7 +166,7 @@
         for (job, waiting) in unknown {
             self.look_up_in_archive(job, waiting);
         }
-        self.answer_teams(Some(sent_event));
+        self.answer_team_queries(Some(sent_event));
     }
 
     /// Status of a job from its live records; `None` if it has none.
@@ -270,7 +270,7 @@
     fn cache_archive_record(&mut self, job: &JobId, record: &str) -> bool {
         match serde_json::from_str::<ArchiveRecord>(record) {
             Ok(archive) => {
-                self.find_ended_losses(job, &archive);
+                self.record_ended_job_losses(job, &archive);
                 self.terminal_jobs.insert(job.clone(), archive);
             }
             Err(error) => {
@@ -298,7 +298,7 @@
         let StoreReply::Events(events) = reply else {
             match reply {
                 // The changes are no longer available: polls are answered by individual lookups.
-                StoreReply::TooOld => self.lose_ended(from),
+                StoreReply::TooOld => self.on_ended_jobs_too_old(from),
                 _ => self.archive.is_stale = true,
             }
             return;
@@ -311,7 +311,7 @@
             }
         }
         self.archive.read_revision = events.revision;
-        self.note_ended(from, &events);
-        self.answer_teams(None);
+        self.record_ended_jobs(from, &events);
+        self.answer_team_queries(None);
     }
 }
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -65,13 +65,13 @@
     /// Acquisition of workspaces, or the hand-over of one.
     Workspaces(Vec<TeamId>, HolderRecord),
     /// A write of a team's history.
-    History(Box<crate::namespaces::workspace_state::Write>),
+    History(Box<crate::namespaces::workspace_state::HistoryWrite>),
     /// The read of the oldest groups of a team's history.
     OldestHistory { team: TeamId, token: Version },
     /// A page of the whole archive, for teams whose ended jobs are not known.
     ArchivePage,
     /// The read of a team's history for a user.
-    TeamHistory(Box<crate::namespaces::question_state::HistoryRead>),
+    TeamHistory(Box<crate::namespaces::team_query_state::HistoryRead>),
     /// The machine types, from the cloud.
     Types,
     /// A page of the machine list, from the cloud.
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -222,11 +222,11 @@
         let ListedTasks { mut commands, exits, claims } =
             self.check_listed_tasks(&context, &heartbeat);
         if !context.is_draining && context.reclaim_at.is_none() {
-            commands.append(&mut self.new_sources(&id, &heartbeat.tasks));
+            commands.append(&mut self.fetch_redirect_commands(&id, &heartbeat.tasks));
         }
         let UnlistedClaims { absent, mut start_commands, start_withheld } =
             self.check_unlisted_claims(&context, &claims);
-        let is_stuck = !context.is_draining && Controller::is_stuck(&heartbeat.images);
+        let is_stuck = !context.is_draining && Controller::has_stuck_fetch(&heartbeat.images);
         let requires_no_action =
             commands.is_empty() && start_commands.is_empty() && absent.is_empty();
         let requires_no_action =
@@ -248,7 +248,7 @@
         let replan_due = context.is_first_under_token || context.partition_changed;
         self.replan_needed |=
             self.replace_last_heartbeat(heartbeat, raw_tasks, no_action_stamp) || replan_due;
-        self.note_fetches(&id, &commands);
+        self.record_fetch_commands(&id, &commands);
         commands
     }
 
@@ -429,7 +429,7 @@
             {
                 let reason = EndReason::NotStarted;
                 unlisted.absent.push(AbsentClaim { task, attempt: claim.attempt, reason });
-            } else if let Some(sources) = self.fetch_turn(&context.machine, job) {
+            } else if let Some(sources) = self.permitted_fetch_sources(&context.machine, job) {
                 unlisted.start_commands.push(Command::Start {
                     task,
                     attempt: claim.attempt,
--- a/crates/cleatfold-control/src/pools/long_polls.rs
+++ b/crates/cleatfold-control/src/pools/long_polls.rs
@@ -62,7 +62,7 @@
                 Ok(authority) if authority.token() != poll.token => Response::Redirect(None),
                 Ok(authority) => {
                     let commands = self.start_commands(&id, poll.token);
-                    self.note_fetches(&id, &commands);
+                    self.record_fetch_commands(&id, &commands);
                     if let Some(machine) = self.inventory.machines.get_mut(&id) {
                         machine.partition_detector.answered_late(self.now, &commands);
                     }
@@ -96,12 +96,12 @@
                 || self.evictions.get(id, job, *ix).is_some();
             if claim.token == token && !job_ended && !claim_ending && !listed.contains(&task) {
                 // The task is not started while the machine has to wait for a turn to fetch its image.
-                if let Some(sources) = self.fetch_turn(id, job) {
+                if let Some(sources) = self.permitted_fetch_sources(id, job) {
                     start_commands.push(Command::Start { task, attempt: claim.attempt, sources });
                 }
             }
         }
-        start_commands.extend(self.new_sources(id, &heartbeat.tasks));
+        start_commands.extend(self.fetch_redirect_commands(id, &heartbeat.tasks));
         start_commands
     }
 }
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -221,7 +221,7 @@
     }
 
     fn finish_load(&mut self, sent: Ms) {
-        self.begin_ended();
+        self.init_ended_jobs();
         let has_ended = |id: &&JobId| !self.cache.jobs.contains_key(*id);
         let ended: Vec<JobId> = self.job_states.keys().filter(has_ended).cloned().collect();
         ended.iter().for_each(|job| self.discard_job_state(job));
