--- a/crates/cleatfold-control/src/scheduling/mod.rs
+++ b/crates/cleatfold-control/src/scheduling/mod.rs
@@ -1,5 +1,5 @@
-//! From the cache and the inventory to decisions: the queue's order, reservations, placement
-//! requests, and preemption.
+//! Scheduling decisions from the state cache and the machine inventory: queue order, reservations,
+//! placement requests and preemption.
 
 pub(crate) mod evictions;
 pub(crate) mod planning;
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -1,4 +1,5 @@
-//! From the cache and the deployment to reservations, promises and claims.
+//! Backfill planning for the owned pools: reservations in queue order, placement requests for those
+//! that can start now, and promises of expected finishes to the other controllers.
 
 use crate::controller::Controller;
 use crate::effects::Effect;
@@ -17,28 +18,35 @@
 use cleatfold_wire::{FencingToken, JobId, MachineId, Ms, PoolId, TaskIx, ZoneId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Reservations per pool and planning. What lies beyond waits unreserved until the next one.
+/// Reservations per pool and planning pass. Jobs beyond that have no reservation in this pass.
 const MAX_RESERVATIONS: usize = 400;
-/// Between two plannings, at least.
+/// Minimum time between two planning passes.
 const PLAN_INTERVAL_MS: u64 = 100;
-/// Between two messages that tell the peers what our pools promise.
+/// Minimum time between two broadcasts of the owned pools' promises.
 const PROMISE_INTERVAL_MS: u64 = 500;
-/// Jobs that one such message names, and finishes that it names of each.
+/// Jobs per promise message at most.
 const MAX_PROMISED_JOBS: usize = 200;
+/// Finishes per job in a promise message at most.
 const MAX_PROMISED_FINISHES: usize = 6;
 
+/// When tasks are expected to finish, and how many then.
 type Finishes = Vec<(Ms, u32)>;
+/// By job: the index of the owned pool's plan (none for a pool of another controller), when tasks
+/// are expected to finish, and how many then.
 type Promises<'a> = HashMap<&'a JobId, Vec<(Option<usize>, Ms, u32)>>;
 
+/// When this controller last planned, and what the other controllers have promised.
 #[derive(Default)]
 pub(crate) struct Plans {
     planned: Ms,
     sent_at: Ms,
-    /// Promises of other controllers' pools: when they came, and per job when tasks finish.
+    /// Promises of other controllers' pools: their fencing token, when they arrived, and by job
+    /// when tasks are expected to finish.
     remote: BTreeMap<PoolId, (FencingToken, Ms, BTreeMap<JobId, Finishes>)>,
 }
 
 impl Plans {
+    /// Records the promises that the owner of another pool has sent.
     pub(crate) fn remote(
         &mut self,
         pool: PoolId,
@@ -57,14 +65,16 @@
     }
 }
 
-/// One own pool's profile as planned.
+/// The plan of one owned pool.
 pub(crate) struct PoolPlan {
     pub pool: PoolId,
     pub token: FencingToken,
     pub machines: Vec<MachineId>,
+    /// By machine, whether tasks can be started there now.
     pub open: Vec<bool>,
+    /// By request, the job that it belongs to.
     pub jobs: Vec<JobId>,
-    /// By request, whether it is growth.
+    /// By request, whether it is for members beyond an elastic job's base.
     pub growth: Vec<bool>,
     pub requests: Vec<Request>,
     pub reservations: Vec<Reservation>,
@@ -72,13 +82,13 @@
 
 /// A reservation that starts now.
 struct DueStart<'a> {
-    /// Its pool's plan, by number.
+    /// Index of its pool's plan.
     pool: usize,
     plan: &'a PoolPlan,
     reservation: &'a Reservation,
-    /// Tasks of its request that start now in this pool.
+    /// How many tasks of its request start now in this pool.
     due_tasks: u32,
-    /// Tasks of the job that other pools promise to finish clearly earlier.
+    /// How many tasks of the job other pools promise to finish clearly earlier.
     elsewhere: u32,
 }
 
@@ -89,9 +99,10 @@
 }
 
 impl Controller {
+    /// Runs a planning pass if something has changed and the last pass was long enough ago.
     pub(crate) fn plan_if_due(&mut self) {
-        // Deciding faster than decisions can be recorded only costs.
-        // Nor is there much to decide between the reports that tell of what has ended.
+        // Planning faster than claims can be written to the state service only costs processor
+        // time, and little changes between the heartbeats that report which tasks have ended.
         let least = PLAN_INTERVAL_MS.max(self.cfg.heartbeat_interval_ms / 15);
         let interval = least.max(2 * self.rate_limiter.ms_per_change()) * self.backpressure;
         if !self.replan_needed || self.now.since(self.plans.planned) < interval {
@@ -99,7 +110,7 @@
         }
         self.plans.planned = self.now;
         self.replan_needed = false;
-        // What is not on its way yet is wished anew, by what is known now.
+        // Requests that are not sent yet are replaced by those of this pass.
         for job in &self.unsent {
             if let Some(job_state) = self.job_states.get_mut(job) {
                 job_state.placement_requests.clear();
@@ -117,6 +128,7 @@
         self.tell_promises(&plans);
     }
 
+    /// Plans each owned pool whose ownership is undisputed.
     fn plan_pools(&self, queue: &[Queued], usage: &Usage) -> Vec<PoolPlan> {
         let mut plans = Vec::new();
         let by_pool = self.inventory.by_pool();
@@ -153,13 +165,13 @@
         plans
     }
 
-    /// A silent machine gets nothing new.
+    /// A machine without a heartbeat for longer than this gets no new tasks.
     pub(crate) fn silent_ms(&self) -> u64 {
         self.cfg.heartbeat_interval_ms * 5 / 2 + 500
     }
 
-    /// The machines of a pool that may get work, and what is free on each over time. What comes back
-    /// to the limits in `binding` as their tasks end is noted there.
+    /// The machines of a pool that may get tasks, with the availability profile of each. Also
+    /// records in `binding` what their running tasks give back to those limits when they end.
     fn profiles(
         &self,
         pool: &PoolId,
@@ -181,7 +193,7 @@
         (ids, profiles)
     }
 
-    /// A machine without its tasks; none for one that is silent.
+    /// The profile of a machine without its tasks; none if its heartbeat or its boot is overdue.
     fn empty_profile(
         &self,
         machine: &Machine,
@@ -192,7 +204,7 @@
         let total = self.inventory.total(&kind.name);
         let mut profile = match &machine.heartbeat {
             Some(last) if now.since(last.at) > self.silent_ms() => return None,
-            // This worker has seen our token, so nobody else commands it.
+            // A worker that has seen our fencing token takes no commands from a former owner.
             Some(last) => MachineProfile::new(now, total, machine.spot, last.token == token),
             None => {
                 let overdue_ms = (kind.boot_s * 3000.0) as u64 + 10_000;
@@ -210,7 +222,7 @@
         Some(profile)
     }
 
-    /// Takes what the claims on a machine use out of its profile.
+    /// Subtracts the resources of the claims on a machine from its profile.
     fn carve_claims(
         &self,
         id: &MachineId,
@@ -220,7 +232,7 @@
         binding: &mut [Binding],
     ) {
         let now = self.now;
-        // Claims come sorted by job: one look-up serves all of a job's.
+        // Claims are sorted by job, so one look-up serves all claims of a job.
         let mut known: Option<(&JobId, &CachedJob, Option<&LocalJobState>, Option<usize>)> = None;
         let mut noted: Option<&JobId> = None;
         for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
@@ -233,8 +245,8 @@
                 }
             };
             known = Some((job, cached, job_state, limit));
-            // Its room is free though its end is not recorded yet. (Waiting for the record
-            // left every place empty for seconds when changes run short.)
+            // An ended task holds no resources even if its end is not recorded yet. Waiting for the
+            // record left slots empty for seconds when the change rate was limited.
             if job_state.is_some_and(|l| l.is_ending(*ix, claim.attempt)) {
                 if let Some(limit) = limit {
                     binding[limit].ends(now, now.plus(1000), cached.each);
@@ -255,6 +267,7 @@
         }
     }
 
+    /// How long a task of the job runs by its estimate; an elastic member until the steps are done.
     fn run_ms(&self, cached: &CachedJob) -> u64 {
         if cached.record.spec.kind == Kind::Service {
             return FOREVER;
@@ -265,8 +278,8 @@
         (cached.record.spec.estimate_s * 1000.0) as u64
     }
 
-    /// When a claimed task should be over. Past its estimate it gets a later end: a fifth of
-    /// what it has run, and never less than two seconds, from now.
+    /// When a claimed task is expected to end. A task past its estimate is expected to run on for a
+    /// fifth of its run time so far, at least two seconds.
     fn expected_end(
         &self,
         machine_id: &MachineId,
@@ -283,8 +296,7 @@
             return stop.until.max(self.now.plus(200));
         }
         if let Some(width) = cached.width() {
-            // Beyond the least width it gives way when somebody's reservation comes near, so
-            // it delays none.
+            // A member beyond the least width is evicted for a reservation, so it delays none.
             let beyond = ix >= cached.beyond;
             return self.now.plus(if beyond { width.yield_ms(YIELD_MS) } else { run });
         }
@@ -304,6 +316,7 @@
         }
     }
 
+    /// Whether the job may run on machines of the pool, by its constraints and the size of a task.
     pub(crate) fn may_use(&self, cached: &CachedJob, pool: &PoolId) -> bool {
         let spec = &cached.record.spec;
         spec.types.as_ref().is_none_or(|t| t.contains(&pool.machine_type))
@@ -312,6 +325,7 @@
             && cached.each.within(&self.inventory.total(&pool.machine_type))
     }
 
+    /// Adds the requests of the queued jobs that the pool plans for.
     fn requests_for(
         &self,
         plan: &mut PoolPlan,
@@ -331,7 +345,8 @@
             if job_state.is_some_and(|l| l.hold_until > self.now) {
                 continue;
             }
-            // Not sent anywhere yet (a new job, or no leader): any pool may plan for it.
+            // A job that was assigned to no pool (it is new, or there is no leader) may be planned
+            // by any pool.
             let sent = job_state.map(|l| l.pools.as_slice()).unwrap_or_default();
             if !self.priority.considers(*urgency, id, sent, pool, self.now) {
                 continue;
@@ -342,7 +357,7 @@
                 let here = self.claimed_in_zone(id, &pool.zone);
                 tasks = tasks.min(spec.tasks.div_ceil(2).saturating_sub(here));
             }
-            // A gang whose tasks are not all free waits for those that are being given up.
+            // A gang starts as a whole: it waits until its earlier claims are released.
             if tasks == 0 || (spec.kind == Kind::Gang && cached.claimed > 0) {
                 continue;
             }
@@ -351,7 +366,7 @@
             plan.requests.push(Request {
                 each: cached.each,
                 tasks,
-                // A member beyond the base may leave at the end of any step.
+                // A member beyond the base can be evicted at the end of any step.
                 run_ms: cached
                     .width()
                     .filter(|_| *growth)
@@ -367,13 +382,14 @@
         }
     }
 
-    /// Machines on which the job has failed, or on which room is kept for others.
+    /// Machines on which the job has failed, or that hold freed resources for other jobs.
     fn barred(&self, id: &JobId, urgency: Urgency, plan: &PoolPlan) -> Vec<usize> {
         let mut barred = self.avoided(id, &plan.machines);
         barred.extend(self.priority.kept_from(&plan.pool, (id, urgency), &plan.machines));
         barred
     }
 
+    /// How many tasks of the job are claimed in the zone.
     fn claimed_in_zone(&self, job: &JobId, zone: &ZoneId) -> u32 {
         self.cache
             .tables(job)
@@ -383,8 +399,8 @@
             .sum()
     }
 
-    /// Turns reservations that start now into placement requests, soonest finish first, unless
-    /// the other pools promise to have all that is left of the job done earlier.
+    /// Turns reservations that start now into placement requests, earliest finish first, unless
+    /// other pools promise to finish all remaining tasks of the job earlier.
     fn start_what_is_due(&mut self, queue: &[Queued], plans: &[PoolPlan], mut usage: Usage) {
         let mut left: BTreeMap<JobId, u32> = BTreeMap::new();
         for queued in queue {
@@ -402,7 +418,7 @@
         }
     }
 
-    /// The reservations that start now, soonest finish first.
+    /// The reservations that start now, earliest finish first.
     fn due_starts<'a>(&self, plans: &'a [PoolPlan]) -> Vec<DueStart<'a>> {
         let promises = self.promises(plans);
         let mut starts = Vec::new();
@@ -431,13 +447,14 @@
         starts
     }
 
-    /// Whether tasks of the job may be requested now, of `remaining` that are left of it.
+    /// Whether tasks of the job may be requested now; `remaining` of its tasks are not requested
+    /// yet.
     fn may_start_now(&mut self, start: &DueStart, remaining: u32) -> bool {
         let is_blocked = |state: &LocalJobState| {
             state.busy || state.stale_since.is_some() || state.not_before > self.now
         };
         if self.job_states.get(start.job()).is_some_and(is_blocked) {
-            // One transaction per job at a time; the plan comes round again.
+            // One transaction per job at a time: the next planning pass tries again.
             self.replan_needed = true;
             return false;
         }
@@ -445,17 +462,17 @@
             return false;
         }
         let Some(cached) = self.cache.jobs.get(start.job()) else { return false };
-        // Something more urgent may be unread in a pool that has just come.
+        // In a newly acquired pool there may be more urgent work that is not read yet.
         if cached.record.spec.urgency > self.priority.lowest(&start.plan.pool) {
             self.replan_needed = true;
             return false;
         }
-        // Of a gang, all starts are due or none is.
+        // A gang starts only if all of its tasks can start now.
         let is_gang = cached.record.spec.kind == Kind::Gang;
         !is_gang || (start.due_tasks >= cached.unclaimed() && cached.claimed == 0)
     }
 
-    /// Requests placement of as many tasks as the team's quota holds. Returns how many.
+    /// Requests placement of as many tasks as the team's quota allows. Returns how many.
     fn request_placement(&mut self, start: &DueStart, remaining: u32, usage: &mut Usage) -> u32 {
         let (plan, job) = (start.plan, start.job().clone());
         let Some(cached) = self.cache.jobs.get(&job) else { return 0 };
@@ -483,9 +500,8 @@
         tasks
     }
 
-    /// What every pool promises, by job: the number of an own pool (none for others' pools),
-    /// when tasks finish and how many. Gathered once: looking through all reservations for each
-    /// start took a third of the processor in a large deployment.
+    /// The promises of all pools, by job. Collected once per pass: searching all reservations for
+    /// each start took a third of the processor time in a large deployment.
     fn promises<'a>(&'a self, plans: &'a [PoolPlan]) -> Promises<'a> {
         let mut promises = Promises::new();
         for (p, plan) in plans.iter().enumerate() {
@@ -515,13 +531,15 @@
 
     /// How many of the job's tasks other pools promise to finish clearly before `finish`.
     fn promised_elsewhere(&self, promises: &Promises, here: usize, job: &JobId, finish: Ms) -> u32 {
-        // Estimates are rough: an earlier finish must be clearly earlier.
+        // Estimates are rough, so only a clearly earlier finish counts.
         let slack = 1000 + finish.since(self.now) / 10;
         let before = Ms(finish.0.saturating_sub(slack));
         let known = promises.get(job).map(Vec::as_slice).unwrap_or_default();
         known.iter().filter(|(p, at, _)| *p != Some(here) && *at <= before).map(|p| p.2).sum()
     }
 
+    /// Broadcasts when the owned pools expect to finish tasks of each job. Growth of elastic jobs
+    /// is left out.
     fn tell_promises(&mut self, plans: &[PoolPlan]) {
         if self.now.since(self.plans.sent_at) < PROMISE_INTERVAL_MS * self.backpressure.min(4) {
             return;
