--- a/crates/cleatfold-control/src/scheduling/evictions.rs
+++ b/crates/cleatfold-control/src/scheduling/evictions.rs
@@ -1,45 +1,46 @@
-//! Tasks that were told to leave, so that others get their places.
+//! Tasks that were told to stop so that tasks of other jobs get their slots.
 
 use crate::store::cache::MachineClaims;
 use cleatfold_wire::worker::{Command, TaskReport};
 use cleatfold_wire::{Attempt, JobId, MachineId, Ms, PoolId, TaskIx};
 use std::collections::BTreeMap;
 
-/// How long a member may go on with its step when its place is wanted, in milliseconds.
+/// How long an elastic member may continue its current step once its slot is requested for
+/// another job, in milliseconds.
 pub(crate) const YIELD_MS: u64 = 2500;
 
-/// A stop that is not over so long after it should be is repeated without grace.
+/// A stop that is overdue by more than this many milliseconds is repeated without a grace period.
 const OVERDUE_MS: u64 = 1500;
 
-/// One task that was told to leave.
+/// A task that was told to stop.
 #[derive(Clone, Debug)]
 pub(crate) struct Eviction {
     pub attempt: Attempt,
-    /// When its place should be free.
+    /// When its slot is expected to be free.
     pub until: Ms,
     pub grace_s: f64,
 }
 
-/// Tasks of our machines that are told to leave, and for whom.
+/// Tasks that this controller is evicting, and the slots that this frees for other jobs.
 #[derive(Debug, Default)]
 pub(crate) struct Evictions {
     tasks: BTreeMap<MachineId, BTreeMap<(JobId, TaskIx), Eviction>>,
     coming: Vec<ComingPlaces>,
 }
 
-/// Places that are on their way.
+/// Slots that evictions in progress will free for a job.
 #[derive(Debug)]
 struct ComingPlaces {
     job: JobId,
     pool: PoolId,
     tasks: u32,
-    /// Not expected any more after this.
+    /// The expectation lapses after this time.
     until: Ms,
 }
 
 impl Evictions {
     pub(crate) fn get(&self, machine: &MachineId, job: &JobId, ix: TaskIx) -> Option<&Eviction> {
-        // Nearly always there is none at all.
+        // Most machines have no evictions, so look up the machine before cloning the job's id.
         self.tasks.get(machine)?.get(&(job.clone(), ix))
     }
 
@@ -53,7 +54,7 @@
         self.tasks.entry(machine.clone()).or_default().insert((job.clone(), ix), eviction);
     }
 
-    /// Whether any task of the machine is to leave.
+    /// Whether any task on the machine is being evicted.
     pub(crate) fn any(&self, machine: &MachineId) -> bool {
         self.tasks.contains_key(machine)
     }
@@ -67,18 +68,19 @@
         }
     }
 
-    /// So many places of a job will come free in a pool.
+    /// Records that `tasks` slots for a job will become free in a pool.
     pub(crate) fn expect(&mut self, job: JobId, pool: PoolId, tasks: u32, until: Ms) {
         self.coming.push(ComingPlaces { job, pool, tasks, until });
     }
 
-    /// How many places of a job are on their way in a pool.
+    /// How many slots are expected to become free for a job in a pool.
     pub(crate) fn coming(&self, job: &JobId, pool: &PoolId) -> u32 {
         let coming = self.coming.iter().filter(|c| c.job == *job && c.pool == *pool);
         coming.map(|c| c.tasks).sum()
     }
 
-    /// The command that tells a task once more, in the end without grace, to leave.
+    /// Repeats the stop command for a task that is being evicted; without a grace period once the
+    /// stop is overdue.
     pub(crate) fn repeat(
         &self,
         machine: &MachineId,
@@ -94,7 +96,7 @@
         Some(Command::Stop { task: task.task.clone(), attempt: task.attempt, grace_s })
     }
 
-    /// Forgets what is over: a claim that ended otherwise, a place long there.
+    /// Removes evictions whose claims have ended and expectations that have lapsed.
     pub(crate) fn prune(&mut self, now: Ms, claims: &BTreeMap<MachineId, MachineClaims>) {
         self.coming.retain(|c| c.until > now);
         self.tasks.retain(|machine, tasks| {
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -1,8 +1,8 @@
-//! Preemption, to make room on machines that are full: members of elastic jobs give way, and ordinary tasks
-//! are preempted where the protocol allows it and it makes a difference.
+//! Preemption on machines that are full: members of elastic jobs yield their slots, and ordinary
+//! tasks are stopped where the protocol allows it and a service level objective depends on it.
 //!
-//! Whom to stop is decided in `cleatfold_backfill::victims`. What is kept here may be lost with the
-//! controller: a task whose stop is forgotten just runs on.
+//! Victims are chosen in `cleatfold_backfill::preemption`. Which tasks are being stopped is kept in
+//! memory only and may be lost with the controller: a task whose stop is forgotten runs on.
 
 use crate::config::ObjectiveKind;
 use crate::controller::Controller;
@@ -18,28 +18,31 @@
 use cleatfold_wire::{Attempt, FencingToken, JobId, MachineId, Ms, PoolId, TaskId, TaskIx};
 use std::collections::HashSet;
 
-/// What waits for a member's place should start within this time of its acceptance.
+/// A job that is to get an elastic member's slot should start within this time of its acceptance,
+/// in milliseconds.
 const START_MS: u64 = 5000;
-/// From a stop to the next task at work there, without what the stop itself takes: the exit's
-/// report, the claim and the answer that orders it.
+/// From the exit of a stopped task to the start of the next task in its slot, in milliseconds: the
+/// report of the exit, the claim, and the response that commands the start.
 const CHANGE_MS: u64 = 900;
-/// A job that gave way looks for more machines again only after so long.
+/// An elastic job whose members were evicted does not grow for this time, in milliseconds.
 const GROW_AGAIN_MS: u64 = 4000;
-/// A task that was stopped is left alone until it has run for so long, times its stops.
+/// A task that was stopped before is not stopped again until it has run for this time multiplied by
+/// one more than its number of stops, in milliseconds.
 const GAIN_MS: u64 = 15_000;
-/// The pool that makes room for a job changes so often.
+/// How often a job's waiting tasks are divided among its pools in another order, in milliseconds.
 const TURN_MS: u64 = 3000;
 
-/// What of one job waits in a pool's plan.
+/// Tasks of one request that cannot start now in a pool's plan.
 struct Wait {
+    /// Index of the request in the plan.
     request: usize,
     tasks: u32,
-    /// The soonest of its reservations.
+    /// The earliest start of its reservations.
     start: Ms,
 }
 
 impl Controller {
-    /// Members that an elastic job could use beyond its base.
+    /// How many members an elastic job could use beyond its base.
     pub(crate) fn growth(&self, id: &JobId, cached: &CachedJob) -> u32 {
         let Some(width) = cached.width() else { return 0 };
         let job_state = self.job_states.get(id);
@@ -54,8 +57,8 @@
         width.growth(cached.claimed, start)
     }
 
-    /// Looks through the plan for what has to wait, in the queue's order, and makes room for it
-    /// where somebody should give way.
+    /// Frees resources for the requests that have to wait, in the queue's order, where other tasks
+    /// may be stopped for them.
     pub(crate) fn plan_preemptions(&mut self, plans: &[PoolPlan], within: &HashSet<JobId>) {
         let claims = &self.cache.claims;
         self.evictions.prune(self.now, claims);
@@ -71,8 +74,9 @@
             let mut loads: Option<(Vec<MachineLoad>, Vec<Named>)> = None;
             for wait in waits {
                 let Some((need, save_ms)) = self.need(plan, &wait, within) else { continue };
-                // Nobody could be stopped for it. (Every waiting job looked through a copy of all
-                // that runs in the pool, the larger part of planning in a full region.)
+                // No task could be stopped for this request. Without this check each waiting job
+                // copied and searched all running tasks of the pool, which took most of the
+                // planning time in a full region.
                 if !need.preempts && !elastic {
                     continue;
                 }
@@ -88,7 +92,8 @@
                     .map(|(i, s)| {
                         let spot = self.is_spot(&plan.machines[i]);
                         let barred = (spot && !usable.spot) || usable.avoid.contains(&i);
-                        // A machine that has to fetch its image first is no place in time.
+                        // A machine that has to fetch the image first would start the task too
+                        // late.
                         let cold = need.preempts && !self.has_image(&plan.machines[i], usable);
                         if barred || cold {
                             MachineLoad { free: Default::default(), running: vec![] }
@@ -109,19 +114,21 @@
         }
     }
 
-    /// What may be done for a job that waits, and how long a victim may take to save.
+    /// What may be stopped for a job that waits, and how long a victim may take to save its
+    /// progress in milliseconds.
     fn need(&self, plan: &PoolPlan, wait: &Wait, within: &HashSet<JobId>) -> Option<(Need, u64)> {
         let job = &plan.jobs[wait.request];
         let cached = self.cache.jobs.get(job)?;
         let spec = &cached.record.spec;
         let within_guarantee = within.contains(job);
         let time = self.time_that_counts(cached, within_guarantee, wait.start);
-        // While more is asked for than can be done, every stop is work done twice and two changes
-        // more, and saves nobody a wait that somebody else does not get.
+        // Under overload a preemption does not shorten the queue: it costs the victim's lost work
+        // and two more changes, and only moves the wait from one job to another.
         let preempts =
             self.cfg.preempt && time.is_some() && self.cache.overload_quota.value.is_empty();
-        // Stopping what has run long costs more than a start that is in time gives: a whole run
-        // time as the bound lost kerbrev's rough days 0.03, a quarter of it nothing.
+        // Stopping a task that has run for long costs more than a start in time gains, so a victim
+        // may lose a quarter of the waiting task's run time at most. Bounded by the whole run time,
+        // preemption cost the deployment `kerbrev` 0.03 on its rough days; by a quarter, nothing.
         let worth = if preempts {
             (spec.estimate_s * 250.0) as u64 * cached.each.cpus.max(1) as u64 / 1000
         } else {
@@ -138,14 +145,15 @@
         Some((need, time.unwrap_or(0)))
     }
 
-    /// The time in milliseconds that is left for stopping somebody, where that would meet an aim
-    /// that the reservation would miss. An aim that is lost anyway costs nobody its place.
+    /// How long a victim may take to stop, in milliseconds, if preemption would meet a service
+    /// level objective that the reservation would miss. No task is stopped for an objective that
+    /// would be missed in any case.
     fn time_that_counts(&self, cached: &CachedJob, within: bool, start: Ms) -> Option<u64> {
         let spec = &cached.record.spec;
         let elapsed = self.wall_ms.saturating_sub(cached.record.accepted_ms) as f64;
         let objectives = self.cfg.objectives.iter().filter(|a| a.class == spec.class);
-        // Objectives on completion are left to the order of the queue: preempting for them lost as
-        // much work in the evicted jobs as it gained.
+        // Objectives on completion are left to the queue's order: preempting for them lost as much
+        // work in the evicted jobs as it gained.
         let waits = objectives.filter_map(|a| match a.kind {
             ObjectiveKind::Wait(within) => Some(within),
             ObjectiveKind::Finished(_) | ObjectiveKind::Deadline(_) => None,
@@ -161,7 +169,7 @@
             .max()
     }
 
-    /// The pool's part of what waits, without the places that are on their way there.
+    /// The pool's share of the waiting tasks, less the slots that are being freed for them already.
     fn part_here(&self, plan: &PoolPlan, wait: &Wait) -> u32 {
         let job = &plan.jobs[wait.request];
         let pools = self.job_states.get(job).map(|l| l.pools.as_slice()).unwrap_or_default();
@@ -173,13 +181,15 @@
         self.inventory.machines.get(id).is_some_and(|m| m.spot)
     }
 
+    /// Whether the request needs no image or the machine holds it.
     fn has_image(&self, id: &MachineId, request: &cleatfold_backfill::Request) -> bool {
         let machine = self.inventory.machines.get(id);
         request.image_gb <= 0.0
             || machine.is_some_and(|m| m.images.iter().any(|i| i.0 == request.image))
     }
 
-    /// The pool's machines as the chooser of victims sees them.
+    /// The load of each machine of the pool, as input to the choice of victims, and the tasks that
+    /// the running tasks' ids refer to.
     fn loads(
         &self,
         plan: &PoolPlan,
@@ -212,13 +222,15 @@
             }
             loads.push(seat);
         }
-        // What starts now has its place already.
+        // Reservations that start now use free resources.
         for r in plan.reservations.iter().filter(|r| r.start <= self.now) {
             loads[r.machine].free -= plan.requests[r.request].each.times(r.tasks);
         }
         (loads, names)
     }
 
+    /// A running task as input to the choice of victims: whether it may be stopped, and what is
+    /// lost.
     fn as_victim(
         &self,
         id: &MachineId,
@@ -260,14 +272,15 @@
         }
     }
 
-    /// How long members may still go on when their places are wanted for this job: the less the
-    /// longer it has waited, say for an owner that was gone.
+    /// How long elastic members may continue their step when their slots are needed for this job,
+    /// in milliseconds. The longer the job has waited, for instance during a failover, the shorter.
     fn patience_ms(&self, job: &JobId) -> u64 {
         let cached = self.cache.jobs.get(job);
         let waited = cached.map_or(0, |l| self.wall_ms.saturating_sub(l.record.accepted_ms));
         START_MS.saturating_sub(waited + 3 * CHANGE_MS / 2).min(YIELD_MS)
     }
 
+    /// Stops the victims chosen for a request, or notes the preemption to be written first.
     fn evict_for(
         &mut self,
         plan: &PoolPlan,
@@ -309,8 +322,9 @@
         };
         let until = now.plus(last + CHANGE_MS);
         self.evictions.expect(job, plan.pool.clone(), choice.tasks, until);
-        // Members give way to everything, and grow behind everything: their places can't go back to
-        // them. What is preempted could take its place again from a successor that knows nothing of it.
+        // Evicted elastic members cannot get their slots back, because growth comes last in the
+        // queue. A preempted task could get its slot back from a new owner of the pool that does
+        // not know of the preemption, so that is written to the state service first.
         if preempts {
             self.priority.new_preemptions.push(choice);
         } else {
@@ -318,7 +332,7 @@
         }
     }
 
-    /// Tells those who make room to leave.
+    /// Sends the victims of a preemption the command to stop.
     pub(crate) fn evict(&mut self, token: FencingToken, choice: PreemptionPlan) {
         let id = choice.machine;
         let mut commands = Vec::new();
@@ -346,20 +360,21 @@
         else {
             return;
         };
-        // At the next report it would be as safe, but up to an interval later.
+        // The response to the next heartbeat could carry the commands as well, but up to one
+        // heartbeat interval later.
         let orders = Orders { token, agent_epoch: heartbeat.agent_epoch, commands };
         self.out.push(Effect::Order { machine: id, endpoint, orders });
     }
 
-    /// What the answer to a report says to a task that is to leave: told once more, for direct
-    /// orders may be lost, and in the end without grace.
+    /// The stop command that the response to a heartbeat repeats for a task that is being evicted:
+    /// direct orders may be lost. Without a grace period once the stop is overdue.
     pub(crate) fn repeated_eviction(&self, id: &MachineId, t: &TaskReport) -> Option<Command> {
         self.evictions.repeat(id, t, self.now)
     }
 
-    /// A worker has executed direct orders: the exits in its answer are facts. Nothing else is
-    /// taken from it, for an answer to a report may be on its way to the worker: what this does
-    /// not list may be about to start.
+    /// Handles a worker's response to direct orders. Only the exits in it are used: they are final.
+    /// A task that is missing from its list may still be started by a response to an earlier
+    /// heartbeat that has not reached the worker yet.
     pub(crate) fn on_ordered(&mut self, id: MachineId, heartbeat: Option<Heartbeat>) {
         let (Some(heartbeat), Some(machine)) = (heartbeat, self.inventory.machines.get(&id)) else {
             return;
@@ -389,7 +404,8 @@
     }
 }
 
-/// What does not start now, by request, in order.
+/// The requests whose reservations do not all start now, in the queue's order. Growth of elastic
+/// jobs and gangs are left out.
 fn waits(plan: &PoolPlan, now: Ms) -> Vec<Wait> {
     let mut waits: Vec<Wait> = Vec::new();
     for reservation in &plan.reservations {
@@ -411,8 +427,8 @@
     waits
 }
 
-/// How many of a job's waiting tasks a pool makes room for: each of the job's pools takes a part in turn,
-/// or all of them would make room for the same tasks.
+/// How many of a job's waiting tasks a pool preempts for. The tasks are divided among the job's
+/// pools, in an order that rotates; otherwise every pool would preempt for the same tasks.
 fn part_of_pool(job: &JobId, pools: &[PoolId], pool: &PoolId, tasks: u32, wall_ms: u64) -> u32 {
     let parts = pools.len().max(1) as u64;
     let turn = xxhash_rust::xxh3::xxh3_64(job.as_str().as_bytes()) / 2 + wall_ms / TURN_MS;
@@ -422,12 +438,12 @@
     (tasks * (part + 1) / parts - tasks * part / parts) as u32
 }
 
-/// Whether what a task saves is saved within this time.
+/// Whether a task can save its progress within this time.
 fn saves_in_time(save_s: f64, time_ms: u64) -> bool {
     save_s * 1000.0 + 500.0 <= time_ms as f64
 }
 
-/// A claim, as the chooser of victims names it.
+/// A running task; its index in the list of tasks is its id in the choice of victims.
 struct Named {
     job: JobId,
     ix: TaskIx,
