--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -1,4 +1,6 @@
-//! Priority: which pools' promises are believed, decisions that outlive who made them. `cleatfold_priority` decides.
+//! Priority across controllers: which pools have a live owner, which urgencies may start in a pool
+//! after a change of owner, and preemptions that survive their controller. The rules are in
+//! `cleatfold_priority`.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
@@ -12,19 +14,22 @@
 use cleatfold_wire::{FencingToken, JobId, MachineId, PoolId, Version};
 use std::collections::BTreeSet;
 
-/// So many jobs that have waited for long are planned for by every pool, the first of the queue.
+/// At most this many jobs that have waited for long, the first in the queue, are planned for by
+/// every pool.
 const MOST_LATE: usize = 64;
-/// Who was silent for longer than this itself has heard nobody.
+/// A longer gap between two checks means that this controller was stalled and received nothing
+/// meanwhile, in milliseconds.
 const HELD_UP_MS: u64 = 1_000;
 
 impl Controller {
-    /// At each tick, once we serve.
+    /// Updates which pools have a live owner, and requests a sync while a start barrier is up.
+    /// Called on every tick once this controller is serving.
     pub(crate) fn maintain_priority(&mut self) {
         if self.now.since(self.priority.last_checked) > HELD_UP_MS {
             self.priority.listening = self.now;
         }
         self.priority.last_checked = self.now;
-        // Somebody has fallen silent: what waits for his pools is planned for now.
+        // A change of live owners changes which jobs this controller's pools have to plan for.
         let fallen = self.fallen();
         if fallen != self.priority.fallen {
             tracing::debug!(pools = ?fallen, "pools without a planner");
@@ -38,7 +43,8 @@
         }
     }
 
-    /// Before each planning: what we know of the others, of pools that have just come, and of what waits.
+    /// Updates the inputs of a planning pass: live owners, start barriers of newly acquired pools,
+    /// and how long jobs have waited.
     pub(crate) fn refresh_priority(&mut self, queue: &[Queued]) {
         self.priority.fallen = self.fallen();
         let (read, assigned) = (self.session.last_read, self.priority.assigned);
@@ -49,7 +55,8 @@
         self.adopt_preemptions();
     }
 
-    /// Which rooms stand in our pools; those that a former owner was making we go on making.
+    /// Loads the active preemptions of the owned pools, and continues those that a former owner
+    /// began.
     fn adopt_preemptions(&mut self) {
         let owned: Vec<(PoolId, FencingToken)> =
             self.pools.owned.iter().map(|(p, o)| (p.clone(), o.token)).collect();
@@ -83,27 +90,28 @@
         })
     }
 
-    /// How many tasks of a job have a place on a machine.
+    /// How many tasks of a job are claimed on a machine.
     pub(crate) fn claims_on(&self, machine: &MachineId, job: &JobId) -> u32 {
         let on = self.cache.claims.get(machine);
         on.map_or(0, |c| c.keys().filter(|t| t.0 == *job).count() as u32)
     }
 
-    /// How long room is kept beyond the time that making it takes: for as long as it may take until somebody
-    /// else has the pool and its workers.
+    /// How long freed resources are reserved beyond the expected time of the evictions: as long as
+    /// a failover to another owner of the pool and its workers may take.
     pub(crate) fn preemption_hold_ms(&self) -> u64 {
         self.cfg.controller_lease_ms + 3 * self.cfg.heartbeat_interval_ms
     }
 
-    /// Tasks that have a place on its way in a pool, as we remember or as is written.
+    /// How many tasks of a job have a slot being freed in a pool: the larger of what is remembered
+    /// locally and what the pool's preemption record says.
     pub(crate) fn coming(&self, job: &JobId, pool: &PoolId) -> u32 {
         let preemptions = self.priority.preemptions.get(pool).into_iter().flatten();
         let written: u32 = preemptions.filter(|r| r.1.job == *job).map(|r| r.1.tasks).sum();
         written.max(self.evictions.coming(job, pool))
     }
 
-    /// Writes down the rooms of a planning, all in one change, under the pool's token; who leaves is told
-    /// once that is durable.
+    /// Writes the preemptions of a planning pass in one transaction guarded by the pool's fencing
+    /// token. The victims are told to stop only once it is durable.
     pub(crate) fn write_preemptions(&mut self, pool: &PoolId, token: FencingToken) {
         let preemptions = std::mem::take(&mut self.priority.new_preemptions);
         if preemptions.is_empty() || self.priority.writing.contains(pool) {
@@ -125,7 +133,8 @@
         );
     }
 
-    /// Not written, or not known to be: nobody is told to leave. What stands is read, and gone on with.
+    /// Carries out the preemptions whose record was written. If the write failed or its outcome is
+    /// unknown, no victim is stopped; the next sync shows what is stored, and that is continued.
     pub(crate) fn on_preemption_written(
         &mut self,
         uncommitted: UncommittedPreemption,
@@ -135,7 +144,7 @@
         self.replan_needed = true;
         let StoreReply::Committed(version) = reply else {
             if matches!(reply, StoreReply::Unknown) {
-                // It may stand: then it is ours to finish.
+                // The write may have succeeded: then the stored preemptions have to be carried out.
                 self.priority.adopted.remove(&uncommitted.pool);
             }
             self.session.sync_wanted = true;
@@ -184,7 +193,8 @@
         }
     }
 
-    /// Whether somebody plans for the pool now.
+    /// Whether the pool has an owner that seems to be planning for it now. A hint only: an owner
+    /// may be judged live by one controller and not by another.
     pub(crate) fn lives(&self, pool: &PoolId) -> bool {
         self.lives_by(pool, self.listener_health())
     }
@@ -204,7 +214,7 @@
             read_ms: peers.contact(controller).map(|at| now.since(at)),
             lost_workers: peers.of_zone(controller, &pool.zone, now).is_some_and(|h| h.lost),
         };
-        // One that was told us over the mesh, and not read yet, is its teller's.
+        // A pool announced over the mesh under a token that is not read yet belongs to the sender.
         self.pools.hinted.contains_key(pool) || lives(owner, listener_health)
     }
 }
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -1,35 +1,39 @@
-//! What a controller knows of the others' pools and of room that is being made in its own.
+//! What a controller knows about the owners of other pools, and the preemptions in its own pools.
 
 use cleatfold_priority::{considers, PreemptionPlan, PreemptionRecord, Sent, StartBarrier};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::{FencingToken, JobId, MachineId, Ms, PoolId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which pools plan, which urgencies may start, and the room that stands or is being written down.
+/// Which pools have a live owner, which urgencies may start, and the preemptions that are active or
+/// being written to the state service.
 #[derive(Debug, Default)]
 pub(crate) struct PriorityState {
     pub last_checked: Ms,
-    /// Since when we have been listening.
+    /// Since when this controller has been receiving messages without a stall.
     pub listening: Ms,
-    /// When jobs were last sent to pools, as far as we heard.
+    /// When the leader last assigned jobs to pools, as far as this controller knows.
     pub assigned: Option<Ms>,
-    /// As last looked at: pools whose owners are as good as gone, and what may start in our own.
+    /// Pools without a live owner, as of the last check.
     pub fallen: BTreeSet<PoolId>,
+    /// By owned pool: which urgencies may start there.
     pub start_barriers: BTreeMap<PoolId, StartBarrier>,
-    /// Since when we have seen jobs above background wait, and those that have for long.
+    /// Jobs above best effort that wait, and since when this controller has seen them wait.
     pub waits: BTreeMap<JobId, Ms>,
+    /// Those of them that have waited for long; every pool plans for these.
     pub late: BTreeSet<JobId>,
-    /// Rooms of the planning under way, not written down yet.
+    /// Preemptions of the planning pass in progress that are not written yet.
     pub new_preemptions: Vec<PreemptionPlan>,
-    /// By pool of ours: rooms that stand.
+    /// By owned pool: the active preemptions, each with the urgency of the job that it is for.
     pub preemptions: BTreeMap<PoolId, Vec<(Urgency, PreemptionPlan)>>,
-    /// Records of rooms on their way.
+    /// Pools whose preemption record is being written.
     pub writing: BTreeSet<PoolId>,
-    /// Whose rooms we have made our own, by the token under which we did.
+    /// Pools whose former owner's preemptions were taken over, with the fencing token under which
+    /// that happened.
     pub adopted: BTreeMap<PoolId, FencingToken>,
 }
 
-/// Rooms that are being written down, and who leaves once they are.
+/// A write of a pool's preemption record, and the preemptions to carry out once it is durable.
 #[derive(Debug)]
 pub(crate) struct UncommittedPreemption {
     pub pool: PoolId,
@@ -39,12 +43,12 @@
 }
 
 impl PriorityState {
-    /// Whether somebody plans for the pool, as last looked at.
+    /// Whether the pool had a live owner at the last check.
     pub(crate) fn lives(&self, pool: &PoolId) -> bool {
         !self.fallen.contains(pool)
     }
 
-    /// The lowest urgency that may start in a pool of ours.
+    /// The lowest urgency that may start in an owned pool.
     pub(crate) fn lowest(&self, pool: &PoolId) -> Urgency {
         self.start_barriers.get(pool).map_or(Urgency::Critical, StartBarrier::lowest)
     }
@@ -55,7 +59,7 @@
             .is_some_and(|preemptions| preemptions.iter().any(|r| r.1.job == *job))
     }
 
-    /// Machines, by index, on which a pool of ours keeps room that is not for this job.
+    /// Indices of the machines on which an owned pool holds freed resources for other jobs.
     pub(crate) fn kept_from(
         &self,
         pool: &PoolId,
@@ -67,7 +71,7 @@
         barred.filter_map(|(_, r)| machines.iter().position(|m| *m == r.machine)).collect()
     }
 
-    /// Whether a pool of ours plans for a job that was sent to `sent`.
+    /// Whether an owned pool plans for a job that the leader sent to the pools `sent`.
     pub(crate) fn considers(
         &self,
         urgency: Urgency,
