--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -1,4 +1,4 @@
-//! The queue's order: what of each job waits for a place, and who goes first.
+//! The order of the queue: which tasks of each job wait for a slot, and which of them go first.
 
 use crate::admission::state::size_class_demand;
 use crate::controller::Controller;
@@ -10,18 +10,19 @@
 use cleatfold_wire::{ClassId, JobId, TeamId};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// What of a job waits for a place.
+/// Tasks of one job that wait for a slot.
 pub(crate) struct Queued {
     pub job: JobId,
     pub urgency: Urgency,
     pub tasks: u32,
-    /// Members that an elastic job could use beyond its base: they take holes, nothing is rented
-    /// for them, and they give way.
+    /// Whether these are members that an elastic job could use beyond its base. They only use
+    /// resources that are free, no machine is rented for them, and they yield to other tasks.
     pub growth: bool,
 }
 
 impl Controller {
-    /// The queue in order, with what of each job is unclaimed; each job once.
+    /// The queue in order, with the unclaimed tasks of each job. Each job has one entry, and an
+    /// elastic job one more for its growth.
     pub(crate) fn queue(&self) -> Vec<Queued> {
         let mut all: Vec<Queued> = Vec::new();
         let mut known: HashMap<JobId, usize> = HashMap::new();
@@ -39,12 +40,13 @@
         all
     }
 
-    /// For planning: also which jobs lie within their team's guarantee. A job of which only a part goes before
-    /// everybody else's is there twice.
+    /// The queue in order, and the jobs within their team's guarantee. A job of which only some
+    /// tasks are promoted has two entries.
     pub(crate) fn queue_and_guaranteed(&self) -> (Vec<Queued>, HashSet<JobId>) {
         let mut arrivals: Vec<(&JobId, &CachedJob)> =
             self.cache.jobs.iter().filter(|(_, j)| !j.record.aborted).collect();
-        // By the revisions that accepted them: by the times of day, the clock that was ahead came last.
+        // Ordered by the revisions at which the jobs were accepted. Ordered by time of day, jobs
+        // that were accepted by a controller whose clock is ahead would go last.
         arrivals.sort_by(|a, b| (a.1.place(), a.0).cmp(&(b.1.place(), b.0)));
         let accepted_ms = acceptance_times(arrivals.iter().map(|(_, j)| j.record.accepted_ms));
         let mut guarantees = self.guarantees();
@@ -62,7 +64,7 @@
             draft.add_growth(id, cached, growth);
         }
         let is_divisible = |job: &JobId| {
-            // Only an array's tasks come and go one by one.
+            // Only the tasks of an array start and end independently.
             let cached = self.cache.jobs.get(job).map(|cached| &cached.record.spec);
             cached.is_some_and(|spec| spec.kind == Kind::Array && !spec.spread)
         };
@@ -76,18 +78,18 @@
     }
 }
 
-/// A job as it joins the queue.
+/// A job to be added to the queue.
 struct Arrival<'a> {
     id: &'a JobId,
     cached: &'a CachedJob,
-    /// Its acceptance, in an order that contradicts no place.
+    /// When it was accepted, adjusted so that the times never contradict the order of acceptance.
     accepted_ms: u64,
     is_guaranteed: bool,
     /// Tasks of its base that may start now.
     tasks: u32,
 }
 
-/// A place in the queue, and what of a job waits for it. Ordered by place.
+/// Tasks of a job with their place in the queue. Ordered by place.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     place: Place,
@@ -95,7 +97,7 @@
     growth: bool,
 }
 
-/// The queue that is being put together.
+/// The queue while it is being built.
 #[derive(Default)]
 struct QueueDraft<'a> {
     wall_ms: u64,
@@ -106,7 +108,7 @@
 }
 
 impl<'a> QueueDraft<'a> {
-    /// Adds what of a job has to run in any case. `entry`: its group's part of the overload quota.
+    /// Adds a job's tasks without its growth. `entry` is its group's entry in the overload quota.
     fn add_base(&mut self, job: &Arrival<'a>, entry: Option<&'a Entry>) {
         let cached = job.cached;
         let spec = &cached.record.spec;
@@ -114,8 +116,8 @@
         if job.tasks == 0 {
             return;
         }
-        // A job that may shrink to nothing gives way to all of its urgency, or it would
-        // take the very place that it has just given to somebody else.
+        // An elastic job that may shrink to nothing goes behind all others of its urgency;
+        // otherwise it would take back the slot that it has just yielded.
         let gives_way = cached.width().is_some_and(|w| w.least == 0);
         let (arrival, past_use) = match entry {
             _ if gives_way => (u64::MAX, false),
@@ -139,7 +141,7 @@
         if tasks == 0 {
             return;
         }
-        // Behind everything of its urgency: it takes only what nobody has reserved.
+        // Behind everything of its urgency: growth uses only what no other job has reserved.
         let place = Place {
             beyond_floor: true,
             past_use: false,
@@ -152,7 +154,7 @@
         self.candidates.push(Candidate { place, tasks, growth: true });
     }
 
-    /// Notes what a job of an overloaded group has and needs. True if it is one of the small ones.
+    /// Records what a job of an overloaded group has claimed and needs. True if the job is small.
     fn note_demand(&mut self, job: &Arrival<'a>, entry: &'a Entry) -> bool {
         let cached = job.cached;
         let spec = &cached.record.spec;
@@ -172,7 +174,8 @@
         true
     }
 
-    /// The moment that a job's place goes by under overload, and whether it is past its use.
+    /// The time by which a job is ordered under overload, and whether the job has waited for longer
+    /// than its group's patience.
     fn arrival_under_overload(
         &mut self,
         job: &Arrival<'a>,
@@ -196,7 +199,8 @@
         (moment, order::past_use(entry, waiting, self.wall_ms))
     }
 
-    /// Lets go first what fills the guaranteed minimum of each class that is not served in time.
+    /// Promotes, in each class that is not served in time, the jobs that fill its guaranteed
+    /// minimum.
     fn promote_all(&mut self, is_divisible: impl Fn(&JobId) -> bool) {
         for mut class in std::mem::take(&mut self.overloaded).into_values() {
             let floor = class.floors.values().map(|f| f.0).sum();
@@ -211,7 +215,7 @@
         }
     }
 
-    /// Lets go first what of the larger jobs of a class fills their guaranteed minimum.
+    /// Promotes those tasks of a class's larger jobs that fill the size class's guaranteed minimum.
     fn promote_larger(
         &mut self,
         class: &OverloadedClass,
@@ -241,7 +245,7 @@
         }
     }
 
-    /// The queue in order, and the jobs within their teams' guarantees.
+    /// Sorts the queue; returns it with the jobs within their teams' guarantees.
     fn finish(mut self) -> (Vec<Queued>, HashSet<JobId>) {
         self.candidates.sort();
         let queued = |Candidate { place, tasks, growth }| Queued {
@@ -254,29 +258,30 @@
     }
 }
 
-/// A small job of an overloaded class. Ordered by moment.
+/// A small job of an overloaded class. Ordered by `moment`.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct SmallJob {
     moment: u64,
-    /// Its candidate, by number.
+    /// Index of its candidate.
     candidate: usize,
     /// Processors that it needs, in thousandths.
     needs: i64,
 }
 
-/// A job of the middle or the largest of an overloaded class.
+/// A job of an overloaded class in one of the two upper size classes.
 struct LargerJob {
     demand: size_classes::Waiting,
-    /// Its candidate, by number, if anything of it waits.
+    /// Index of its candidate, if any of its tasks wait.
     candidate: Option<usize>,
 }
 
-/// What of a class that is not served in time has a place, and what waits.
+/// The claimed processors and the waiting jobs of a class that is not served in time.
 #[derive(Default)]
 struct OverloadedClass<'a> {
-    /// Of each of its teams: the small jobs' guaranteed minimum, and the size classes.
+    /// By team: the guaranteed minimum of its small jobs, and the bounds and minimums of its size
+    /// classes.
     floors: BTreeMap<&'a TeamId, (i64, Option<&'a Sizes>)>,
-    /// Processors in thousandths that its small jobs have.
+    /// Processors that its small jobs have claimed, in thousandths.
     has: i64,
     small: Vec<SmallJob>,
     middle: Vec<LargerJob>,
