--- a/crates/cleatfold-control/src/scheduling/queue/tests.rs
+++ b/crates/cleatfold-control/src/scheduling/queue/tests.rs
@@ -1,4 +1,5 @@
-//! The queue against a plain model: sorted by urgency, guarantee and the revision that accepted each job.
+//! Compares the queue's order with a simple model: jobs sorted by urgency, guarantee and the
+//! revision at which each was accepted.
 
 use super::*;
 use crate::config::{Config, Team};
@@ -11,7 +12,8 @@
     [Urgency::Critical, Urgency::High, Urgency::Normal, Urgency::BestEffort];
 const GUARANTEED: u32 = 6;
 
-/// A job as accepted: urgency, whether its team has a guarantee, cpus, how wrong its acceptor's clock was.
+/// A job as accepted: index of its urgency, whether its team has a guarantee, processors, and the
+/// clock error of the controller that accepted it in milliseconds.
 type Job = (usize, bool, u32, i64);
 
 fn controller(me: &str) -> Controller {
@@ -50,7 +52,7 @@
 }
 
 fn record((urgency, promised, cpus, off): Job, n: usize) -> JobRecord {
-    // Ids that say nothing of the order.
+    // Ids whose order differs from the order of acceptance.
     let id = JobId::new(format!("run-{:06}", (n * 7919 + 13) % 1000));
     let spec = JobSpec {
         id,
@@ -78,7 +80,7 @@
     JobRecord::new(spec, (1_000_000 + 100 * n as i64 + off) as u64)
 }
 
-/// By the rules, one after the other.
+/// The expected order: urgency, then within the guarantee, then acceptance.
 fn model(jobs: &[Job]) -> Vec<JobId> {
     let mut left = i64::from(GUARANTEED);
     let mut places = Vec::new();
@@ -92,11 +94,11 @@
 }
 
 proptest! {
-    /// Clocks off by up to ten seconds, records rewritten since or not, read at once or in the order
-    /// of the changes: each controller has the model's order. Seen to fail with the
-    /// acceptors' times as the order.
+    /// Two controllers derive the model's order even if clocks are off by up to ten seconds,
+    /// records were rewritten since, and one reads all records at once and the other in order of
+    /// the changes. Fails if the queue is ordered by the time of day of the acceptance.
     #[test]
-    fn every_controller_derives_the_models_order(
+    fn controllers_derive_same_order_despite_clock_errors(
         jobs in prop::collection::vec(
             (0..4usize, any::<bool>(), 1..5u32, -10_000..10_000i64), 1..40),
         rewritten in prop::collection::vec(any::<bool>(), 40),
@@ -108,7 +110,7 @@
             let mut r = record(*job, n);
             one.cache.install_job(r.spec.id.clone(), r.clone(), accepted);
             if rewritten[n] {
-                // As `build` does: the place is kept, the version is another.
+                // As in `build`: a rewritten record keeps its place and has a new version.
                 later += 1;
                 r.place = Some(one.cache.jobs[&r.spec.id].place());
                 one.cache.install_job(r.spec.id.clone(), r.clone(), Version(later));
