--- a/crates/cleatfold-control/src/admission/mod.rs
+++ b/crates/cleatfold-control/src/admission/mod.rs
@@ -1,4 +1,5 @@
-//! Overload that lasts: measurements at every controller, one quota that all of them go by.
+//! Handling of lasting overload: every controller measures demand and capacity, and all order their
+//! queues by one overload quota.
 
 mod overload;
 pub(crate) mod state;
--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -1,9 +1,9 @@
-//! Overload that lasts: what each group asks for is measured by every controller, one controller decides, and
-//! all go by what it has written.
+//! The overload quota: every controller measures the demand of each group, the holder of a role
+//! decides the quota and writes it, and all controllers order their queues by it.
 //!
-//! Only the order of the queue rests on it, so a controller that has not read the newest overload quota does
-//! no harm: every claim is guarded as ever. The writer's word is guarded by its role's key: a
-//! holder that was replaced cannot overwrite what the next one has written.
+//! Only the queue's order and the refusal of new jobs depend on it, so a controller that has not
+//! read the newest quota is safe: claims are guarded as always. The write is guarded by the key of
+//! the writer's role, so a former holder of the role cannot overwrite the quota of the current one.
 
 use crate::admission::state::{work, LongWork, MEASUREMENT_INTERVAL_MS, SETTLED_MS};
 use crate::config::ObjectiveKind;
@@ -24,24 +24,26 @@
 use cleatfold_wire::{ClassId, JobId, TeamId};
 use std::collections::BTreeMap;
 
-/// An overload quota stands for so long, unless a group comes or goes.
+/// An overload quota is kept for at least this time unless a group is added or removed, in
+/// milliseconds.
 const STAND_MS: u64 = 5000;
-/// Bytes that an entry takes in the record, names included.
+/// Estimated size of an entry in the record including its names, in bytes.
 const ENTRY_BYTES: usize = 260;
 
-/// For the log: floors of the small, the middle and the largest, in processors.
+/// An entry for the log: team, class, the floor of the small size class, and of the middle and the
+/// large size class with whether capacity is short, in processors.
 fn quota_for_log(e: &Entry) -> (&TeamId, &ClassId, i64, Option<(i64, i64, bool)>) {
     let upper = e.sizes.as_ref().map(|s| (s.middle / 1000, s.large / 1000, s.short));
     (&e.team, &e.class, e.floor / 1000, upper)
 }
 
-/// How the work of a group's jobs is distributed, as it was measured.
+/// The measured distribution of work over a group's jobs.
 struct Distribution {
-    /// The jobs that must be served, the smallest first.
+    /// The smallest jobs, which must be served.
     must: Spread,
-    /// Those that should be.
+    /// The smallest jobs that should be served if there is capacity; includes those of `must`.
     should: Spread,
-    /// The largest of their class.
+    /// The largest jobs of the class.
     largest: Largest,
 }
 
@@ -52,20 +54,22 @@
     }
 }
 
-/// What the jobs of one group have and ask for, in processor-seconds.
+/// Work of one group that waits and that runs, in processor-seconds.
 #[derive(Default)]
 struct GroupDemand {
-    /// Of its most urgent job.
+    /// The urgency of its most urgent job.
     urgency: Option<Urgency>,
     waiting: f64,
-    /// What waits of the jobs that must, and of those that should be served.
+    /// Waiting work of the jobs that must be served.
     must: f64,
+    /// Waiting work of the jobs that should be served.
     should: f64,
-    /// What waits of the middle and of the largest jobs.
+    /// Waiting work of the middle size class.
     middle: f64,
+    /// Waiting work of the large size class.
     large: f64,
     running: f64,
-    /// The sum over its jobs.
+    /// Sum of the patience of its jobs, in seconds.
     patience_s: f64,
     jobs: f64,
 }
@@ -85,7 +89,8 @@
         self.waiting += waits;
         self.must += up_to(distribution.must.most);
         self.should += up_to(distribution.should.most);
-        // What can no longer begin in time waits for what is left.
+        // A job that can no longer begin in time has no claim on the floors of the upper size
+        // classes.
         let has_begun = cached.claimed + cached.done > 0;
         match distribution.bounds().size_class(all, spec.tasks) {
             _ if is_late && !has_begun => {}
@@ -93,7 +98,7 @@
             SizeClass::Middle => self.middle += waits,
             SizeClass::Large => self.large += waits,
         }
-        // Of what runs about half is done, where nothing better is known.
+        // Running tasks are assumed to be half done on average.
         self.running += 0.5 * work(spec, cached.claimed);
         self.patience_s += patience_s;
         self.jobs += 1.0;
@@ -102,7 +107,7 @@
 }
 
 impl Controller {
-    /// What the agreement says of the job's group, if it is not served in time.
+    /// The entry of the job's group in the overload quota, if the group is not served in time.
     pub(crate) fn overload_entry(&self, cached: &CachedJob) -> Option<&Entry> {
         let overload_quota = &self.cache.overload_quota.value;
         if overload_quota.is_empty() || cached.width().is_some() || self.cfg.admission.is_none() {
@@ -111,19 +116,20 @@
         overload_quota.entry(&cached.record.spec.team, &cached.record.spec.class)
     }
 
-    /// Whether a job that is not known yet would only wait past its use, and then after how many
-    /// seconds to ask again. By the job's size and the overload quota alone: the same answer at every
-    /// controller and at every retry, as long as the overload quota stands.
+    /// Whether a new job is refused because it would wait for longer than its users' patience; if
+    /// so, after how many seconds to retry. Depends only on the job and the overload quota, so the
+    /// answer is the same at every controller and every retry until the quota changes.
     pub(crate) fn refused_for_now(&self, spec: &JobSpec) -> Option<u32> {
         self.cfg.admission.as_ref()?;
         let most = self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.most?;
         let refused = spec.kind == Kind::Array && work(spec, spec.tasks) > most as f64;
-        // An overload quota is looked at again after STAND_MS; a retry before that is in vain.
+        // The quota does not change within STAND_MS, so an earlier retry would be refused again.
         let spread = xxhash_rust::xxh3::xxh3_64(spec.id.as_str().as_bytes()) % 8;
         refused.then_some((2 * STAND_MS / 1000 + spread) as u32)
     }
 
-    /// How long a job of this kind is of use to who sent it: by the most lenient of its objectives.
+    /// How long a job of this class is useful to its submitter, in seconds: by the most lenient of
+    /// the class's objectives.
     fn patience_s(&self, spec: &JobSpec) -> f64 {
         let objectives = self.cfg.objectives.iter().filter(|a| a.class == spec.class);
         objectives
@@ -136,7 +142,9 @@
             .unwrap_or(4.0 * self.cfg.usual_wait_s + spec.estimate_s)
     }
 
-    /// Measures, at every controller, so that whoever decides next knows what the last one knew.
+    /// Measures demand and capacity, and decides the overload quota if this controller holds that
+    /// role. Every controller measures, so that a new holder of the role has the same data as the
+    /// former one.
     pub(crate) fn keep_admission(&mut self) {
         if self.cfg.admission.is_none()
             || self.now.since(self.admission.last_checked) < MEASUREMENT_INTERVAL_MS
@@ -156,9 +164,10 @@
         }
     }
 
-    /// Teams of which long work waits, and what that may hold: it leaves room for what comes. And of
-    /// each such team the jobs whose turn it is: those that fit into its room together, begun ones
-    /// first. (Six jobs each got a sixth of the room, and none of them was done for ten minutes.)
+    /// The limits on the long work of teams that have such work waiting, so that resources stay
+    /// free for the jobs that arrive next, and which jobs are deferred under them. Within a team's
+    /// limit whole jobs are admitted one after the other, those that have begun first: when six
+    /// jobs shared the limit evenly, none of them finished for ten minutes.
     pub(crate) fn long_work(&self) -> LongWork {
         let mut long = LongWork::default();
         let asks = &self.admission.asks;
@@ -185,7 +194,7 @@
                 )
             });
             let Some(mut limit) = known.filter(|r| r.is_long(spec.estimate_s)) else { continue };
-            // What it is promised while it is not served in time, it has in any case.
+            // The limit is never below the floor that the overload quota guarantees.
             let floor = self.overload_entry(cached).map_or(0.0, |e| e.floor as f64 / 1000.0);
             limit.part = limit.part.max(floor / capacity.max(1.0)).min(1.0);
             let rest = spec.cpus * f64::from(cached.unfinished());
@@ -199,7 +208,8 @@
             jobs.sort_by(|a, b| (a.0, a.1, a.2).cmp(&(b.0, b.1, b.2)));
             let mut left = long.limits[team].part * capacity;
             for (i, (new, _, id, rest)) in jobs.into_iter().enumerate() {
-                // Only what fits whole is begun beside others, or all are in the end half done.
+                // A new job begins beside others only if all of it fits; otherwise many jobs would
+                // be half done and none finished.
                 if i > 0 && (left <= 0.0 || (new && rest > left)) {
                     long.later.insert(id.clone());
                 } else {
@@ -210,7 +220,7 @@
         long
     }
 
-    /// Processors of the machines that take work and are heard of.
+    /// Processors of the machines that accept tasks and whose heartbeats are not overdue.
     fn processors(&self) -> f64 {
         let mut capacity = 0.0;
         for m in self.inventory.machines.values() {
@@ -221,16 +231,17 @@
         capacity
     }
 
-    /// Whether one of our own machines has not reported for a lease. Machines of other owners report to those:
-    /// whether we hear them says nothing. (A former owner went on counting by its own reports, wrote an overload quota
-    /// of no capacity one lease after its pools had left it, and jobs of limited teams waited beside free machines.)
+    /// Whether a machine in an owned pool has sent no heartbeat for the length of a lease. Machines
+    /// of other pools send theirs to another controller, so nothing is concluded about them: a
+    /// former owner that still did wrote an overload quota with no capacity one lease after it had
+    /// lost its pools, and jobs of limited teams waited while machines were free.
     fn is_silent(&self, machine: &Machine) -> bool {
         let Some(owned) = self.pools.owned.get(&machine.pool) else { return false };
         let reported = machine.last_heartbeat().map(|at| at.max(machine.known).max(owned.since));
         reported.is_some_and(|at| self.now.since(at) >= self.cfg.lease_ms)
     }
 
-    /// What all groups ask for, as the decision on the quota needs it.
+    /// Capacity and the demand of all groups, as input to the decision on the quota.
     fn view(&self) -> View {
         let Some(rules) = &self.cfg.admission else { return View::default() };
         let history = &self.admission.capacity;
@@ -247,7 +258,7 @@
         View { capacity, settled, groups: groups.collect() }
     }
 
-    /// How the work of each group is distributed over its jobs, as far as that was measured.
+    /// The distribution of work over the jobs of each group, for groups that have been measured.
     fn distributions(&self, rules: &Rules) -> BTreeMap<&Group, Distribution> {
         let meter = &self.admission.meter;
         let measured = meter.groups().filter_map(|group| {
@@ -259,7 +270,7 @@
         measured.collect()
     }
 
-    /// Adds up what the jobs of each group have and ask for.
+    /// Sums up the waiting and the running work of each group.
     fn group_demands(
         &self,
         rules: &Rules,
@@ -281,6 +292,7 @@
         demands
     }
 
+    /// The demand of one group, as input to the decision on the quota.
     fn demand_of(
         &self,
         rules: &Rules,
@@ -290,7 +302,7 @@
     ) -> Demand {
         let Distribution { must, should, largest } = distribution;
         let small = |s: &Spread, waiting| Small { most: s.most, part: s.part, waiting };
-        // Half of what waits of the larger ones is not going to be served.
+        // Of the two upper size classes only the part `of_each` has to be served.
         let larger = |most, part, waiting| Small {
             most,
             part: rules.of_each * part,
@@ -315,7 +327,8 @@
         }
     }
 
-    /// The holder's part: decides, and writes what has changed.
+    /// Decides the overload quota, and writes it if it has changed enough. Called by the holder of
+    /// the role.
     fn decide_overload_quota(&mut self) {
         let view = self.view();
         let Some(rules) = &self.cfg.admission else { return };
@@ -347,7 +360,7 @@
         self.store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::OverloadQuota);
     }
 
-    /// Whatever came of it, the next reading tells.
+    /// Whatever the outcome of the write, the next sync shows what is stored.
     pub(crate) fn on_overload_quota_written(&mut self) {
         self.admission.inflight = false;
         self.session.sync_wanted = true;
--- a/crates/cleatfold-control/src/admission/state.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -1,4 +1,4 @@
-//! What each group asks for and what there was to give, as one controller has measured it.
+//! Demand of each group and capacity of the region, as measured by one controller.
 
 use crate::store::cache::CachedJob;
 use cleatfold_admission::long_work_limit::{Asks, LongWorkLimit};
@@ -7,31 +7,34 @@
 use cleatfold_wire::{JobId, Ms, TeamId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Between two measurements, in milliseconds.
+/// Time between two measurements, in milliseconds.
 pub(crate) const MEASUREMENT_INTERVAL_MS: u64 = 1000;
-/// The number of machines counts as settled when it has not grown for so long.
+/// Capacity counts as settled when it has not grown for this time, in milliseconds.
 pub(crate) const SETTLED_MS: u64 = 20_000;
 
-/// The measurements from which the shares under overload are decided.
+/// The measurements from which the overload quota is decided.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     pub meter: Meter,
     pub judge: Judge,
-    /// Jobs that are in the meter.
+    /// Jobs that the meter has counted.
     seen: BTreeSet<JobId>,
     pub last_checked: Ms,
+    /// When this controller last sent a write of the overload quota.
     pub written: Ms,
+    /// Whether that write has no reply yet.
     pub inflight: bool,
-    /// Processors there were, over the last moments.
+    /// Processors of the region over the last `SETTLED_MS`, oldest first.
     pub capacity: VecDeque<(Ms, f64)>,
-    /// How urgent each group's jobs are, as the last one was.
+    /// The urgency of the last job that arrived in each group.
     urgencies: BTreeMap<Group, Urgency>,
-    /// What each team asks for, by urgency.
+    /// Demand of each team, one entry for each of its groups.
     pub asks: BTreeMap<TeamId, Vec<Asks<Urgency>>>,
 }
 
 impl Admission {
-    /// Measures the jobs that have come since, at `wall_s` by the time of day.
+    /// Adds the jobs that have arrived since the last measurement to the meter. `wall_s` is the
+    /// time of day in seconds.
     pub(crate) fn note_arrivals(&mut self, jobs: &BTreeMap<JobId, CachedJob>, wall_s: f64) {
         self.seen.retain(|id| jobs.contains_key(id));
         for (id, cached) in jobs {
@@ -48,7 +51,7 @@
         }
     }
 
-    /// So many processors are there now.
+    /// Records the number of processors available now.
     pub(crate) fn note_capacity(&mut self, now: Ms, processors: f64) {
         let history = &mut self.capacity;
         history.push_back((now, processors));
@@ -58,7 +61,7 @@
         }
     }
 
-    /// Works out what each team asks for by what was measured.
+    /// Derives the demand of each team from the meter.
     pub(crate) fn note_asks(&mut self, wall_s: f64) {
         self.asks.clear();
         for (group, urgency) in &self.urgencies {
@@ -70,29 +73,30 @@
     }
 }
 
-/// Work that runs long beside what others ask for.
+/// Limits on tasks that run much longer than those of other teams.
 #[derive(Debug, Default)]
 pub(crate) struct LongWork {
-    /// What each team's may hold.
+    /// The limit on each team's long work.
     pub limits: BTreeMap<TeamId, LongWorkLimit>,
-    /// Jobs that wait for earlier ones of their team.
+    /// Jobs with long work that wait for earlier ones of their team.
     pub later: BTreeSet<JobId>,
 }
 
 impl LongWork {
-    /// Whether a job is long beside what others of its team ask for.
+    /// Whether a job's tasks count as long work of its team.
     pub(crate) fn is_long(&self, spec: &JobSpec) -> bool {
         self.limits.get(&spec.team).is_some_and(|r| r.is_long(spec.estimate_s))
     }
 }
 
-/// Processor seconds that so many tasks of a job take by its estimate; a service has no end to be estimated.
+/// Processor-seconds that `tasks` tasks of a job take by its estimate; 0 for a service, which has
+/// no end to estimate.
 pub(crate) fn work(spec: &JobSpec, tasks: u32) -> f64 {
     let run = if spec.kind == Kind::Service { 0.0 } else { spec.estimate_s };
     f64::from(tasks) * spec.cpus * run
 }
 
-/// What of a job of an upper size class decides how much of it goes before everybody else's.
+/// The properties of a job in an upper size class that decide how many of its tasks are promoted.
 pub(crate) fn size_class_demand(
     entry: &Entry,
     id: &JobId,
@@ -110,7 +114,7 @@
         needs: cached.each.times(cached.unclaimed()).cpus,
         each,
         work: work(spec, spec.tasks) as u64,
-        // A gang is whole or nothing.
+        // A gang runs as a whole.
         width: match spec.kind {
             Kind::Gang => cached.each.times(spec.tasks).cpus,
             _ => size_classes::width(spec.tasks, each, spec.estimate_s, within_s),
