--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -1,7 +1,7 @@
-//! The parts of the teams' limits: what our pools may use of them, and what of that is left.
+//! Quota slices: how much of each team's limit an owned pool may use, and how much of that is left.
 //!
-//! Only a pool's owner changes the pool's part, guarded by the pool's version; so the parts never
-//! add up to more than the limit, and what a pool uses never exceeds its part.
+//! Only a pool's owner changes the pool's slice, guarded by the pool's version. So the slices never
+//! add up to more than the limit, and a pool never uses more than its slice.
 
 use crate::controller::{Controller, EventNumber, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
@@ -17,19 +17,21 @@
 use cleatfold_wire::{ControllerId, FencingToken, MachineId, Ms, PoolId, TeamId, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Resources by team and pool.
 pub(crate) type Usage = BTreeMap<(TeamId, PoolId), Resources>;
 
-/// As good as none.
+/// Stands for no limit; small enough that sums do not overflow.
 const UNLIMITED: i64 = i64::MAX / 8;
 
-/// A part is kept for what a pool has reserved to start within this time.
+/// A slice is kept for what a pool has reserved to start within this time, in milliseconds.
 const KEEP_MS: u64 = 10_000;
 
-/// How often it is looked which slices should move.
+/// Time between two checks whether slices should be resized, in milliseconds.
 const SLICE_INTERVAL_MS: u64 = 250;
 
-/// Slices may take this share of our changes, and what nobody else needs. A write that was refused or came too
-/// late is tried again after a quarter or half of a second, later after four seconds at most.
+/// Writes of slices use at most this share of the controller's change rate, and what other writes
+/// leave unused. A write that was refused or met a conflict is retried after a quarter to half of a
+/// second, after further failures with a pause of up to four seconds.
 const PACER: PacerLimits = PacerLimits {
     share: 0.35,
     burst_s: 2.0,
@@ -38,7 +40,7 @@
     return_delay_ms: 3_000,
 };
 
-/// A change of a team's slices that our pools want.
+/// A change of a team's slices that the owned pools need.
 struct SliceMove {
     team: TeamId,
     need: Need,
@@ -46,13 +48,13 @@
     record: SliceRecord,
 }
 
-/// A change of a team's slices that was sent.
+/// A change of a team's slices that was sent to the state service.
 #[derive(Debug)]
 pub(crate) struct SentSlice {
     pub team: TeamId,
     txn: Txn,
     record: SliceRecord,
-    /// An earlier sending may have been executed, or may yet be.
+    /// Whether an earlier sending may have been executed, or may still be.
     doubtful: bool,
 }
 
@@ -60,13 +62,15 @@
 pub(crate) struct QuotaState {
     /// When slices may be written.
     pacer: WritePacer<TeamId>,
+    /// Teams with a write of their slices in flight.
     pub inflight: BTreeSet<TeamId>,
     pub last_checked: Ms,
-    /// What the last planning could have started but for the pool's part of a team's limit.
+    /// What the last planning pass could have started if the pool's slice were larger.
     pub short: Usage,
-    /// What it reserved to start soon: a part is not given back for that.
+    /// What the last planning pass reserved to start soon; slices are kept for it.
     pub soon: Usage,
-    /// Claims may stand that we have not read yet; no claim for a limited team until we have.
+    /// Set when claims may exist that are not read yet: no claims for limited teams until a reading
+    /// that was sent at this event or later.
     pub blind: Option<EventNumber>,
 }
 
@@ -84,28 +88,31 @@
     }
 }
 
-/// A limit that a pool's machines could exceed, and what is left of it there.
+/// A limit that the machines of a pool could exceed, and what is left of it in that pool.
 pub(crate) struct Binding {
     pub team: TeamId,
-    /// It binds only the team's tasks that run longer than this.
+    /// The limit applies only to tasks of the team that run longer than this.
     pub longer_than_s: f64,
     left: Resources,
-    /// What comes back to it, by the second from now in which its tasks are expected to end.
+    /// Resources that are released when running tasks end, by the second from now in which they are
+    /// expected to.
     back: BTreeMap<u64, Resources>,
 }
 
 impl Binding {
+    /// Whether the limit applies to the job's tasks.
     pub(crate) fn binds(&self, spec: &JobSpec) -> bool {
         self.team == spec.team && spec.estimate_s > self.longer_than_s
     }
 
-    /// A task of the team in this pool is expected to end.
+    /// Records that a task of the team in this pool is expected to end, and so to release `each`.
     pub(crate) fn ends(&mut self, now: Ms, end: Ms, each: Resources) {
         if end.0 < FOREVER {
             *self.back.entry(end.since(now).div_ceil(1000)).or_default() += each;
         }
     }
 
+    /// What is left of the limit over time.
     pub(crate) fn over_time(&self, now: Ms) -> AvailabilityProfile {
         let back = self.back.iter().map(|(s, what)| (now.plus(s * 1000), *what));
         AvailabilityProfile::growing(now, self.left, back)
@@ -113,11 +120,11 @@
 }
 
 impl Controller {
-    /// What limited teams use in our pools: every claim counts until it is proven over, and
-    /// so does every claim that is on its way.
+    /// What limited teams use in the owned pools. Counts every claim until it is proven to have
+    /// ended, and every claim that is requested or being written.
     pub(crate) fn limited_usage(&self) -> Usage {
         let mut usage = Usage::new();
-        // Only our own pools' parts are ours to spend, and others hold most of the claims.
+        // Only the slices of owned pools matter here; most claims are in other pools.
         let own: Vec<&PoolId> = self.pools.owned.keys().collect();
         let teams: Vec<&TeamId> =
             self.cfg.teams.iter().filter(|t| t.is_limited()).map(|t| &t.name).collect();
@@ -156,8 +163,8 @@
         usage
     }
 
-    /// The limits that this pool's machines could exceed, with the pool's part and what nobody
-    /// has taken yet: that much it may hope for.
+    /// The limits that the pool's machines could exceed. What is left is counted from the pool's
+    /// slice plus the unassigned rest of the limit, which the pool may get when it grows its slice.
     pub(crate) fn binding_limits(
         &self,
         pool: &PoolId,
@@ -188,7 +195,8 @@
         binding
     }
 
-    /// Thousandths of processors that a team's long work has in a pool, or is about to.
+    /// Processors that a team's long work uses in a pool, claims being written included, in
+    /// thousandths.
     fn long_usage(&self, team: &TeamId, room: &LongWorkLimit, pool: &PoolId) -> i64 {
         let long = |cached: &&CachedJob| {
             let spec = &cached.record.spec;
@@ -197,7 +205,7 @@
         let mut used = 0;
         for (id, cached) in self.cache.jobs.iter().filter(|(_, l)| long(l)) {
             let here = cached.by_pool.iter().find(|(p, _)| p == pool).map_or(0, |p| p.1);
-            // What has ended holds nothing, whether that is recorded or not.
+            // Ended tasks hold no resources, even if their end is not recorded yet.
             let ends = self.job_states.get(id).into_iter().flat_map(|l| &l.ends);
             let in_pool =
                 |m: &MachineId| self.inventory.machines.get(m).is_some_and(|m| m.pool == *pool);
@@ -213,7 +221,7 @@
         used
     }
 
-    /// The pool's part of a team's limit, and what of the limit is no pool's.
+    /// The pool's slice of a team's limit, and the part of the limit that is in no pool's slice.
     fn part_and_free(&self, team: &crate::config::Team, pool: &PoolId) -> (Resources, Resources) {
         let record = self.cache.slices.get(&team.name).map(|s| &s.value);
         let parts = || record.iter().flat_map(|r| &r.pools);
@@ -231,7 +239,7 @@
         )
     }
 
-    /// What limited teams' reservations will start soon.
+    /// Records what the reservations of limited teams will start within `KEEP_MS`.
     pub(crate) fn note_soon(&mut self, plans: &[PoolPlan]) {
         let mut soon = Usage::new();
         let until = self.now.plus(KEEP_MS);
@@ -248,8 +256,8 @@
         self.quota.soon = soon;
     }
 
-    /// What each limited team could still use in the whole region, `weight` being how much of a
-    /// claim counts.
+    /// How many more processors each limited team may use in the whole region. `weight` is the
+    /// fraction of a job's claims that counts as used.
     pub(crate) fn team_headroom(
         &self,
         weight: impl Fn(&CachedJob) -> f64,
@@ -265,7 +273,8 @@
         long_work
     }
 
-    /// How many of `tasks` the pool's slice of the team's limit still holds; books them.
+    /// How many of `tasks` fit into what is left of the pool's slice of the team's limit. Adds them
+    /// to `usage`.
     pub(crate) fn within_slice(
         &self,
         team: &TeamId,
@@ -297,11 +306,9 @@
         n
     }
 
-    /// Moves what our pools may use of limited teams' limits. Only a pool's owner changes the
-    /// pool's part, guarded by the pool's version; so the parts never add up to more than the
-    /// limit, and what a pool uses never exceeds its part. A pool asks only for what it could
-    /// start right now: asking for all that waits let a pool whose machines the waiting jobs
-    /// could not use keep the whole limit, and the team stood still.
+    /// Resizes the slices of the owned pools. A slice grows only for what could start right now.
+    /// When it grew for all waiting tasks, a pool whose machines the waiting jobs could not use
+    /// kept the whole limit, and none of the team's tasks could start.
     pub(crate) fn keep_slices(&mut self) {
         if self.now.since(self.quota.last_checked) < SLICE_INTERVAL_MS || !self.in_contact() {
             return;
@@ -325,7 +332,7 @@
         }
     }
 
-    /// Which teams' slices should move, whether or not there are changes for all of them.
+    /// The resizes that the owned pools need, regardless of the change rate.
     fn slice_moves(&self) -> Vec<SliceMove> {
         let usage = self.limited_usage();
         let sizes = self.inventory.sizes();
@@ -385,7 +392,7 @@
         moves
     }
 
-    /// By team, the most that something of it needs at once to start at all.
+    /// By limited team, the most that one of its waiting tasks or gangs needs at once to start.
     fn largest_needs(&self) -> BTreeMap<TeamId, Resources> {
         let mut needs: BTreeMap<TeamId, Resources> = BTreeMap::new();
         for cached in self.cache.jobs.values().filter(|l| l.unclaimed() > 0) {
@@ -412,21 +419,21 @@
                 }
                 self.replan_needed = true;
             }
-            // It may yet be executed: until that is decided, nothing is claimed by it.
+            // It may still be executed: no claims for the team until the outcome is known.
             StoreReply::Unknown => {
                 sent.doubtful = true;
                 self.resend_slice(op, sent);
             }
-            // Not executed this time, but an earlier sending may yet be.
+            // This sending was not executed, but an earlier one may still be.
             StoreReply::Refused if sent.doubtful => self.resend_slice(op, sent),
-            // Certainly not executed: what is wanted then is found out by a later look.
+            // Certainly not executed: a later check decides again what is needed.
             StoreReply::Refused => {
                 self.quota.inflight.remove(&sent.team);
                 self.quota.pacer.failed(self.now.0, &sent.team);
                 self.replan_needed = true;
             }
             _ => {
-                // What stands is known after the next reading; until then it counts as blind.
+                // The stored slices and claims are known only after the next sync.
                 self.quota.inflight.remove(&sent.team);
                 self.quota.pacer.failed(self.now.0, &sent.team);
                 self.quota.blind = Some(self.event);
@@ -435,7 +442,7 @@
         }
     }
 
-    /// Sends it once more: the same guards decide.
+    /// Sends a write with an unknown outcome once more, with the same guards.
     fn resend_slice(&mut self, op: u64, sent: SentSlice) {
         let pause_ms = self.quota.pacer.resend(&sent.team);
         let txn = sent.txn.clone();
