--- a/crates/cleatfold-control/src/machines/cloud.rs
+++ b/crates/cleatfold-control/src/machines/cloud.rs
@@ -149,8 +149,9 @@
     /// Whether a machine that reports to another controller may still be there: it is in the last list, or no list has
     /// named it yet. Decides what is rented, nothing else.
     pub(crate) fn may_be_there(&self, machine: &Machine) -> bool {
-        let last_heartbeat =
-            machine.last_heartbeat().is_some_and(|at| self.now.since(at) <= self.silent_ms());
+        let last_heartbeat = machine
+            .last_heartbeat()
+            .is_some_and(|at| self.now.since(at) <= self.heartbeat_timeout_ms());
         let listed = machine.listed_at >= self.inventory.listed_at;
         last_heartbeat || listed || !machine.was_listed
     }
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -226,7 +226,7 @@
         self.judge_machines();
         let times = WatchTimes {
             now: self.now,
-            quiet_ms: self.silent_ms(),
+            quiet_ms: self.heartbeat_timeout_ms(),
             given_up_ms: self.cfg.given_up_ms(),
             lease_ms: self.cfg.lease_ms,
             idle_ms: (self.cfg.idle_return_s * 1000.0) as u64,
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -166,7 +166,7 @@
     }
 
     /// A machine without a heartbeat for longer than this gets no new tasks.
-    pub(crate) fn silent_ms(&self) -> u64 {
+    pub(crate) fn heartbeat_timeout_ms(&self) -> u64 {
         self.cfg.heartbeat_interval_ms * 5 / 2 + 500
     }
 
@@ -203,7 +203,7 @@
         let now = self.now;
         let total = self.inventory.total(&kind.name);
         let mut profile = match &machine.heartbeat {
-            Some(last) if now.since(last.at) > self.silent_ms() => return None,
+            Some(last) if now.since(last.at) > self.heartbeat_timeout_ms() => return None,
             // A worker that has seen our fencing token takes no commands from a former owner.
             Some(last) => MachineProfile::new(now, total, machine.spot, last.token == token),
             None => {
