--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -340,7 +340,7 @@
             if *growth && self.job_states.get(id).is_some_and(|l| !l.pools.is_empty()) {
                 continue;
             }
-            let usable = || (0..pools.len()).filter(|&i| self.may_use(live, &pools[i]));
+            let usable = || (0..pools.len()).filter(|&i| self.can_run_in(live, &pools[i]));
             // To pools whose owners plan for them, while there are any.
             let mut eligible: Vec<usize> = usable().filter(|&i| alive[i]).collect();
             if eligible.is_empty() {
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -226,7 +226,7 @@
         for Queued { job: id, tasks: unclaimed, growth, .. } in self.queue() {
             let Some(cached) = self.cache.jobs.get(&id) else { continue };
             // No machine is requested for another try of what fails wherever it runs.
-            let may_use = |offer: &Offer| self.may_use(cached, &offer.pool);
+            let may_use = |offer: &Offer| self.can_run_in(cached, &offer.pool);
             if growth || (self.is_suspect(&id, cached) && supply.keys().any(may_use)) {
                 continue;
             }
@@ -296,7 +296,7 @@
     /// Lets a job take what it may use of the supply.
     fn take_from_supply(&self, cached: &CachedJob, need: &mut Need, supply: &mut CpusByOffer) {
         for (offer, free) in supply {
-            if (offer.spot && !cached.record.spec.spot) || !self.may_use(cached, &offer.pool) {
+            if (offer.spot && !cached.record.spec.spot) || !self.can_run_in(cached, &offer.pool) {
                 continue;
             }
             let in_zone = need.taken_by_zone.entry(offer.pool.zone.clone()).or_default();
@@ -332,7 +332,8 @@
         let all = self.inventory.machines.len().max(1) as f64;
         for pool in self.inventory.pools() {
             let Some(kind) = self.inventory.types.get(&pool.machine_type) else { continue };
-            if need.is_zone_full(&pool.zone) || kind.cpus <= 0.0 || !self.may_use(cached, &pool) {
+            if need.is_zone_full(&pool.zone) || kind.cpus <= 0.0 || !self.can_run_in(cached, &pool)
+            {
                 continue;
             }
             for spot in [true, false] {
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -287,7 +287,7 @@
         let mut teams: BTreeMap<&TeamId, f64> = BTreeMap::new();
         for job in waiting {
             let spec = &job.record.spec;
-            if (spot && !spec.spot) || !self.may_use(job, pool) {
+            if (spot && !spec.spot) || !self.can_run_in(job, pool) {
                 continue;
             }
             // What waits for its team's limit alone keeps no idle machine. (Hundreds
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -160,7 +160,7 @@
         if limit_full {
             return (Holdup::Limit, "its team's limit is used up".into());
         }
-        if !up.iter().any(|pool| self.may_use(cached, pool)) {
+        if !up.iter().any(|pool| self.can_run_in(cached, pool)) {
             return (Holdup::Machines, "no machine that it may run on is up yet".into());
         }
         let before = rank.map_or(0, |r| r.saturating_sub(1));
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -317,7 +317,7 @@
     }
 
     /// Whether the job may run on machines of the pool, by its constraints and the size of a task.
-    pub(crate) fn may_use(&self, cached: &CachedJob, pool: &PoolId) -> bool {
+    pub(crate) fn can_run_in(&self, cached: &CachedJob, pool: &PoolId) -> bool {
         let spec = &cached.record.spec;
         spec.types.as_ref().is_none_or(|t| t.contains(&pool.machine_type))
             && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
@@ -338,7 +338,7 @@
             let Some(cached) = self.cache.jobs.get(id) else {
                 continue;
             };
-            if !self.may_use(cached, pool) || later.contains(id) {
+            if !self.can_run_in(cached, pool) || later.contains(id) {
                 continue;
             }
             let job_state = self.job_states.get(id);
