--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -5,7 +5,7 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
-use crate::scheduling::queue::Queued;
+use crate::scheduling::queue::QueuedTasks;
 use crate::store::cache::Versioned;
 use crate::store::records::{pool_key, ControllerRecord, HolderRecord};
 use cleatfold_backfill::pools::{choose, Load};
@@ -332,12 +332,12 @@
         let long = self.long_work();
         let alive: Vec<bool> = pools.iter().map(|p| self.lives(p)).collect();
         let mut assigned: Vec<(String, Vec<u16>)> = Vec::new();
-        for Queued { job: id, tasks: unclaimed, growth, .. } in &queue {
+        for QueuedTasks { job: id, tasks: unclaimed, is_growth, .. } in &queue {
             let Some(live) = self.cache.jobs.get(id) else {
                 continue;
             };
             // Its base has been sent somewhere already, a moment ago or above.
-            if *growth && self.job_states.get(id).is_some_and(|l| !l.pools.is_empty()) {
+            if *is_growth && self.job_states.get(id).is_some_and(|l| !l.pools.is_empty()) {
                 continue;
             }
             let usable = || (0..pools.len()).filter(|&i| self.can_run_in(live, &pools[i]));
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -8,7 +8,7 @@
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, CloudReply, CloudRequest, StoreReply, StoreRequest};
 use crate::machines::inventory::Machine;
-use crate::scheduling::queue::Queued;
+use crate::scheduling::queue::QueuedTasks;
 use crate::store::cache::{CachedJob, Versioned};
 use crate::store::records::SCALE_OUT_KEY;
 use cleatfold_roles::scale_out::Step;
@@ -223,11 +223,11 @@
         let mut supply = self.supply();
         let mut lacking = CpusByOffer::new();
         let sizes = self.inventory.sizes();
-        for Queued { job: id, tasks: unclaimed, growth, .. } in self.queue() {
+        for QueuedTasks { job: id, tasks: unclaimed, is_growth, .. } in self.queue() {
             let Some(cached) = self.cache.jobs.get(&id) else { continue };
             // No machine is requested for another try of what fails wherever it runs.
             let may_use = |offer: &Offer| self.can_run_in(cached, &offer.pool);
-            if growth || (self.is_suspect(&id, cached) && supply.keys().any(may_use)) {
+            if is_growth || (self.is_suspect(&id, cached) && supply.keys().any(may_use)) {
                 continue;
             }
             let mut need = self.scale_out_need(cached, unclaimed);
--- a/crates/cleatfold-control/src/namespaces/questions.rs
+++ b/crates/cleatfold-control/src/namespaces/questions.rs
@@ -191,7 +191,7 @@
             return;
         }
         let queue = self.queue();
-        let waiting = queue.iter().filter(|queued| !queued.growth);
+        let waiting = queue.iter().filter(|queued| !queued.is_growth);
         let teams = waiting.filter_map(|queued| {
             let cached = self.cache.jobs.get(&queued.job)?;
             Some((&queued.job, &cached.record.spec.team))
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -7,7 +7,7 @@
 use crate::machines::inventory::Machine;
 use crate::quota::{Binding, Usage};
 use crate::scheduling::evictions::YIELD_MS;
-use crate::scheduling::queue::Queued;
+use crate::scheduling::queue::QueuedTasks;
 use crate::store::cache::CachedJob;
 use cleatfold_backfill::profile::FOREVER;
 use cleatfold_backfill::{AvailabilityProfile, MachineProfile, Request, Reservation};
@@ -129,7 +129,7 @@
     }
 
     /// Plans each owned pool whose ownership is undisputed.
-    fn plan_pools(&self, queue: &[Queued], usage: &Usage) -> Vec<PoolPlan> {
+    fn plan_pools(&self, queue: &[QueuedTasks], usage: &Usage) -> Vec<PoolPlan> {
         let mut plans = Vec::new();
         let by_pool = self.inventory.by_pool();
         let long = self.long_work();
@@ -329,12 +329,12 @@
     fn requests_for(
         &self,
         plan: &mut PoolPlan,
-        queue: &[Queued],
+        queue: &[QueuedTasks],
         limited: &[Binding],
         later: &BTreeSet<JobId>,
     ) {
         let pool = &plan.pool;
-        for Queued { job: id, urgency, tasks: unclaimed, growth } in queue {
+        for QueuedTasks { job: id, urgency, tasks: unclaimed, is_growth } in queue {
             let Some(cached) = self.cache.jobs.get(id) else {
                 continue;
             };
@@ -362,14 +362,14 @@
                 continue;
             }
             plan.jobs.push(id.clone());
-            plan.growth.push(*growth);
+            plan.growth.push(*is_growth);
             plan.requests.push(Request {
                 each: cached.each,
                 tasks,
                 // A member beyond the base can be evicted at the end of any step.
                 run_ms: cached
                     .width()
-                    .filter(|_| *growth)
+                    .filter(|_| *is_growth)
                     .map_or(self.run_ms(cached), |w| w.step_ms),
                 image: spec.image.clone(),
                 image_gb: spec.image_gb,
@@ -401,7 +401,7 @@
 
     /// Turns reservations that start now into placement requests, earliest finish first, unless
     /// other pools promise to finish all remaining tasks of the job earlier.
-    fn start_what_is_due(&mut self, queue: &[Queued], plans: &[PoolPlan], mut usage: Usage) {
+    fn start_what_is_due(&mut self, queue: &[QueuedTasks], plans: &[PoolPlan], mut usage: Usage) {
         let mut left: BTreeMap<JobId, u32> = BTreeMap::new();
         for queued in queue {
             *left.entry(queued.job.clone()).or_default() += queued.tasks;
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -5,7 +5,7 @@
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
 use crate::scheduling::priority_state::UncommittedPreemption;
-use crate::scheduling::queue::Queued;
+use crate::scheduling::queue::QueuedTasks;
 use crate::store::cache::Versioned;
 use crate::store::records::{pool_key, preemption_key};
 use cleatfold_priority::{lives, ListenerHealth, Owner, PreemptionPlan, Seen, StartBarrier};
@@ -45,7 +45,7 @@
 
     /// Updates the inputs of a planning pass: live owners, start barriers of newly acquired pools,
     /// and how long jobs have waited.
-    pub(crate) fn refresh_priority(&mut self, queue: &[Queued]) {
+    pub(crate) fn refresh_priority(&mut self, queue: &[QueuedTasks]) {
         self.priority.fallen = self.fallen();
         let (read, assigned) = (self.session.last_read, self.priority.assigned);
         let gate = |taken| StartBarrier { taken, read, assigned };
@@ -161,15 +161,15 @@
         }
     }
 
-    fn refresh_waiting(&mut self, queue: &[Queued]) {
+    fn refresh_waiting(&mut self, queue: &[QueuedTasks]) {
         let (now, priority) = (self.now, &mut self.priority);
-        let urgent = queue.iter().filter(|q| q.urgency < Urgency::BestEffort && !q.growth);
+        let urgent = queue.iter().filter(|q| q.urgency < Urgency::BestEffort && !q.is_growth);
         let before = std::mem::take(&mut priority.waits);
         priority.waits =
             urgent.map(|q| (q.job.clone(), before.get(&q.job).copied().unwrap_or(now))).collect();
         let late_ms = self.cfg.heartbeat_interval_ms / 2;
         let late = queue.iter().filter(|q| {
-            let since = priority.waits.get(&q.job).filter(|_| !q.growth);
+            let since = priority.waits.get(&q.job).filter(|_| !q.is_growth);
             since.is_some_and(|at| now.since(*at) >= late_ms)
         });
         priority.late = late.take(MOST_LATE).map(|q| q.job.clone()).collect();
--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -11,26 +11,26 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Tasks of one job that wait for a slot.
-pub(crate) struct Queued {
+pub(crate) struct QueuedTasks {
     pub job: JobId,
     pub urgency: Urgency,
     pub tasks: u32,
     /// Whether these are members that an elastic job could use beyond its base. They only use
     /// resources that are free, no machine is rented for them, and they yield to other tasks.
-    pub growth: bool,
+    pub is_growth: bool,
 }
 
 impl Controller {
     /// The queue in order, with the unclaimed tasks of each job. Each job has one entry, and an
     /// elastic job one more for its growth.
-    pub(crate) fn queue(&self) -> Vec<Queued> {
-        let mut all: Vec<Queued> = Vec::new();
+    pub(crate) fn queue(&self) -> Vec<QueuedTasks> {
+        let mut all: Vec<QueuedTasks> = Vec::new();
         let mut known: HashMap<JobId, usize> = HashMap::new();
         for q in self.queue_and_guaranteed().0 {
             match known.get(&q.job) {
-                Some(&first) if !q.growth => all[first].tasks += q.tasks,
+                Some(&first) if !q.is_growth => all[first].tasks += q.tasks,
                 _ => {
-                    if !q.growth {
+                    if !q.is_growth {
                         known.insert(q.job.clone(), all.len());
                     }
                     all.push(q);
@@ -42,7 +42,7 @@
 
     /// The queue in order, and the jobs within their team's guarantee. A job of which only some
     /// tasks are promoted has two entries.
-    pub(crate) fn queue_and_guaranteed(&self) -> (Vec<Queued>, HashSet<JobId>) {
+    pub(crate) fn queue_and_guaranteed(&self) -> (Vec<QueuedTasks>, HashSet<JobId>) {
         let mut arrivals: Vec<(&JobId, &CachedJob)> =
             self.cache.jobs.iter().filter(|(_, j)| !j.record.aborted).collect();
         // Ordered by the revisions at which the jobs were accepted. Ordered by time of day, jobs
@@ -94,7 +94,7 @@
 struct Candidate {
     place: Place,
     tasks: u32,
-    growth: bool,
+    is_growth: bool,
 }
 
 /// The queue while it is being built.
@@ -133,7 +133,7 @@
             turn: cached.place(),
             id: job.id.clone(),
         };
-        self.candidates.push(Candidate { place, tasks: job.tasks, growth: false });
+        self.candidates.push(Candidate { place, tasks: job.tasks, is_growth: false });
     }
 
     /// Adds members that an elastic job could use beyond its base.
@@ -151,7 +151,7 @@
             turn: cached.place(),
             id: id.clone(),
         };
-        self.candidates.push(Candidate { place, tasks, growth: true });
+        self.candidates.push(Candidate { place, tasks, is_growth: true });
     }
 
     /// Records what a job of an overloaded group has claimed and needs. True if the job is small.
@@ -240,19 +240,19 @@
                 candidate.place = first;
             } else {
                 candidate.tasks -= tasks;
-                self.candidates.push(Candidate { place: first, tasks, growth: false });
+                self.candidates.push(Candidate { place: first, tasks, is_growth: false });
             }
         }
     }
 
     /// Sorts the queue; returns it with the jobs within their teams' guarantees.
-    fn finish(mut self) -> (Vec<Queued>, HashSet<JobId>) {
+    fn finish(mut self) -> (Vec<QueuedTasks>, HashSet<JobId>) {
         self.candidates.sort();
-        let queued = |Candidate { place, tasks, growth }| Queued {
+        let queued = |Candidate { place, tasks, is_growth }| QueuedTasks {
             job: place.id,
             urgency: place.urgency,
             tasks,
-            growth,
+            is_growth,
         };
         (self.candidates.into_iter().map(queued).collect(), self.guaranteed)
     }
