--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -165,7 +165,7 @@
             && heartbeat.notice_s.is_none()
             && machine.takes_work()
             && !machine.expired
-            && !self.evictions.any(&heartbeat.machine)
+            && !self.evictions.has_any(&heartbeat.machine)
             && last.text.get() == heartbeat.tasks.get()
             && last.images == heartbeat.images
     }
--- a/crates/cleatfold-control/src/scheduling/evictions.rs
+++ b/crates/cleatfold-control/src/scheduling/evictions.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether any task on the machine is being evicted.
-    pub(crate) fn any(&self, machine: &MachineId) -> bool {
+    pub(crate) fn has_any(&self, machine: &MachineId) -> bool {
         self.tasks.contains_key(machine)
     }
 
