--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -330,7 +330,7 @@
         }
         let queue = self.queue();
         let long = self.long_work();
-        let alive: Vec<bool> = pools.iter().map(|p| self.lives(p)).collect();
+        let alive: Vec<bool> = pools.iter().map(|p| self.has_live_owner(p)).collect();
         let mut assigned: Vec<(String, Vec<u16>)> = Vec::new();
         for QueuedTasks { job: id, tasks: unclaimed, is_growth, .. } in &queue {
             let Some(live) = self.cache.jobs.get(id) else {
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -514,7 +514,7 @@
             let current = self.cache.pools.get(pool).is_some_and(|h| h.token <= *token)
                 && !self.pools.owned.contains_key(pool);
             if current {
-                let (age_ms, lives) = (self.now.since(*at), self.priority.lives(pool));
+                let (age_ms, lives) = (self.now.since(*at), self.priority.has_live_owner(pool));
                 for (job, finishes) in jobs {
                     let cached = self.cache.jobs.get(job);
                     let urgency = cached.map_or(Urgency::BestEffort, |l| l.record.spec.urgency);
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -195,7 +195,7 @@
 
     /// Whether the pool has an owner that seems to be planning for it now. A hint only: an owner
     /// may be judged live by one controller and not by another.
-    pub(crate) fn lives(&self, pool: &PoolId) -> bool {
+    pub(crate) fn has_live_owner(&self, pool: &PoolId) -> bool {
         self.lives_by(pool, self.listener_health())
     }
 
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -44,7 +44,7 @@
 
 impl PriorityState {
     /// Whether the pool had a live owner at the last check.
-    pub(crate) fn lives(&self, pool: &PoolId) -> bool {
+    pub(crate) fn has_live_owner(&self, pool: &PoolId) -> bool {
         !self.fallen.contains(pool)
     }
 
@@ -84,7 +84,7 @@
         let sent = Sent {
             anywhere: !sent.is_empty(),
             here: sent.contains(pool),
-            all_live: !wide && sent.iter().all(|p| self.lives(p)),
+            all_live: !wide && sent.iter().all(|p| self.has_live_owner(p)),
             late: self.late.contains(job),
             preempted_here: self.has_preemption_for(pool, job),
         };
