--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -381,7 +381,7 @@
         if self.cache.roles.get(&Role::PoolAssignment).map(|h| &h.value.owner) != Some(from) {
             return;
         }
-        self.priority.assigned = Some(self.now);
+        self.priority.last_assignment = Some(self.now);
         let pools: Vec<Option<PoolId>> = pools.iter().map(|p| PoolId::parse(p)).collect();
         for (job, chosen) in jobs {
             let job = JobId::new(job);
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -47,7 +47,7 @@
     /// and how long jobs have waited.
     pub(crate) fn refresh_priority(&mut self, queue: &[QueuedTasks]) {
         self.priority.fallen = self.fallen();
-        let (read, assigned) = (self.session.last_read, self.priority.assigned);
+        let (read, assigned) = (self.session.last_read, self.priority.last_assignment);
         let gate = |taken| StartBarrier { taken, read, assigned };
         self.priority.start_barriers =
             self.pools.owned.iter().map(|(p, o)| (p.clone(), gate(o.since))).collect();
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -13,7 +13,7 @@
     /// Since when this controller has been receiving messages without a stall.
     pub listening: Ms,
     /// When the leader last assigned jobs to pools, as far as this controller knows.
-    pub assigned: Option<Ms>,
+    pub last_assignment: Option<Ms>,
     /// Pools without a live owner, as of the last check.
     pub fallen: BTreeSet<PoolId>,
     /// By owned pool: which urgencies may start there.
