--- a/crates/cleatfold-control/src/admission/state.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -14,7 +14,7 @@
 
 /// The measurements from which the overload quota is decided.
 #[derive(Debug, Default)]
-pub(crate) struct Admission {
+pub(crate) struct AdmissionState {
     pub meter: Meter,
     pub judge: Judge,
     /// Jobs that the meter has counted.
@@ -32,7 +32,7 @@
     pub asks: BTreeMap<TeamId, Vec<Asks<Urgency>>>,
 }
 
-impl Admission {
+impl AdmissionState {
     /// Adds the jobs that have arrived since the last measurement to the meter. `wall_s` is the
     /// time of day in seconds.
     pub(crate) fn note_arrivals(&mut self, jobs: &BTreeMap<JobId, CachedJob>, wall_s: f64) {
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -1,6 +1,6 @@
 //! One controller: its state, and what it does at each event.
 
-use crate::admission::state::Admission;
+use crate::admission::state::AdmissionState;
 use crate::config::Config;
 use crate::effects::{Effect, Event, Response, StoreReply};
 use crate::images::state::ImageDistribution;
@@ -83,7 +83,7 @@
     pub(crate) replan_needed: bool,
     pub(crate) evictions: Evictions,
     pub(crate) quota: QuotaState,
-    pub(crate) admission: Admission,
+    pub(crate) admission: AdmissionState,
 
     // Jobs and whoever asks about them.
     pub(crate) job_states: BTreeMap<JobId, LocalJobState>,
@@ -138,7 +138,7 @@
             replan_needed: false,
             evictions: Evictions::default(),
             quota,
-            admission: Admission::default(),
+            admission: AdmissionState::default(),
             job_states: BTreeMap::new(),
             flush_due: false,
             unsent: BTreeSet::new(),
