--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -20,7 +20,7 @@
 use crate::pools::ownership::OwnedPools;
 use crate::quota::QuotaState;
 use crate::scheduling::evictions::Evictions;
-use crate::scheduling::planning::Plans;
+use crate::scheduling::planning::PlanningState;
 use crate::scheduling::priority_state::PriorityState;
 use crate::store::cache::StateCache;
 use crate::store::calls::Calls;
@@ -78,7 +78,7 @@
     pub(crate) watched: Ms,
 
     // Scheduling.
-    pub(crate) plans: Plans,
+    pub(crate) plans: PlanningState,
     /// Something has changed since the last planning.
     pub(crate) replan_needed: bool,
     pub(crate) evictions: Evictions,
@@ -134,7 +134,7 @@
             scale_out: ScaleOutState::default(),
             image_distribution: ImageDistribution::default(),
             watched: Ms(0),
-            plans: Plans::default(),
+            plans: PlanningState::default(),
             replan_needed: false,
             evictions: Evictions::default(),
             quota,
--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -49,7 +49,7 @@
                     self.session.sync_wanted = true;
                 }
                 if token >= known {
-                    self.plans.remote(pool, token, self.now, promises);
+                    self.plans.record_remote_promises(pool, token, self.now, promises);
                     self.replan_needed = true;
                 }
             }
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -37,7 +37,7 @@
 
 /// When this controller last planned, and what the other controllers have promised.
 #[derive(Default)]
-pub(crate) struct Plans {
+pub(crate) struct PlanningState {
     planned: Ms,
     sent_at: Ms,
     /// Promises of other controllers' pools: their fencing token, when they arrived, and by job
@@ -45,9 +45,9 @@
     remote: BTreeMap<PoolId, (FencingToken, Ms, BTreeMap<JobId, Finishes>)>,
 }
 
-impl Plans {
+impl PlanningState {
     /// Records the promises that the owner of another pool has sent.
-    pub(crate) fn remote(
+    pub(crate) fn record_remote_promises(
         &mut self,
         pool: PoolId,
         token: FencingToken,
