--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -190,7 +190,7 @@
                     if tx.doubtful {
                         // It may have been executed after all: its claims count against the
                         // team's limit, but only the next reading shows them.
-                        self.quota.blind = Some(event);
+                        self.quota.unread_claims_since = Some(event);
                     }
                 }
                 let contact = self.in_contact();
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -71,7 +71,7 @@
     pub soon: Usage,
     /// Set when claims may exist that are not read yet: no claims for limited teams until a reading
     /// that was sent at this event or later.
-    pub blind: Option<EventNumber>,
+    pub unread_claims_since: Option<EventNumber>,
 }
 
 impl QuotaState {
@@ -83,7 +83,7 @@
             last_checked: Ms::default(),
             short: Usage::new(),
             soon: Usage::new(),
-            blind: None,
+            unread_claims_since: None,
         }
     }
 }
@@ -289,7 +289,7 @@
         if !limit.is_limited() {
             return tasks;
         }
-        if self.quota.blind.is_some() || self.quota.inflight.contains(team) {
+        if self.quota.unread_claims_since.is_some() || self.quota.inflight.contains(team) {
             return 0;
         }
         let slice = self.cache.slices.get(team).and_then(|s| s.value.pools.get(pool)).copied();
@@ -314,7 +314,7 @@
             return;
         }
         self.quota.last_checked = self.now;
-        if self.quota.blind.is_some() {
+        if self.quota.unread_claims_since.is_some() {
             return;
         }
         let moves = self.slice_moves();
@@ -436,7 +436,7 @@
                 // The stored slices and claims are known only after the next sync.
                 self.quota.inflight.remove(&sent.team);
                 self.quota.pacer.failed(self.now.0, &sent.team);
-                self.quota.blind = Some(self.event);
+                self.quota.unread_claims_since = Some(self.event);
                 self.session.sync_wanted = true;
             }
         }
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -185,7 +185,7 @@
         self.session.next_page_from = None;
         self.session.load_revision = None;
         // A claim whose answer comes while we load is in no page read before, nor on its way any more.
-        self.quota.blind = Some(self.event);
+        self.quota.unread_claims_since = Some(self.event);
     }
 
     /// A page of the listing that fills the cache.
@@ -237,8 +237,8 @@
         self.cache.applied = self.cache.applied.max(events.revision);
         self.session.last_read = Some(self.session.last_read.map_or(sent, |f| f.max(sent)));
         self.reachability.view.worker_release.reset();
-        if self.quota.blind.is_some_and(|b| b <= sent_at) {
-            self.quota.blind = None;
+        if self.quota.unread_claims_since.is_some_and(|b| b <= sent_at) {
+            self.quota.unread_claims_since = None;
         }
         for job_state in self.job_states.values_mut() {
             if job_state.stale_since.is_some_and(|s| s <= sent_at) {
