--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -214,7 +214,7 @@
         self.watch_machines();
         self.complete_jobs();
         self.plan_if_due();
-        self.keep_slices();
+        self.maintain_slices();
     }
 
     /// A process that was stalled itself must not take its silence for the workers'.
@@ -298,7 +298,7 @@
             Pending::Role(role) => self.on_role_written(role, reply),
             Pending::ScaleOutIntents(step) => self.on_scale_out_written(*step, reply),
             Pending::PoolAssignment => self.on_assignment_written(reply),
-            Pending::Slice(sent) => self.on_slice(op, *sent, reply),
+            Pending::Slice(sent) => self.on_slice_written(op, *sent, reply),
             Pending::LossLog => self.on_loss_log(reply),
             Pending::LossGroup { team, token, count, txn } => {
                 self.on_loss_group(op, (team, token), count, txn, reply)
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -52,7 +52,7 @@
     ScaleOutIntents(Box<cleatfold_roles::scale_out::Step>),
     /// Any transaction on pool keys or slices: whatever comes of it, the next sync tells.
     PoolAssignment,
-    Slice(Box<crate::quota::SentSlice>),
+    Slice(Box<crate::quota::SliceWrite>),
     GarbageCollection,
     /// Seats at the origin.
     Origin {
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -50,7 +50,7 @@
 
 /// A change of a team's slices that was sent to the state service.
 #[derive(Debug)]
-pub(crate) struct SentSlice {
+pub(crate) struct SliceWrite {
     pub team: TeamId,
     txn: Txn,
     record: SliceRecord,
@@ -309,7 +309,7 @@
     /// Resizes the slices of the owned pools. A slice grows only for what could start right now.
     /// When it grew for all waiting tasks, a pool whose machines the waiting jobs could not use
     /// kept the whole limit, and none of the team's tasks could start.
-    pub(crate) fn keep_slices(&mut self) {
+    pub(crate) fn maintain_slices(&mut self) {
         if self.now.since(self.quota.last_checked) < SLICE_INTERVAL_MS || !self.in_contact() {
             return;
         }
@@ -327,7 +327,7 @@
             let Some(SliceMove { team, txn, record, .. }) = moves.remove(&team) else { continue };
             self.quota.inflight.insert(team.clone());
             let request = StoreRequest::Txn(txn.clone());
-            let sent = SentSlice { team, txn, record, doubtful: false };
+            let sent = SliceWrite { team, txn, record, doubtful: false };
             self.store(CallPriority::Claim, request, Pending::Slice(Box::new(sent)));
         }
     }
@@ -407,10 +407,10 @@
         needs
     }
 
-    pub(crate) fn on_slice(&mut self, op: u64, mut sent: SentSlice, reply: StoreReply) {
+    pub(crate) fn on_slice_written(&mut self, op: u64, mut sent: SliceWrite, reply: StoreReply) {
         match reply {
             StoreReply::Committed(version) => {
-                let SentSlice { team, record, .. } = sent;
+                let SliceWrite { team, record, .. } = sent;
                 self.quota.inflight.remove(&team);
                 self.quota.pacer.succeeded(&team);
                 let current = self.cache.slices.get(&team).map(|s| s.version).unwrap_or_default();
@@ -443,7 +443,7 @@
     }
 
     /// Sends a write with an unknown outcome once more, with the same guards.
-    fn resend_slice(&mut self, op: u64, sent: SentSlice) {
+    fn resend_slice(&mut self, op: u64, sent: SliceWrite) {
         let pause_ms = self.quota.pacer.resend(&sent.team);
         let txn = sent.txn.clone();
         self.again(op, CallPriority::Claim, txn, Pending::Slice(Box::new(sent)), pause_ms);
