--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -119,7 +119,7 @@
     /// Whether a new job is refused because it would wait for longer than its users' patience; if
     /// so, after how many seconds to retry. Depends only on the job and the overload quota, so the
     /// answer is the same at every controller and every retry until the quota changes.
-    pub(crate) fn refused_for_now(&self, spec: &JobSpec) -> Option<u32> {
+    pub(crate) fn overload_retry_after_s(&self, spec: &JobSpec) -> Option<u32> {
         self.cfg.admission.as_ref()?;
         let most = self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.most?;
         let refused = spec.kind == Kind::Array && work(spec, spec.tasks) > most as f64;
@@ -145,7 +145,7 @@
     /// Measures demand and capacity, and decides the overload quota if this controller holds that
     /// role. Every controller measures, so that a new holder of the role has the same data as the
     /// former one.
-    pub(crate) fn keep_admission(&mut self) {
+    pub(crate) fn maintain_admission(&mut self) {
         if self.cfg.admission.is_none()
             || self.now.since(self.admission.last_checked) < MEASUREMENT_INTERVAL_MS
         {
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -79,7 +79,7 @@
             let retry_after_s = Some((wait_s as u32 + spread as u32).clamp(1, 15));
             return self.reply(rid, Response::Refusal { code: 503, why, retry_after_s });
         }
-        if let Some(retry_after_s) = self.refused_for_now(&spec) {
+        if let Some(retry_after_s) = self.overload_retry_after_s(&spec) {
             let why = "more of this kind waits than can be done in time".to_string();
             let retry_after_s = Some(retry_after_s);
             return self.reply(rid, Response::Refusal { code: 429, why, retry_after_s });
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -64,7 +64,7 @@
         if self.holds(Role::GarbageCollection) {
             self.collect_garbage();
         }
-        self.keep_admission();
+        self.maintain_admission();
     }
 
     /// Lets whoever should hold it have it: guarded, so it is only ever our own holding that ends.
