--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -174,7 +174,7 @@
             Event::Store { op, reply } => self.on_store(op, reply),
             Event::Cloud { op, reply } => self.on_cloud(op, reply),
             Event::Mesh { from, message } => self.on_mesh(from, message),
-            Event::Ordered { machine, heartbeat } => self.on_ordered(machine, heartbeat),
+            Event::Ordered { machine, heartbeat } => self.on_orders_reply(machine, heartbeat),
             Event::Probed { machine, answer } => self.on_probed(machine, answer),
         }
         if std::mem::take(&mut self.flush_due) {
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -375,7 +375,7 @@
     /// Handles a worker's response to direct orders. Only the exits in it are used: they are final.
     /// A task that is missing from its list may still be started by a response to an earlier
     /// heartbeat that has not reached the worker yet.
-    pub(crate) fn on_ordered(&mut self, id: MachineId, heartbeat: Option<Heartbeat>) {
+    pub(crate) fn on_orders_reply(&mut self, id: MachineId, heartbeat: Option<Heartbeat>) {
         let (Some(heartbeat), Some(machine)) = (heartbeat, self.inventory.machines.get(&id)) else {
             return;
         };
--- a/crates/cleatfold-control/tests/claims/commands.rs
+++ b/crates/cleatfold-control/tests/claims/commands.rs
@@ -42,7 +42,7 @@
         t.held = Some(HeldCommand { sender: n as u8, machine, token, agent_epoch, command });
     }
 
-    /// A direct command arrives. Its sender takes nothing but exits from the answer, as `on_ordered` does.
+    /// A direct command arrives. Its sender takes nothing but exits from the answer, as `on_orders_reply` does.
     pub(super) fn arrives(&self, t: &mut State, received: bool) {
         let Some(held) = t.held.take() else { return };
         let m = usize::from(held.machine);
