--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -24,7 +24,7 @@
 const UNLIMITED: i64 = i64::MAX / 8;
 
 /// A slice is kept for what a pool has reserved to start within this time, in milliseconds.
-const KEEP_MS: u64 = 10_000;
+const SLICE_KEEP_MS: u64 = 10_000;
 
 /// Time between two checks whether slices should be resized, in milliseconds.
 const SLICE_INTERVAL_MS: u64 = 250;
@@ -41,7 +41,7 @@
 };
 
 /// A change of a team's slices that the owned pools need.
-struct SliceMove {
+struct SliceResize {
     team: TeamId,
     need: Need,
     txn: Txn,
@@ -55,7 +55,7 @@
     txn: Txn,
     record: SliceRecord,
     /// Whether an earlier sending may have been executed, or may still be.
-    doubtful: bool,
+    outcome_unknown: bool,
 }
 
 #[derive(Debug)]
@@ -63,12 +63,12 @@
     /// When slices may be written.
     pacer: WritePacer<TeamId>,
     /// Teams with a write of their slices in flight.
-    pub inflight: BTreeSet<TeamId>,
+    pub writes_in_flight: BTreeSet<TeamId>,
     pub last_checked: Ms,
     /// What the last planning pass could have started if the pool's slice were larger.
-    pub short: Usage,
+    pub shortfall: Usage,
     /// What the last planning pass reserved to start soon; slices are kept for it.
-    pub soon: Usage,
+    pub reserved_soon: Usage,
     /// Set when claims may exist that are not read yet: no claims for limited teams until a reading
     /// that was sent at this event or later.
     pub unread_claims_since: Option<EventNumber>,
@@ -79,43 +79,43 @@
         let seed = xxhash_rust::xxh3::xxh3_64(me.as_str().as_bytes());
         Self {
             pacer: WritePacer::new(seed, PACER),
-            inflight: BTreeSet::new(),
+            writes_in_flight: BTreeSet::new(),
             last_checked: Ms::default(),
-            short: Usage::new(),
-            soon: Usage::new(),
+            shortfall: Usage::new(),
+            reserved_soon: Usage::new(),
             unread_claims_since: None,
         }
     }
 }
 
 /// A limit that the machines of a pool could exceed, and what is left of it in that pool.
-pub(crate) struct Binding {
+pub(crate) struct BindingLimit {
     pub team: TeamId,
     /// The limit applies only to tasks of the team that run longer than this.
     pub longer_than_s: f64,
-    left: Resources,
+    remaining: Resources,
     /// Resources that are released when running tasks end, by the second from now in which they are
     /// expected to.
-    back: BTreeMap<u64, Resources>,
+    releases: BTreeMap<u64, Resources>,
 }
 
-impl Binding {
+impl BindingLimit {
     /// Whether the limit applies to the job's tasks.
-    pub(crate) fn binds(&self, spec: &JobSpec) -> bool {
+    pub(crate) fn applies_to(&self, spec: &JobSpec) -> bool {
         self.team == spec.team && spec.estimate_s > self.longer_than_s
     }
 
     /// Records that a task of the team in this pool is expected to end, and so to release `each`.
-    pub(crate) fn ends(&mut self, now: Ms, end: Ms, each: Resources) {
+    pub(crate) fn add_release(&mut self, now: Ms, end: Ms, each: Resources) {
         if end.0 < FOREVER {
-            *self.back.entry(end.since(now).div_ceil(1000)).or_default() += each;
+            *self.releases.entry(end.since(now).div_ceil(1000)).or_default() += each;
         }
     }
 
     /// What is left of the limit over time.
-    pub(crate) fn over_time(&self, now: Ms) -> AvailabilityProfile {
-        let back = self.back.iter().map(|(s, what)| (now.plus(s * 1000), *what));
-        AvailabilityProfile::growing(now, self.left, back)
+    pub(crate) fn availability(&self, now: Ms) -> AvailabilityProfile {
+        let releases = self.releases.iter().map(|(s, what)| (now.plus(s * 1000), *what));
+        AvailabilityProfile::growing(now, self.remaining, releases)
     }
 }
 
@@ -171,89 +171,98 @@
         machines: usize,
         usage: &Usage,
         long_work: &BTreeMap<TeamId, LongWorkLimit>,
-    ) -> Vec<Binding> {
+    ) -> Vec<BindingLimit> {
         let capacity = self.inventory.total(&pool.machine_type).times(machines as u32);
         let mut binding = Vec::new();
         for team in self.cfg.teams.iter().filter(|t| t.is_limited()) {
-            let (part, free) = self.part_and_free(team, pool);
-            let hope = part + free;
-            if capacity.cpus <= hope.cpus && capacity.gpus <= hope.gpus {
+            let (slice, unassigned) = self.slice_and_unassigned(team, pool);
+            let obtainable = slice + unassigned;
+            if capacity.cpus <= obtainable.cpus && capacity.gpus <= obtainable.gpus {
                 continue;
             }
             let used = usage.get(&(team.name.clone(), pool.clone())).copied().unwrap_or_default();
-            let left = hope - Resources { memory: 0, ..used };
-            let (team, back) = (team.name.clone(), BTreeMap::new());
-            binding.push(Binding { team, longer_than_s: -1.0, left, back });
+            let remaining = obtainable - Resources { memory: 0, ..used };
+            let (team, releases) = (team.name.clone(), BTreeMap::new());
+            binding.push(BindingLimit { team, longer_than_s: -1.0, remaining, releases });
         }
-        for (team, room) in long_work {
-            let mut left = Resources { memory: UNLIMITED, gpus: UNLIMITED, ..capacity };
-            left.cpus =
-                (capacity.cpus as f64 * room.part) as i64 - self.long_usage(team, room, pool);
-            let (team, back) = (team.clone(), BTreeMap::new());
-            binding.push(Binding { team, longer_than_s: room.longer_than_s, left, back });
+        for (team, limit) in long_work {
+            let mut remaining = Resources { memory: UNLIMITED, gpus: UNLIMITED, ..capacity };
+            remaining.cpus = (capacity.cpus as f64 * limit.part) as i64
+                - self.long_work_usage(team, limit, pool);
+            let (team, releases) = (team.clone(), BTreeMap::new());
+            binding.push(BindingLimit {
+                team,
+                longer_than_s: limit.longer_than_s,
+                remaining,
+                releases,
+            });
         }
         binding
     }
 
     /// Processors that a team's long work uses in a pool, claims being written included, in
     /// thousandths.
-    fn long_usage(&self, team: &TeamId, room: &LongWorkLimit, pool: &PoolId) -> i64 {
+    fn long_work_usage(&self, team: &TeamId, limit: &LongWorkLimit, pool: &PoolId) -> i64 {
         let long = |cached: &&CachedJob| {
             let spec = &cached.record.spec;
-            spec.team == *team && room.is_long(spec.estimate_s)
+            spec.team == *team && limit.is_long(spec.estimate_s)
         };
         let mut used = 0;
         for (id, cached) in self.cache.jobs.iter().filter(|(_, l)| long(l)) {
-            let here = cached.by_pool.iter().find(|(p, _)| p == pool).map_or(0, |p| p.1);
+            let claimed = cached.by_pool.iter().find(|(p, _)| p == pool).map_or(0, |p| p.1);
             // Ended tasks hold no resources, even if their end is not recorded yet.
             let ends = self.job_states.get(id).into_iter().flat_map(|l| &l.ends);
             let in_pool =
                 |m: &MachineId| self.inventory.machines.get(m).is_some_and(|m| m.pool == *pool);
             let ended = ends.filter(|e| in_pool(&e.machine)).count() as u32;
-            used += cached.each.times(here.saturating_sub(ended)).cpus;
+            used += cached.each.times(claimed.saturating_sub(ended)).cpus;
         }
         for pending in self.calls.pending.values() {
             let Pending::Job(tx) = pending else { continue };
             let Some(cached) = self.cache.jobs.get(&tx.job).filter(long) else { continue };
-            let claimed = tx.claimed().filter(|(p, _)| p == pool).map(|p| p.1);
-            used += cached.each.times(claimed.sum()).cpus;
+            let requested = tx.claimed().filter(|(p, _)| p == pool).map(|p| p.1);
+            used += cached.each.times(requested.sum()).cpus;
         }
         used
     }
 
     /// The pool's slice of a team's limit, and the part of the limit that is in no pool's slice.
-    fn part_and_free(&self, team: &crate::config::Team, pool: &PoolId) -> (Resources, Resources) {
+    fn slice_and_unassigned(
+        &self,
+        team: &crate::config::Team,
+        pool: &PoolId,
+    ) -> (Resources, Resources) {
         let record = self.cache.slices.get(&team.name).map(|s| &s.value);
-        let parts = || record.iter().flat_map(|r| &r.pools);
-        let part = parts().find(|(p, _)| *p == pool).map(|p| *p.1).unwrap_or_default();
-        let taken = parts().fold((0, 0), |a, (_, s)| (a.0 + s.0, a.1 + s.1));
+        let slices = || record.iter().flat_map(|r| &r.pools);
+        let slice = slices().find(|(p, _)| *p == pool).map(|p| *p.1).unwrap_or_default();
+        let taken = slices().fold((0, 0), |a, (_, s)| (a.0 + s.0, a.1 + s.1));
         let max = Resources::new(team.cpus_max, team.gpus_max, 0.0);
-        let of = |max: i64, part: i64, taken: i64| match max {
+        let of = |max: i64, slice: i64, taken: i64| match max {
             0 => (UNLIMITED, 0),
-            max => (part, (max - taken).max(0)),
+            max => (slice, (max - taken).max(0)),
         };
-        let (cpus, gpus) = (of(max.cpus, part.0, taken.0), of(max.gpus, part.1, taken.1));
+        let (cpus, gpus) = (of(max.cpus, slice.0, taken.0), of(max.gpus, slice.1, taken.1));
         (
             Resources { cpus: cpus.0, gpus: gpus.0, memory: UNLIMITED },
             Resources { cpus: cpus.1, gpus: gpus.1, memory: 0 },
         )
     }
 
-    /// Records what the reservations of limited teams will start within `KEEP_MS`.
-    pub(crate) fn note_soon(&mut self, plans: &[PoolPlan]) {
-        let mut soon = Usage::new();
-        let until = self.now.plus(KEEP_MS);
+    /// Records what the reservations of limited teams will start within `SLICE_KEEP_MS`.
+    pub(crate) fn record_reserved_soon(&mut self, plans: &[PoolPlan]) {
+        let mut reserved_soon = Usage::new();
+        let until = self.now.plus(SLICE_KEEP_MS);
         for plan in plans {
             for r in plan.reservations.iter().filter(|r| r.start > self.now && r.start <= until) {
                 let Some(cached) = self.cache.jobs.get(&plan.jobs[r.request]) else { continue };
                 let team = &cached.record.spec.team;
                 if self.cfg.team(team).is_some_and(|t| t.is_limited()) {
                     let key = (team.clone(), plan.pool.clone());
-                    *soon.entry(key).or_default() += cached.each.times(r.tasks);
+                    *reserved_soon.entry(key).or_default() += cached.each.times(r.tasks);
                 }
             }
         }
-        self.quota.soon = soon;
+        self.quota.reserved_soon = reserved_soon;
     }
 
     /// How many more processors each limited team may use in the whole region. `weight` is the
@@ -263,19 +272,19 @@
         weight: impl Fn(&CachedJob) -> f64,
     ) -> BTreeMap<TeamId, f64> {
         let limited = self.cfg.teams.iter().filter(|t| t.cpus_max > 0.0);
-        let mut long_work: BTreeMap<TeamId, f64> =
+        let mut headroom: BTreeMap<TeamId, f64> =
             limited.map(|t| (t.name.clone(), t.cpus_max)).collect();
         for cached in self.cache.jobs.values().filter(|l| l.claimed > 0) {
-            if let Some(room) = long_work.get_mut(&cached.record.spec.team) {
-                *room -= cached.record.spec.cpus * f64::from(cached.claimed) * weight(cached);
+            if let Some(left) = headroom.get_mut(&cached.record.spec.team) {
+                *left -= cached.record.spec.cpus * f64::from(cached.claimed) * weight(cached);
             }
         }
-        long_work
+        headroom
     }
 
     /// How many of `tasks` fit into what is left of the pool's slice of the team's limit. Adds them
     /// to `usage`.
-    pub(crate) fn within_slice(
+    pub(crate) fn take_from_slice(
         &self,
         team: &TeamId,
         pool: &PoolId,
@@ -289,21 +298,21 @@
         if !limit.is_limited() {
             return tasks;
         }
-        if self.quota.unread_claims_since.is_some() || self.quota.inflight.contains(team) {
+        if self.quota.unread_claims_since.is_some() || self.quota.writes_in_flight.contains(team) {
             return 0;
         }
         let slice = self.cache.slices.get(team).and_then(|s| s.value.pools.get(pool)).copied();
         let (cpus, gpus) = slice.unwrap_or_default();
         let used = usage.entry((team.clone(), pool.clone())).or_default();
-        let far = i64::MAX / 4;
-        let room = Resources {
-            cpus: if limit.cpus_max > 0.0 { cpus - used.cpus } else { far },
-            gpus: if limit.gpus_max > 0.0 { gpus - used.gpus } else { far },
-            memory: far,
+        let no_limit = i64::MAX / 4;
+        let remaining = Resources {
+            cpus: if limit.cpus_max > 0.0 { cpus - used.cpus } else { no_limit },
+            gpus: if limit.gpus_max > 0.0 { gpus - used.gpus } else { no_limit },
+            memory: no_limit,
         };
-        let n = room.fits(&each, tasks);
-        *used += each.times(n);
-        n
+        let count = remaining.fits(&each, tasks);
+        *used += each.times(count);
+        count
     }
 
     /// Resizes the slices of the owned pools. A slice grows only for what could start right now.
@@ -317,23 +326,26 @@
         if self.quota.unread_claims_since.is_some() {
             return;
         }
-        let moves = self.slice_moves();
-        let wanted: Vec<(TeamId, Need)> = moves.iter().map(|m| (m.team.clone(), m.need)).collect();
+        let resizes = self.needed_slice_resizes();
+        let wanted: Vec<(TeamId, Need)> =
+            resizes.iter().map(|m| (m.team.clone(), m.need)).collect();
         self.quota.pacer.refill(self.now.0, self.rate_limiter.rate());
         let admitted = self.quota.pacer.admit(self.now.0, &wanted, self.rate_limiter.spare());
-        let mut moves: BTreeMap<TeamId, SliceMove> =
-            moves.into_iter().map(|m| (m.team.clone(), m)).collect();
+        let mut resizes: BTreeMap<TeamId, SliceResize> =
+            resizes.into_iter().map(|m| (m.team.clone(), m)).collect();
         for team in admitted {
-            let Some(SliceMove { team, txn, record, .. }) = moves.remove(&team) else { continue };
-            self.quota.inflight.insert(team.clone());
+            let Some(SliceResize { team, txn, record, .. }) = resizes.remove(&team) else {
+                continue;
+            };
+            self.quota.writes_in_flight.insert(team.clone());
             let request = StoreRequest::Txn(txn.clone());
-            let sent = SliceWrite { team, txn, record, doubtful: false };
+            let sent = SliceWrite { team, txn, record, outcome_unknown: false };
             self.store(CallPriority::Claim, request, Pending::Slice(Box::new(sent)));
         }
     }
 
     /// The resizes that the owned pools need, regardless of the change rate.
-    fn slice_moves(&self) -> Vec<SliceMove> {
+    fn needed_slice_resizes(&self) -> Vec<SliceResize> {
         let usage = self.limited_usage();
         let sizes = self.inventory.sizes();
         let own: Vec<(PoolId, FencingToken, Resources)> = self
@@ -345,22 +357,23 @@
             })
             .collect();
         let needs = self.largest_needs();
-        let mut moves = Vec::new();
+        let mut resizes = Vec::new();
         let limited = self.cfg.teams.iter().filter(|t| t.is_limited());
-        for team in limited.filter(|t| !self.quota.inflight.contains(&t.name)) {
+        for team in limited.filter(|t| !self.quota.writes_in_flight.contains(&t.name)) {
             let Versioned { version, value: record } =
                 self.cache.slices.get(&team.name).cloned().unwrap_or_default();
             let max = Resources::new(team.cpus_max, team.gpus_max, 0.0);
             let taken = record.pools.values().fold((0, 0), |a, s| (a.0 + s.0, a.1 + s.1));
             let mut free = (max.cpus - taken.0, max.gpus - taken.1);
             let need = needs.get(&team.name).copied().unwrap_or_default();
-            let mut new = record.clone();
+            let mut new_record = record.clone();
             let mut txn = Txn::default();
             let mut grows = false;
             for (pool, token, capacity) in &own {
                 let key = (team.name.clone(), pool.clone());
                 let of = |amounts: &Usage| amounts.get(&key).copied().unwrap_or_default();
-                let (used, short, soon) = (of(&usage), of(&self.quota.short), of(&self.quota.soon));
+                let (used, short, soon) =
+                    (of(&usage), of(&self.quota.shortfall), of(&self.quota.reserved_soon));
                 let demand = |amount: fn(&Resources) -> i64| SliceDemand {
                     used: amount(&used),
                     short: amount(&short),
@@ -369,27 +382,27 @@
                     limit: amount(&max),
                     largest_need: amount(&need),
                 };
-                let old = record.pools.get(pool).copied().unwrap_or_default();
-                let part = (
-                    demand(|r| r.cpus).resize(old.0, &mut free.0),
-                    demand(|r| r.gpus).resize(old.1, &mut free.1),
+                let old_slice = record.pools.get(pool).copied().unwrap_or_default();
+                let slice = (
+                    demand(|r| r.cpus).resize(old_slice.0, &mut free.0),
+                    demand(|r| r.gpus).resize(old_slice.1, &mut free.1),
                 );
-                if part != old {
-                    grows |= part.0 > old.0 || part.1 > old.1;
-                    new.pools.insert(pool.clone(), part);
+                if slice != old_slice {
+                    grows |= slice.0 > old_slice.0 || slice.1 > old_slice.1;
+                    new_record.pools.insert(pool.clone(), slice);
                     txn.guard(pool_key(pool), Version(token.0));
                 }
             }
-            if new == record {
+            if new_record == record {
                 continue;
             }
-            new.pools.retain(|_, s| *s != (0, 0));
+            new_record.pools.retain(|_, s| *s != (0, 0));
             txn.guard(slice_key(&team.name), version);
-            txn.put(slice_key(&team.name), &new, None);
+            txn.put(slice_key(&team.name), &new_record, None);
             let need = if grows { Need::Start } else { Need::Return };
-            moves.push(SliceMove { team: team.name.clone(), need, txn, record: new });
+            resizes.push(SliceResize { team: team.name.clone(), need, txn, record: new_record });
         }
-        moves
+        resizes
     }
 
     /// By limited team, the most that one of its waiting tasks or gangs needs at once to start.
@@ -411,7 +424,7 @@
         match reply {
             StoreReply::Committed(version) => {
                 let SliceWrite { team, record, .. } = sent;
-                self.quota.inflight.remove(&team);
+                self.quota.writes_in_flight.remove(&team);
                 self.quota.pacer.succeeded(&team);
                 let current = self.cache.slices.get(&team).map(|s| s.version).unwrap_or_default();
                 if current < version {
@@ -421,20 +434,20 @@
             }
             // It may still be executed: no claims for the team until the outcome is known.
             StoreReply::Unknown => {
-                sent.doubtful = true;
+                sent.outcome_unknown = true;
                 self.resend_slice(op, sent);
             }
             // This sending was not executed, but an earlier one may still be.
-            StoreReply::Refused if sent.doubtful => self.resend_slice(op, sent),
+            StoreReply::Refused if sent.outcome_unknown => self.resend_slice(op, sent),
             // Certainly not executed: a later check decides again what is needed.
             StoreReply::Refused => {
-                self.quota.inflight.remove(&sent.team);
+                self.quota.writes_in_flight.remove(&sent.team);
                 self.quota.pacer.failed(self.now.0, &sent.team);
                 self.replan_needed = true;
             }
             _ => {
                 // The stored slices and claims are known only after the next sync.
-                self.quota.inflight.remove(&sent.team);
+                self.quota.writes_in_flight.remove(&sent.team);
                 self.quota.pacer.failed(self.now.0, &sent.team);
                 self.quota.unread_claims_since = Some(self.event);
                 self.session.sync_wanted = true;
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -5,7 +5,7 @@
 use crate::effects::Effect;
 use crate::jobs::state::{LocalJobState, PlacementRequest};
 use crate::machines::inventory::Machine;
-use crate::quota::{Binding, Usage};
+use crate::quota::{BindingLimit, Usage};
 use crate::scheduling::evictions::YIELD_MS;
 use crate::scheduling::queue::QueuedTasks;
 use crate::store::cache::CachedJob;
@@ -141,7 +141,7 @@
                 continue;
             }
             let mut limits: Vec<AvailabilityProfile> =
-                binding.iter().map(|b| b.over_time(self.now)).collect();
+                binding.iter().map(|limit| limit.availability(self.now)).collect();
             let open = profiles.iter().map(|c| c.open).collect();
             let mut plan = PoolPlan {
                 pool: pool.clone(),
@@ -177,7 +177,7 @@
         pool: &PoolId,
         token: FencingToken,
         members: &[(&MachineId, &Machine)],
-        binding: &mut [Binding],
+        binding: &mut [BindingLimit],
     ) -> (Vec<MachineId>, Vec<MachineProfile>) {
         let Some(kind) = self.inventory.types.get(&pool.machine_type) else {
             return (vec![], vec![]);
@@ -229,7 +229,7 @@
         machine: &Machine,
         kind: &MachineType,
         profile: &mut MachineProfile,
-        binding: &mut [Binding],
+        binding: &mut [BindingLimit],
     ) {
         let now = self.now;
         // Claims are sorted by job, so one look-up serves all claims of a job.
@@ -240,7 +240,8 @@
                 Some((last, cached, job_state, limit)) if last == job => (cached, job_state, limit),
                 _ => {
                     let Some(cached) = self.cache.jobs.get(job) else { continue };
-                    let limit = binding.iter().position(|b| b.binds(&cached.record.spec));
+                    let limit =
+                        binding.iter().position(|limit| limit.applies_to(&cached.record.spec));
                     (cached, self.job_states.get(job), limit)
                 }
             };
@@ -249,13 +250,13 @@
             // record left slots empty for seconds when the change rate was limited.
             if job_state.is_some_and(|l| l.is_ending(*ix, claim.attempt)) {
                 if let Some(limit) = limit {
-                    binding[limit].ends(now, now.plus(1000), cached.each);
+                    binding[limit].add_release(now, now.plus(1000), cached.each);
                 }
                 continue;
             }
             let end = self.expected_end(id, machine, (job, *ix), cached, job_state);
             if let Some(limit) = limit {
-                binding[limit].ends(now, end, cached.each);
+                binding[limit].add_release(now, end, cached.each);
             }
             profile.carve(now, end, cached.each);
             let image = &cached.record.spec.image;
@@ -330,7 +331,7 @@
         &self,
         plan: &mut PoolPlan,
         queue: &[QueuedTasks],
-        limited: &[Binding],
+        limited: &[BindingLimit],
         later: &BTreeSet<JobId>,
     ) {
         let pool = &plan.pool;
@@ -375,7 +376,7 @@
                 image_gb: spec.image_gb,
                 spot: spec.spot,
                 gang: spec.kind == Kind::Gang,
-                limit: limited.iter().position(|b| b.binds(spec)),
+                limit: limited.iter().position(|limit| limit.applies_to(spec)),
                 prompt_ms: prompt_ms(*urgency, spec.estimate_s),
                 avoid: self.barred(id, *urgency, plan),
             });
@@ -406,8 +407,8 @@
         for queued in queue {
             *left.entry(queued.job.clone()).or_default() += queued.tasks;
         }
-        self.quota.short.clear();
-        self.note_soon(plans);
+        self.quota.shortfall.clear();
+        self.record_reserved_soon(plans);
         for start in self.due_starts(plans) {
             let remaining = left.get(start.job()).copied().unwrap_or(0);
             if remaining == 0 || !self.may_start_now(&start, remaining) {
@@ -478,9 +479,9 @@
         let Some(cached) = self.cache.jobs.get(&job) else { return 0 };
         let wanted = start.reservation.tasks.min(remaining);
         let (team, each) = (cached.record.spec.team.clone(), cached.each);
-        let tasks = self.within_slice(&team, &plan.pool, usage, each, wanted);
+        let tasks = self.take_from_slice(&team, &plan.pool, usage, each, wanted);
         if tasks < wanted {
-            let short = self.quota.short.entry((team, plan.pool.clone())).or_default();
+            let short = self.quota.shortfall.entry((team, plan.pool.clone())).or_default();
             *short += each.times(wanted - tasks);
         }
         if tasks == 0 {
