--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -5,7 +5,7 @@
 //! read the newest quota is safe: claims are guarded as always. The write is guarded by the key of
 //! the writer's role, so a former holder of the role cannot overwrite the quota of the current one.
 
-use crate::admission::state::{work, LongWork, MEASUREMENT_INTERVAL_MS, SETTLED_MS};
+use crate::admission::state::{estimated_cpu_s, LongWork, MEASUREMENT_INTERVAL_MS, SETTLED_MS};
 use crate::config::ObjectiveKind;
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreRequest};
@@ -26,15 +26,15 @@
 
 /// An overload quota is kept for at least this time unless a group is added or removed, in
 /// milliseconds.
-const STAND_MS: u64 = 5000;
+const MIN_QUOTA_AGE_MS: u64 = 5000;
 /// Estimated size of an entry in the record including its names, in bytes.
-const ENTRY_BYTES: usize = 260;
+const ESTIMATED_ENTRY_BYTES: usize = 260;
 
 /// An entry for the log: team, class, the floor of the small size class, and of the middle and the
 /// large size class with whether capacity is short, in processors.
-fn quota_for_log(e: &Entry) -> (&TeamId, &ClassId, i64, Option<(i64, i64, bool)>) {
-    let upper = e.sizes.as_ref().map(|s| (s.middle / 1000, s.large / 1000, s.short));
-    (&e.team, &e.class, e.floor / 1000, upper)
+fn loggable_entry(entry: &Entry) -> (&TeamId, &ClassId, i64, Option<(i64, i64, bool)>) {
+    let upper_floors = entry.sizes.as_ref().map(|s| (s.middle / 1000, s.large / 1000, s.short));
+    (&entry.team, &entry.class, entry.floor / 1000, upper_floors)
 }
 
 /// The measured distribution of work over a group's jobs.
@@ -83,23 +83,23 @@
         patience_s: f64,
     ) {
         let spec = &cached.record.spec;
-        let all = work(spec, spec.tasks);
-        let waits = work(spec, cached.unclaimed());
-        let up_to = |most: f64| if all <= most { waits } else { 0.0 };
-        self.waiting += waits;
-        self.must += up_to(distribution.must.most);
-        self.should += up_to(distribution.should.most);
+        let total_work = estimated_cpu_s(spec, spec.tasks);
+        let waiting_work = estimated_cpu_s(spec, cached.unclaimed());
+        let waiting_up_to = |max_work: f64| if total_work <= max_work { waiting_work } else { 0.0 };
+        self.waiting += waiting_work;
+        self.must += waiting_up_to(distribution.must.most);
+        self.should += waiting_up_to(distribution.should.most);
         // A job that can no longer begin in time has no claim on the floors of the upper size
         // classes.
         let has_begun = cached.claimed + cached.done > 0;
-        match distribution.bounds().size_class(all, spec.tasks) {
+        match distribution.bounds().size_class(total_work, spec.tasks) {
             _ if is_late && !has_begun => {}
             SizeClass::Small => {}
-            SizeClass::Middle => self.middle += waits,
-            SizeClass::Large => self.large += waits,
+            SizeClass::Middle => self.middle += waiting_work,
+            SizeClass::Large => self.large += waiting_work,
         }
         // Running tasks are assumed to be half done on average.
-        self.running += 0.5 * work(spec, cached.claimed);
+        self.running += 0.5 * estimated_cpu_s(spec, cached.claimed);
         self.patience_s += patience_s;
         self.jobs += 1.0;
         self.urgency = Some(self.urgency.map_or(spec.urgency, |u| u.min(spec.urgency)));
@@ -121,19 +121,21 @@
     /// answer is the same at every controller and every retry until the quota changes.
     pub(crate) fn overload_retry_after_s(&self, spec: &JobSpec) -> Option<u32> {
         self.cfg.admission.as_ref()?;
-        let most = self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.most?;
-        let refused = spec.kind == Kind::Array && work(spec, spec.tasks) > most as f64;
-        // The quota does not change within STAND_MS, so an earlier retry would be refused again.
-        let spread = xxhash_rust::xxh3::xxh3_64(spec.id.as_str().as_bytes()) % 8;
-        refused.then_some((2 * STAND_MS / 1000 + spread) as u32)
+        let max_work = self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.most?;
+        let refused =
+            spec.kind == Kind::Array && estimated_cpu_s(spec, spec.tasks) > max_work as f64;
+        // The quota is usually not revised within MIN_QUOTA_AGE_MS, so an earlier retry would be
+        // refused again.
+        let jitter_s = xxhash_rust::xxh3::xxh3_64(spec.id.as_str().as_bytes()) % 8;
+        refused.then_some((2 * MIN_QUOTA_AGE_MS / 1000 + jitter_s) as u32)
     }
 
     /// How long a job of this class is useful to its submitter, in seconds: by the most lenient of
     /// the class's objectives.
     fn patience_s(&self, spec: &JobSpec) -> f64 {
-        let objectives = self.cfg.objectives.iter().filter(|a| a.class == spec.class);
+        let objectives = self.cfg.objectives.iter().filter(|o| o.class == spec.class);
         objectives
-            .filter_map(|a| match a.kind {
+            .filter_map(|o| match o.kind {
                 ObjectiveKind::Finished(within) => Some(within),
                 ObjectiveKind::Deadline(times) => spec.deadline_s.map(|d| d * times),
                 ObjectiveKind::Wait(within) => Some(within + spec.estimate_s),
@@ -153,9 +155,9 @@
         }
         self.admission.last_checked = self.now;
         let wall_s = self.wall_ms as f64 / 1000.0;
-        self.admission.note_arrivals(&self.cache.jobs, wall_s);
-        self.admission.note_capacity(self.now, self.processors());
-        self.admission.note_asks(wall_s);
+        self.admission.count_arrivals(&self.cache.jobs, wall_s);
+        self.admission.record_capacity(self.now, self.available_cpus());
+        self.admission.update_team_demands(wall_s);
         if self.holds(Role::OverloadQuota)
             && self.in_contact()
             && self.cloud_state.list_at.is_some()
@@ -170,8 +172,8 @@
     /// jobs shared the limit evenly, none of them finished for ten minutes.
     pub(crate) fn long_work(&self) -> LongWork {
         let mut long = LongWork::default();
-        let asks = &self.admission.asks;
-        let capacity = self.admission.capacity.back().map_or(0.0, |c| c.1);
+        let demands = &self.admission.team_demands;
+        let capacity = self.admission.capacity_history.back().map_or(0.0, |c| c.1);
         if self.cfg.admission.is_none() {
             return long;
         }
@@ -179,52 +181,55 @@
         let mut limits: BTreeMap<(&TeamId, Urgency), Option<LongWorkLimit>> = BTreeMap::new();
         for (id, cached) in &self.cache.jobs {
             let spec = &cached.record.spec;
-            let limited = self.cfg.team(&spec.team).is_none_or(|t| t.is_limited());
-            let waits = !cached.record.aborted && cached.unclaimed() > 0;
-            if limited || !waits || spec.kind != Kind::Array || cached.width().is_some() {
+            let has_quota = self.cfg.team(&spec.team).is_none_or(|t| t.is_limited());
+            let has_waiting = !cached.record.aborted && cached.unclaimed() > 0;
+            if has_quota || !has_waiting || spec.kind != Kind::Array || cached.width().is_some() {
                 continue;
             }
             let limit = limits.entry((&spec.team, spec.urgency));
-            let known = *limit.or_insert_with(|| {
+            let computed = *limit.or_insert_with(|| {
                 cleatfold_admission::long_work_limit::long_work_limit(
-                    asks,
+                    demands,
                     capacity,
                     &spec.team,
                     spec.urgency,
                 )
             });
-            let Some(mut limit) = known.filter(|r| r.is_long(spec.estimate_s)) else { continue };
+            let Some(mut limit) = computed.filter(|limit| limit.is_long(spec.estimate_s)) else {
+                continue;
+            };
             // The limit is never below the floor that the overload quota guarantees.
             let floor = self.overload_entry(cached).map_or(0.0, |e| e.floor as f64 / 1000.0);
             limit.part = limit.part.max(floor / capacity.max(1.0)).min(1.0);
-            let rest = spec.cpus * f64::from(cached.unfinished());
+            let unfinished_cpus = spec.cpus * f64::from(cached.unfinished());
             let begun = cached.claimed + cached.done > 0;
-            let job = (!begun, cached.place(), id, rest);
+            let job = (!begun, cached.place(), id, unfinished_cpus);
             jobs.entry(&spec.team).or_default().push(job);
-            let known = long.limits.entry(spec.team.clone()).or_insert(limit);
-            known.part = known.part.max(limit.part);
+            let team_limit = long.limits.entry(spec.team.clone()).or_insert(limit);
+            team_limit.part = team_limit.part.max(limit.part);
         }
         for (team, mut jobs) in jobs {
             jobs.sort_by(|a, b| (a.0, a.1, a.2).cmp(&(b.0, b.1, b.2)));
-            let mut left = long.limits[team].part * capacity;
-            for (i, (new, _, id, rest)) in jobs.into_iter().enumerate() {
+            let mut remaining_cpus = long.limits[team].part * capacity;
+            for (i, (is_new, _, id, unfinished_cpus)) in jobs.into_iter().enumerate() {
                 // A new job begins beside others only if all of it fits; otherwise many jobs would
                 // be half done and none finished.
-                if i > 0 && (left <= 0.0 || (new && rest > left)) {
-                    long.later.insert(id.clone());
+                if i > 0 && (remaining_cpus <= 0.0 || (is_new && unfinished_cpus > remaining_cpus))
+                {
+                    long.deferred.insert(id.clone());
                 } else {
-                    left -= rest;
+                    remaining_cpus -= unfinished_cpus;
                 }
             }
         }
         long
     }
 
-    /// Processors of the machines that accept tasks and whose heartbeats are not overdue.
-    fn processors(&self) -> f64 {
+    /// Processors of the machines that accept tasks and have not missed their lease.
+    fn available_cpus(&self) -> f64 {
         let mut capacity = 0.0;
         for m in self.inventory.machines.values() {
-            if m.takes_work() && !self.is_silent(m) {
+            if m.takes_work() && !self.has_missed_lease(m) {
                 capacity += self.inventory.total(&m.pool.machine_type).cpus as f64 / 1000.0;
             }
         }
@@ -235,25 +240,25 @@
     /// of other pools send theirs to another controller, so nothing is concluded about them: a
     /// former owner that still did wrote an overload quota with no capacity one lease after it had
     /// lost its pools, and jobs of limited teams waited while machines were free.
-    fn is_silent(&self, machine: &Machine) -> bool {
+    fn has_missed_lease(&self, machine: &Machine) -> bool {
         let Some(owned) = self.pools.owned.get(&machine.pool) else { return false };
         let reported = machine.last_heartbeat().map(|at| at.max(machine.known).max(owned.since));
         reported.is_some_and(|at| self.now.since(at) >= self.cfg.lease_ms)
     }
 
     /// Capacity and the demand of all groups, as input to the decision on the quota.
-    fn view(&self) -> View {
+    fn demand_view(&self) -> View {
         let Some(rules) = &self.cfg.admission else { return View::default() };
-        let history = &self.admission.capacity;
-        let (oldest, before) = history.front().copied().unwrap_or_default();
+        let history = &self.admission.capacity_history;
+        let (oldest_at, oldest_capacity) = history.front().copied().unwrap_or_default();
         let capacity = history.back().map_or(0.0, |h| h.1);
-        let least = history.iter().map(|h| h.1).fold(before, f64::min);
-        let settled = self.now.since(oldest) >= SETTLED_MS && capacity <= least * 1.03;
+        let min_capacity = history.iter().map(|h| h.1).fold(oldest_capacity, f64::min);
+        let settled = self.now.since(oldest_at) >= SETTLED_MS && capacity <= min_capacity * 1.03;
         let distributions = self.distributions(rules);
         let demands = self.group_demands(rules, &distributions).into_iter();
         let groups = demands.filter_map(|(group, demand)| {
             let distribution = distributions.get(&group)?;
-            Some(self.demand_of(rules, group, demand, distribution))
+            Some(self.group_demand(rules, group, demand, distribution))
         });
         View { capacity, settled, groups: groups.collect() }
     }
@@ -293,7 +298,7 @@
     }
 
     /// The demand of one group, as input to the decision on the quota.
-    fn demand_of(
+    fn group_demand(
         &self,
         rules: &Rules,
         group: Group,
@@ -330,16 +335,17 @@
     /// Decides the overload quota, and writes it if it has changed enough. Called by the holder of
     /// the role.
     fn decide_overload_quota(&mut self) {
-        let view = self.view();
+        let view = self.demand_view();
         let Some(rules) = &self.cfg.admission else { return };
         let Versioned { version, value: known } = &self.cache.overload_quota;
         let now_s = self.now.0 as f64 / 1000.0;
         let mut entries = decide(rules, &mut self.admission.judge, known, &view, now_s);
-        entries.truncate(self.cfg.max_value_bytes / ENTRY_BYTES);
+        entries.truncate(self.cfg.max_value_bytes / ESTIMATED_ENTRY_BYTES);
         let same_groups = entries.len() == known.entries.len()
             && entries.iter().all(|e| known.entry(&e.team, &e.class).is_some());
-        let stands = same_groups && self.now.since(self.admission.written) < STAND_MS;
-        if self.admission.inflight || stands || !known.differs(&entries) {
+        let is_recent =
+            same_groups && self.now.since(self.admission.last_written) < MIN_QUOTA_AGE_MS;
+        if self.admission.write_in_flight || is_recent || !known.differs(&entries) {
             return;
         }
         let Some(epoch) = self.epoch(Role::OverloadQuota) else { return };
@@ -347,7 +353,7 @@
             generation = known.generation + 1,
             groups = entries.len(),
             capacity = view.capacity,
-            entries = ?entries.iter().map(quota_for_log).collect::<Vec<_>>(),
+            entries = ?entries.iter().map(loggable_entry).collect::<Vec<_>>(),
             "overload quota decided"
         );
         let next = OverloadQuota { generation: known.generation + 1, epoch, entries };
@@ -355,14 +361,14 @@
         txn.guard(OVERLOAD_QUOTA_KEY, *version);
         txn.guard(Role::OverloadQuota.key(), epoch);
         txn.put(OVERLOAD_QUOTA_KEY, &next, None);
-        self.admission.inflight = true;
-        self.admission.written = self.now;
+        self.admission.write_in_flight = true;
+        self.admission.last_written = self.now;
         self.store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::OverloadQuota);
     }
 
     /// Whatever the outcome of the write, the next sync shows what is stored.
     pub(crate) fn on_overload_quota_written(&mut self) {
-        self.admission.inflight = false;
+        self.admission.write_in_flight = false;
         self.session.sync_wanted = true;
         self.tell(None, cleatfold_wire::mesh::Message::Changed);
     }
--- a/crates/cleatfold-control/src/admission/state.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -18,42 +18,42 @@
     pub meter: Meter,
     pub judge: Judge,
     /// Jobs that the meter has counted.
-    seen: BTreeSet<JobId>,
+    counted_jobs: BTreeSet<JobId>,
     pub last_checked: Ms,
     /// When this controller last sent a write of the overload quota.
-    pub written: Ms,
+    pub last_written: Ms,
     /// Whether that write has no reply yet.
-    pub inflight: bool,
+    pub write_in_flight: bool,
     /// Processors of the region over the last `SETTLED_MS`, oldest first.
-    pub capacity: VecDeque<(Ms, f64)>,
+    pub capacity_history: VecDeque<(Ms, f64)>,
     /// The urgency of the last job that arrived in each group.
-    urgencies: BTreeMap<Group, Urgency>,
+    group_urgencies: BTreeMap<Group, Urgency>,
     /// Demand of each team, one entry for each of its groups.
-    pub asks: BTreeMap<TeamId, Vec<Asks<Urgency>>>,
+    pub team_demands: BTreeMap<TeamId, Vec<Asks<Urgency>>>,
 }
 
 impl AdmissionState {
     /// Adds the jobs that have arrived since the last measurement to the meter. `wall_s` is the
     /// time of day in seconds.
-    pub(crate) fn note_arrivals(&mut self, jobs: &BTreeMap<JobId, CachedJob>, wall_s: f64) {
-        self.seen.retain(|id| jobs.contains_key(id));
+    pub(crate) fn count_arrivals(&mut self, jobs: &BTreeMap<JobId, CachedJob>, wall_s: f64) {
+        self.counted_jobs.retain(|id| jobs.contains_key(id));
         for (id, cached) in jobs {
-            if self.seen.contains(id) {
+            if self.counted_jobs.contains(id) {
                 continue;
             }
-            self.seen.insert(id.clone());
+            self.counted_jobs.insert(id.clone());
             let spec = &cached.record.spec;
             let group = Group { team: spec.team.clone(), class: spec.class.clone() };
             let at_s = (cached.record.accepted_ms as f64 / 1000.0).min(wall_s);
-            let work = work(spec, spec.tasks);
+            let work = estimated_cpu_s(spec, spec.tasks);
             self.meter.arrived(&group, at_s, work, spec.tasks, spec.estimate_s);
-            self.urgencies.insert(group, spec.urgency);
+            self.group_urgencies.insert(group, spec.urgency);
         }
     }
 
     /// Records the number of processors available now.
-    pub(crate) fn note_capacity(&mut self, now: Ms, processors: f64) {
-        let history = &mut self.capacity;
+    pub(crate) fn record_capacity(&mut self, now: Ms, processors: f64) {
+        let history = &mut self.capacity_history;
         history.push_back((now, processors));
         while history.front().is_some_and(|h| now.since(h.0) > SETTLED_MS + MEASUREMENT_INTERVAL_MS)
         {
@@ -62,13 +62,13 @@
     }
 
     /// Derives the demand of each team from the meter.
-    pub(crate) fn note_asks(&mut self, wall_s: f64) {
-        self.asks.clear();
-        for (group, urgency) in &self.urgencies {
+    pub(crate) fn update_team_demands(&mut self, wall_s: f64) {
+        self.team_demands.clear();
+        for (group, urgency) in &self.group_urgencies {
             let rate = self.meter.rate(group, wall_s);
             let run_s = self.meter.run_s(group);
-            let asks = Asks { urgency: *urgency, rate, run_s };
-            self.asks.entry(group.team.clone()).or_default().push(asks);
+            let demand = Asks { urgency: *urgency, rate, run_s };
+            self.team_demands.entry(group.team.clone()).or_default().push(demand);
         }
     }
 }
@@ -79,21 +79,21 @@
     /// The limit on each team's long work.
     pub limits: BTreeMap<TeamId, LongWorkLimit>,
     /// Jobs with long work that wait for earlier ones of their team.
-    pub later: BTreeSet<JobId>,
+    pub deferred: BTreeSet<JobId>,
 }
 
 impl LongWork {
     /// Whether a job's tasks count as long work of its team.
     pub(crate) fn is_long(&self, spec: &JobSpec) -> bool {
-        self.limits.get(&spec.team).is_some_and(|r| r.is_long(spec.estimate_s))
+        self.limits.get(&spec.team).is_some_and(|limit| limit.is_long(spec.estimate_s))
     }
 }
 
 /// Processor-seconds that `tasks` tasks of a job take by its estimate; 0 for a service, which has
 /// no end to estimate.
-pub(crate) fn work(spec: &JobSpec, tasks: u32) -> f64 {
-    let run = if spec.kind == Kind::Service { 0.0 } else { spec.estimate_s };
-    f64::from(tasks) * spec.cpus * run
+pub(crate) fn estimated_cpu_s(spec: &JobSpec, tasks: u32) -> f64 {
+    let run_s = if spec.kind == Kind::Service { 0.0 } else { spec.estimate_s };
+    f64::from(tasks) * spec.cpus * run_s
 }
 
 /// The properties of a job in an upper size class that decide how many of its tasks are promoted.
@@ -113,7 +113,7 @@
         has: cached.each.times(cached.claimed).cpus,
         needs: cached.each.times(cached.unclaimed()).cpus,
         each,
-        work: work(spec, spec.tasks) as u64,
+        work: estimated_cpu_s(spec, spec.tasks) as u64,
         // A gang runs as a whole.
         width: match spec.kind {
             Kind::Gang => cached.each.times(spec.tasks).cpus,
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -153,7 +153,7 @@
                 requests: Vec::new(),
                 reservations: Vec::new(),
             };
-            self.requests_for(&mut plan, queue, &binding, &long.later);
+            self.requests_for(&mut plan, queue, &binding, &long.deferred);
             plan.reservations = cleatfold_backfill::plan(
                 &mut profiles,
                 &mut limits,
