--- a/crates/cleatfold-control/src/scheduling/evictions.rs
+++ b/crates/cleatfold-control/src/scheduling/evictions.rs
@@ -7,7 +7,7 @@
 
 /// How long an elastic member may continue its current step once its slot is requested for
 /// another job, in milliseconds.
-pub(crate) const YIELD_MS: u64 = 2500;
+pub(crate) const YIELD_GRACE_MS: u64 = 2500;
 
 /// A stop that is overdue by more than this many milliseconds is repeated without a grace period.
 const OVERDUE_MS: u64 = 1500;
@@ -17,7 +17,7 @@
 pub(crate) struct Eviction {
     pub attempt: Attempt,
     /// When its slot is expected to be free.
-    pub until: Ms,
+    pub free_at: Ms,
     pub grace_s: f64,
 }
 
@@ -25,12 +25,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct Evictions {
     tasks: BTreeMap<MachineId, BTreeMap<(JobId, TaskIx), Eviction>>,
-    coming: Vec<ComingPlaces>,
+    expected_slots: Vec<ExpectedSlots>,
 }
 
 /// Slots that evictions in progress will free for a job.
 #[derive(Debug)]
-struct ComingPlaces {
+struct ExpectedSlots {
     job: JobId,
     pool: PoolId,
     tasks: u32,
@@ -60,49 +60,51 @@
     }
 
     pub(crate) fn remove(&mut self, machine: &MachineId, job: &JobId, ix: TaskIx) {
-        if let Some(on) = self.tasks.get_mut(machine) {
-            on.remove(&(job.clone(), ix));
-            if on.is_empty() {
+        if let Some(evictions) = self.tasks.get_mut(machine) {
+            evictions.remove(&(job.clone(), ix));
+            if evictions.is_empty() {
                 self.tasks.remove(machine);
             }
         }
     }
 
     /// Records that `tasks` slots for a job will become free in a pool.
-    pub(crate) fn expect(&mut self, job: JobId, pool: PoolId, tasks: u32, until: Ms) {
-        self.coming.push(ComingPlaces { job, pool, tasks, until });
+    pub(crate) fn expect_slots(&mut self, job: JobId, pool: PoolId, tasks: u32, until: Ms) {
+        self.expected_slots.push(ExpectedSlots { job, pool, tasks, until });
     }
 
     /// How many slots are expected to become free for a job in a pool.
-    pub(crate) fn coming(&self, job: &JobId, pool: &PoolId) -> u32 {
-        let coming = self.coming.iter().filter(|c| c.job == *job && c.pool == *pool);
-        coming.map(|c| c.tasks).sum()
+    pub(crate) fn expected_slots(&self, job: &JobId, pool: &PoolId) -> u32 {
+        let expected = self.expected_slots.iter().filter(|c| c.job == *job && c.pool == *pool);
+        expected.map(|c| c.tasks).sum()
     }
 
     /// Repeats the stop command for a task that is being evicted; without a grace period once the
     /// stop is overdue.
-    pub(crate) fn repeat(
+    pub(crate) fn stop_command(
         &self,
         machine: &MachineId,
         task: &TaskReport,
         now: Ms,
     ) -> Option<Command> {
-        let stop = self.get(machine, &task.task.job, task.task.ix)?;
-        if stop.attempt != task.attempt {
+        let eviction = self.get(machine, &task.task.job, task.task.ix)?;
+        if eviction.attempt != task.attempt {
             return None;
         }
-        let overdue = now.since(stop.until) > OVERDUE_MS;
-        let grace_s = if overdue { 0.0 } else { stop.grace_s };
+        let overdue = now.since(eviction.free_at) > OVERDUE_MS;
+        let grace_s = if overdue { 0.0 } else { eviction.grace_s };
         Some(Command::Stop { task: task.task.clone(), attempt: task.attempt, grace_s })
     }
 
     /// Removes evictions whose claims have ended and expectations that have lapsed.
     pub(crate) fn prune(&mut self, now: Ms, claims: &BTreeMap<MachineId, MachineClaims>) {
-        self.coming.retain(|c| c.until > now);
+        self.expected_slots.retain(|c| c.until > now);
         self.tasks.retain(|machine, tasks| {
-            let on = claims.get(machine);
-            tasks.retain(|task, stop| {
-                on.and_then(|c| c.get(task)).is_some_and(|c| c.attempt == stop.attempt)
+            let machine_claims = claims.get(machine);
+            tasks.retain(|task, eviction| {
+                machine_claims
+                    .and_then(|c| c.get(task))
+                    .is_some_and(|c| c.attempt == eviction.attempt)
             });
             !tasks.is_empty()
         });
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -6,7 +6,7 @@
 use crate::jobs::state::{LocalJobState, PlacementRequest};
 use crate::machines::inventory::Machine;
 use crate::quota::{BindingLimit, Usage};
-use crate::scheduling::evictions::YIELD_MS;
+use crate::scheduling::evictions::YIELD_GRACE_MS;
 use crate::scheduling::queue::QueuedTasks;
 use crate::store::cache::CachedJob;
 use cleatfold_backfill::profile::FOREVER;
@@ -293,13 +293,13 @@
         if run >= FOREVER {
             return Ms(FOREVER);
         }
-        if let Some(stop) = self.evictions.get(machine_id, job, ix) {
-            return stop.until.max(self.now.plus(200));
+        if let Some(eviction) = self.evictions.get(machine_id, job, ix) {
+            return eviction.free_at.max(self.now.plus(200));
         }
         if let Some(width) = cached.width() {
             // A member beyond the least width is evicted for a reservation, so it delays none.
             let beyond = ix >= cached.beyond;
-            return self.now.plus(if beyond { width.yield_ms(YIELD_MS) } else { run });
+            return self.now.plus(if beyond { width.yield_ms(YIELD_GRACE_MS) } else { run });
         }
         let saved = job_state.and_then(|l| l.saved.get(&ix)).copied().unwrap_or(0);
         let run = run.saturating_sub(saved);
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -8,7 +8,7 @@
 use crate::controller::Controller;
 use crate::effects::Effect;
 use crate::machines::inventory::Machine;
-use crate::scheduling::evictions::{Eviction, YIELD_MS};
+use crate::scheduling::evictions::{Eviction, YIELD_GRACE_MS};
 use crate::scheduling::planning::PoolPlan;
 use crate::store::cache::CachedJob;
 use cleatfold_backfill::preemption::{self, MachineLoad, Need, Preemption, Running};
@@ -20,20 +20,20 @@
 
 /// A job that is to get an elastic member's slot should start within this time of its acceptance,
 /// in milliseconds.
-const START_MS: u64 = 5000;
+const START_TARGET_MS: u64 = 5000;
 /// From the exit of a stopped task to the start of the next task in its slot, in milliseconds: the
 /// report of the exit, the claim, and the response that commands the start.
-const CHANGE_MS: u64 = 900;
+const SLOT_HANDOVER_MS: u64 = 900;
 /// An elastic job whose members were evicted does not grow for this time, in milliseconds.
-const GROW_AGAIN_MS: u64 = 4000;
+const GROWTH_COOLDOWN_MS: u64 = 4000;
 /// A task that was stopped before is not stopped again until it has run for this time multiplied by
 /// one more than its number of stops, in milliseconds.
-const GAIN_MS: u64 = 15_000;
+const MIN_RUN_AFTER_STOP_MS: u64 = 15_000;
 /// How often a job's waiting tasks are divided among its pools in another order, in milliseconds.
-const TURN_MS: u64 = 3000;
+const SHARE_ROTATION_MS: u64 = 3000;
 
 /// Tasks of one request that cannot start now in a pool's plan.
-struct Wait {
+struct WaitingTasks {
     /// Index of the request in the plan.
     request: usize,
     tasks: u32,
@@ -43,23 +43,25 @@
 
 impl Controller {
     /// How many members an elastic job could use beyond its base.
-    pub(crate) fn growth(&self, id: &JobId, cached: &CachedJob) -> u32 {
+    pub(crate) fn growth_tasks(&self, id: &JobId, cached: &CachedJob) -> u32 {
         let Some(width) = cached.width() else { return 0 };
         let job_state = self.job_states.get(id);
-        if job_state.is_some_and(|l| l.shrunk.is_some_and(|at| self.now.since(at) < GROW_AGAIN_MS))
+        if job_state
+            .is_some_and(|l| l.shrunk.is_some_and(|at| self.now.since(at) < GROWTH_COOLDOWN_MS))
         {
             return 0;
         }
-        let fetch = self.inventory.types.values().map(|t| t.fetch_gb_per_s).fold(0.001, f64::max);
-        let start = self.cfg.heartbeat_interval_ms
+        let fetch_gb_per_s =
+            self.inventory.types.values().map(|t| t.fetch_gb_per_s).fold(0.001, f64::max);
+        let start_ms = self.cfg.heartbeat_interval_ms
             + 1000
-            + (cached.record.spec.image_gb / fetch * 1e3) as u64;
-        width.growth(cached.claimed, start)
+            + (cached.record.spec.image_gb / fetch_gb_per_s * 1e3) as u64;
+        width.growth(cached.claimed, start_ms)
     }
 
     /// Frees resources for the requests that have to wait, in the queue's order, where other tasks
     /// may be stopped for them.
-    pub(crate) fn plan_preemptions(&mut self, plans: &[PoolPlan], within: &HashSet<JobId>) {
+    pub(crate) fn plan_preemptions(&mut self, plans: &[PoolPlan], guaranteed: &HashSet<JobId>) {
         let claims = &self.cache.claims;
         self.evictions.prune(self.now, claims);
         if !self.cfg.preempt && self.cache.progress.is_empty() && !self.cache.any_elastic() {
@@ -67,46 +69,50 @@
         }
         let elastic = self.cache.any_elastic();
         for plan in plans {
-            let waits = waits(plan, self.now);
-            if waits.is_empty() {
+            let waiting_requests = waiting_tasks(plan, self.now);
+            if waiting_requests.is_empty() {
                 continue;
             }
-            let mut loads: Option<(Vec<MachineLoad>, Vec<Named>)> = None;
-            for wait in waits {
-                let Some((need, save_ms)) = self.need(plan, &wait, within) else { continue };
+            let mut loads: Option<(Vec<MachineLoad>, Vec<RunningTask>)> = None;
+            for waiting in waiting_requests {
+                let Some((need, save_ms)) = self.preemption_need(plan, &waiting, guaranteed) else {
+                    continue;
+                };
                 // No task could be stopped for this request. Without this check each waiting job
                 // copied and searched all running tasks of the pool, which took most of the
                 // planning time in a full region.
                 if !need.preempts && !elastic {
                     continue;
                 }
-                let tasks = self.part_here(plan, &wait);
+                let tasks = self.slots_needed(plan, &waiting);
                 if tasks == 0 {
                     continue;
                 }
-                let (loads, names) = loads.get_or_insert_with(|| self.loads(plan, within, save_ms));
-                let usable = &plan.requests[wait.request];
-                let mut here: Vec<MachineLoad> = loads
+                let (loads, running) =
+                    loads.get_or_insert_with(|| self.loads(plan, guaranteed, save_ms));
+                let request = &plan.requests[waiting.request];
+                let mut usable_loads: Vec<MachineLoad> = loads
                     .iter()
                     .enumerate()
-                    .map(|(i, s)| {
+                    .map(|(i, load)| {
                         let spot = self.is_spot(&plan.machines[i]);
-                        let barred = (spot && !usable.spot) || usable.avoid.contains(&i);
+                        let excluded = (spot && !request.spot) || request.avoid.contains(&i);
                         // A machine that has to fetch the image first would start the task too
                         // late.
-                        let cold = need.preempts && !self.has_image(&plan.machines[i], usable);
-                        if barred || cold {
+                        let lacks_image =
+                            need.preempts && !self.has_image(&plan.machines[i], request);
+                        if excluded || lacks_image {
                             MachineLoad { free: Default::default(), running: vec![] }
                         } else {
-                            s.clone()
+                            load.clone()
                         }
                     })
                     .collect();
-                let choices = preemption::choose_preemptions(&need, &mut here, tasks);
+                let choices = preemption::choose_preemptions(&need, &mut usable_loads, tasks);
                 for choice in choices {
-                    loads[choice.machine] = here[choice.machine].clone();
+                    loads[choice.machine] = usable_loads[choice.machine].clone();
                     if !choice.stop.is_empty() {
-                        self.evict_for(plan, &wait, &choice, names, save_ms);
+                        self.evict_for(plan, &waiting, &choice, running, save_ms);
                     }
                 }
             }
@@ -116,20 +122,25 @@
 
     /// What may be stopped for a job that waits, and how long a victim may take to save its
     /// progress in milliseconds.
-    fn need(&self, plan: &PoolPlan, wait: &Wait, within: &HashSet<JobId>) -> Option<(Need, u64)> {
-        let job = &plan.jobs[wait.request];
+    fn preemption_need(
+        &self,
+        plan: &PoolPlan,
+        waiting: &WaitingTasks,
+        guaranteed: &HashSet<JobId>,
+    ) -> Option<(Need, u64)> {
+        let job = &plan.jobs[waiting.request];
         let cached = self.cache.jobs.get(job)?;
         let spec = &cached.record.spec;
-        let within_guarantee = within.contains(job);
-        let time = self.time_that_counts(cached, within_guarantee, wait.start);
+        let within_guarantee = guaranteed.contains(job);
+        let budget_ms = self.preemption_budget_ms(cached, within_guarantee, waiting.start);
         // Under overload a preemption does not shorten the queue: it costs the victim's lost work
         // and two more changes, and only moves the wait from one job to another.
         let preempts =
-            self.cfg.preempt && time.is_some() && self.cache.overload_quota.value.is_empty();
+            self.cfg.preempt && budget_ms.is_some() && self.cache.overload_quota.value.is_empty();
         // Stopping a task that has run for long costs more than a start in time gains, so a victim
         // may lose a quarter of the waiting task's run time at most. Bounded by the whole run time,
         // preemption cost the deployment `kerbrev` 0.03 on its rough days; by a quarter, nothing.
-        let worth = if preempts {
+        let max_loss = if preempts {
             (spec.estimate_s * 250.0) as u64 * cached.each.cpus.max(1) as u64 / 1000
         } else {
             u64::MAX
@@ -140,41 +151,46 @@
             team: spec.team.clone(),
             within_guarantee,
             preempts,
-            worth,
+            worth: max_loss,
         };
-        Some((need, time.unwrap_or(0)))
+        Some((need, budget_ms.unwrap_or(0)))
     }
 
     /// How long a victim may take to stop, in milliseconds, if preemption would meet a service
     /// level objective that the reservation would miss. No task is stopped for an objective that
     /// would be missed in any case.
-    fn time_that_counts(&self, cached: &CachedJob, within: bool, start: Ms) -> Option<u64> {
+    fn preemption_budget_ms(
+        &self,
+        cached: &CachedJob,
+        within_guarantee: bool,
+        start: Ms,
+    ) -> Option<u64> {
         let spec = &cached.record.spec;
-        let elapsed = self.wall_ms.saturating_sub(cached.record.accepted_ms) as f64;
-        let objectives = self.cfg.objectives.iter().filter(|a| a.class == spec.class);
+        let elapsed_ms = self.wall_ms.saturating_sub(cached.record.accepted_ms) as f64;
+        let objectives = self.cfg.objectives.iter().filter(|o| o.class == spec.class);
         // Objectives on completion are left to the queue's order: preempting for them lost as much
         // work in the evicted jobs as it gained.
-        let waits = objectives.filter_map(|a| match a.kind {
-            ObjectiveKind::Wait(within) => Some(within),
+        let start_targets = objectives.filter_map(|o| match o.kind {
+            ObjectiveKind::Wait(within_s) => Some(within_s),
             ObjectiveKind::Finished(_) | ObjectiveKind::Deadline(_) => None,
         });
-        let guarantee = self.cfg.guarantee_wait_s.filter(|_| within);
-        let soonest = elapsed + CHANGE_MS as f64;
-        let planned = elapsed + start.since(self.now) as f64;
-        waits
+        let guarantee = self.cfg.guarantee_wait_s.filter(|_| within_guarantee);
+        let earliest_ms = elapsed_ms + SLOT_HANDOVER_MS as f64;
+        let planned_ms = elapsed_ms + start.since(self.now) as f64;
+        start_targets
             .chain(guarantee)
             .map(|s| s * 1000.0)
-            .filter(|by| soonest <= *by && *by < planned)
-            .map(|by| (by - soonest) as u64)
+            .filter(|by| earliest_ms <= *by && *by < planned_ms)
+            .map(|by| (by - earliest_ms) as u64)
             .max()
     }
 
     /// The pool's share of the waiting tasks, less the slots that are being freed for them already.
-    fn part_here(&self, plan: &PoolPlan, wait: &Wait) -> u32 {
-        let job = &plan.jobs[wait.request];
+    fn slots_needed(&self, plan: &PoolPlan, waiting: &WaitingTasks) -> u32 {
+        let job = &plan.jobs[waiting.request];
         let pools = self.job_states.get(job).map(|l| l.pools.as_slice()).unwrap_or_default();
-        let part = part_of_pool(job, pools, &plan.pool, wait.tasks, self.wall_ms);
-        part.saturating_sub(self.coming(job, &plan.pool))
+        let share = pool_share(job, pools, &plan.pool, waiting.tasks, self.wall_ms);
+        share.saturating_sub(self.slots_being_freed(job, &plan.pool))
     }
 
     fn is_spot(&self, id: &MachineId) -> bool {
@@ -193,18 +209,18 @@
     fn loads(
         &self,
         plan: &PoolPlan,
-        within: &HashSet<JobId>,
+        guaranteed: &HashSet<JobId>,
         save_ms: u64,
-    ) -> (Vec<MachineLoad>, Vec<Named>) {
-        let mut names: Vec<Named> = Vec::new();
+    ) -> (Vec<MachineLoad>, Vec<RunningTask>) {
+        let mut tasks: Vec<RunningTask> = Vec::new();
         let mut loads = Vec::new();
         let total = self.inventory.total(&plan.pool.machine_type);
         for (i, id) in plan.machines.iter().enumerate() {
-            let mut seat = MachineLoad { free: total, running: vec![] };
+            let mut load = MachineLoad { free: total, running: vec![] };
             let machine = self.inventory.machines.get(id).filter(|_| plan.open[i]);
             let Some(machine) = machine else {
-                seat.free = Default::default();
-                loads.push(seat);
+                load.free = Default::default();
+                loads.push(load);
                 continue;
             };
             for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
@@ -212,31 +228,31 @@
                 if self.is_ending(job, *ix, claim.attempt) {
                     continue;
                 }
-                seat.free -= cached.each;
-                let task = Named { job: job.clone(), ix: *ix, attempt: claim.attempt };
-                let mut running = self.as_victim(id, machine, cached, &task, save_ms);
-                running.beyond_guarantee = !within.contains(job);
-                running.id = names.len();
-                names.push(task);
-                seat.running.push(running);
+                load.free -= cached.each;
+                let task = RunningTask { job: job.clone(), ix: *ix, attempt: claim.attempt };
+                let mut candidate = self.preemption_candidate(id, machine, cached, &task, save_ms);
+                candidate.beyond_guarantee = !guaranteed.contains(job);
+                candidate.id = tasks.len();
+                tasks.push(task);
+                load.running.push(candidate);
             }
-            loads.push(seat);
+            loads.push(load);
         }
         // Reservations that start now use free resources.
         for r in plan.reservations.iter().filter(|r| r.start <= self.now) {
             loads[r.machine].free -= plan.requests[r.request].each.times(r.tasks);
         }
-        (loads, names)
+        (loads, tasks)
     }
 
     /// A running task as input to the choice of victims: whether it may be stopped, and what is
     /// lost.
-    fn as_victim(
+    fn preemption_candidate(
         &self,
         id: &MachineId,
         machine: &Machine,
         cached: &CachedJob,
-        task: &Named,
+        task: &RunningTask,
         save_ms: u64,
     ) -> Running {
         let spec = &cached.record.spec;
@@ -249,13 +265,14 @@
         let started = machine.started.get(&(task.job.clone(), task.ix));
         let ran = started.map_or(0, |s| self.now.since(*s));
         let yields = cached.width().is_some() && task.ix >= cached.beyond;
-        let gained = yields || evictions == 0 || ran >= GAIN_MS * u64::from(evictions + 1);
-        let interval = (spec.checkpoint_s * 1000.0) as u64;
+        let may_stop_again =
+            yields || evictions == 0 || ran >= MIN_RUN_AFTER_STOP_MS * u64::from(evictions + 1);
+        let checkpoint_ms = (spec.checkpoint_s * 1000.0) as u64;
         let lost_ms = match cached.width() {
-            Some(width) if width.step_ms <= YIELD_MS => 0,
+            Some(width) if width.step_ms <= YIELD_GRACE_MS => 0,
             Some(width) => width.step_ms / 2,
-            None if interval > 0 && saves_in_time(spec.save_s, save_ms) => 0,
-            None => ran % interval.max(u64::from(interval == 0) * u64::MAX),
+            None if checkpoint_ms > 0 && can_save_within(spec.save_s, save_ms) => 0,
+            None => ran % checkpoint_ms.max(u64::from(checkpoint_ms == 0) * u64::MAX),
         };
         Running {
             id: 0,
@@ -264,7 +281,7 @@
             team: spec.team.clone(),
             beyond_guarantee: true,
             yields,
-            stoppable: gained
+            stoppable: may_stop_again
                 && spec.kind == Kind::Array
                 && !cached.record.aborted
                 && self.evictions.get(id, &task.job, task.ix).is_none(),
@@ -274,74 +291,74 @@
 
     /// How long elastic members may continue their step when their slots are needed for this job,
     /// in milliseconds. The longer the job has waited, for instance during a failover, the shorter.
-    fn patience_ms(&self, job: &JobId) -> u64 {
+    fn yield_grace_ms(&self, job: &JobId) -> u64 {
         let cached = self.cache.jobs.get(job);
         let waited = cached.map_or(0, |l| self.wall_ms.saturating_sub(l.record.accepted_ms));
-        START_MS.saturating_sub(waited + 3 * CHANGE_MS / 2).min(YIELD_MS)
+        START_TARGET_MS.saturating_sub(waited + 3 * SLOT_HANDOVER_MS / 2).min(YIELD_GRACE_MS)
     }
 
     /// Stops the victims chosen for a request, or notes the preemption to be written first.
     fn evict_for(
         &mut self,
         plan: &PoolPlan,
-        wait: &Wait,
+        waiting: &WaitingTasks,
         choice: &Preemption,
-        names: &[Named],
+        running: &[RunningTask],
         save_ms: u64,
     ) {
         let now = self.now;
-        let patience = self.patience_ms(&plan.jobs[wait.request]);
+        let yield_grace_ms = self.yield_grace_ms(&plan.jobs[waiting.request]);
         let id = plan.machines[choice.machine].clone();
-        let mut leaving = Vec::new();
-        let mut last = 0;
+        let mut victims = Vec::new();
+        let mut last_exit_ms = 0;
         let mut preempts = false;
-        for task in choice.stop.iter().filter_map(|v| names.get(*v)) {
+        for task in choice.stop.iter().filter_map(|v| running.get(*v)) {
             let Some(cached) = self.cache.jobs.get(&task.job) else { continue };
             let spec = &cached.record.spec;
             let grace_ms = match cached.width() {
-                Some(width) => width.yield_ms(patience),
-                None if spec.checkpoint_s > 0.0 && saves_in_time(spec.save_s, save_ms) => {
+                Some(width) => width.yield_ms(yield_grace_ms),
+                None if spec.checkpoint_s > 0.0 && can_save_within(spec.save_s, save_ms) => {
                     (spec.save_s * 1000.0) as u64 + 500
                 }
                 None => 0,
             };
-            last = last.max(grace_ms + CHANGE_MS / 2);
+            last_exit_ms = last_exit_ms.max(grace_ms + SLOT_HANDOVER_MS / 2);
             preempts |= cached.width().is_none();
-            leaving.push((Victim(task.job.clone(), task.ix, task.attempt), grace_ms));
+            victims.push((Victim(task.job.clone(), task.ix, task.attempt), grace_ms));
         }
-        let job = plan.jobs[wait.request].clone();
-        let had = self.claims_on(&id, &job);
-        let choice = PreemptionPlan {
+        let job = plan.jobs[waiting.request].clone();
+        let had = self.count_claims_on(&id, &job);
+        let preemption = PreemptionPlan {
             job: job.clone(),
             machine: id,
             tasks: choice.tasks,
             had,
-            until_ms: self.wall_ms + last + CHANGE_MS + self.preemption_hold_ms(),
-            grace_ms: leaving.iter().map(|l| l.1).max().unwrap_or(0),
-            stop: leaving.into_iter().map(|l| l.0).collect(),
+            until_ms: self.wall_ms + last_exit_ms + SLOT_HANDOVER_MS + self.preemption_hold_ms(),
+            grace_ms: victims.iter().map(|l| l.1).max().unwrap_or(0),
+            stop: victims.into_iter().map(|l| l.0).collect(),
         };
-        let until = now.plus(last + CHANGE_MS);
-        self.evictions.expect(job, plan.pool.clone(), choice.tasks, until);
+        let until = now.plus(last_exit_ms + SLOT_HANDOVER_MS);
+        self.evictions.expect_slots(job, plan.pool.clone(), choice.tasks, until);
         // Evicted elastic members cannot get their slots back, because growth comes last in the
         // queue. A preempted task could get its slot back from a new owner of the pool that does
         // not know of the preemption, so that is written to the state service first.
         if preempts {
-            self.priority.new_preemptions.push(choice);
+            self.priority.new_preemptions.push(preemption);
         } else {
-            self.evict(plan.token, choice);
+            self.evict(plan.token, preemption);
         }
     }
 
     /// Sends the victims of a preemption the command to stop.
-    pub(crate) fn evict(&mut self, token: FencingToken, choice: PreemptionPlan) {
-        let id = choice.machine;
+    pub(crate) fn evict(&mut self, token: FencingToken, preemption: PreemptionPlan) {
+        let id = preemption.machine;
         let mut commands = Vec::new();
-        for Victim(job, ix, attempt) in choice.stop {
+        for Victim(job, ix, attempt) in preemption.stop {
             let Some(cached) = self.cache.jobs.get(&job) else { continue };
             let elastic = cached.width().is_some();
-            let grace_s = choice.grace_ms as f64 / 1000.0;
-            let until = self.now.plus(choice.grace_ms + CHANGE_MS / 2);
-            let eviction = Eviction { attempt, until, grace_s };
+            let grace_s = preemption.grace_ms as f64 / 1000.0;
+            let free_at = self.now.plus(preemption.grace_ms + SLOT_HANDOVER_MS / 2);
+            let eviction = Eviction { attempt, free_at, grace_s };
             self.evictions.insert(&id, &job, ix, eviction);
             let now = self.now;
             let job_state = self.job_state(&job);
@@ -351,7 +368,7 @@
                 *job_state.stopped.entry(ix).or_default() += 1;
             }
             tracing::info!(
-                %job, task = ix.0, machine = %id, grace_s, preempting_job = %choice.job, "evicting task"
+                %job, task = ix.0, machine = %id, grace_s, preempting_job = %preemption.job, "evicting task"
             );
             commands.push(Command::Stop { task: TaskId { job, ix }, attempt, grace_s });
         }
@@ -369,7 +386,7 @@
     /// The stop command that the response to a heartbeat repeats for a task that is being evicted:
     /// direct orders may be lost. Without a grace period once the stop is overdue.
     pub(crate) fn repeated_eviction(&self, id: &MachineId, t: &TaskReport) -> Option<Command> {
-        self.evictions.repeat(id, t, self.now)
+        self.evictions.stop_command(id, t, self.now)
     }
 
     /// Handles a worker's response to direct orders. Only the exits in it are used: they are final.
@@ -387,7 +404,7 @@
         if !newer || self.my_token(&machine.pool).is_none_or(|t| t != heartbeat.token) {
             return;
         }
-        let alive: HashSet<TaskId> = heartbeat
+        let unfinished: HashSet<TaskId> = heartbeat
             .tasks
             .iter()
             .filter(|t| t.state != TaskState::Exited)
@@ -395,7 +412,7 @@
             .collect();
         for t in heartbeat.tasks.iter().filter(|t| t.state == TaskState::Exited) {
             let ours = self.cache.claim(&id, &t.task).is_some_and(|c| c.attempt == t.attempt);
-            if ours && !alive.contains(&t.task) {
+            if ours && !unfinished.contains(&t.task) {
                 let exit = t.why.unwrap_or(Exit::Other);
                 self.on_exit(&id, &t.task, t.attempt, exit, t.saved == Some(true));
             }
@@ -406,45 +423,46 @@
 
 /// The requests whose reservations do not all start now, in the queue's order. Growth of elastic
 /// jobs and gangs are left out.
-fn waits(plan: &PoolPlan, now: Ms) -> Vec<Wait> {
-    let mut waits: Vec<Wait> = Vec::new();
+fn waiting_tasks(plan: &PoolPlan, now: Ms) -> Vec<WaitingTasks> {
+    let mut waiting_requests: Vec<WaitingTasks> = Vec::new();
     for reservation in &plan.reservations {
         let request = reservation.request;
         if reservation.start <= now || plan.growth[request] || plan.requests[request].gang {
             continue;
         }
-        match waits.last_mut().filter(|wait| wait.request == request) {
-            Some(wait) => {
-                wait.tasks += reservation.tasks;
-                wait.start = wait.start.min(reservation.start);
+        match waiting_requests.last_mut().filter(|waiting| waiting.request == request) {
+            Some(waiting) => {
+                waiting.tasks += reservation.tasks;
+                waiting.start = waiting.start.min(reservation.start);
             }
             None => {
                 let (tasks, start) = (reservation.tasks, reservation.start);
-                waits.push(Wait { request, tasks, start });
+                waiting_requests.push(WaitingTasks { request, tasks, start });
             }
         }
     }
-    waits
+    waiting_requests
 }
 
 /// How many of a job's waiting tasks a pool preempts for. The tasks are divided among the job's
 /// pools, in an order that rotates; otherwise every pool would preempt for the same tasks.
-fn part_of_pool(job: &JobId, pools: &[PoolId], pool: &PoolId, tasks: u32, wall_ms: u64) -> u32 {
-    let parts = pools.len().max(1) as u64;
-    let turn = xxhash_rust::xxh3::xxh3_64(job.as_str().as_bytes()) / 2 + wall_ms / TURN_MS;
+fn pool_share(job: &JobId, pools: &[PoolId], pool: &PoolId, tasks: u32, wall_ms: u64) -> u32 {
+    let shares = pools.len().max(1) as u64;
+    let rotation =
+        xxhash_rust::xxh3::xxh3_64(job.as_str().as_bytes()) / 2 + wall_ms / SHARE_ROTATION_MS;
     let position = pools.iter().position(|p| p == pool).unwrap_or(0) as u64;
-    let part = (position + turn) % parts;
+    let share = (position + rotation) % shares;
     let tasks = u64::from(tasks);
-    (tasks * (part + 1) / parts - tasks * part / parts) as u32
+    (tasks * (share + 1) / shares - tasks * share / shares) as u32
 }
 
 /// Whether a task can save its progress within this time.
-fn saves_in_time(save_s: f64, time_ms: u64) -> bool {
+fn can_save_within(save_s: f64, time_ms: u64) -> bool {
     save_s * 1000.0 + 500.0 <= time_ms as f64
 }
 
 /// A running task; its index in the list of tasks is its id in the choice of victims.
-struct Named {
+struct RunningTask {
     job: JobId,
     ix: TaskIx,
     attempt: Attempt,
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -85,13 +85,13 @@
         let waits = self.cache.jobs.get(&preemption.job).filter(|l| !l.record.aborted);
         preemption.stands(Seen {
             waits: waits.map_or(0, |l| l.unclaimed()),
-            here: self.claims_on(&preemption.machine, &preemption.job),
+            here: self.count_claims_on(&preemption.machine, &preemption.job),
             wall_ms: self.wall_ms,
         })
     }
 
     /// How many tasks of a job are claimed on a machine.
-    pub(crate) fn claims_on(&self, machine: &MachineId, job: &JobId) -> u32 {
+    pub(crate) fn count_claims_on(&self, machine: &MachineId, job: &JobId) -> u32 {
         let on = self.cache.claims.get(machine);
         on.map_or(0, |c| c.keys().filter(|t| t.0 == *job).count() as u32)
     }
@@ -104,10 +104,10 @@
 
     /// How many tasks of a job have a slot being freed in a pool: the larger of what is remembered
     /// locally and what the pool's preemption record says.
-    pub(crate) fn coming(&self, job: &JobId, pool: &PoolId) -> u32 {
+    pub(crate) fn slots_being_freed(&self, job: &JobId, pool: &PoolId) -> u32 {
         let preemptions = self.priority.preemptions.get(pool).into_iter().flatten();
         let written: u32 = preemptions.filter(|r| r.1.job == *job).map(|r| r.1.tasks).sum();
-        written.max(self.evictions.coming(job, pool))
+        written.max(self.evictions.expected_slots(job, pool))
     }
 
     /// Writes the preemptions of a planning pass in one transaction guarded by the pool's fencing
--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -60,7 +60,7 @@
             let entry = self.overload_entry(cached);
             let tasks = self.may_start(id, cached, cached.unclaimed());
             draft.add_base(&Arrival { id, cached, accepted_ms, is_guaranteed, tasks }, entry);
-            let growth = self.may_start(id, cached, self.growth(id, cached));
+            let growth = self.may_start(id, cached, self.growth_tasks(id, cached));
             draft.add_growth(id, cached, growth);
         }
         let is_divisible = |job: &JobId| {
