--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -349,7 +349,7 @@
             // A job that was assigned to no pool (it is new, or there is no leader) may be planned
             // by any pool.
             let sent = job_state.map(|l| l.pools.as_slice()).unwrap_or_default();
-            if !self.priority.considers(*urgency, id, sent, pool, self.now) {
+            if !self.priority.plans_for(*urgency, id, sent, pool, self.now) {
                 continue;
             }
             let spec = &cached.record.spec;
@@ -386,7 +386,7 @@
     /// Machines on which the job has failed, or that hold freed resources for other jobs.
     fn barred(&self, id: &JobId, urgency: Urgency, plan: &PoolPlan) -> Vec<usize> {
         let mut barred = self.avoided(id, &plan.machines);
-        barred.extend(self.priority.kept_from(&plan.pool, (id, urgency), &plan.machines));
+        barred.extend(self.priority.reserved_for_others(&plan.pool, (id, urgency), &plan.machines));
         barred
     }
 
@@ -464,7 +464,7 @@
         }
         let Some(cached) = self.cache.jobs.get(start.job()) else { return false };
         // In a newly acquired pool there may be more urgent work that is not read yet.
-        if cached.record.spec.urgency > self.priority.lowest(&start.plan.pool) {
+        if cached.record.spec.urgency > self.priority.lowest_urgency(&start.plan.pool) {
             self.replan_needed = true;
             return false;
         }
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -343,7 +343,7 @@
         // queue. A preempted task could get its slot back from a new owner of the pool that does
         // not know of the preemption, so that is written to the state service first.
         if preempts {
-            self.priority.new_preemptions.push(preemption);
+            self.priority.unwritten_preemptions.push(preemption);
         } else {
             self.evict(plan.token, preemption);
         }
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -16,28 +16,28 @@
 
 /// At most this many jobs that have waited for long, the first in the queue, are planned for by
 /// every pool.
-const MOST_LATE: usize = 64;
+const MAX_OVERDUE_JOBS: usize = 64;
 /// A longer gap between two checks means that this controller was stalled and received nothing
 /// meanwhile, in milliseconds.
-const HELD_UP_MS: u64 = 1_000;
+const STALL_MS: u64 = 1_000;
 
 impl Controller {
     /// Updates which pools have a live owner, and requests a sync while a start barrier is up.
     /// Called on every tick once this controller is serving.
     pub(crate) fn maintain_priority(&mut self) {
-        if self.now.since(self.priority.last_checked) > HELD_UP_MS {
-            self.priority.listening = self.now;
+        if self.now.since(self.priority.last_checked) > STALL_MS {
+            self.priority.listening_since = self.now;
         }
         self.priority.last_checked = self.now;
         // A change of live owners changes which jobs this controller's pools have to plan for.
-        let fallen = self.fallen();
-        if fallen != self.priority.fallen {
-            tracing::debug!(pools = ?fallen, "pools without a planner");
-            self.priority.fallen = fallen;
+        let orphaned = self.orphaned_pools();
+        if orphaned != self.priority.orphaned_pools {
+            tracing::debug!(pools = ?orphaned, "pools without a planner");
+            self.priority.orphaned_pools = orphaned;
             self.replan_needed = true;
         }
-        let closed = |g: &StartBarrier| g.lowest() < Urgency::BestEffort;
-        if self.priority.start_barriers.values().any(closed) {
+        let is_closed = |barrier: &StartBarrier| barrier.lowest() < Urgency::BestEffort;
+        if self.priority.start_barriers.values().any(is_closed) {
             self.session.sync_wanted = true;
             self.sync_if_due();
         }
@@ -46,11 +46,11 @@
     /// Updates the inputs of a planning pass: live owners, start barriers of newly acquired pools,
     /// and how long jobs have waited.
     pub(crate) fn refresh_priority(&mut self, queue: &[QueuedTasks]) {
-        self.priority.fallen = self.fallen();
+        self.priority.orphaned_pools = self.orphaned_pools();
         let (read, assigned) = (self.session.last_read, self.priority.last_assignment);
-        let gate = |taken| StartBarrier { taken, read, assigned };
+        let barrier = |taken| StartBarrier { taken, read, assigned };
         self.priority.start_barriers =
-            self.pools.owned.iter().map(|(p, o)| (p.clone(), gate(o.since))).collect();
+            self.pools.owned.iter().map(|(p, o)| (p.clone(), barrier(o.since))).collect();
         self.refresh_waiting(queue);
         self.adopt_preemptions();
     }
@@ -61,15 +61,15 @@
         let owned: Vec<(PoolId, FencingToken)> =
             self.pools.owned.iter().map(|(p, o)| (p.clone(), o.token)).collect();
         self.priority.preemptions.clear();
-        self.priority.adopted.retain(|p, _| self.pools.owned.contains_key(p));
+        self.priority.adopted_tokens.retain(|p, _| self.pools.owned.contains_key(p));
         for (pool, token) in owned {
             let Some(record) = self.cache.preemptions.get(&pool) else { continue };
-            let standing = record.value.plans.iter().filter(|r| self.is_preemption_active(r));
-            let urgency =
+            let active = record.value.plans.iter().filter(|r| self.is_preemption_active(r));
+            let job_urgency =
                 |r: &PreemptionPlan| self.cache.jobs.get(&r.job).map(|l| l.record.spec.urgency);
             let preemptions: Vec<(Urgency, PreemptionPlan)> =
-                standing.filter_map(|r| Some((urgency(r)?, r.clone()))).collect();
-            if self.priority.adopted.insert(pool.clone(), token) != Some(token) {
+                active.filter_map(|r| Some((job_urgency(r)?, r.clone()))).collect();
+            if self.priority.adopted_tokens.insert(pool.clone(), token) != Some(token) {
                 for (_, preemption) in &preemptions {
                     tracing::info!(%pool, job = %preemption.job, machine = %preemption.machine, "continuing preemption of a former owner");
                     self.evict(token, preemption.clone());
@@ -82,9 +82,9 @@
     }
 
     fn is_preemption_active(&self, preemption: &PreemptionPlan) -> bool {
-        let waits = self.cache.jobs.get(&preemption.job).filter(|l| !l.record.aborted);
+        let waiting_job = self.cache.jobs.get(&preemption.job).filter(|l| !l.record.aborted);
         preemption.stands(Seen {
-            waits: waits.map_or(0, |l| l.unclaimed()),
+            waits: waiting_job.map_or(0, |l| l.unclaimed()),
             here: self.count_claims_on(&preemption.machine, &preemption.job),
             wall_ms: self.wall_ms,
         })
@@ -92,8 +92,8 @@
 
     /// How many tasks of a job are claimed on a machine.
     pub(crate) fn count_claims_on(&self, machine: &MachineId, job: &JobId) -> u32 {
-        let on = self.cache.claims.get(machine);
-        on.map_or(0, |c| c.keys().filter(|t| t.0 == *job).count() as u32)
+        let claims = self.cache.claims.get(machine);
+        claims.map_or(0, |c| c.keys().filter(|t| t.0 == *job).count() as u32)
     }
 
     /// How long freed resources are reserved beyond the expected time of the evictions: as long as
@@ -113,8 +113,8 @@
     /// Writes the preemptions of a planning pass in one transaction guarded by the pool's fencing
     /// token. The victims are told to stop only once it is durable.
     pub(crate) fn write_preemptions(&mut self, pool: &PoolId, token: FencingToken) {
-        let preemptions = std::mem::take(&mut self.priority.new_preemptions);
-        if preemptions.is_empty() || self.priority.writing.contains(pool) {
+        let preemptions = std::mem::take(&mut self.priority.unwritten_preemptions);
+        if preemptions.is_empty() || self.priority.writes_in_flight.contains(pool) {
             return;
         }
         let Versioned { version, value: known } =
@@ -124,7 +124,7 @@
         txn.guard(pool_key(pool), Version(token.0));
         txn.guard(preemption_key(pool), version);
         txn.put(preemption_key(pool), &record, None);
-        self.priority.writing.insert(pool.clone());
+        self.priority.writes_in_flight.insert(pool.clone());
         let uncommitted = UncommittedPreemption { pool: pool.clone(), token, record, preemptions };
         self.store(
             CallPriority::Claim,
@@ -140,12 +140,12 @@
         uncommitted: UncommittedPreemption,
         reply: StoreReply,
     ) {
-        self.priority.writing.remove(&uncommitted.pool);
+        self.priority.writes_in_flight.remove(&uncommitted.pool);
         self.replan_needed = true;
         let StoreReply::Committed(version) = reply else {
             if matches!(reply, StoreReply::Unknown) {
                 // The write may have succeeded: then the stored preemptions have to be carried out.
-                self.priority.adopted.remove(&uncommitted.pool);
+                self.priority.adopted_tokens.remove(&uncommitted.pool);
             }
             self.session.sync_wanted = true;
             return;
@@ -164,26 +164,26 @@
     fn refresh_waiting(&mut self, queue: &[QueuedTasks]) {
         let (now, priority) = (self.now, &mut self.priority);
         let urgent = queue.iter().filter(|q| q.urgency < Urgency::BestEffort && !q.is_growth);
-        let before = std::mem::take(&mut priority.waits);
-        priority.waits =
-            urgent.map(|q| (q.job.clone(), before.get(&q.job).copied().unwrap_or(now))).collect();
-        let late_ms = self.cfg.heartbeat_interval_ms / 2;
-        let late = queue.iter().filter(|q| {
-            let since = priority.waits.get(&q.job).filter(|_| !q.is_growth);
-            since.is_some_and(|at| now.since(*at) >= late_ms)
+        let previous = std::mem::take(&mut priority.waiting_since);
+        priority.waiting_since =
+            urgent.map(|q| (q.job.clone(), previous.get(&q.job).copied().unwrap_or(now))).collect();
+        let overdue_ms = self.cfg.heartbeat_interval_ms / 2;
+        let overdue = queue.iter().filter(|q| {
+            let since = priority.waiting_since.get(&q.job).filter(|_| !q.is_growth);
+            since.is_some_and(|at| now.since(*at) >= overdue_ms)
         });
-        priority.late = late.take(MOST_LATE).map(|q| q.job.clone()).collect();
+        priority.overdue_jobs = overdue.take(MAX_OVERDUE_JOBS).map(|q| q.job.clone()).collect();
     }
 
-    fn fallen(&self) -> BTreeSet<PoolId> {
+    fn orphaned_pools(&self) -> BTreeSet<PoolId> {
         let listener_health = self.listener_health();
         let pools = self.cache.pools.keys();
-        pools.filter(|p| !self.lives_by(p, listener_health)).cloned().collect()
+        pools.filter(|p| !self.is_owner_live(p, listener_health)).cloned().collect()
     }
 
     fn listener_health(&self) -> ListenerHealth {
         ListenerHealth {
-            listening_ms: self.now.since(self.priority.listening),
+            listening_ms: self.now.since(self.priority.listening_since),
             receives_from_any_peer: self
                 .reachability
                 .view
@@ -196,23 +196,23 @@
     /// Whether the pool has an owner that seems to be planning for it now. A hint only: an owner
     /// may be judged live by one controller and not by another.
     pub(crate) fn has_live_owner(&self, pool: &PoolId) -> bool {
-        self.lives_by(pool, self.listener_health())
+        self.is_owner_live(pool, self.listener_health())
     }
 
-    fn lives_by(&self, pool: &PoolId, listener_health: ListenerHealth) -> bool {
+    fn is_owner_live(&self, pool: &PoolId, listener_health: ListenerHealth) -> bool {
         if self.my_token(pool).is_some() {
             return true;
         }
-        let Some(holding) = self.cache.pools.get(pool) else { return false };
-        let (controller, now) = (&holding.owner, self.now);
+        let Some(ownership) = self.cache.pools.get(pool) else { return false };
+        let (owner_id, now) = (&ownership.owner, self.now);
         let peers = &self.reachability.view.peers;
-        let known = self.cache.controllers.get(controller);
+        let known = self.cache.controllers.get(owner_id);
         let owner = Owner {
-            stands: known.is_some_and(|n| n.value.incarnation == holding.incarnation)
-                && *controller != self.cfg.me,
-            silence_ms: peers.last_message(controller).map(|at| now.since(at)),
-            read_ms: peers.contact(controller).map(|at| now.since(at)),
-            lost_workers: peers.of_zone(controller, &pool.zone, now).is_some_and(|h| h.lost),
+            stands: known.is_some_and(|n| n.value.incarnation == ownership.incarnation)
+                && *owner_id != self.cfg.me,
+            silence_ms: peers.last_message(owner_id).map(|at| now.since(at)),
+            read_ms: peers.contact(owner_id).map(|at| now.since(at)),
+            lost_workers: peers.of_zone(owner_id, &pool.zone, now).is_some_and(|h| h.lost),
         };
         // A pool announced over the mesh under a token that is not read yet belongs to the sender.
         self.pools.hinted.contains_key(pool) || lives(owner, listener_health)
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -11,26 +11,26 @@
 pub(crate) struct PriorityState {
     pub last_checked: Ms,
     /// Since when this controller has been receiving messages without a stall.
-    pub listening: Ms,
+    pub listening_since: Ms,
     /// When the leader last assigned jobs to pools, as far as this controller knows.
     pub last_assignment: Option<Ms>,
     /// Pools without a live owner, as of the last check.
-    pub fallen: BTreeSet<PoolId>,
+    pub orphaned_pools: BTreeSet<PoolId>,
     /// By owned pool: which urgencies may start there.
     pub start_barriers: BTreeMap<PoolId, StartBarrier>,
     /// Jobs above best effort that wait, and since when this controller has seen them wait.
-    pub waits: BTreeMap<JobId, Ms>,
+    pub waiting_since: BTreeMap<JobId, Ms>,
     /// Those of them that have waited for long; every pool plans for these.
-    pub late: BTreeSet<JobId>,
+    pub overdue_jobs: BTreeSet<JobId>,
     /// Preemptions of the planning pass in progress that are not written yet.
-    pub new_preemptions: Vec<PreemptionPlan>,
+    pub unwritten_preemptions: Vec<PreemptionPlan>,
     /// By owned pool: the active preemptions, each with the urgency of the job that it is for.
     pub preemptions: BTreeMap<PoolId, Vec<(Urgency, PreemptionPlan)>>,
     /// Pools whose preemption record is being written.
-    pub writing: BTreeSet<PoolId>,
+    pub writes_in_flight: BTreeSet<PoolId>,
     /// Pools whose former owner's preemptions were taken over, with the fencing token under which
     /// that happened.
-    pub adopted: BTreeMap<PoolId, FencingToken>,
+    pub adopted_tokens: BTreeMap<PoolId, FencingToken>,
 }
 
 /// A write of a pool's preemption record, and the preemptions to carry out once it is durable.
@@ -45,11 +45,11 @@
 impl PriorityState {
     /// Whether the pool had a live owner at the last check.
     pub(crate) fn has_live_owner(&self, pool: &PoolId) -> bool {
-        !self.fallen.contains(pool)
+        !self.orphaned_pools.contains(pool)
     }
 
     /// The lowest urgency that may start in an owned pool.
-    pub(crate) fn lowest(&self, pool: &PoolId) -> Urgency {
+    pub(crate) fn lowest_urgency(&self, pool: &PoolId) -> Urgency {
         self.start_barriers.get(pool).map_or(Urgency::Critical, StartBarrier::lowest)
     }
 
@@ -60,19 +60,20 @@
     }
 
     /// Indices of the machines on which an owned pool holds freed resources for other jobs.
-    pub(crate) fn kept_from(
+    pub(crate) fn reserved_for_others(
         &self,
         pool: &PoolId,
         (job, urgency): (&JobId, Urgency),
         machines: &[MachineId],
     ) -> Vec<usize> {
         let preemptions = self.preemptions.get(pool).map(Vec::as_slice).unwrap_or_default();
-        let barred = preemptions.iter().filter(|(l, r)| r.bars(*l, job, urgency));
-        barred.filter_map(|(_, r)| machines.iter().position(|m| *m == r.machine)).collect()
+        let reserved =
+            preemptions.iter().filter(|(for_urgency, plan)| plan.bars(*for_urgency, job, urgency));
+        reserved.filter_map(|(_, plan)| machines.iter().position(|m| *m == plan.machine)).collect()
     }
 
     /// Whether an owned pool plans for a job that the leader sent to the pools `sent`.
-    pub(crate) fn considers(
+    pub(crate) fn plans_for(
         &self,
         urgency: Urgency,
         job: &JobId,
@@ -80,12 +81,12 @@
         pool: &PoolId,
         now: Ms,
     ) -> bool {
-        let wide = self.start_barriers.get(pool).is_some_and(|g| g.wide(now));
+        let is_wide = self.start_barriers.get(pool).is_some_and(|barrier| barrier.wide(now));
         let sent = Sent {
             anywhere: !sent.is_empty(),
             here: sent.contains(pool),
-            all_live: !wide && sent.iter().all(|p| self.has_live_owner(p)),
-            late: self.late.contains(job),
+            all_live: !is_wide && sent.iter().all(|p| self.has_live_owner(p)),
+            late: self.overdue_jobs.contains(job),
             preempted_here: self.has_preemption_for(pool, job),
         };
         considers(urgency, sent)
