--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -24,20 +24,20 @@
     /// The queue in order, with the unclaimed tasks of each job. Each job has one entry, and an
     /// elastic job one more for its growth.
     pub(crate) fn queue(&self) -> Vec<QueuedTasks> {
-        let mut all: Vec<QueuedTasks> = Vec::new();
-        let mut known: HashMap<JobId, usize> = HashMap::new();
-        for q in self.queue_and_guaranteed().0 {
-            match known.get(&q.job) {
-                Some(&first) if !q.is_growth => all[first].tasks += q.tasks,
+        let mut entries: Vec<QueuedTasks> = Vec::new();
+        let mut first_entries: HashMap<JobId, usize> = HashMap::new();
+        for queued in self.queue_and_guaranteed().0 {
+            match first_entries.get(&queued.job) {
+                Some(&first) if !queued.is_growth => entries[first].tasks += queued.tasks,
                 _ => {
-                    if !q.is_growth {
-                        known.insert(q.job.clone(), all.len());
+                    if !queued.is_growth {
+                        first_entries.insert(queued.job.clone(), entries.len());
                     }
-                    all.push(q);
+                    entries.push(queued);
                 }
             }
         }
-        all
+        entries
     }
 
     /// The queue in order, and the jobs within their team's guarantee. A job of which only some
@@ -50,26 +50,26 @@
         arrivals.sort_by(|a, b| (a.1.place(), a.0).cmp(&(b.1.place(), b.0)));
         let accepted_ms = acceptance_times(arrivals.iter().map(|(_, j)| j.record.accepted_ms));
         let mut guarantees = self.guarantees();
-        let mut draft = QueueDraft { wall_ms: self.wall_ms, ..QueueDraft::default() };
+        let mut builder = QueueBuilder { wall_ms: self.wall_ms, ..QueueBuilder::default() };
         for ((id, cached), accepted_ms) in arrivals.into_iter().zip(accepted_ms) {
             let unfinished = cached.each.times(cached.unfinished());
             let is_guaranteed = guarantees.admit(&cached.record.spec.team, unfinished);
             if is_guaranteed {
-                draft.guaranteed.insert(id.clone());
+                builder.guaranteed.insert(id.clone());
             }
             let entry = self.overload_entry(cached);
             let tasks = self.may_start(id, cached, cached.unclaimed());
-            draft.add_base(&Arrival { id, cached, accepted_ms, is_guaranteed, tasks }, entry);
+            builder.add_base(&Arrival { id, cached, accepted_ms, is_guaranteed, tasks }, entry);
             let growth = self.may_start(id, cached, self.growth_tasks(id, cached));
-            draft.add_growth(id, cached, growth);
+            builder.add_growth(id, cached, growth);
         }
         let is_divisible = |job: &JobId| {
             // Only the tasks of an array start and end independently.
             let cached = self.cache.jobs.get(job).map(|cached| &cached.record.spec);
             cached.is_some_and(|spec| spec.kind == Kind::Array && !spec.spread)
         };
-        draft.promote_all(is_divisible);
-        draft.finish()
+        builder.promote_all(is_divisible);
+        builder.build()
     }
 
     fn guarantees(&self) -> Guarantees {
@@ -99,7 +99,7 @@
 
 /// The queue while it is being built.
 #[derive(Default)]
-struct QueueDraft<'a> {
+struct QueueBuilder<'a> {
     wall_ms: u64,
     candidates: Vec<Candidate>,
     guaranteed: HashSet<JobId>,
@@ -107,20 +107,20 @@
     overloaded: BTreeMap<&'a ClassId, OverloadedClass<'a>>,
 }
 
-impl<'a> QueueDraft<'a> {
+impl<'a> QueueBuilder<'a> {
     /// Adds a job's tasks without its growth. `entry` is its group's entry in the overload quota.
     fn add_base(&mut self, job: &Arrival<'a>, entry: Option<&'a Entry>) {
         let cached = job.cached;
         let spec = &cached.record.spec;
-        let is_small = entry.is_none_or(|entry| self.note_demand(job, entry));
+        let is_small = entry.is_none_or(|entry| self.record_demand(job, entry));
         if job.tasks == 0 {
             return;
         }
         // An elastic job that may shrink to nothing goes behind all others of its urgency;
         // otherwise it would take back the slot that it has just yielded.
-        let gives_way = cached.width().is_some_and(|w| w.least == 0);
+        let can_shrink_to_zero = cached.width().is_some_and(|w| w.least == 0);
         let (arrival, past_use) = match entry {
-            _ if gives_way => (u64::MAX, false),
+            _ if can_shrink_to_zero => (u64::MAX, false),
             None => (job.accepted_ms, false),
             Some(entry) => self.arrival_under_overload(job, entry, is_small),
         };
@@ -128,7 +128,7 @@
             beyond_floor: true,
             past_use,
             urgency: spec.urgency,
-            beyond_guarantee: !job.is_guaranteed || gives_way,
+            beyond_guarantee: !job.is_guaranteed || can_shrink_to_zero,
             arrival,
             turn: cached.place(),
             id: job.id.clone(),
@@ -155,7 +155,7 @@
     }
 
     /// Records what a job of an overloaded group has claimed and needs. True if the job is small.
-    fn note_demand(&mut self, job: &Arrival<'a>, entry: &'a Entry) -> bool {
+    fn record_demand(&mut self, job: &Arrival<'a>, entry: &'a Entry) -> bool {
         let cached = job.cached;
         let spec = &cached.record.spec;
         let class = self.overloaded.entry(&spec.class).or_default();
@@ -170,7 +170,7 @@
             larger.push(LargerJob { demand, candidate });
             return false;
         }
-        class.has += cached.each.times(cached.claimed).cpus;
+        class.claimed_cpus += cached.each.times(cached.claimed).cpus;
         true
     }
 
@@ -189,14 +189,14 @@
             rest: f64::from(cached.unclaimed()) * spec.cpus * spec.estimate_s,
             begun: cached.claimed + cached.done > 0,
         };
-        let moment = order::place(entry, waiting, self.wall_ms);
+        let order_ms = order::place(entry, waiting, self.wall_ms);
         if is_small {
-            let needs = cached.each.times(cached.unclaimed()).cpus;
+            let needed_cpus = cached.each.times(cached.unclaimed()).cpus;
             let candidate = self.candidates.len();
             let class = self.overloaded.entry(&spec.class).or_default();
-            class.small.push(SmallJob { moment, candidate, needs });
+            class.small.push(SmallJob { order_ms, candidate, needed_cpus });
         }
-        (moment, order::past_use(entry, waiting, self.wall_ms))
+        (order_ms, order::past_use(entry, waiting, self.wall_ms))
     }
 
     /// Promotes, in each class that is not served in time, the jobs that fill its guaranteed
@@ -205,8 +205,8 @@
         for mut class in std::mem::take(&mut self.overloaded).into_values() {
             let floor = class.floors.values().map(|f| f.0).sum();
             class.small.sort_unstable();
-            let needs = class.small.iter().map(|job| job.needs);
-            let promoted = order::promote(floor, class.has, needs);
+            let needs = class.small.iter().map(|job| job.needed_cpus);
+            let promoted = order::promote(floor, class.claimed_cpus, needs);
             for job in &class.small[..promoted] {
                 self.candidates[job.candidate].place.beyond_floor = false;
             }
@@ -234,19 +234,20 @@
         for (job, promoted) in jobs.iter().zip(promoted) {
             let Some(index) = job.candidate.filter(|_| promoted > 0) else { continue };
             let candidate = &mut self.candidates[index];
-            let first = Place { beyond_floor: false, past_use: false, ..candidate.place.clone() };
+            let promoted_place =
+                Place { beyond_floor: false, past_use: false, ..candidate.place.clone() };
             let tasks = (promoted / job.demand.each.max(1)).max(1) as u32;
-            if !is_divisible(&first.id) || tasks >= candidate.tasks {
-                candidate.place = first;
+            if !is_divisible(&promoted_place.id) || tasks >= candidate.tasks {
+                candidate.place = promoted_place;
             } else {
                 candidate.tasks -= tasks;
-                self.candidates.push(Candidate { place: first, tasks, is_growth: false });
+                self.candidates.push(Candidate { place: promoted_place, tasks, is_growth: false });
             }
         }
     }
 
     /// Sorts the queue; returns it with the jobs within their teams' guarantees.
-    fn finish(mut self) -> (Vec<QueuedTasks>, HashSet<JobId>) {
+    fn build(mut self) -> (Vec<QueuedTasks>, HashSet<JobId>) {
         self.candidates.sort();
         let queued = |Candidate { place, tasks, is_growth }| QueuedTasks {
             job: place.id,
@@ -258,14 +259,14 @@
     }
 }
 
-/// A small job of an overloaded class. Ordered by `moment`.
+/// A small job of an overloaded class. Ordered by `order_ms`.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct SmallJob {
-    moment: u64,
+    order_ms: u64,
     /// Index of its candidate.
     candidate: usize,
     /// Processors that it needs, in thousandths.
-    needs: i64,
+    needed_cpus: i64,
 }
 
 /// A job of an overloaded class in one of the two upper size classes.
@@ -282,7 +283,7 @@
     /// classes.
     floors: BTreeMap<&'a TeamId, (i64, Option<&'a Sizes>)>,
     /// Processors that its small jobs have claimed, in thousandths.
-    has: i64,
+    claimed_cpus: i64,
     small: Vec<SmallJob>,
     middle: Vec<LargerJob>,
     large: Vec<LargerJob>,
