--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -38,11 +38,11 @@
 /// When this controller last planned, and what the other controllers have promised.
 #[derive(Default)]
 pub(crate) struct PlanningState {
-    planned: Ms,
-    sent_at: Ms,
+    last_planned: Ms,
+    promises_sent_at: Ms,
     /// Promises of other controllers' pools: their fencing token, when they arrived, and by job
     /// when tasks are expected to finish.
-    remote: BTreeMap<PoolId, (FencingToken, Ms, BTreeMap<JobId, Finishes>)>,
+    remote_promises: BTreeMap<PoolId, (FencingToken, Ms, BTreeMap<JobId, Finishes>)>,
 }
 
 impl PlanningState {
@@ -61,7 +61,7 @@
                 (JobId::new(p.job), finishes)
             })
             .collect();
-        self.remote.insert(pool, (token, now, jobs));
+        self.remote_promises.insert(pool, (token, now, jobs));
     }
 }
 
@@ -71,11 +71,11 @@
     pub token: FencingToken,
     pub machines: Vec<MachineId>,
     /// By machine, whether tasks can be started there now.
-    pub open: Vec<bool>,
+    pub can_start: Vec<bool>,
     /// By request, the job that it belongs to.
     pub jobs: Vec<JobId>,
     /// By request, whether it is for members beyond an elastic job's base.
-    pub growth: Vec<bool>,
+    pub is_growth: Vec<bool>,
     pub requests: Vec<Request>,
     pub reservations: Vec<Reservation>,
 }
@@ -89,7 +89,7 @@
     /// How many tasks of its request start now in this pool.
     due_tasks: u32,
     /// How many tasks of the job other pools promise to finish clearly earlier.
-    elsewhere: u32,
+    promised_elsewhere: u32,
 }
 
 impl DueStart<'_> {
@@ -103,12 +103,12 @@
     pub(crate) fn plan_if_due(&mut self) {
         // Planning faster than claims can be written to the state service only costs processor
         // time, and little changes between the heartbeats that report which tasks have ended.
-        let least = PLAN_INTERVAL_MS.max(self.cfg.heartbeat_interval_ms / 15);
-        let interval = least.max(2 * self.rate_limiter.ms_per_change()) * self.backpressure;
-        if !self.replan_needed || self.now.since(self.plans.planned) < interval {
+        let min_interval = PLAN_INTERVAL_MS.max(self.cfg.heartbeat_interval_ms / 15);
+        let interval = min_interval.max(2 * self.rate_limiter.ms_per_change()) * self.backpressure;
+        if !self.replan_needed || self.now.since(self.plans.last_planned) < interval {
             return;
         }
-        self.plans.planned = self.now;
+        self.plans.last_planned = self.now;
         self.replan_needed = false;
         // Requests that are not sent yet are replaced by those of this pass.
         for job in &self.unsent {
@@ -123,37 +123,39 @@
         self.refresh_priority(&queue);
         let usage = self.limited_usage();
         let plans = self.plan_pools(&queue, &usage);
-        self.start_what_is_due(&queue, &plans, usage);
+        self.request_due_placements(&queue, &plans, usage);
         self.plan_preemptions(&plans, &guaranteed);
-        self.tell_promises(&plans);
+        self.broadcast_promises(&plans);
     }
 
     /// Plans each owned pool whose ownership is undisputed.
     fn plan_pools(&self, queue: &[QueuedTasks], usage: &Usage) -> Vec<PoolPlan> {
         let mut plans = Vec::new();
         let by_pool = self.inventory.by_pool();
-        let long = self.long_work();
+        let long_work = self.long_work();
         for (pool, token) in self.pools.undisputed() {
-            let members = by_pool.get(pool).map(Vec::as_slice).unwrap_or_default();
-            let mut binding = self.binding_limits(pool, members.len(), usage, &long.limits);
-            let (machines, mut profiles) = self.profiles(pool, token, members, &mut binding);
+            let pool_machines = by_pool.get(pool).map(Vec::as_slice).unwrap_or_default();
+            let mut binding =
+                self.binding_limits(pool, pool_machines.len(), usage, &long_work.limits);
+            let (machines, mut profiles) =
+                self.machine_profiles(pool, token, pool_machines, &mut binding);
             if machines.is_empty() {
                 continue;
             }
             let mut limits: Vec<AvailabilityProfile> =
                 binding.iter().map(|limit| limit.availability(self.now)).collect();
-            let open = profiles.iter().map(|c| c.open).collect();
+            let can_start = profiles.iter().map(|profile| profile.open).collect();
             let mut plan = PoolPlan {
                 pool: pool.clone(),
                 token,
                 machines,
-                open,
+                can_start,
                 jobs: Vec::new(),
-                growth: Vec::new(),
+                is_growth: Vec::new(),
                 requests: Vec::new(),
                 reservations: Vec::new(),
             };
-            self.requests_for(&mut plan, queue, &binding, &long.deferred);
+            self.add_requests(&mut plan, queue, &binding, &long_work.deferred);
             plan.reservations = cleatfold_backfill::plan(
                 &mut profiles,
                 &mut limits,
@@ -172,11 +174,11 @@
 
     /// The machines of a pool that may get tasks, with the availability profile of each. Also
     /// records in `binding` what their running tasks give back to those limits when they end.
-    fn profiles(
+    fn machine_profiles(
         &self,
         pool: &PoolId,
         token: FencingToken,
-        members: &[(&MachineId, &Machine)],
+        pool_machines: &[(&MachineId, &Machine)],
         binding: &mut [BindingLimit],
     ) -> (Vec<MachineId>, Vec<MachineProfile>) {
         let Some(kind) = self.inventory.types.get(&pool.machine_type) else {
@@ -184,9 +186,9 @@
         };
         let mut ids = Vec::new();
         let mut profiles = Vec::new();
-        for &(id, machine) in members.iter().filter(|(_, machine)| machine.takes_work()) {
-            let Some(mut profile) = self.empty_profile(machine, kind, token) else { continue };
-            self.carve_claims(id, machine, kind, &mut profile, binding);
+        for &(id, machine) in pool_machines.iter().filter(|(_, machine)| machine.takes_work()) {
+            let Some(mut profile) = self.idle_profile(machine, kind, token) else { continue };
+            self.subtract_claims(id, machine, kind, &mut profile, binding);
             ids.push(id.clone());
             profiles.push(profile);
         }
@@ -194,7 +196,7 @@
     }
 
     /// The profile of a machine without its tasks; none if its heartbeat or its boot is overdue.
-    fn empty_profile(
+    fn idle_profile(
         &self,
         machine: &Machine,
         kind: &MachineType,
@@ -223,7 +225,7 @@
     }
 
     /// Subtracts the resources of the claims on a machine from its profile.
-    fn carve_claims(
+    fn subtract_claims(
         &self,
         id: &MachineId,
         machine: &Machine,
@@ -233,10 +235,10 @@
     ) {
         let now = self.now;
         // Claims are sorted by job, so one look-up serves all claims of a job.
-        let mut known: Option<(&JobId, &CachedJob, Option<&LocalJobState>, Option<usize>)> = None;
-        let mut noted: Option<&JobId> = None;
+        let mut current: Option<(&JobId, &CachedJob, Option<&LocalJobState>, Option<usize>)> = None;
+        let mut image_noted_for: Option<&JobId> = None;
         for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
-            let (cached, job_state, limit) = match known {
+            let (cached, job_state, limit) = match current {
                 Some((last, cached, job_state, limit)) if last == job => (cached, job_state, limit),
                 _ => {
                     let Some(cached) = self.cache.jobs.get(job) else { continue };
@@ -245,7 +247,7 @@
                     (cached, self.job_states.get(job), limit)
                 }
             };
-            known = Some((job, cached, job_state, limit));
+            current = Some((job, cached, job_state, limit));
             // An ended task holds no resources even if its end is not recorded yet. Waiting for the
             // record left slots empty for seconds when the change rate was limited.
             if job_state.is_some_and(|l| l.is_ending(*ix, claim.attempt)) {
@@ -260,16 +262,16 @@
             }
             profile.carve(now, end, cached.each);
             let image = &cached.record.spec.image;
-            if noted != Some(job) && !profile.images.iter().any(|(i, _)| i == image) {
+            if image_noted_for != Some(job) && !profile.images.iter().any(|(i, _)| i == image) {
                 let ready = now.plus_s(cached.record.spec.image_gb / kind.fetch_gb_per_s);
                 profile.images.push((image.clone(), ready));
             }
-            noted = Some(job);
+            image_noted_for = Some(job);
         }
     }
 
     /// How long a task of the job runs by its estimate; an elastic member until the steps are done.
-    fn run_ms(&self, cached: &CachedJob) -> u64 {
+    fn estimated_run_ms(&self, cached: &CachedJob) -> u64 {
         if cached.record.spec.kind == Kind::Service {
             return FOREVER;
         }
@@ -289,8 +291,8 @@
         cached: &CachedJob,
         job_state: Option<&LocalJobState>,
     ) -> Ms {
-        let run = self.run_ms(cached);
-        if run >= FOREVER {
+        let run_ms = self.estimated_run_ms(cached);
+        if run_ms >= FOREVER {
             return Ms(FOREVER);
         }
         if let Some(eviction) = self.evictions.get(machine_id, job, ix) {
@@ -298,22 +300,26 @@
         }
         if let Some(width) = cached.width() {
             // A member beyond the least width is evicted for a reservation, so it delays none.
-            let beyond = ix >= cached.beyond;
-            return self.now.plus(if beyond { width.yield_ms(YIELD_GRACE_MS) } else { run });
+            let is_beyond_least = ix >= cached.beyond;
+            return self.now.plus(if is_beyond_least {
+                width.yield_ms(YIELD_GRACE_MS)
+            } else {
+                run_ms
+            });
         }
-        let saved = job_state.and_then(|l| l.saved.get(&ix)).copied().unwrap_or(0);
-        let run = run.saturating_sub(saved);
+        let saved_ms = job_state.and_then(|l| l.saved.get(&ix)).copied().unwrap_or(0);
+        let run_ms = run_ms.saturating_sub(saved_ms);
         match machine.started.get(&(job.clone(), ix)) {
             Some(start) => {
-                let end = start.plus(run);
+                let end = start.plus(run_ms);
                 if end > self.now {
                     end
                 } else {
-                    let ran = self.now.since(*start);
-                    self.now.plus((ran / 5).max(2000))
+                    let ran_ms = self.now.since(*start);
+                    self.now.plus((ran_ms / 5).max(2000))
                 }
             }
-            None => self.now.plus(run + self.cfg.heartbeat_interval_ms),
+            None => self.now.plus(run_ms + self.cfg.heartbeat_interval_ms),
         }
     }
 
@@ -327,19 +333,19 @@
     }
 
     /// Adds the requests of the queued jobs that the pool plans for.
-    fn requests_for(
+    fn add_requests(
         &self,
         plan: &mut PoolPlan,
         queue: &[QueuedTasks],
-        limited: &[BindingLimit],
-        later: &BTreeSet<JobId>,
+        limits: &[BindingLimit],
+        deferred: &BTreeSet<JobId>,
     ) {
         let pool = &plan.pool;
         for QueuedTasks { job: id, urgency, tasks: unclaimed, is_growth } in queue {
             let Some(cached) = self.cache.jobs.get(id) else {
                 continue;
             };
-            if !self.can_run_in(cached, pool) || later.contains(id) {
+            if !self.can_run_in(cached, pool) || deferred.contains(id) {
                 continue;
             }
             let job_state = self.job_states.get(id);
@@ -348,22 +354,22 @@
             }
             // A job that was assigned to no pool (it is new, or there is no leader) may be planned
             // by any pool.
-            let sent = job_state.map(|l| l.pools.as_slice()).unwrap_or_default();
-            if !self.priority.plans_for(*urgency, id, sent, pool, self.now) {
+            let sent_to = job_state.map(|l| l.pools.as_slice()).unwrap_or_default();
+            if !self.priority.plans_for(*urgency, id, sent_to, pool, self.now) {
                 continue;
             }
             let spec = &cached.record.spec;
             let mut tasks = *unclaimed;
             if spec.spread {
-                let here = self.claimed_in_zone(id, &pool.zone);
-                tasks = tasks.min(spec.tasks.div_ceil(2).saturating_sub(here));
+                let claimed = self.claimed_in_zone(id, &pool.zone);
+                tasks = tasks.min(spec.tasks.div_ceil(2).saturating_sub(claimed));
             }
             // A gang starts as a whole: it waits until its earlier claims are released.
             if tasks == 0 || (spec.kind == Kind::Gang && cached.claimed > 0) {
                 continue;
             }
             plan.jobs.push(id.clone());
-            plan.growth.push(*is_growth);
+            plan.is_growth.push(*is_growth);
             plan.requests.push(Request {
                 each: cached.each,
                 tasks,
@@ -371,23 +377,23 @@
                 run_ms: cached
                     .width()
                     .filter(|_| *is_growth)
-                    .map_or(self.run_ms(cached), |w| w.step_ms),
+                    .map_or(self.estimated_run_ms(cached), |w| w.step_ms),
                 image: spec.image.clone(),
                 image_gb: spec.image_gb,
                 spot: spec.spot,
                 gang: spec.kind == Kind::Gang,
-                limit: limited.iter().position(|limit| limit.applies_to(spec)),
+                limit: limits.iter().position(|limit| limit.applies_to(spec)),
                 prompt_ms: prompt_ms(*urgency, spec.estimate_s),
-                avoid: self.barred(id, *urgency, plan),
+                avoid: self.machines_to_avoid(id, *urgency, plan),
             });
         }
     }
 
     /// Machines on which the job has failed, or that hold freed resources for other jobs.
-    fn barred(&self, id: &JobId, urgency: Urgency, plan: &PoolPlan) -> Vec<usize> {
-        let mut barred = self.avoided(id, &plan.machines);
-        barred.extend(self.priority.reserved_for_others(&plan.pool, (id, urgency), &plan.machines));
-        barred
+    fn machines_to_avoid(&self, id: &JobId, urgency: Urgency, plan: &PoolPlan) -> Vec<usize> {
+        let mut avoid = self.avoided(id, &plan.machines);
+        avoid.extend(self.priority.reserved_for_others(&plan.pool, (id, urgency), &plan.machines));
+        avoid
     }
 
     /// How many tasks of the job are claimed in the zone.
@@ -402,29 +408,34 @@
 
     /// Turns reservations that start now into placement requests, earliest finish first, unless
     /// other pools promise to finish all remaining tasks of the job earlier.
-    fn start_what_is_due(&mut self, queue: &[QueuedTasks], plans: &[PoolPlan], mut usage: Usage) {
-        let mut left: BTreeMap<JobId, u32> = BTreeMap::new();
+    fn request_due_placements(
+        &mut self,
+        queue: &[QueuedTasks],
+        plans: &[PoolPlan],
+        mut usage: Usage,
+    ) {
+        let mut remaining_tasks: BTreeMap<JobId, u32> = BTreeMap::new();
         for queued in queue {
-            *left.entry(queued.job.clone()).or_default() += queued.tasks;
+            *remaining_tasks.entry(queued.job.clone()).or_default() += queued.tasks;
         }
         self.quota.shortfall.clear();
         self.record_reserved_soon(plans);
         for start in self.due_starts(plans) {
-            let remaining = left.get(start.job()).copied().unwrap_or(0);
+            let remaining = remaining_tasks.get(start.job()).copied().unwrap_or(0);
             if remaining == 0 || !self.may_start_now(&start, remaining) {
                 continue;
             }
             let tasks = self.request_placement(&start, remaining, &mut usage);
-            left.insert(start.job().clone(), remaining - tasks);
+            remaining_tasks.insert(start.job().clone(), remaining - tasks);
         }
     }
 
     /// The reservations that start now, earliest finish first.
     fn due_starts<'a>(&self, plans: &'a [PoolPlan]) -> Vec<DueStart<'a>> {
-        let promises = self.promises(plans);
+        let promises = self.collect_promises(plans);
         let mut starts = Vec::new();
         for (pool, plan) in plans.iter().enumerate() {
-            let is_due = |r: &&Reservation| r.start <= self.now && plan.open[r.machine];
+            let is_due = |r: &&Reservation| r.start <= self.now && plan.can_start[r.machine];
             let due: Vec<&Reservation> = plan.reservations.iter().filter(is_due).collect();
             let mut due_tasks: BTreeMap<usize, u32> = BTreeMap::new();
             for reservation in &due {
@@ -437,7 +448,12 @@
                     plan,
                     reservation,
                     due_tasks: due_tasks[&reservation.request],
-                    elsewhere: self.promised_elsewhere(&promises, pool, job, reservation.finish),
+                    promised_elsewhere: self.promised_elsewhere(
+                        &promises,
+                        pool,
+                        job,
+                        reservation.finish,
+                    ),
                 }
             }));
         }
@@ -459,7 +475,7 @@
             self.replan_needed = true;
             return false;
         }
-        if start.elsewhere >= remaining {
+        if start.promised_elsewhere >= remaining {
             return false;
         }
         let Some(cached) = self.cache.jobs.get(start.job()) else { return false };
@@ -487,7 +503,7 @@
         if tasks == 0 {
             return 0;
         }
-        if plan.growth[start.reservation.request] {
+        if plan.is_growth[start.reservation.request] {
             tracing::debug!(%job, tasks, pool = %plan.pool, "elastic job grows");
         }
         let placement = PlacementRequest {
@@ -503,7 +519,7 @@
 
     /// The promises of all pools, by job. Collected once per pass: searching all reservations for
     /// each start took a third of the processor time in a large deployment.
-    fn promises<'a>(&'a self, plans: &'a [PoolPlan]) -> Promises<'a> {
+    fn collect_promises<'a>(&'a self, plans: &'a [PoolPlan]) -> Promises<'a> {
         let mut promises = Promises::new();
         for (p, plan) in plans.iter().enumerate() {
             for r in &plan.reservations {
@@ -511,15 +527,15 @@
                 known.push((Some(p), r.finish, r.tasks));
             }
         }
-        for (pool, (token, at, jobs)) in &self.plans.remote {
+        for (pool, (token, at, jobs)) in &self.plans.remote_promises {
             let current = self.cache.pools.get(pool).is_some_and(|h| h.token <= *token)
                 && !self.pools.owned.contains_key(pool);
             if current {
-                let (age_ms, lives) = (self.now.since(*at), self.priority.has_live_owner(pool));
+                let (age_ms, is_live) = (self.now.since(*at), self.priority.has_live_owner(pool));
                 for (job, finishes) in jobs {
                     let cached = self.cache.jobs.get(job);
                     let urgency = cached.map_or(Urgency::BestEffort, |l| l.record.spec.urgency);
-                    if !believed(urgency, age_ms, lives) {
+                    if !believed(urgency, age_ms, is_live) {
                         continue;
                     }
                     let known = promises.entry(job).or_default();
@@ -531,25 +547,33 @@
     }
 
     /// How many of the job's tasks other pools promise to finish clearly before `finish`.
-    fn promised_elsewhere(&self, promises: &Promises, here: usize, job: &JobId, finish: Ms) -> u32 {
+    fn promised_elsewhere(
+        &self,
+        promises: &Promises,
+        own_pool: usize,
+        job: &JobId,
+        finish: Ms,
+    ) -> u32 {
         // Estimates are rough, so only a clearly earlier finish counts.
         let slack = 1000 + finish.since(self.now) / 10;
         let before = Ms(finish.0.saturating_sub(slack));
         let known = promises.get(job).map(Vec::as_slice).unwrap_or_default();
-        known.iter().filter(|(p, at, _)| *p != Some(here) && *at <= before).map(|p| p.2).sum()
+        known.iter().filter(|(p, at, _)| *p != Some(own_pool) && *at <= before).map(|p| p.2).sum()
     }
 
     /// Broadcasts when the owned pools expect to finish tasks of each job. Growth of elastic jobs
     /// is left out.
-    fn tell_promises(&mut self, plans: &[PoolPlan]) {
-        if self.now.since(self.plans.sent_at) < PROMISE_INTERVAL_MS * self.backpressure.min(4) {
+    fn broadcast_promises(&mut self, plans: &[PoolPlan]) {
+        if self.now.since(self.plans.promises_sent_at)
+            < PROMISE_INTERVAL_MS * self.backpressure.min(4)
+        {
             return;
         }
-        self.plans.sent_at = self.now;
+        self.plans.promises_sent_at = self.now;
         for plan in plans {
             let mut jobs: BTreeMap<&JobId, Vec<(u64, u32)>> = BTreeMap::new();
             for r in &plan.reservations {
-                if plan.growth[r.request] {
+                if plan.is_growth[r.request] {
                     continue;
                 }
                 let finishes = jobs.entry(&plan.jobs[r.request]).or_default();
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -217,7 +217,7 @@
         let total = self.inventory.total(&plan.pool.machine_type);
         for (i, id) in plan.machines.iter().enumerate() {
             let mut load = MachineLoad { free: total, running: vec![] };
-            let machine = self.inventory.machines.get(id).filter(|_| plan.open[i]);
+            let machine = self.inventory.machines.get(id).filter(|_| plan.can_start[i]);
             let Some(machine) = machine else {
                 load.free = Default::default();
                 loads.push(load);
@@ -427,7 +427,7 @@
     let mut waiting_requests: Vec<WaitingTasks> = Vec::new();
     for reservation in &plan.reservations {
         let request = reservation.request;
-        if reservation.start <= now || plan.growth[request] || plan.requests[request].gang {
+        if reservation.start <= now || plan.is_growth[request] || plan.requests[request].gang {
             continue;
         }
         match waiting_requests.last_mut().filter(|waiting| waiting.request == request) {
