--- a/crates/cleatfold-control/src/scheduling/queue/tests.rs
+++ b/crates/cleatfold-control/src/scheduling/queue/tests.rs
@@ -51,13 +51,13 @@
     })
 }
 
-fn record((urgency, promised, cpus, off): Job, n: usize) -> JobRecord {
+fn record((urgency, has_guarantee, cpus, clock_error_ms): Job, n: usize) -> JobRecord {
     // Ids whose order differs from the order of acceptance.
     let id = JobId::new(format!("run-{:06}", (n * 7919 + 13) % 1000));
     let spec = JobSpec {
         id,
         class: ClassId::new("class"),
-        team: TeamId::new(if promised { "promised" } else { "other" }),
+        team: TeamId::new(if has_guarantee { "promised" } else { "other" }),
         kind: Kind::Array,
         urgency: URGENCIES[urgency],
         tasks: 1,
@@ -77,17 +77,17 @@
         deadline_s: None,
         elastic: None,
     };
-    JobRecord::new(spec, (1_000_000 + 100 * n as i64 + off) as u64)
+    JobRecord::new(spec, (1_000_000 + 100 * n as i64 + clock_error_ms) as u64)
 }
 
 /// The expected order: urgency, then within the guarantee, then acceptance.
 fn model(jobs: &[Job]) -> Vec<JobId> {
-    let mut left = i64::from(GUARANTEED);
+    let mut guarantee_left = i64::from(GUARANTEED);
     let mut places = Vec::new();
     for (n, job) in jobs.iter().enumerate() {
-        let within = job.1 && i64::from(job.2) <= left;
-        left -= if job.1 { i64::from(job.2) } else { 0 };
-        places.push((job.0, !within, n, record(*job, n).spec.id));
+        let within_guarantee = job.1 && i64::from(job.2) <= guarantee_left;
+        guarantee_left -= if job.1 { i64::from(job.2) } else { 0 };
+        places.push((job.0, !within_guarantee, n, record(*job, n).spec.id));
     }
     places.sort();
     places.into_iter().map(|p| p.3).collect()
@@ -103,24 +103,24 @@
             (0..4usize, any::<bool>(), 1..5u32, -10_000..10_000i64), 1..40),
         rewritten in prop::collection::vec(any::<bool>(), 40),
     ) {
-        let (mut one, mut two) = (controller("n0"), controller("n1"));
-        let mut later = 1000;
+        let (mut first, mut second) = (controller("n0"), controller("n1"));
+        let mut next_version = 1000;
         for (n, job) in jobs.iter().enumerate() {
             let accepted = Version(10 + n as u64);
             let mut r = record(*job, n);
-            one.cache.install_job(r.spec.id.clone(), r.clone(), accepted);
+            first.cache.install_job(r.spec.id.clone(), r.clone(), accepted);
             if rewritten[n] {
                 // As in `build`: a rewritten record keeps its place and has a new version.
-                later += 1;
-                r.place = Some(one.cache.jobs[&r.spec.id].place());
-                one.cache.install_job(r.spec.id.clone(), r.clone(), Version(later));
+                next_version += 1;
+                r.place = Some(first.cache.jobs[&r.spec.id].place());
+                first.cache.install_job(r.spec.id.clone(), r.clone(), Version(next_version));
             }
         }
-        for (id, cached) in one.cache.jobs.iter().rev() {
-            two.cache.install_job(id.clone(), cached.record.clone(), cached.version);
+        for (id, cached) in first.cache.jobs.iter().rev() {
+            second.cache.install_job(id.clone(), cached.record.clone(), cached.version);
         }
         let order = |n: &Controller| n.queue().into_iter().map(|q| q.job).collect::<Vec<_>>();
-        prop_assert_eq!(order(&one), model(&jobs));
-        prop_assert_eq!(order(&two), model(&jobs));
+        prop_assert_eq!(order(&first), model(&jobs));
+        prop_assert_eq!(order(&second), model(&jobs));
     }
 }
