--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -181,9 +181,9 @@
         let mut limits: BTreeMap<(&TeamId, Urgency), Option<LongWorkLimit>> = BTreeMap::new();
         for (id, cached) in &self.cache.jobs {
             let spec = &cached.record.spec;
-            let has_quota = self.cfg.team(&spec.team).is_none_or(|t| t.is_limited());
+            let is_limited = self.cfg.team(&spec.team).is_none_or(|t| t.is_limited());
             let has_waiting = !cached.record.aborted && cached.unclaimed() > 0;
-            if has_quota || !has_waiting || spec.kind != Kind::Array || cached.width().is_some() {
+            if is_limited || !has_waiting || spec.kind != Kind::Array || cached.width().is_some() {
                 continue;
             }
             let limit = limits.entry((&spec.team, spec.urgency));
@@ -198,7 +198,7 @@
             let Some(mut limit) = computed.filter(|limit| limit.is_long(spec.estimate_s)) else {
                 continue;
             };
-            // The limit is never below the floor that the overload quota guarantees.
+            // The limit is never below the floor that the overload quota guarantees the group.
             let floor = self.overload_entry(cached).map_or(0.0, |e| e.floor as f64 / 1000.0);
             limit.part = limit.part.max(floor / capacity.max(1.0)).min(1.0);
             let unfinished_cpus = spec.cpus * f64::from(cached.unfinished());
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -58,6 +58,7 @@
     outcome_unknown: bool,
 }
 
+/// This controller's state about quota slices.
 #[derive(Debug)]
 pub(crate) struct QuotaState {
     /// When slices may be written.
@@ -420,6 +421,7 @@
         needs
     }
 
+    /// Handles the outcome of a write of a team's slices.
     pub(crate) fn on_slice_written(&mut self, op: u64, mut sent: SliceWrite, reply: StoreReply) {
         match reply {
             StoreReply::Committed(version) => {
--- a/crates/cleatfold-control/src/scheduling/evictions.rs
+++ b/crates/cleatfold-control/src/scheduling/evictions.rs
@@ -18,6 +18,7 @@
     pub attempt: Attempt,
     /// When its slot is expected to be free.
     pub free_at: Ms,
+    /// Grace period of the stop command, in seconds.
     pub grace_s: f64,
 }
 
@@ -39,11 +40,13 @@
 }
 
 impl Evictions {
+    /// The eviction of a task, if it is being evicted.
     pub(crate) fn get(&self, machine: &MachineId, job: &JobId, ix: TaskIx) -> Option<&Eviction> {
         // Most machines have no evictions, so look up the machine before cloning the job's id.
         self.tasks.get(machine)?.get(&(job.clone(), ix))
     }
 
+    /// Records that a task was told to stop.
     pub(crate) fn insert(
         &mut self,
         machine: &MachineId,
@@ -59,6 +62,7 @@
         self.tasks.contains_key(machine)
     }
 
+    /// Removes the eviction of a task that has exited.
     pub(crate) fn remove(&mut self, machine: &MachineId, job: &JobId, ix: TaskIx) {
         if let Some(evictions) = self.tasks.get_mut(machine) {
             evictions.remove(&(job.clone(), ix));
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Whether the job still waits for the freed resources and the plan has not expired.
     fn is_preemption_active(&self, preemption: &PreemptionPlan) -> bool {
         let waiting_job = self.cache.jobs.get(&preemption.job).filter(|l| !l.record.aborted);
         preemption.stands(Seen {
@@ -161,6 +162,7 @@
         }
     }
 
+    /// Updates since when jobs above best effort have waited, and which of them are overdue.
     fn refresh_waiting(&mut self, queue: &[QueuedTasks]) {
         let (now, priority) = (self.now, &mut self.priority);
         let urgent = queue.iter().filter(|q| q.urgency < Urgency::BestEffort && !q.is_growth);
@@ -175,12 +177,14 @@
         priority.overdue_jobs = overdue.take(MAX_OVERDUE_JOBS).map(|q| q.job.clone()).collect();
     }
 
+    /// The pools without a live owner.
     fn orphaned_pools(&self) -> BTreeSet<PoolId> {
         let listener_health = self.listener_health();
         let pools = self.cache.pools.keys();
         pools.filter(|p| !self.is_owner_live(p, listener_health)).cloned().collect()
     }
 
+    /// Whether this controller's own reception is good enough to judge others by their silence.
     fn listener_health(&self) -> ListenerHealth {
         ListenerHealth {
             listening_ms: self.now.since(self.priority.listening_since),
@@ -199,6 +203,7 @@
         self.is_owner_live(pool, self.listener_health())
     }
 
+    /// As [`Self::has_live_owner`], with the health of this controller's reception given.
     fn is_owner_live(&self, pool: &PoolId, listener_health: ListenerHealth) -> bool {
         if self.my_token(pool).is_some() {
             return true;
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -53,6 +53,7 @@
         self.start_barriers.get(pool).map_or(Urgency::Critical, StartBarrier::lowest)
     }
 
+    /// Whether resources are being freed for the job in an owned pool.
     pub(crate) fn has_preemption_for(&self, pool: &PoolId, job: &JobId) -> bool {
         self.preemptions
             .get(pool)
