--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -1,11 +1,11 @@
-//! Overload that lasts: what each group asks for is measured by every controller, one controller decides, and
-//! all go by what it has written.
+//! The overload quota: every controller measures the demand of each group, the holder of a role
+//! decides the quota and writes it, and all controllers order their queues by it.
 //!
-//! Only the order of the queue rests on it, so a controller that has not read the newest overload quota does
-//! no harm: every claim is guarded as ever. The writer's word is guarded by its role's key: a
-//! holder that was replaced cannot overwrite what the next one has written.
+//! Only the queue's order and the refusal of new jobs depend on it, so a controller that has not
+//! read the newest quota is safe: claims are guarded as always. The write is guarded by the key of
+//! the writer's role, so a former holder of the role cannot overwrite the quota of the current one.
 
-use crate::admission::state::{work, LongWork, MEASUREMENT_INTERVAL_MS, SETTLED_MS};
+use crate::admission::state::{estimated_cpu_s, LongWork, MEASUREMENT_INTERVAL_MS, SETTLED_MS};
 use crate::config::ObjectiveKind;
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreRequest};
@@ -24,24 +24,26 @@
 use cleatfold_wire::{ClassId, JobId, TeamId};
 use std::collections::BTreeMap;
 
-/// An overload quota stands for so long, unless a group comes or goes.
-const STAND_MS: u64 = 5000;
-/// Bytes that an entry takes in the record, names included.
-const ENTRY_BYTES: usize = 260;
+/// An overload quota is kept for at least this time unless a group is added or removed, in
+/// milliseconds.
+const MIN_QUOTA_AGE_MS: u64 = 5000;
+/// Estimated size of an entry in the record including its names, in bytes.
+const ESTIMATED_ENTRY_BYTES: usize = 260;
 
-/// For the log: floors of the small, the middle and the largest, in processors.
-fn quota_for_log(e: &Entry) -> (&TeamId, &ClassId, i64, Option<(i64, i64, bool)>) {
-    let upper = e.sizes.as_ref().map(|s| (s.middle / 1000, s.large / 1000, s.short));
-    (&e.team, &e.class, e.floor / 1000, upper)
+/// An entry for the log: team, class, the floor of the small size class, and of the middle and the
+/// large size class with whether capacity is short, in processors.
+fn loggable_entry(entry: &Entry) -> (&TeamId, &ClassId, i64, Option<(i64, i64, bool)>) {
+    let upper_floors = entry.sizes.as_ref().map(|s| (s.middle / 1000, s.large / 1000, s.short));
+    (&entry.team, &entry.class, entry.floor / 1000, upper_floors)
 }
 
-/// How the work of a group's jobs is distributed, as it was measured.
+/// The measured distribution of work over a group's jobs.
 struct Distribution {
-    /// The jobs that must be served, the smallest first.
+    /// The smallest jobs, which must be served.
     must: Spread,
-    /// Those that should be.
+    /// The smallest jobs that should be served if there is capacity; includes those of `must`.
     should: Spread,
-    /// The largest of their class.
+    /// The largest jobs of the class.
     largest: Largest,
 }
 
@@ -52,20 +54,22 @@
     }
 }
 
-/// What the jobs of one group have and ask for, in processor-seconds.
+/// Work of one group that waits and that runs, in processor-seconds.
 #[derive(Default)]
 struct GroupDemand {
-    /// Of its most urgent job.
+    /// The urgency of its most urgent job.
     urgency: Option<Urgency>,
     waiting: f64,
-    /// What waits of the jobs that must, and of those that should be served.
+    /// Waiting work of the jobs that must be served.
     must: f64,
+    /// Waiting work of the jobs that should be served.
     should: f64,
-    /// What waits of the middle and of the largest jobs.
+    /// Waiting work of the middle size class.
     middle: f64,
+    /// Waiting work of the large size class.
     large: f64,
     running: f64,
-    /// The sum over its jobs.
+    /// Sum of the patience of its jobs, in seconds.
     patience_s: f64,
     jobs: f64,
 }
@@ -79,22 +83,23 @@
         patience_s: f64,
     ) {
         let spec = &cached.record.spec;
-        let all = work(spec, spec.tasks);
-        let waits = work(spec, cached.unclaimed());
-        let up_to = |most: f64| if all <= most { waits } else { 0.0 };
-        self.waiting += waits;
-        self.must += up_to(distribution.must.most);
-        self.should += up_to(distribution.should.most);
-        // What can no longer begin in time waits for what is left.
+        let total_work = estimated_cpu_s(spec, spec.tasks);
+        let waiting_work = estimated_cpu_s(spec, cached.unclaimed());
+        let waiting_up_to = |max_work: f64| if total_work <= max_work { waiting_work } else { 0.0 };
+        self.waiting += waiting_work;
+        self.must += waiting_up_to(distribution.must.most);
+        self.should += waiting_up_to(distribution.should.most);
+        // A job that can no longer begin in time has no claim on the floors of the upper size
+        // classes.
         let has_begun = cached.claimed + cached.done > 0;
-        match distribution.bounds().size_class(all, spec.tasks) {
+        match distribution.bounds().size_class(total_work, spec.tasks) {
             _ if is_late && !has_begun => {}
             SizeClass::Small => {}
-            SizeClass::Middle => self.middle += waits,
-            SizeClass::Large => self.large += waits,
+            SizeClass::Middle => self.middle += waiting_work,
+            SizeClass::Large => self.large += waiting_work,
         }
-        // Of what runs about half is done, where nothing better is known.
-        self.running += 0.5 * work(spec, cached.claimed);
+        // Running tasks are assumed to be half done on average.
+        self.running += 0.5 * estimated_cpu_s(spec, cached.claimed);
         self.patience_s += patience_s;
         self.jobs += 1.0;
         self.urgency = Some(self.urgency.map_or(spec.urgency, |u| u.min(spec.urgency)));
@@ -102,7 +107,7 @@
 }
 
 impl Controller {
-    /// What the agreement says of the job's group, if it is not served in time.
+    /// The entry of the job's group in the overload quota, if the group is not served in time.
     pub(crate) fn overload_entry(&self, cached: &CachedJob) -> Option<&Entry> {
         let overload_quota = &self.cache.overload_quota.value;
         if overload_quota.is_empty() || cached.width().is_some() || self.cfg.admission.is_none() {
@@ -111,23 +116,26 @@
         overload_quota.entry(&cached.record.spec.team, &cached.record.spec.class)
     }
 
-    /// Whether a job that is not known yet would only wait past its use, and then after how many
-    /// seconds to ask again. By the job's size and the overload quota alone: the same answer at every
-    /// controller and at every retry, as long as the overload quota stands.
-    pub(crate) fn refused_for_now(&self, spec: &JobSpec) -> Option<u32> {
+    /// Whether a new job is refused because it would wait for longer than its users' patience; if
+    /// so, after how many seconds to retry. Depends only on the job and the overload quota, so the
+    /// answer is the same at every controller and every retry until the quota changes.
+    pub(crate) fn overload_retry_after_s(&self, spec: &JobSpec) -> Option<u32> {
         self.cfg.admission.as_ref()?;
-        let most = self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.most?;
-        let refused = spec.kind == Kind::Array && work(spec, spec.tasks) > most as f64;
-        // An overload quota is looked at again after STAND_MS; a retry before that is in vain.
-        let spread = xxhash_rust::xxh3::xxh3_64(spec.id.as_str().as_bytes()) % 8;
-        refused.then_some((2 * STAND_MS / 1000 + spread) as u32)
+        let max_work = self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.most?;
+        let refused =
+            spec.kind == Kind::Array && estimated_cpu_s(spec, spec.tasks) > max_work as f64;
+        // The quota is usually not revised within MIN_QUOTA_AGE_MS, so an earlier retry would be
+        // refused again.
+        let jitter_s = xxhash_rust::xxh3::xxh3_64(spec.id.as_str().as_bytes()) % 8;
+        refused.then_some((2 * MIN_QUOTA_AGE_MS / 1000 + jitter_s) as u32)
     }
 
-    /// How long a job of this kind is of use to who sent it: by the most lenient of its objectives.
+    /// How long a job of this class is useful to its submitter, in seconds: by the most lenient of
+    /// the class's objectives.
     fn patience_s(&self, spec: &JobSpec) -> f64 {
-        let objectives = self.cfg.objectives.iter().filter(|a| a.class == spec.class);
+        let objectives = self.cfg.objectives.iter().filter(|o| o.class == spec.class);
         objectives
-            .filter_map(|a| match a.kind {
+            .filter_map(|o| match o.kind {
                 ObjectiveKind::Finished(within) => Some(within),
                 ObjectiveKind::Deadline(times) => spec.deadline_s.map(|d| d * times),
                 ObjectiveKind::Wait(within) => Some(within + spec.estimate_s),
@@ -136,8 +144,10 @@
             .unwrap_or(4.0 * self.cfg.usual_wait_s + spec.estimate_s)
     }
 
-    /// Measures, at every controller, so that whoever decides next knows what the last one knew.
-    pub(crate) fn keep_admission(&mut self) {
+    /// Measures demand and capacity, and decides the overload quota if this controller holds that
+    /// role. Every controller measures, so that a new holder of the role has the same data as the
+    /// former one.
+    pub(crate) fn maintain_admission(&mut self) {
         if self.cfg.admission.is_none()
             || self.now.since(self.admission.last_checked) < MEASUREMENT_INTERVAL_MS
         {
@@ -145,9 +155,9 @@
         }
         self.admission.last_checked = self.now;
         let wall_s = self.wall_ms as f64 / 1000.0;
-        self.admission.note_arrivals(&self.cache.jobs, wall_s);
-        self.admission.note_capacity(self.now, self.processors());
-        self.admission.note_asks(wall_s);
+        self.admission.count_arrivals(&self.cache.jobs, wall_s);
+        self.admission.record_capacity(self.now, self.available_cpus());
+        self.admission.update_team_demands(wall_s);
         if self.holds(Role::OverloadQuota)
             && self.has_store_contact()
             && self.cloud_state.list_read_at.is_some()
@@ -156,13 +166,14 @@
         }
     }
 
-    /// Teams of which long work waits, and what that may hold: it leaves room for what comes. And of
-    /// each such team the jobs whose turn it is: those that fit into its room together, begun ones
-    /// first. (Six jobs each got a sixth of the room, and none of them was done for ten minutes.)
+    /// The limits on the long work of teams that have such work waiting, so that resources stay
+    /// free for the jobs that arrive next, and which jobs are deferred under them. Within a team's
+    /// limit whole jobs are admitted one after the other, those that have begun first: when six
+    /// jobs shared the limit evenly, none of them finished for ten minutes.
     pub(crate) fn long_work(&self) -> LongWork {
         let mut long = LongWork::default();
-        let asks = &self.admission.asks;
-        let capacity = self.admission.capacity.back().map_or(0.0, |c| c.1);
+        let demands = &self.admission.team_demands;
+        let capacity = self.admission.capacity_history.back().map_or(0.0, |c| c.1);
         if self.cfg.admission.is_none() {
             return long;
         }
@@ -170,51 +181,55 @@
         let mut limits: BTreeMap<(&TeamId, Urgency), Option<LongWorkLimit>> = BTreeMap::new();
         for (id, cached) in &self.cache.jobs {
             let spec = &cached.record.spec;
-            let limited = self.cfg.team(&spec.team).is_none_or(|t| t.is_limited());
-            let waits = !cached.record.aborted && cached.unclaimed() > 0;
-            if limited || !waits || spec.kind != Kind::Array || cached.width().is_some() {
+            let is_limited = self.cfg.team(&spec.team).is_none_or(|t| t.is_limited());
+            let has_waiting = !cached.record.aborted && cached.unclaimed() > 0;
+            if is_limited || !has_waiting || spec.kind != Kind::Array || cached.width().is_some() {
                 continue;
             }
             let limit = limits.entry((&spec.team, spec.urgency));
-            let known = *limit.or_insert_with(|| {
+            let computed = *limit.or_insert_with(|| {
                 cleatfold_admission::long_work_limit::long_work_limit(
-                    asks,
+                    demands,
                     capacity,
                     &spec.team,
                     spec.urgency,
                 )
             });
-            let Some(mut limit) = known.filter(|r| r.is_long(spec.estimate_s)) else { continue };
-            // What it is promised while it is not served in time, it has in any case.
+            let Some(mut limit) = computed.filter(|limit| limit.is_long(spec.estimate_s)) else {
+                continue;
+            };
+            // The limit is never below the floor that the overload quota guarantees the group.
             let floor = self.overload_entry(cached).map_or(0.0, |e| e.floor as f64 / 1000.0);
             limit.part = limit.part.max(floor / capacity.max(1.0)).min(1.0);
-            let rest = spec.cpus * f64::from(cached.unfinished());
+            let unfinished_cpus = spec.cpus * f64::from(cached.unfinished());
             let begun = cached.claimed + cached.done > 0;
-            let job = (!begun, cached.accepted_revision(), id, rest);
+            let job = (!begun, cached.accepted_revision(), id, unfinished_cpus);
             jobs.entry(&spec.team).or_default().push(job);
-            let known = long.limits.entry(spec.team.clone()).or_insert(limit);
-            known.part = known.part.max(limit.part);
+            let team_limit = long.limits.entry(spec.team.clone()).or_insert(limit);
+            team_limit.part = team_limit.part.max(limit.part);
         }
         for (team, mut jobs) in jobs {
             jobs.sort_by(|a, b| (a.0, a.1, a.2).cmp(&(b.0, b.1, b.2)));
-            let mut left = long.limits[team].part * capacity;
-            for (i, (new, _, id, rest)) in jobs.into_iter().enumerate() {
-                // Only what fits whole is begun beside others, or all are in the end half done.
-                if i > 0 && (left <= 0.0 || (new && rest > left)) {
-                    long.later.insert(id.clone());
+            let mut remaining_cpus = long.limits[team].part * capacity;
+            for (i, (is_new, _, id, unfinished_cpus)) in jobs.into_iter().enumerate() {
+                // A new job begins beside others only if all of it fits; otherwise many jobs would
+                // be half done and none finished.
+                if i > 0 && (remaining_cpus <= 0.0 || (is_new && unfinished_cpus > remaining_cpus))
+                {
+                    long.deferred.insert(id.clone());
                 } else {
-                    left -= rest;
+                    remaining_cpus -= unfinished_cpus;
                 }
             }
         }
         long
     }
 
-    /// Processors of the machines that take work and are heard of.
-    fn processors(&self) -> f64 {
+    /// Processors of the machines that accept tasks and have not missed their lease.
+    fn available_cpus(&self) -> f64 {
         let mut capacity = 0.0;
         for m in self.inventory.machines.values() {
-            if m.is_schedulable() && !self.is_silent(m) {
+            if m.is_schedulable() && !self.has_missed_lease(m) {
                 capacity +=
                     self.inventory.machine_resources(&m.pool.machine_type).cpus as f64 / 1000.0;
             }
@@ -222,10 +237,11 @@
         capacity
     }
 
-    /// Whether one of our own machines has not reported for a lease. Machines of other owners report to those:
-    /// whether we hear them says nothing. (A former owner went on counting by its own reports, wrote an overload quota
-    /// of no capacity one lease after its pools had left it, and jobs of limited teams waited beside free machines.)
-    fn is_silent(&self, machine: &Machine) -> bool {
+    /// Whether a machine in an owned pool has sent no heartbeat for the length of a lease. Machines
+    /// of other pools send theirs to another controller, so nothing is concluded about them: a
+    /// former owner that still did wrote an overload quota with no capacity one lease after it had
+    /// lost its pools, and jobs of limited teams waited while machines were free.
+    fn has_missed_lease(&self, machine: &Machine) -> bool {
         let Some(owned) = self.pools.owned.get(&machine.pool) else { return false };
         let reported = machine
             .last_heartbeat_at()
@@ -233,24 +249,24 @@
         reported.is_some_and(|at| self.now.since(at) >= self.cfg.lease_ms)
     }
 
-    /// What all groups ask for, as the decision on the quota needs it.
-    fn view(&self) -> View {
+    /// Capacity and the demand of all groups, as input to the decision on the quota.
+    fn demand_view(&self) -> View {
         let Some(rules) = &self.cfg.admission else { return View::default() };
-        let history = &self.admission.capacity;
-        let (oldest, before) = history.front().copied().unwrap_or_default();
+        let history = &self.admission.capacity_history;
+        let (oldest_at, oldest_capacity) = history.front().copied().unwrap_or_default();
         let capacity = history.back().map_or(0.0, |h| h.1);
-        let least = history.iter().map(|h| h.1).fold(before, f64::min);
-        let settled = self.now.since(oldest) >= SETTLED_MS && capacity <= least * 1.03;
+        let min_capacity = history.iter().map(|h| h.1).fold(oldest_capacity, f64::min);
+        let settled = self.now.since(oldest_at) >= SETTLED_MS && capacity <= min_capacity * 1.03;
         let distributions = self.distributions(rules);
         let demands = self.group_demands(rules, &distributions).into_iter();
         let groups = demands.filter_map(|(group, demand)| {
             let distribution = distributions.get(&group)?;
-            Some(self.demand_of(rules, group, demand, distribution))
+            Some(self.group_demand(rules, group, demand, distribution))
         });
         View { capacity, settled, groups: groups.collect() }
     }
 
-    /// How the work of each group is distributed over its jobs, as far as that was measured.
+    /// The distribution of work over the jobs of each group, for groups that have been measured.
     fn distributions(&self, rules: &Rules) -> BTreeMap<&Group, Distribution> {
         let meter = &self.admission.meter;
         let measured = meter.groups().filter_map(|group| {
@@ -262,7 +278,7 @@
         measured.collect()
     }
 
-    /// Adds up what the jobs of each group have and ask for.
+    /// Sums up the waiting and the running work of each group.
     fn group_demands(
         &self,
         rules: &Rules,
@@ -284,7 +300,8 @@
         demands
     }
 
-    fn demand_of(
+    /// The demand of one group, as input to the decision on the quota.
+    fn group_demand(
         &self,
         rules: &Rules,
         group: Group,
@@ -293,7 +310,7 @@
     ) -> Demand {
         let Distribution { must, should, largest } = distribution;
         let small = |s: &Spread, waiting| Small { most: s.most, part: s.part, waiting };
-        // Half of what waits of the larger ones is not going to be served.
+        // Of the two upper size classes only the part `of_each` has to be served.
         let larger = |most, part, waiting| Small {
             most,
             part: rules.of_each * part,
@@ -318,18 +335,20 @@
         }
     }
 
-    /// The holder's part: decides, and writes what has changed.
+    /// Decides the overload quota, and writes it if it has changed enough. Called by the holder of
+    /// the role.
     fn decide_overload_quota(&mut self) {
-        let view = self.view();
+        let view = self.demand_view();
         let Some(rules) = &self.cfg.admission else { return };
         let Versioned { version, value: known } = &self.cache.overload_quota;
         let now_s = self.now.0 as f64 / 1000.0;
         let mut entries = decide(rules, &mut self.admission.judge, known, &view, now_s);
-        entries.truncate(self.cfg.max_value_bytes / ENTRY_BYTES);
+        entries.truncate(self.cfg.max_value_bytes / ESTIMATED_ENTRY_BYTES);
         let same_groups = entries.len() == known.entries.len()
             && entries.iter().all(|e| known.entry(&e.team, &e.class).is_some());
-        let stands = same_groups && self.now.since(self.admission.written) < STAND_MS;
-        if self.admission.inflight || stands || !known.differs(&entries) {
+        let is_recent =
+            same_groups && self.now.since(self.admission.last_written) < MIN_QUOTA_AGE_MS;
+        if self.admission.write_in_flight || is_recent || !known.differs(&entries) {
             return;
         }
         let Some(epoch) = self.epoch(Role::OverloadQuota) else { return };
@@ -337,7 +356,7 @@
             generation = known.generation + 1,
             groups = entries.len(),
             capacity = view.capacity,
-            entries = ?entries.iter().map(quota_for_log).collect::<Vec<_>>(),
+            entries = ?entries.iter().map(loggable_entry).collect::<Vec<_>>(),
             "overload quota decided"
         );
         let next = OverloadQuota { generation: known.generation + 1, epoch, entries };
@@ -345,14 +364,14 @@
         txn.guard(OVERLOAD_QUOTA_KEY, *version);
         txn.guard(Role::OverloadQuota.key(), epoch);
         txn.put(OVERLOAD_QUOTA_KEY, &next, None);
-        self.admission.inflight = true;
-        self.admission.written = self.now;
+        self.admission.write_in_flight = true;
+        self.admission.last_written = self.now;
         self.call_store(CallPriority::Claim, StoreRequest::Txn(txn), Pending::OverloadQuota);
     }
 
-    /// Whatever came of it, the next reading tells.
+    /// Whatever the outcome of the write, the next sync shows what is stored.
     pub(crate) fn on_overload_quota_written(&mut self) {
-        self.admission.inflight = false;
+        self.admission.write_in_flight = false;
         self.session.sync_wanted = true;
         self.send_to_peers(None, cleatfold_wire::mesh::Message::Changed);
     }
--- a/crates/cleatfold-control/src/admission/state.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -1,4 +1,4 @@
-//! What each group asks for and what there was to give, as one controller has measured it.
+//! Demand of each group and capacity of the region, as measured by one controller.
 
 use crate::store::cache::CachedJob;
 use cleatfold_admission::long_work_limit::{Asks, LongWorkLimit};
@@ -7,50 +7,53 @@
 use cleatfold_wire::{JobId, Ms, TeamId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Between two measurements, in milliseconds.
+/// Time between two measurements, in milliseconds.
 pub(crate) const MEASUREMENT_INTERVAL_MS: u64 = 1000;
-/// The number of machines counts as settled when it has not grown for so long.
+/// Capacity counts as settled when it has not grown for this time, in milliseconds.
 pub(crate) const SETTLED_MS: u64 = 20_000;
 
-/// The measurements from which the shares under overload are decided.
+/// The measurements from which the overload quota is decided.
 #[derive(Debug, Default)]
-pub(crate) struct Admission {
+pub(crate) struct AdmissionState {
     pub meter: Meter,
     pub judge: Judge,
-    /// Jobs that are in the meter.
-    seen: BTreeSet<JobId>,
+    /// Jobs that the meter has counted.
+    counted_jobs: BTreeSet<JobId>,
     pub last_checked: Ms,
-    pub written: Ms,
-    pub inflight: bool,
-    /// Processors there were, over the last moments.
-    pub capacity: VecDeque<(Ms, f64)>,
-    /// How urgent each group's jobs are, as the last one was.
-    urgencies: BTreeMap<Group, Urgency>,
-    /// What each team asks for, by urgency.
-    pub asks: BTreeMap<TeamId, Vec<Asks<Urgency>>>,
+    /// When this controller last sent a write of the overload quota.
+    pub last_written: Ms,
+    /// Whether that write has no reply yet.
+    pub write_in_flight: bool,
+    /// Processors of the region over the last `SETTLED_MS`, oldest first.
+    pub capacity_history: VecDeque<(Ms, f64)>,
+    /// The urgency of the last job that arrived in each group.
+    group_urgencies: BTreeMap<Group, Urgency>,
+    /// Demand of each team, one entry for each of its groups.
+    pub team_demands: BTreeMap<TeamId, Vec<Asks<Urgency>>>,
 }
 
-impl Admission {
-    /// Measures the jobs that have come since, at `wall_s` by the time of day.
-    pub(crate) fn note_arrivals(&mut self, jobs: &BTreeMap<JobId, CachedJob>, wall_s: f64) {
-        self.seen.retain(|id| jobs.contains_key(id));
+impl AdmissionState {
+    /// Adds the jobs that have arrived since the last measurement to the meter. `wall_s` is the
+    /// time of day in seconds.
+    pub(crate) fn count_arrivals(&mut self, jobs: &BTreeMap<JobId, CachedJob>, wall_s: f64) {
+        self.counted_jobs.retain(|id| jobs.contains_key(id));
         for (id, cached) in jobs {
-            if self.seen.contains(id) {
+            if self.counted_jobs.contains(id) {
                 continue;
             }
-            self.seen.insert(id.clone());
+            self.counted_jobs.insert(id.clone());
             let spec = &cached.record.spec;
             let group = Group { team: spec.team.clone(), class: spec.class.clone() };
             let at_s = (cached.record.accepted_ms as f64 / 1000.0).min(wall_s);
-            let work = work(spec, spec.tasks);
+            let work = estimated_cpu_s(spec, spec.tasks);
             self.meter.arrived(&group, at_s, work, spec.tasks, spec.estimate_s);
-            self.urgencies.insert(group, spec.urgency);
+            self.group_urgencies.insert(group, spec.urgency);
         }
     }
 
-    /// So many processors are there now.
-    pub(crate) fn note_capacity(&mut self, now: Ms, processors: f64) {
-        let history = &mut self.capacity;
+    /// Records the number of processors available now.
+    pub(crate) fn record_capacity(&mut self, now: Ms, processors: f64) {
+        let history = &mut self.capacity_history;
         history.push_back((now, processors));
         while history.front().is_some_and(|h| now.since(h.0) > SETTLED_MS + MEASUREMENT_INTERVAL_MS)
         {
@@ -58,41 +61,42 @@
         }
     }
 
-    /// Works out what each team asks for by what was measured.
-    pub(crate) fn note_asks(&mut self, wall_s: f64) {
-        self.asks.clear();
-        for (group, urgency) in &self.urgencies {
+    /// Derives the demand of each team from the meter.
+    pub(crate) fn update_team_demands(&mut self, wall_s: f64) {
+        self.team_demands.clear();
+        for (group, urgency) in &self.group_urgencies {
             let rate = self.meter.rate(group, wall_s);
             let run_s = self.meter.run_s(group);
-            let asks = Asks { urgency: *urgency, rate, run_s };
-            self.asks.entry(group.team.clone()).or_default().push(asks);
+            let demand = Asks { urgency: *urgency, rate, run_s };
+            self.team_demands.entry(group.team.clone()).or_default().push(demand);
         }
     }
 }
 
-/// Work that runs long beside what others ask for.
+/// Limits on tasks that run much longer than those of other teams.
 #[derive(Debug, Default)]
 pub(crate) struct LongWork {
-    /// What each team's may hold.
+    /// The limit on each team's long work.
     pub limits: BTreeMap<TeamId, LongWorkLimit>,
-    /// Jobs that wait for earlier ones of their team.
-    pub later: BTreeSet<JobId>,
+    /// Jobs with long work that wait for earlier ones of their team.
+    pub deferred: BTreeSet<JobId>,
 }
 
 impl LongWork {
-    /// Whether a job is long beside what others of its team ask for.
+    /// Whether a job's tasks count as long work of its team.
     pub(crate) fn is_long(&self, spec: &JobSpec) -> bool {
-        self.limits.get(&spec.team).is_some_and(|r| r.is_long(spec.estimate_s))
+        self.limits.get(&spec.team).is_some_and(|limit| limit.is_long(spec.estimate_s))
     }
 }
 
-/// Processor seconds that so many tasks of a job take by its estimate; a service has no end to be estimated.
-pub(crate) fn work(spec: &JobSpec, tasks: u32) -> f64 {
-    let run = if spec.kind == Kind::Service { 0.0 } else { spec.estimate_s };
-    f64::from(tasks) * spec.cpus * run
+/// Processor-seconds that `tasks` tasks of a job take by its estimate; 0 for a service, which has
+/// no end to estimate.
+pub(crate) fn estimated_cpu_s(spec: &JobSpec, tasks: u32) -> f64 {
+    let run_s = if spec.kind == Kind::Service { 0.0 } else { spec.estimate_s };
+    f64::from(tasks) * spec.cpus * run_s
 }
 
-/// What of a job of an upper size class decides how much of it goes before everybody else's.
+/// The properties of a job in an upper size class that decide how many of its tasks are promoted.
 pub(crate) fn size_class_demand(
     entry: &Entry,
     id: &JobId,
@@ -109,8 +113,8 @@
         has: cached.task_resources.times(cached.claimed).cpus,
         needs: cached.task_resources.times(cached.unclaimed()).cpus,
         each,
-        work: work(spec, spec.tasks) as u64,
-        // A gang is whole or nothing.
+        work: estimated_cpu_s(spec, spec.tasks) as u64,
+        // A gang runs as a whole.
         width: match spec.kind {
             Kind::Gang => cached.task_resources.times(spec.tasks).cpus,
             _ => size_classes::width(spec.tasks, each, spec.estimate_s, within_s),
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -1,6 +1,6 @@
 //! The controller: its state, and the dispatch of each event.
 
-use crate::admission::state::Admission;
+use crate::admission::state::AdmissionState;
 use crate::config::Config;
 use crate::effects::{Effect, Event, Response, StoreReply};
 use crate::images::state::ImageDistribution;
@@ -20,7 +20,7 @@
 use crate::pools::ownership::OwnedPools;
 use crate::quota::QuotaState;
 use crate::scheduling::evictions::Evictions;
-use crate::scheduling::planning::Plans;
+use crate::scheduling::planning::PlanningState;
 use crate::scheduling::priority_state::PriorityState;
 use crate::store::cache::StateCache;
 use crate::store::calls::Calls;
@@ -80,12 +80,12 @@
     pub(crate) machines_checked_at: Ms,
 
     // Scheduling.
-    pub(crate) plans: Plans,
+    pub(crate) plans: PlanningState,
     /// A change since the last planning pass requires another one.
     pub(crate) replan_needed: bool,
     pub(crate) evictions: Evictions,
     pub(crate) quota: QuotaState,
-    pub(crate) admission: Admission,
+    pub(crate) admission: AdmissionState,
 
     // Jobs and user requests.
     pub(crate) job_states: BTreeMap<JobId, LocalJobState>,
@@ -136,11 +136,11 @@
             scale_out: ScaleOutState::default(),
             image_distribution: ImageDistribution::default(),
             machines_checked_at: Ms(0),
-            plans: Plans::default(),
+            plans: PlanningState::default(),
             replan_needed: false,
             evictions: Evictions::default(),
             quota,
-            admission: Admission::default(),
+            admission: AdmissionState::default(),
             job_states: BTreeMap::new(),
             flush_due: false,
             dirty_jobs: BTreeSet::new(),
@@ -177,7 +177,7 @@
             Event::Store { op, reply } => self.on_store(op, reply),
             Event::Cloud { op, reply } => self.on_cloud(op, reply),
             Event::Mesh { from, message } => self.on_mesh(from, message),
-            Event::OrderResult { machine, heartbeat } => self.on_ordered(machine, heartbeat),
+            Event::OrderResult { machine, heartbeat } => self.on_orders_reply(machine, heartbeat),
             Event::ProbeResult { machine, answer } => self.on_probed(machine, answer),
         }
         if std::mem::take(&mut self.flush_due) {
@@ -219,7 +219,7 @@
         self.watch_machines();
         self.end_completed_jobs();
         self.plan_if_due();
-        self.keep_slices();
+        self.maintain_slices();
     }
 
     /// Detects that this process itself was stalled. Heartbeats that were missed during the stall
@@ -310,7 +310,7 @@
             Pending::Role(role) => self.on_role_written(role, reply),
             Pending::ScaleOutIntents(step) => self.on_scale_out_written(*step, reply),
             Pending::PoolAssignment => self.on_assignment_written(reply),
-            Pending::QuotaSlice(sent) => self.on_slice(op, *sent, reply),
+            Pending::QuotaSlice(sent) => self.on_slice_written(op, *sent, reply),
             Pending::LossLog => self.on_loss_logs_read(reply),
             Pending::LossGroup { team, token, count, txn } => {
                 self.on_loss_group_written(op, (team, token), count, txn, reply)
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -201,7 +201,7 @@
                     if tx.maybe_executed {
                         // An earlier send may have been executed: its claims would count against the
                         // team's limit, but only the next read shows them.
-                        self.quota.blind = Some(event);
+                        self.quota.unread_claims_since = Some(event);
                     }
                 }
                 let in_contact = self.has_store_contact();
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -5,7 +5,7 @@
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
-use crate::scheduling::queue::Queued;
+use crate::scheduling::queue::QueuedTasks;
 use crate::store::cache::Versioned;
 use crate::store::records::{pool_key, ControllerRecord, HolderRecord};
 use cleatfold_backfill::pools::{choose, Load};
@@ -120,7 +120,7 @@
     // ---- pools ----
 
     /// Whether the owner of a pool is live, in the incarnation that owns it.
-    fn has_live_owner(&self, ownership: &crate::store::cache::PoolOwnership) -> bool {
+    fn is_owner_incarnation_live(&self, ownership: &crate::store::cache::PoolOwnership) -> bool {
         self.cache
             .controllers
             .get(&ownership.owner)
@@ -159,8 +159,11 @@
             PoolLoads::new(&pools, self.inventory.machine_counts(), &self.cache.controllers);
         let mut pools_to_assign: Vec<PoolToAssign> = Vec::new();
         for pool in &pools {
-            let owner =
-                self.cache.pools.get(pool).filter(|ownership| self.has_live_owner(ownership));
+            let owner = self
+                .cache
+                .pools
+                .get(pool)
+                .filter(|ownership| self.is_owner_incarnation_live(ownership));
             let alternative_owners = owner
                 .map(|ownership| self.alternative_owners(&ownership.owner, pool))
                 .unwrap_or_default();
@@ -365,20 +368,20 @@
         }
         let queue = self.queue();
         let long_work = self.long_work();
-        let has_planner: Vec<bool> = pools.iter().map(|p| self.lives(p)).collect();
+        let has_planner: Vec<bool> = pools.iter().map(|p| self.has_live_owner(p)).collect();
         let mut assigned: Vec<(String, Vec<u16>)> = Vec::new();
-        for Queued { job: id, tasks: unclaimed, growth, .. } in &queue {
+        for QueuedTasks { job: id, tasks: unclaimed, is_growth, .. } in &queue {
             let Some(cached) = self.cache.jobs.get(id) else {
                 continue;
             };
             // The job's base tasks are already assigned to pools, in an earlier round or in this one;
             // its growth uses the same pools.
-            if *growth
+            if *is_growth
                 && self.job_states.get(id).is_some_and(|state| !state.assigned_pools.is_empty())
             {
                 continue;
             }
-            let usable = || (0..pools.len()).filter(|&i| self.may_use(cached, &pools[i]));
+            let usable = || (0..pools.len()).filter(|&i| self.can_run_in(cached, &pools[i]));
             // Prefer pools with a live owner, which plans for them.
             let mut eligible: Vec<usize> = usable().filter(|&i| has_planner[i]).collect();
             if eligible.is_empty() {
@@ -422,7 +425,7 @@
         {
             return;
         }
-        self.priority.assigned = Some(self.now);
+        self.priority.last_assignment = Some(self.now);
         let pools: Vec<Option<PoolId>> = pools.iter().map(|p| PoolId::parse(p)).collect();
         for (job, chosen) in jobs {
             let job = JobId::new(job);
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -81,7 +81,7 @@
         if self.holds(Role::GarbageCollection) {
             self.collect_garbage();
         }
-        self.keep_admission();
+        self.maintain_admission();
     }
 
     /// Releases a role to the controller that should hold it; guarded by the epoch, so that only this
--- a/crates/cleatfold-control/src/machines/cloud.rs
+++ b/crates/cleatfold-control/src/machines/cloud.rs
@@ -161,8 +161,9 @@
     /// Whether a machine that may report to another controller may still exist: it has sent a heartbeat recently, is in
     /// the last list, or has not been in any list yet. Used only to decide how many machines to request.
     pub(crate) fn may_still_exist(&self, machine: &Machine) -> bool {
-        let reported_recently =
-            machine.last_heartbeat_at().is_some_and(|at| self.now.since(at) <= self.silent_ms());
+        let reported_recently = machine
+            .last_heartbeat_at()
+            .is_some_and(|at| self.now.since(at) <= self.heartbeat_timeout_ms());
         let in_last_list = machine.last_listed_at >= self.inventory.list_received_at;
         reported_recently || in_last_list || !machine.ever_listed
     }
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -8,7 +8,7 @@
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, CloudReply, CloudRequest, StoreReply, StoreRequest};
 use crate::machines::inventory::Machine;
-use crate::scheduling::queue::Queued;
+use crate::scheduling::queue::QueuedTasks;
 use crate::store::cache::{CachedJob, Versioned};
 use crate::store::records::SCALE_OUT_KEY;
 use cleatfold_roles::scale_out::Step;
@@ -234,11 +234,11 @@
         let mut supply = self.supply();
         let mut shortfalls = CpusByOffer::new();
         let machine_counts = self.inventory.machine_counts();
-        for Queued { job: id, tasks: unclaimed, growth, .. } in self.queue() {
+        for QueuedTasks { job: id, tasks: unclaimed, is_growth, .. } in self.queue() {
             let Some(cached) = self.cache.jobs.get(&id) else { continue };
             // No machine is requested to retry a job that fails on every machine.
-            let may_use = |offer: &Offer| self.may_use(cached, &offer.pool);
-            if growth || (self.is_suspect(&id, cached) && supply.keys().any(may_use)) {
+            let may_use = |offer: &Offer| self.can_run_in(cached, &offer.pool);
+            if is_growth || (self.is_suspect(&id, cached) && supply.keys().any(may_use)) {
                 continue;
             }
             let mut demand = self.cpu_demand(cached, unclaimed);
@@ -315,7 +315,7 @@
         supply: &mut CpusByOffer,
     ) {
         for (offer, free) in supply {
-            if (offer.spot && !cached.record.spec.spot) || !self.may_use(cached, &offer.pool) {
+            if (offer.spot && !cached.record.spec.spot) || !self.can_run_in(cached, &offer.pool) {
                 continue;
             }
             let allocated_in_zone =
@@ -357,7 +357,7 @@
             let Some(machine_type) = self.inventory.types.get(&pool.machine_type) else { continue };
             if demand.is_zone_full(&pool.zone)
                 || machine_type.cpus <= 0.0
-                || !self.may_use(cached, &pool)
+                || !self.can_run_in(cached, &pool)
             {
                 continue;
             }
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -240,7 +240,7 @@
         self.return_faulty_machines();
         let thresholds = WatchThresholds {
             now: self.now,
-            lease_check_ms: self.silent_ms(),
+            lease_check_ms: self.heartbeat_timeout_ms(),
             machine_timeout_ms: self.cfg.machine_timeout_ms(),
             lease_ms: self.cfg.lease_ms,
             idle_ms: (self.cfg.idle_return_s * 1000.0) as u64,
@@ -302,7 +302,7 @@
         let mut teams: BTreeMap<&TeamId, f64> = BTreeMap::new();
         for job in waiting {
             let spec = &job.record.spec;
-            if (spot && !spec.spot) || !self.may_use(job, pool) {
+            if (spot && !spec.spot) || !self.can_run_in(job, pool) {
                 continue;
             }
             // Tasks that wait only because of their team's limit do not keep idle machines: otherwise
--- a/crates/cleatfold-control/src/namespaces/team_queries.rs
+++ b/crates/cleatfold-control/src/namespaces/team_queries.rs
@@ -183,7 +183,7 @@
         if limit_exhausted {
             return (Holdup::Limit, "its team's limit is used up".into());
         }
-        if !pools.iter().any(|pool| self.may_use(cached, pool)) {
+        if !pools.iter().any(|pool| self.can_run_in(cached, pool)) {
             return (Holdup::Machines, "no machine that it may run on is up yet".into());
         }
         let jobs_before = rank.map_or(0, |rank| rank.saturating_sub(1));
@@ -217,7 +217,7 @@
             return;
         }
         let queue = self.queue();
-        let waiting = queue.iter().filter(|queued| !queued.growth);
+        let waiting = queue.iter().filter(|queued| !queued.is_growth);
         let jobs_with_team = waiting.filter_map(|queued| {
             let cached = self.cache.jobs.get(&queued.job)?;
             Some((&queued.job, &cached.record.spec.team))
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -45,7 +45,7 @@
     /// A transaction on pool keys or slices. The next sync shows its outcome.
     PoolAssignment,
     /// A change of a team's quota slices.
-    QuotaSlice(Box<crate::quota::SentSlice>),
+    QuotaSlice(Box<crate::quota::SliceWrite>),
     /// The removal of records whose job has ended.
     GarbageCollection,
     /// A change of the slots for fetches from the image origin.
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -177,7 +177,7 @@
             && heartbeat.notice_s.is_none()
             && machine.is_schedulable()
             && !machine.lease_expired
-            && !self.evictions.any(&heartbeat.machine)
+            && !self.evictions.has_any(&heartbeat.machine)
             && last.raw_tasks.get() == heartbeat.tasks.get()
             && last.images == heartbeat.images
     }
--- a/crates/cleatfold-control/src/scheduling/evictions.rs
+++ b/crates/cleatfold-control/src/scheduling/evictions.rs
@@ -1,48 +1,52 @@
-//! Tasks that were told to leave, so that others get their places.
+//! Tasks that were told to stop so that tasks of other jobs get their slots.
 
 use crate::store::cache::MachineClaims;
 use cleatfold_wire::worker::{Command, TaskReport};
 use cleatfold_wire::{Attempt, JobId, MachineId, Ms, PoolId, TaskIx};
 use std::collections::BTreeMap;
 
-/// How long a member may go on with its step when its place is wanted, in milliseconds.
-pub(crate) const YIELD_MS: u64 = 2500;
+/// How long an elastic member may continue its current step once its slot is requested for
+/// another job, in milliseconds.
+pub(crate) const YIELD_GRACE_MS: u64 = 2500;
 
-/// A stop that is not over so long after it should be is repeated without grace.
+/// A stop that is overdue by more than this many milliseconds is repeated without a grace period.
 const OVERDUE_MS: u64 = 1500;
 
-/// One task that was told to leave.
+/// A task that was told to stop.
 #[derive(Clone, Debug)]
 pub(crate) struct Eviction {
     pub attempt: Attempt,
-    /// When its place should be free.
-    pub until: Ms,
+    /// When its slot is expected to be free.
+    pub free_at: Ms,
+    /// Grace period of the stop command, in seconds.
     pub grace_s: f64,
 }
 
-/// Tasks of our machines that are told to leave, and for whom.
+/// Tasks that this controller is evicting, and the slots that this frees for other jobs.
 #[derive(Debug, Default)]
 pub(crate) struct Evictions {
     tasks: BTreeMap<MachineId, BTreeMap<(JobId, TaskIx), Eviction>>,
-    coming: Vec<ComingPlaces>,
+    expected_slots: Vec<ExpectedSlots>,
 }
 
-/// Places that are on their way.
+/// Slots that evictions in progress will free for a job.
 #[derive(Debug)]
-struct ComingPlaces {
+struct ExpectedSlots {
     job: JobId,
     pool: PoolId,
     tasks: u32,
-    /// Not expected any more after this.
+    /// The expectation lapses after this time.
     until: Ms,
 }
 
 impl Evictions {
+    /// The eviction of a task, if it is being evicted.
     pub(crate) fn get(&self, machine: &MachineId, job: &JobId, ix: TaskIx) -> Option<&Eviction> {
-        // Nearly always there is none at all.
+        // Most machines have no evictions, so look up the machine before cloning the job's id.
         self.tasks.get(machine)?.get(&(job.clone(), ix))
     }
 
+    /// Records that a task was told to stop.
     pub(crate) fn insert(
         &mut self,
         machine: &MachineId,
@@ -53,54 +57,58 @@
         self.tasks.entry(machine.clone()).or_default().insert((job.clone(), ix), eviction);
     }
 
-    /// Whether any task of the machine is to leave.
-    pub(crate) fn any(&self, machine: &MachineId) -> bool {
+    /// Whether any task on the machine is being evicted.
+    pub(crate) fn has_any(&self, machine: &MachineId) -> bool {
         self.tasks.contains_key(machine)
     }
 
+    /// Removes the eviction of a task that has exited.
     pub(crate) fn remove(&mut self, machine: &MachineId, job: &JobId, ix: TaskIx) {
-        if let Some(on) = self.tasks.get_mut(machine) {
-            on.remove(&(job.clone(), ix));
-            if on.is_empty() {
+        if let Some(evictions) = self.tasks.get_mut(machine) {
+            evictions.remove(&(job.clone(), ix));
+            if evictions.is_empty() {
                 self.tasks.remove(machine);
             }
         }
     }
 
-    /// So many places of a job will come free in a pool.
-    pub(crate) fn expect(&mut self, job: JobId, pool: PoolId, tasks: u32, until: Ms) {
-        self.coming.push(ComingPlaces { job, pool, tasks, until });
+    /// Records that `tasks` slots for a job will become free in a pool.
+    pub(crate) fn expect_slots(&mut self, job: JobId, pool: PoolId, tasks: u32, until: Ms) {
+        self.expected_slots.push(ExpectedSlots { job, pool, tasks, until });
     }
 
-    /// How many places of a job are on their way in a pool.
-    pub(crate) fn coming(&self, job: &JobId, pool: &PoolId) -> u32 {
-        let coming = self.coming.iter().filter(|c| c.job == *job && c.pool == *pool);
-        coming.map(|c| c.tasks).sum()
+    /// How many slots are expected to become free for a job in a pool.
+    pub(crate) fn expected_slots(&self, job: &JobId, pool: &PoolId) -> u32 {
+        let expected = self.expected_slots.iter().filter(|c| c.job == *job && c.pool == *pool);
+        expected.map(|c| c.tasks).sum()
     }
 
-    /// The command that tells a task once more, in the end without grace, to leave.
-    pub(crate) fn repeat(
+    /// Repeats the stop command for a task that is being evicted; without a grace period once the
+    /// stop is overdue.
+    pub(crate) fn stop_command(
         &self,
         machine: &MachineId,
         task: &TaskReport,
         now: Ms,
     ) -> Option<Command> {
-        let stop = self.get(machine, &task.task.job, task.task.ix)?;
-        if stop.attempt != task.attempt {
+        let eviction = self.get(machine, &task.task.job, task.task.ix)?;
+        if eviction.attempt != task.attempt {
             return None;
         }
-        let overdue = now.since(stop.until) > OVERDUE_MS;
-        let grace_s = if overdue { 0.0 } else { stop.grace_s };
+        let overdue = now.since(eviction.free_at) > OVERDUE_MS;
+        let grace_s = if overdue { 0.0 } else { eviction.grace_s };
         Some(Command::Stop { task: task.task.clone(), attempt: task.attempt, grace_s })
     }
 
-    /// Forgets what is over: a claim that ended otherwise, a place long there.
+    /// Removes evictions whose claims have ended and expectations that have lapsed.
     pub(crate) fn prune(&mut self, now: Ms, claims: &BTreeMap<MachineId, MachineClaims>) {
-        self.coming.retain(|c| c.until > now);
+        self.expected_slots.retain(|c| c.until > now);
         self.tasks.retain(|machine, tasks| {
-            let on = claims.get(machine);
-            tasks.retain(|task, stop| {
-                on.and_then(|c| c.get(task)).is_some_and(|c| c.attempt == stop.attempt)
+            let machine_claims = claims.get(machine);
+            tasks.retain(|task, eviction| {
+                machine_claims
+                    .and_then(|c| c.get(task))
+                    .is_some_and(|c| c.attempt == eviction.attempt)
             });
             !tasks.is_empty()
         });
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -1,12 +1,13 @@
-//! From the cache and the deployment to reservations, promises and claims.
+//! Backfill planning for the owned pools: reservations in queue order, placement requests for those
+//! that can start now, and promises of expected finishes to the other controllers.
 
 use crate::controller::Controller;
 use crate::effects::Effect;
 use crate::jobs::state::{LocalJobState, PlacementRequest};
 use crate::machines::inventory::Machine;
-use crate::quota::{Binding, Usage};
-use crate::scheduling::evictions::YIELD_MS;
-use crate::scheduling::queue::Queued;
+use crate::quota::{BindingLimit, Usage};
+use crate::scheduling::evictions::YIELD_GRACE_MS;
+use crate::scheduling::queue::QueuedTasks;
 use crate::store::cache::CachedJob;
 use cleatfold_backfill::profile::FOREVER;
 use cleatfold_backfill::{AvailabilityProfile, MachineProfile, Request, Reservation};
@@ -17,29 +18,36 @@
 use cleatfold_wire::{FencingToken, JobId, MachineId, Ms, PoolId, TaskIx, ZoneId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Reservations per pool and planning. What lies beyond waits unreserved until the next one.
+/// Reservations per pool and planning pass. Jobs beyond that have no reservation in this pass.
 const MAX_RESERVATIONS: usize = 400;
-/// Between two plannings, at least.
+/// Minimum time between two planning passes.
 const PLAN_INTERVAL_MS: u64 = 100;
-/// Between two messages that tell the peers what our pools promise.
+/// Minimum time between two broadcasts of the owned pools' promises.
 const PROMISE_INTERVAL_MS: u64 = 500;
-/// Jobs that one such message names, and finishes that it names of each.
+/// Jobs per promise message at most.
 const MAX_PROMISED_JOBS: usize = 200;
+/// Finishes per job in a promise message at most.
 const MAX_PROMISED_FINISHES: usize = 6;
 
+/// When tasks are expected to finish, and how many then.
 type Finishes = Vec<(Ms, u32)>;
+/// By job: the index of the owned pool's plan (none for a pool of another controller), when tasks
+/// are expected to finish, and how many then.
 type Promises<'a> = HashMap<&'a JobId, Vec<(Option<usize>, Ms, u32)>>;
 
+/// When this controller last planned, and what the other controllers have promised.
 #[derive(Default)]
-pub(crate) struct Plans {
-    planned: Ms,
-    sent_at: Ms,
-    /// Promises of other controllers' pools: when they came, and per job when tasks finish.
-    remote: BTreeMap<PoolId, (FencingToken, Ms, BTreeMap<JobId, Finishes>)>,
+pub(crate) struct PlanningState {
+    last_planned: Ms,
+    promises_sent_at: Ms,
+    /// Promises of other controllers' pools: their fencing token, when they arrived, and by job
+    /// when tasks are expected to finish.
+    remote_promises: BTreeMap<PoolId, (FencingToken, Ms, BTreeMap<JobId, Finishes>)>,
 }
 
-impl Plans {
-    pub(crate) fn remote(
+impl PlanningState {
+    /// Records the promises that the owner of another pool has sent.
+    pub(crate) fn record_remote_promises(
         &mut self,
         pool: PoolId,
         token: FencingToken,
@@ -53,33 +61,35 @@
                 (JobId::new(p.job), finishes)
             })
             .collect();
-        self.remote.insert(pool, (token, now, jobs));
+        self.remote_promises.insert(pool, (token, now, jobs));
     }
 }
 
-/// One own pool's profile as planned.
+/// The plan of one owned pool.
 pub(crate) struct PoolPlan {
     pub pool: PoolId,
     pub token: FencingToken,
     pub machines: Vec<MachineId>,
-    pub open: Vec<bool>,
+    /// By machine, whether tasks can be started there now.
+    pub can_start: Vec<bool>,
+    /// By request, the job that it belongs to.
     pub jobs: Vec<JobId>,
-    /// By request, whether it is growth.
-    pub growth: Vec<bool>,
+    /// By request, whether it is for members beyond an elastic job's base.
+    pub is_growth: Vec<bool>,
     pub requests: Vec<Request>,
     pub reservations: Vec<Reservation>,
 }
 
 /// A reservation that starts now.
 struct DueStart<'a> {
-    /// Its pool's plan, by number.
+    /// Index of its pool's plan.
     pool: usize,
     plan: &'a PoolPlan,
     reservation: &'a Reservation,
-    /// Tasks of its request that start now in this pool.
+    /// How many tasks of its request start now in this pool.
     due_tasks: u32,
-    /// Tasks of the job that other pools promise to finish clearly earlier.
-    elsewhere: u32,
+    /// How many tasks of the job other pools promise to finish clearly earlier.
+    promised_elsewhere: u32,
 }
 
 impl DueStart<'_> {
@@ -89,17 +99,18 @@
 }
 
 impl Controller {
+    /// Runs a planning pass if something has changed and the last pass was long enough ago.
     pub(crate) fn plan_if_due(&mut self) {
-        // Deciding faster than decisions can be recorded only costs.
-        // Nor is there much to decide between the reports that tell of what has ended.
-        let least = PLAN_INTERVAL_MS.max(self.cfg.heartbeat_interval_ms / 15);
-        let interval = least.max(2 * self.rate_limiter.ms_per_change()) * self.backpressure;
-        if !self.replan_needed || self.now.since(self.plans.planned) < interval {
+        // Planning faster than claims can be written to the state service only costs processor
+        // time, and little changes between the heartbeats that report which tasks have ended.
+        let min_interval = PLAN_INTERVAL_MS.max(self.cfg.heartbeat_interval_ms / 15);
+        let interval = min_interval.max(2 * self.rate_limiter.ms_per_change()) * self.backpressure;
+        if !self.replan_needed || self.now.since(self.plans.last_planned) < interval {
             return;
         }
-        self.plans.planned = self.now;
+        self.plans.last_planned = self.now;
         self.replan_needed = false;
-        // What is not on its way yet is wished anew, by what is known now.
+        // Requests that are not sent yet are replaced by those of this pass.
         for job in &self.dirty_jobs {
             if let Some(job_state) = self.job_states.get_mut(job) {
                 job_state.placement_requests.clear();
@@ -112,36 +123,39 @@
         self.refresh_priority(&queue);
         let usage = self.limited_usage();
         let plans = self.plan_pools(&queue, &usage);
-        self.start_what_is_due(&queue, &plans, usage);
+        self.request_due_placements(&queue, &plans, usage);
         self.plan_preemptions(&plans, &guaranteed);
-        self.tell_promises(&plans);
+        self.broadcast_promises(&plans);
     }
 
-    fn plan_pools(&self, queue: &[Queued], usage: &Usage) -> Vec<PoolPlan> {
+    /// Plans each owned pool whose ownership is undisputed.
+    fn plan_pools(&self, queue: &[QueuedTasks], usage: &Usage) -> Vec<PoolPlan> {
         let mut plans = Vec::new();
         let by_pool = self.inventory.machines_by_pool();
-        let long = self.long_work();
+        let long_work = self.long_work();
         for (pool, token) in self.pools.not_superseded() {
-            let members = by_pool.get(pool).map(Vec::as_slice).unwrap_or_default();
-            let mut binding = self.binding_limits(pool, members.len(), usage, &long.limits);
-            let (machines, mut profiles) = self.profiles(pool, token, members, &mut binding);
+            let pool_machines = by_pool.get(pool).map(Vec::as_slice).unwrap_or_default();
+            let mut binding =
+                self.binding_limits(pool, pool_machines.len(), usage, &long_work.limits);
+            let (machines, mut profiles) =
+                self.machine_profiles(pool, token, pool_machines, &mut binding);
             if machines.is_empty() {
                 continue;
             }
             let mut limits: Vec<AvailabilityProfile> =
-                binding.iter().map(|b| b.over_time(self.now)).collect();
-            let open = profiles.iter().map(|c| c.open).collect();
+                binding.iter().map(|limit| limit.availability(self.now)).collect();
+            let can_start = profiles.iter().map(|profile| profile.open).collect();
             let mut plan = PoolPlan {
                 pool: pool.clone(),
                 token,
                 machines,
-                open,
+                can_start,
                 jobs: Vec::new(),
-                growth: Vec::new(),
+                is_growth: Vec::new(),
                 requests: Vec::new(),
                 reservations: Vec::new(),
             };
-            self.requests_for(&mut plan, queue, &binding, &long.later);
+            self.add_requests(&mut plan, queue, &binding, &long_work.deferred);
             plan.reservations = cleatfold_backfill::plan(
                 &mut profiles,
                 &mut limits,
@@ -153,36 +167,36 @@
         plans
     }
 
-    /// A silent machine gets nothing new.
-    pub(crate) fn silent_ms(&self) -> u64 {
+    /// A machine without a heartbeat for longer than this gets no new tasks.
+    pub(crate) fn heartbeat_timeout_ms(&self) -> u64 {
         self.cfg.heartbeat_interval_ms * 5 / 2 + 500
     }
 
-    /// The machines of a pool that may get work, and what is free on each over time. What comes back
-    /// to the limits in `binding` as their tasks end is noted there.
-    fn profiles(
+    /// The machines of a pool that may get tasks, with the availability profile of each. Also
+    /// records in `binding` what their running tasks give back to those limits when they end.
+    fn machine_profiles(
         &self,
         pool: &PoolId,
         token: FencingToken,
-        members: &[(&MachineId, &Machine)],
-        binding: &mut [Binding],
+        pool_machines: &[(&MachineId, &Machine)],
+        binding: &mut [BindingLimit],
     ) -> (Vec<MachineId>, Vec<MachineProfile>) {
         let Some(kind) = self.inventory.types.get(&pool.machine_type) else {
             return (vec![], vec![]);
         };
         let mut ids = Vec::new();
         let mut profiles = Vec::new();
-        for &(id, machine) in members.iter().filter(|(_, machine)| machine.is_schedulable()) {
-            let Some(mut profile) = self.empty_profile(machine, kind, token) else { continue };
-            self.carve_claims(id, machine, kind, &mut profile, binding);
+        for &(id, machine) in pool_machines.iter().filter(|(_, machine)| machine.is_schedulable()) {
+            let Some(mut profile) = self.idle_profile(machine, kind, token) else { continue };
+            self.subtract_claims(id, machine, kind, &mut profile, binding);
             ids.push(id.clone());
             profiles.push(profile);
         }
         (ids, profiles)
     }
 
-    /// A machine without its tasks; none for one that is silent.
-    fn empty_profile(
+    /// The profile of a machine without its tasks; none if its heartbeat or its boot is overdue.
+    fn idle_profile(
         &self,
         machine: &Machine,
         kind: &MachineType,
@@ -191,8 +205,8 @@
         let now = self.now;
         let total = self.inventory.machine_resources(&kind.name);
         let mut profile = match &machine.heartbeat {
-            Some(last) if now.since(last.received_at) > self.silent_ms() => return None,
-            // This worker has seen our token, so nobody else commands it.
+            Some(last) if now.since(last.received_at) > self.heartbeat_timeout_ms() => return None,
+            // A worker that has seen our fencing token takes no commands from a former owner.
             Some(last) => MachineProfile::new(now, total, machine.spot, last.token == token),
             None => {
                 let overdue_ms = (kind.boot_s * 3000.0) as u64 + 10_000;
@@ -210,52 +224,54 @@
         Some(profile)
     }
 
-    /// Takes what the claims on a machine use out of its profile.
-    fn carve_claims(
+    /// Subtracts the resources of the claims on a machine from its profile.
+    fn subtract_claims(
         &self,
         id: &MachineId,
         machine: &Machine,
         kind: &MachineType,
         profile: &mut MachineProfile,
-        binding: &mut [Binding],
+        binding: &mut [BindingLimit],
     ) {
         let now = self.now;
-        // Claims come sorted by job: one look-up serves all of a job's.
-        let mut known: Option<(&JobId, &CachedJob, Option<&LocalJobState>, Option<usize>)> = None;
-        let mut noted: Option<&JobId> = None;
+        // Claims are sorted by job, so one look-up serves all claims of a job.
+        let mut current: Option<(&JobId, &CachedJob, Option<&LocalJobState>, Option<usize>)> = None;
+        let mut image_noted_for: Option<&JobId> = None;
         for ((job, ix), claim) in self.cache.claims.get(id).into_iter().flatten() {
-            let (cached, job_state, limit) = match known {
+            let (cached, job_state, limit) = match current {
                 Some((last, cached, job_state, limit)) if last == job => (cached, job_state, limit),
                 _ => {
                     let Some(cached) = self.cache.jobs.get(job) else { continue };
-                    let limit = binding.iter().position(|b| b.binds(&cached.record.spec));
+                    let limit =
+                        binding.iter().position(|limit| limit.applies_to(&cached.record.spec));
                     (cached, self.job_states.get(job), limit)
                 }
             };
-            known = Some((job, cached, job_state, limit));
-            // Its room is free though its end is not recorded yet. (Waiting for the record
-            // left every place empty for seconds when changes run short.)
+            current = Some((job, cached, job_state, limit));
+            // An ended task holds no resources even if its end is not recorded yet. Waiting for the
+            // record left slots empty for seconds when the change rate was limited.
             if job_state.is_some_and(|l| l.is_ending(*ix, claim.attempt)) {
                 if let Some(limit) = limit {
-                    binding[limit].ends(now, now.plus(1000), cached.task_resources);
+                    binding[limit].add_release(now, now.plus(1000), cached.task_resources);
                 }
                 continue;
             }
             let end = self.expected_end(id, machine, (job, *ix), cached, job_state);
             if let Some(limit) = limit {
-                binding[limit].ends(now, end, cached.task_resources);
+                binding[limit].add_release(now, end, cached.task_resources);
             }
             profile.carve(now, end, cached.task_resources);
             let image = &cached.record.spec.image;
-            if noted != Some(job) && !profile.images.iter().any(|(i, _)| i == image) {
+            if image_noted_for != Some(job) && !profile.images.iter().any(|(i, _)| i == image) {
                 let ready = now.plus_s(cached.record.spec.image_gb / kind.fetch_gb_per_s);
                 profile.images.push((image.clone(), ready));
             }
-            noted = Some(job);
+            image_noted_for = Some(job);
         }
     }
 
-    fn run_ms(&self, cached: &CachedJob) -> u64 {
+    /// How long a task of the job runs by its estimate; an elastic member until the steps are done.
+    fn estimated_run_ms(&self, cached: &CachedJob) -> u64 {
         if cached.record.spec.kind == Kind::Service {
             return FOREVER;
         }
@@ -265,8 +281,8 @@
         (cached.record.spec.estimate_s * 1000.0) as u64
     }
 
-    /// When a claimed task should be over. Past its estimate it gets a later end: a fifth of
-    /// what it has run, and never less than two seconds, from now.
+    /// When a claimed task is expected to end. A task past its estimate is expected to run on for a
+    /// fifth of its run time so far, at least two seconds.
     fn expected_end(
         &self,
         machine_id: &MachineId,
@@ -275,36 +291,40 @@
         cached: &CachedJob,
         job_state: Option<&LocalJobState>,
     ) -> Ms {
-        let run = self.run_ms(cached);
-        if run >= FOREVER {
+        let run_ms = self.estimated_run_ms(cached);
+        if run_ms >= FOREVER {
             return Ms(FOREVER);
         }
-        if let Some(stop) = self.evictions.get(machine_id, job, ix) {
-            return stop.until.max(self.now.plus(200));
+        if let Some(eviction) = self.evictions.get(machine_id, job, ix) {
+            return eviction.free_at.max(self.now.plus(200));
         }
         if let Some(width) = cached.width() {
-            // Beyond the least width it gives way when somebody's reservation comes near, so
-            // it delays none.
-            let beyond = ix >= cached.first_surplus_member;
-            return self.now.plus(if beyond { width.yield_ms(YIELD_MS) } else { run });
+            // A member beyond the least width is evicted for a reservation, so it delays none.
+            let is_beyond_least = ix >= cached.first_surplus_member;
+            return self.now.plus(if is_beyond_least {
+                width.yield_ms(YIELD_GRACE_MS)
+            } else {
+                run_ms
+            });
         }
-        let saved = job_state.and_then(|l| l.saved_run_ms.get(&ix)).copied().unwrap_or(0);
-        let run = run.saturating_sub(saved);
+        let saved_ms = job_state.and_then(|l| l.saved_run_ms.get(&ix)).copied().unwrap_or(0);
+        let run_ms = run_ms.saturating_sub(saved_ms);
         match machine.task_started_at.get(&(job.clone(), ix)) {
             Some(start) => {
-                let end = start.plus(run);
+                let end = start.plus(run_ms);
                 if end > self.now {
                     end
                 } else {
-                    let ran = self.now.since(*start);
-                    self.now.plus((ran / 5).max(2000))
+                    let ran_ms = self.now.since(*start);
+                    self.now.plus((ran_ms / 5).max(2000))
                 }
             }
-            None => self.now.plus(run + self.cfg.heartbeat_interval_ms),
+            None => self.now.plus(run_ms + self.cfg.heartbeat_interval_ms),
         }
     }
 
-    pub(crate) fn may_use(&self, cached: &CachedJob, pool: &PoolId) -> bool {
+    /// Whether the job may run on machines of the pool, by its constraints and the size of a task.
+    pub(crate) fn can_run_in(&self, cached: &CachedJob, pool: &PoolId) -> bool {
         let spec = &cached.record.spec;
         spec.types.as_ref().is_none_or(|t| t.contains(&pool.machine_type))
             && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
@@ -312,68 +332,71 @@
             && cached.task_resources.within(&self.inventory.machine_resources(&pool.machine_type))
     }
 
-    fn requests_for(
+    /// Adds the requests of the queued jobs that the pool plans for.
+    fn add_requests(
         &self,
         plan: &mut PoolPlan,
-        queue: &[Queued],
-        limited: &[Binding],
-        later: &BTreeSet<JobId>,
+        queue: &[QueuedTasks],
+        limits: &[BindingLimit],
+        deferred: &BTreeSet<JobId>,
     ) {
         let pool = &plan.pool;
-        for Queued { job: id, urgency, tasks: unclaimed, growth } in queue {
+        for QueuedTasks { job: id, urgency, tasks: unclaimed, is_growth } in queue {
             let Some(cached) = self.cache.jobs.get(id) else {
                 continue;
             };
-            if !self.may_use(cached, pool) || later.contains(id) {
+            if !self.can_run_in(cached, pool) || deferred.contains(id) {
                 continue;
             }
             let job_state = self.job_states.get(id);
             if job_state.is_some_and(|l| l.no_placement_before > self.now) {
                 continue;
             }
-            // Not sent anywhere yet (a new job, or no leader): any pool may plan for it.
-            let sent = job_state.map(|l| l.assigned_pools.as_slice()).unwrap_or_default();
-            if !self.priority.considers(*urgency, id, sent, pool, self.now) {
+            // A job that was assigned to no pool (it is new, or there is no leader) may be planned
+            // by any pool.
+            let sent_to = job_state.map(|l| l.assigned_pools.as_slice()).unwrap_or_default();
+            if !self.priority.plans_for(*urgency, id, sent_to, pool, self.now) {
                 continue;
             }
             let spec = &cached.record.spec;
             let mut tasks = *unclaimed;
             if spec.spread {
-                let here = self.claimed_in_zone(id, &pool.zone);
-                tasks = tasks.min(spec.tasks.div_ceil(2).saturating_sub(here));
+                let claimed = self.claimed_in_zone(id, &pool.zone);
+                tasks = tasks.min(spec.tasks.div_ceil(2).saturating_sub(claimed));
             }
-            // A gang whose tasks are not all free waits for those that are being given up.
+            // A gang starts as a whole: it waits until its earlier claims are released.
             if tasks == 0 || (spec.kind == Kind::Gang && cached.claimed > 0) {
                 continue;
             }
             plan.jobs.push(id.clone());
-            plan.growth.push(*growth);
+            plan.is_growth.push(*is_growth);
             plan.requests.push(Request {
                 each: cached.task_resources,
                 tasks,
-                // A member beyond the base may leave at the end of any step.
+                // A member beyond the base can be evicted at the end of any step.
                 run_ms: cached
                     .width()
-                    .filter(|_| *growth)
-                    .map_or(self.run_ms(cached), |w| w.step_ms),
+                    .filter(|_| *is_growth)
+                    .map_or(self.estimated_run_ms(cached), |w| w.step_ms),
                 image: spec.image.clone(),
                 image_gb: spec.image_gb,
                 spot: spec.spot,
                 gang: spec.kind == Kind::Gang,
-                limit: limited.iter().position(|b| b.binds(spec)),
+                limit: limits.iter().position(|limit| limit.applies_to(spec)),
                 prompt_ms: prompt_ms(*urgency, spec.estimate_s),
-                avoid: self.barred(id, *urgency, plan),
+                avoid: self.excluded_machines(id, *urgency, plan),
             });
         }
     }
 
-    /// Machines on which the job has failed, or on which room is kept for others.
-    fn barred(&self, id: &JobId, urgency: Urgency, plan: &PoolPlan) -> Vec<usize> {
-        let mut barred = self.machines_to_avoid(id, &plan.machines);
-        barred.extend(self.priority.kept_from(&plan.pool, (id, urgency), &plan.machines));
-        barred
+    /// Machines on which the job has failed, or that hold freed resources for other jobs.
+    fn excluded_machines(&self, id: &JobId, urgency: Urgency, plan: &PoolPlan) -> Vec<usize> {
+        let mut avoid = self.machines_to_avoid(id, &plan.machines);
+        avoid.extend(self.priority.reserved_for_others(&plan.pool, (id, urgency), &plan.machines));
+        avoid
     }
 
+    /// How many tasks of the job are claimed in the zone.
     fn claimed_in_zone(&self, job: &JobId, zone: &ZoneId) -> u32 {
         self.cache
             .tables(job)
@@ -383,31 +406,36 @@
             .sum()
     }
 
-    /// Turns reservations that start now into placement requests, soonest finish first, unless
-    /// the other pools promise to have all that is left of the job done earlier.
-    fn start_what_is_due(&mut self, queue: &[Queued], plans: &[PoolPlan], mut usage: Usage) {
-        let mut left: BTreeMap<JobId, u32> = BTreeMap::new();
+    /// Turns reservations that start now into placement requests, earliest finish first, unless
+    /// other pools promise to finish all remaining tasks of the job earlier.
+    fn request_due_placements(
+        &mut self,
+        queue: &[QueuedTasks],
+        plans: &[PoolPlan],
+        mut usage: Usage,
+    ) {
+        let mut remaining_tasks: BTreeMap<JobId, u32> = BTreeMap::new();
         for queued in queue {
-            *left.entry(queued.job.clone()).or_default() += queued.tasks;
+            *remaining_tasks.entry(queued.job.clone()).or_default() += queued.tasks;
         }
-        self.quota.short.clear();
-        self.note_soon(plans);
+        self.quota.shortfall.clear();
+        self.record_reserved_soon(plans);
         for start in self.due_starts(plans) {
-            let remaining = left.get(start.job()).copied().unwrap_or(0);
+            let remaining = remaining_tasks.get(start.job()).copied().unwrap_or(0);
             if remaining == 0 || !self.may_start_now(&start, remaining) {
                 continue;
             }
             let tasks = self.request_placement(&start, remaining, &mut usage);
-            left.insert(start.job().clone(), remaining - tasks);
+            remaining_tasks.insert(start.job().clone(), remaining - tasks);
         }
     }
 
-    /// The reservations that start now, soonest finish first.
+    /// The reservations that start now, earliest finish first.
     fn due_starts<'a>(&self, plans: &'a [PoolPlan]) -> Vec<DueStart<'a>> {
-        let promises = self.promises(plans);
+        let promises = self.collect_promises(plans);
         let mut starts = Vec::new();
         for (pool, plan) in plans.iter().enumerate() {
-            let is_due = |r: &&Reservation| r.start <= self.now && plan.open[r.machine];
+            let is_due = |r: &&Reservation| r.start <= self.now && plan.can_start[r.machine];
             let due: Vec<&Reservation> = plan.reservations.iter().filter(is_due).collect();
             let mut due_tasks: BTreeMap<usize, u32> = BTreeMap::new();
             for reservation in &due {
@@ -420,7 +448,12 @@
                     plan,
                     reservation,
                     due_tasks: due_tasks[&reservation.request],
-                    elsewhere: self.promised_elsewhere(&promises, pool, job, reservation.finish),
+                    promised_elsewhere: self.promised_elsewhere(
+                        &promises,
+                        pool,
+                        job,
+                        reservation.finish,
+                    ),
                 }
             }));
         }
@@ -431,7 +464,8 @@
         starts
     }
 
-    /// Whether tasks of the job may be requested now, of `remaining` that are left of it.
+    /// Whether tasks of the job may be requested now; `remaining` of its tasks are not requested
+    /// yet.
     fn may_start_now(&mut self, start: &DueStart, remaining: u32) -> bool {
         let is_blocked = |state: &LocalJobState| {
             state.transaction_in_flight
@@ -439,39 +473,39 @@
                 || state.not_before > self.now
         };
         if self.job_states.get(start.job()).is_some_and(is_blocked) {
-            // One transaction per job at a time; the plan comes round again.
+            // One transaction per job at a time: the next planning pass tries again.
             self.replan_needed = true;
             return false;
         }
-        if start.elsewhere >= remaining {
+        if start.promised_elsewhere >= remaining {
             return false;
         }
         let Some(cached) = self.cache.jobs.get(start.job()) else { return false };
-        // Something more urgent may be unread in a pool that has just come.
-        if cached.record.spec.urgency > self.priority.lowest(&start.plan.pool) {
+        // In a newly acquired pool there may be more urgent work that is not read yet.
+        if cached.record.spec.urgency > self.priority.lowest_urgency(&start.plan.pool) {
             self.replan_needed = true;
             return false;
         }
-        // Of a gang, all starts are due or none is.
+        // A gang starts only if all of its tasks can start now.
         let is_gang = cached.record.spec.kind == Kind::Gang;
         !is_gang || (start.due_tasks >= cached.unclaimed() && cached.claimed == 0)
     }
 
-    /// Requests placement of as many tasks as the team's quota holds. Returns how many.
+    /// Requests placement of as many tasks as the team's quota allows. Returns how many.
     fn request_placement(&mut self, start: &DueStart, remaining: u32, usage: &mut Usage) -> u32 {
         let (plan, job) = (start.plan, start.job().clone());
         let Some(cached) = self.cache.jobs.get(&job) else { return 0 };
         let wanted = start.reservation.tasks.min(remaining);
         let (team, each) = (cached.record.spec.team.clone(), cached.task_resources);
-        let tasks = self.within_slice(&team, &plan.pool, usage, each, wanted);
+        let tasks = self.take_from_slice(&team, &plan.pool, usage, each, wanted);
         if tasks < wanted {
-            let short = self.quota.short.entry((team, plan.pool.clone())).or_default();
+            let short = self.quota.shortfall.entry((team, plan.pool.clone())).or_default();
             *short += each.times(wanted - tasks);
         }
         if tasks == 0 {
             return 0;
         }
-        if plan.growth[start.reservation.request] {
+        if plan.is_growth[start.reservation.request] {
             tracing::debug!(%job, tasks, pool = %plan.pool, "elastic job grows");
         }
         let placement = PlacementRequest {
@@ -485,10 +519,9 @@
         tasks
     }
 
-    /// What every pool promises, by job: the number of an own pool (none for others' pools),
-    /// when tasks finish and how many. Gathered once: looking through all reservations for each
-    /// start took a third of the processor in a large deployment.
-    fn promises<'a>(&'a self, plans: &'a [PoolPlan]) -> Promises<'a> {
+    /// The promises of all pools, by job. Collected once per pass: searching all reservations for
+    /// each start took a third of the processor time in a large deployment.
+    fn collect_promises<'a>(&'a self, plans: &'a [PoolPlan]) -> Promises<'a> {
         let mut promises = Promises::new();
         for (p, plan) in plans.iter().enumerate() {
             for r in &plan.reservations {
@@ -496,15 +529,15 @@
                 known.push((Some(p), r.finish, r.tasks));
             }
         }
-        for (pool, (token, at, jobs)) in &self.plans.remote {
+        for (pool, (token, at, jobs)) in &self.plans.remote_promises {
             let current = self.cache.pools.get(pool).is_some_and(|h| h.token <= *token)
                 && !self.pools.owned.contains_key(pool);
             if current {
-                let (age_ms, lives) = (self.now.since(*at), self.priority.lives(pool));
+                let (age_ms, is_live) = (self.now.since(*at), self.priority.has_live_owner(pool));
                 for (job, finishes) in jobs {
                     let cached = self.cache.jobs.get(job);
                     let urgency = cached.map_or(Urgency::BestEffort, |l| l.record.spec.urgency);
-                    if !believed(urgency, age_ms, lives) {
+                    if !believed(urgency, age_ms, is_live) {
                         continue;
                     }
                     let known = promises.entry(job).or_default();
@@ -516,23 +549,33 @@
     }
 
     /// How many of the job's tasks other pools promise to finish clearly before `finish`.
-    fn promised_elsewhere(&self, promises: &Promises, here: usize, job: &JobId, finish: Ms) -> u32 {
-        // Estimates are rough: an earlier finish must be clearly earlier.
+    fn promised_elsewhere(
+        &self,
+        promises: &Promises,
+        own_pool: usize,
+        job: &JobId,
+        finish: Ms,
+    ) -> u32 {
+        // Estimates are rough, so only a clearly earlier finish counts.
         let slack = 1000 + finish.since(self.now) / 10;
         let before = Ms(finish.0.saturating_sub(slack));
         let known = promises.get(job).map(Vec::as_slice).unwrap_or_default();
-        known.iter().filter(|(p, at, _)| *p != Some(here) && *at <= before).map(|p| p.2).sum()
+        known.iter().filter(|(p, at, _)| *p != Some(own_pool) && *at <= before).map(|p| p.2).sum()
     }
 
-    fn tell_promises(&mut self, plans: &[PoolPlan]) {
-        if self.now.since(self.plans.sent_at) < PROMISE_INTERVAL_MS * self.backpressure.min(4) {
+    /// Broadcasts when the owned pools expect to finish tasks of each job. Growth of elastic jobs
+    /// is left out.
+    fn broadcast_promises(&mut self, plans: &[PoolPlan]) {
+        if self.now.since(self.plans.promises_sent_at)
+            < PROMISE_INTERVAL_MS * self.backpressure.min(4)
+        {
             return;
         }
-        self.plans.sent_at = self.now;
+        self.plans.promises_sent_at = self.now;
         for plan in plans {
             let mut jobs: BTreeMap<&JobId, Vec<(u64, u32)>> = BTreeMap::new();
             for r in &plan.reservations {
-                if plan.growth[r.request] {
+                if plan.is_growth[r.request] {
                     continue;
                 }
                 let finishes = jobs.entry(&plan.jobs[r.request]).or_default();
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -1,35 +1,39 @@
-//! What a controller knows of the others' pools and of room that is being made in its own.
+//! What a controller knows about the owners of other pools, and the preemptions in its own pools.
 
 use cleatfold_priority::{considers, PreemptionPlan, PreemptionRecord, Sent, StartBarrier};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::{FencingToken, JobId, MachineId, Ms, PoolId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which pools plan, which urgencies may start, and the room that stands or is being written down.
+/// Which pools have a live owner, which urgencies may start, and the preemptions that are active or
+/// being written to the state service.
 #[derive(Debug, Default)]
 pub(crate) struct PriorityState {
     pub last_checked: Ms,
-    /// Since when we have been listening.
-    pub listening: Ms,
-    /// When jobs were last sent to pools, as far as we heard.
-    pub assigned: Option<Ms>,
-    /// As last looked at: pools whose owners are as good as gone, and what may start in our own.
-    pub fallen: BTreeSet<PoolId>,
+    /// Since when this controller has been receiving messages without a stall.
+    pub listening_since: Ms,
+    /// When the leader last assigned jobs to pools, as far as this controller knows.
+    pub last_assignment: Option<Ms>,
+    /// Pools without a live owner, as of the last check.
+    pub orphaned_pools: BTreeSet<PoolId>,
+    /// By owned pool: which urgencies may start there.
     pub start_barriers: BTreeMap<PoolId, StartBarrier>,
-    /// Since when we have seen jobs above background wait, and those that have for long.
-    pub waits: BTreeMap<JobId, Ms>,
-    pub late: BTreeSet<JobId>,
-    /// Rooms of the planning under way, not written down yet.
-    pub new_preemptions: Vec<PreemptionPlan>,
-    /// By pool of ours: rooms that stand.
+    /// Jobs above best effort that wait, and since when this controller has seen them wait.
+    pub waiting_since: BTreeMap<JobId, Ms>,
+    /// Those of them that have waited for long; every pool plans for these.
+    pub overdue_jobs: BTreeSet<JobId>,
+    /// Preemptions of the planning pass in progress that are not written yet.
+    pub unwritten_preemptions: Vec<PreemptionPlan>,
+    /// By owned pool: the active preemptions, each with the urgency of the job that it is for.
     pub preemptions: BTreeMap<PoolId, Vec<(Urgency, PreemptionPlan)>>,
-    /// Records of rooms on their way.
-    pub writing: BTreeSet<PoolId>,
-    /// Whose rooms we have made our own, by the token under which we did.
-    pub adopted: BTreeMap<PoolId, FencingToken>,
+    /// Pools whose preemption record is being written.
+    pub writes_in_flight: BTreeSet<PoolId>,
+    /// Pools whose former owner's preemptions were taken over, with the fencing token under which
+    /// that happened.
+    pub adopted_tokens: BTreeMap<PoolId, FencingToken>,
 }
 
-/// Rooms that are being written down, and who leaves once they are.
+/// A write of a pool's preemption record, and the preemptions to carry out once it is durable.
 #[derive(Debug)]
 pub(crate) struct UncommittedPreemption {
     pub pool: PoolId,
@@ -39,36 +43,38 @@
 }
 
 impl PriorityState {
-    /// Whether somebody plans for the pool, as last looked at.
-    pub(crate) fn lives(&self, pool: &PoolId) -> bool {
-        !self.fallen.contains(pool)
+    /// Whether the pool had a live owner at the last check.
+    pub(crate) fn has_live_owner(&self, pool: &PoolId) -> bool {
+        !self.orphaned_pools.contains(pool)
     }
 
-    /// The lowest urgency that may start in a pool of ours.
-    pub(crate) fn lowest(&self, pool: &PoolId) -> Urgency {
+    /// The lowest urgency that may start in an owned pool.
+    pub(crate) fn lowest_urgency(&self, pool: &PoolId) -> Urgency {
         self.start_barriers.get(pool).map_or(Urgency::Critical, StartBarrier::lowest)
     }
 
+    /// Whether resources are being freed for the job in an owned pool.
     pub(crate) fn has_preemption_for(&self, pool: &PoolId, job: &JobId) -> bool {
         self.preemptions
             .get(pool)
             .is_some_and(|preemptions| preemptions.iter().any(|r| r.1.job == *job))
     }
 
-    /// Machines, by index, on which a pool of ours keeps room that is not for this job.
-    pub(crate) fn kept_from(
+    /// Indices of the machines on which an owned pool holds freed resources for other jobs.
+    pub(crate) fn reserved_for_others(
         &self,
         pool: &PoolId,
         (job, urgency): (&JobId, Urgency),
         machines: &[MachineId],
     ) -> Vec<usize> {
         let preemptions = self.preemptions.get(pool).map(Vec::as_slice).unwrap_or_default();
-        let barred = preemptions.iter().filter(|(l, r)| r.bars(*l, job, urgency));
-        barred.filter_map(|(_, r)| machines.iter().position(|m| *m == r.machine)).collect()
+        let reserved =
+            preemptions.iter().filter(|(for_urgency, plan)| plan.bars(*for_urgency, job, urgency));
+        reserved.filter_map(|(_, plan)| machines.iter().position(|m| *m == plan.machine)).collect()
     }
 
-    /// Whether a pool of ours plans for a job that was sent to `sent`.
-    pub(crate) fn considers(
+    /// Whether an owned pool plans for a job that the leader sent to the pools `sent`.
+    pub(crate) fn plans_for(
         &self,
         urgency: Urgency,
         job: &JobId,
@@ -76,12 +82,12 @@
         pool: &PoolId,
         now: Ms,
     ) -> bool {
-        let wide = self.start_barriers.get(pool).is_some_and(|g| g.wide(now));
+        let is_wide = self.start_barriers.get(pool).is_some_and(|barrier| barrier.wide(now));
         let sent = Sent {
             anywhere: !sent.is_empty(),
             here: sent.contains(pool),
-            all_live: !wide && sent.iter().all(|p| self.lives(p)),
-            late: self.late.contains(job),
+            all_live: !is_wide && sent.iter().all(|p| self.has_live_owner(p)),
+            late: self.overdue_jobs.contains(job),
             preempted_here: self.has_preemption_for(pool, job),
         };
         considers(urgency, sent)
--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -1,4 +1,4 @@
-//! The queue's order: what of each job waits for a place, and who goes first.
+//! The order of the queue: which tasks of each job wait for a slot, and which of them go first.
 
 use crate::admission::state::size_class_demand;
 use crate::controller::Controller;
@@ -10,65 +10,67 @@
 use cleatfold_wire::{ClassId, JobId, TeamId};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// What of a job waits for a place.
-pub(crate) struct Queued {
+/// Tasks of one job that wait for a slot.
+pub(crate) struct QueuedTasks {
     pub job: JobId,
     pub urgency: Urgency,
     pub tasks: u32,
-    /// Members that an elastic job could use beyond its base: they take holes, nothing is rented
-    /// for them, and they give way.
-    pub growth: bool,
+    /// Whether these are members that an elastic job could use beyond its base. They only use
+    /// resources that are free, no machine is rented for them, and they yield to other tasks.
+    pub is_growth: bool,
 }
 
 impl Controller {
-    /// The queue in order, with what of each job is unclaimed; each job once.
-    pub(crate) fn queue(&self) -> Vec<Queued> {
-        let mut all: Vec<Queued> = Vec::new();
-        let mut known: HashMap<JobId, usize> = HashMap::new();
-        for q in self.queue_and_guaranteed().0 {
-            match known.get(&q.job) {
-                Some(&first) if !q.growth => all[first].tasks += q.tasks,
+    /// The queue in order, with the unclaimed tasks of each job. Each job has one entry, and an
+    /// elastic job one more for its growth.
+    pub(crate) fn queue(&self) -> Vec<QueuedTasks> {
+        let mut entries: Vec<QueuedTasks> = Vec::new();
+        let mut first_entries: HashMap<JobId, usize> = HashMap::new();
+        for queued in self.queue_and_guaranteed().0 {
+            match first_entries.get(&queued.job) {
+                Some(&first) if !queued.is_growth => entries[first].tasks += queued.tasks,
                 _ => {
-                    if !q.growth {
-                        known.insert(q.job.clone(), all.len());
+                    if !queued.is_growth {
+                        first_entries.insert(queued.job.clone(), entries.len());
                     }
-                    all.push(q);
+                    entries.push(queued);
                 }
             }
         }
-        all
+        entries
     }
 
-    /// For planning: also which jobs lie within their team's guarantee. A job of which only a part goes before
-    /// everybody else's is there twice.
-    pub(crate) fn queue_and_guaranteed(&self) -> (Vec<Queued>, HashSet<JobId>) {
+    /// The queue in order, and the jobs within their team's guarantee. A job of which only some
+    /// tasks are promoted has two entries.
+    pub(crate) fn queue_and_guaranteed(&self) -> (Vec<QueuedTasks>, HashSet<JobId>) {
         let mut arrivals: Vec<(&JobId, &CachedJob)> =
             self.cache.jobs.iter().filter(|(_, j)| !j.record.aborted).collect();
-        // By the revisions that accepted them: by the times of day, the clock that was ahead came last.
+        // Ordered by the revisions at which the jobs were accepted. Ordered by time of day, jobs
+        // that were accepted by a controller whose clock is ahead would go last.
         arrivals
             .sort_by(|a, b| (a.1.accepted_revision(), a.0).cmp(&(b.1.accepted_revision(), b.0)));
         let accepted_ms = acceptance_times(arrivals.iter().map(|(_, j)| j.record.accepted_ms));
         let mut guarantees = self.guarantees();
-        let mut draft = QueueDraft { wall_ms: self.wall_ms, ..QueueDraft::default() };
+        let mut builder = QueueBuilder { wall_ms: self.wall_ms, ..QueueBuilder::default() };
         for ((id, cached), accepted_ms) in arrivals.into_iter().zip(accepted_ms) {
             let unfinished = cached.task_resources.times(cached.unfinished());
             let is_guaranteed = guarantees.admit(&cached.record.spec.team, unfinished);
             if is_guaranteed {
-                draft.guaranteed.insert(id.clone());
+                builder.guaranteed.insert(id.clone());
             }
             let entry = self.overload_entry(cached);
             let tasks = self.startable_tasks(id, cached, cached.unclaimed());
-            draft.add_base(&Arrival { id, cached, accepted_ms, is_guaranteed, tasks }, entry);
-            let growth = self.startable_tasks(id, cached, self.growth(id, cached));
-            draft.add_growth(id, cached, growth);
+            builder.add_base(&Arrival { id, cached, accepted_ms, is_guaranteed, tasks }, entry);
+            let growth = self.startable_tasks(id, cached, self.growth_tasks(id, cached));
+            builder.add_growth(id, cached, growth);
         }
         let is_divisible = |job: &JobId| {
-            // Only an array's tasks come and go one by one.
+            // Only the tasks of an array start and end independently.
             let cached = self.cache.jobs.get(job).map(|cached| &cached.record.spec);
             cached.is_some_and(|spec| spec.kind == Kind::Array && !spec.spread)
         };
-        draft.promote_all(is_divisible);
-        draft.finish()
+        builder.promote_all(is_divisible);
+        builder.build()
     }
 
     fn guarantees(&self) -> Guarantees {
@@ -77,28 +79,28 @@
     }
 }
 
-/// A job as it joins the queue.
+/// A job to be added to the queue.
 struct Arrival<'a> {
     id: &'a JobId,
     cached: &'a CachedJob,
-    /// Its acceptance, in an order that contradicts no place.
+    /// When it was accepted, adjusted so that the times never contradict the order of acceptance.
     accepted_ms: u64,
     is_guaranteed: bool,
     /// Tasks of its base that may start now.
     tasks: u32,
 }
 
-/// A place in the queue, and what of a job waits for it. Ordered by place.
+/// Tasks of a job with their place in the queue. Ordered by place.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     place: Place,
     tasks: u32,
-    growth: bool,
+    is_growth: bool,
 }
 
-/// The queue that is being put together.
+/// The queue while it is being built.
 #[derive(Default)]
-struct QueueDraft<'a> {
+struct QueueBuilder<'a> {
     wall_ms: u64,
     candidates: Vec<Candidate>,
     guaranteed: HashSet<JobId>,
@@ -106,20 +108,20 @@
     overloaded: BTreeMap<&'a ClassId, OverloadedClass<'a>>,
 }
 
-impl<'a> QueueDraft<'a> {
-    /// Adds what of a job has to run in any case. `entry`: its group's part of the overload quota.
+impl<'a> QueueBuilder<'a> {
+    /// Adds a job's tasks without its growth. `entry` is its group's entry in the overload quota.
     fn add_base(&mut self, job: &Arrival<'a>, entry: Option<&'a Entry>) {
         let cached = job.cached;
         let spec = &cached.record.spec;
-        let is_small = entry.is_none_or(|entry| self.note_demand(job, entry));
+        let is_small = entry.is_none_or(|entry| self.record_demand(job, entry));
         if job.tasks == 0 {
             return;
         }
-        // A job that may shrink to nothing gives way to all of its urgency, or it would
-        // take the very place that it has just given to somebody else.
-        let gives_way = cached.width().is_some_and(|w| w.least == 0);
+        // An elastic job that may shrink to nothing goes behind all others of its urgency;
+        // otherwise it would take back the slot that it has just yielded.
+        let can_shrink_to_zero = cached.width().is_some_and(|w| w.least == 0);
         let (arrival, past_use) = match entry {
-            _ if gives_way => (u64::MAX, false),
+            _ if can_shrink_to_zero => (u64::MAX, false),
             None => (job.accepted_ms, false),
             Some(entry) => self.arrival_under_overload(job, entry, is_small),
         };
@@ -127,12 +129,12 @@
             beyond_floor: true,
             past_use,
             urgency: spec.urgency,
-            beyond_guarantee: !job.is_guaranteed || gives_way,
+            beyond_guarantee: !job.is_guaranteed || can_shrink_to_zero,
             arrival,
             turn: cached.accepted_revision(),
             id: job.id.clone(),
         };
-        self.candidates.push(Candidate { place, tasks: job.tasks, growth: false });
+        self.candidates.push(Candidate { place, tasks: job.tasks, is_growth: false });
     }
 
     /// Adds members that an elastic job could use beyond its base.
@@ -140,7 +142,7 @@
         if tasks == 0 {
             return;
         }
-        // Behind everything of its urgency: it takes only what nobody has reserved.
+        // Behind everything of its urgency: growth uses only what no other job has reserved.
         let place = Place {
             beyond_floor: true,
             past_use: false,
@@ -150,11 +152,11 @@
             turn: cached.accepted_revision(),
             id: id.clone(),
         };
-        self.candidates.push(Candidate { place, tasks, growth: true });
+        self.candidates.push(Candidate { place, tasks, is_growth: true });
     }
 
-    /// Notes what a job of an overloaded group has and needs. True if it is one of the small ones.
-    fn note_demand(&mut self, job: &Arrival<'a>, entry: &'a Entry) -> bool {
+    /// Records what a job of an overloaded group has claimed and needs. True if the job is small.
+    fn record_demand(&mut self, job: &Arrival<'a>, entry: &'a Entry) -> bool {
         let cached = job.cached;
         let spec = &cached.record.spec;
         let class = self.overloaded.entry(&spec.class).or_default();
@@ -169,11 +171,12 @@
             larger.push(LargerJob { demand, candidate });
             return false;
         }
-        class.has += cached.task_resources.times(cached.claimed).cpus;
+        class.claimed_cpus += cached.task_resources.times(cached.claimed).cpus;
         true
     }
 
-    /// The moment that a job's place goes by under overload, and whether it is past its use.
+    /// The time by which a job is ordered under overload, and whether the job has waited for longer
+    /// than its group's patience.
     fn arrival_under_overload(
         &mut self,
         job: &Arrival<'a>,
@@ -187,23 +190,24 @@
             rest: f64::from(cached.unclaimed()) * spec.cpus * spec.estimate_s,
             begun: cached.claimed + cached.done > 0,
         };
-        let moment = order::place(entry, waiting, self.wall_ms);
+        let order_ms = order::place(entry, waiting, self.wall_ms);
         if is_small {
-            let needs = cached.task_resources.times(cached.unclaimed()).cpus;
+            let needed_cpus = cached.task_resources.times(cached.unclaimed()).cpus;
             let candidate = self.candidates.len();
             let class = self.overloaded.entry(&spec.class).or_default();
-            class.small.push(SmallJob { moment, candidate, needs });
+            class.small.push(SmallJob { order_ms, candidate, needed_cpus });
         }
-        (moment, order::past_use(entry, waiting, self.wall_ms))
+        (order_ms, order::past_use(entry, waiting, self.wall_ms))
     }
 
-    /// Lets go first what fills the guaranteed minimum of each class that is not served in time.
+    /// Promotes, in each class that is not served in time, the jobs that fill its guaranteed
+    /// minimum.
     fn promote_all(&mut self, is_divisible: impl Fn(&JobId) -> bool) {
         for mut class in std::mem::take(&mut self.overloaded).into_values() {
             let floor = class.floors.values().map(|f| f.0).sum();
             class.small.sort_unstable();
-            let needs = class.small.iter().map(|job| job.needs);
-            let promoted = order::promote(floor, class.has, needs);
+            let needs = class.small.iter().map(|job| job.needed_cpus);
+            let promoted = order::promote(floor, class.claimed_cpus, needs);
             for job in &class.small[..promoted] {
                 self.candidates[job.candidate].place.beyond_floor = false;
             }
@@ -212,7 +216,7 @@
         }
     }
 
-    /// Lets go first what of the larger jobs of a class fills their guaranteed minimum.
+    /// Promotes those tasks of a class's larger jobs that fill the size class's guaranteed minimum.
     fn promote_larger(
         &mut self,
         class: &OverloadedClass,
@@ -231,54 +235,56 @@
         for (job, promoted) in jobs.iter().zip(promoted) {
             let Some(index) = job.candidate.filter(|_| promoted > 0) else { continue };
             let candidate = &mut self.candidates[index];
-            let first = Place { beyond_floor: false, past_use: false, ..candidate.place.clone() };
+            let promoted_place =
+                Place { beyond_floor: false, past_use: false, ..candidate.place.clone() };
             let tasks = (promoted / job.demand.each.max(1)).max(1) as u32;
-            if !is_divisible(&first.id) || tasks >= candidate.tasks {
-                candidate.place = first;
+            if !is_divisible(&promoted_place.id) || tasks >= candidate.tasks {
+                candidate.place = promoted_place;
             } else {
                 candidate.tasks -= tasks;
-                self.candidates.push(Candidate { place: first, tasks, growth: false });
+                self.candidates.push(Candidate { place: promoted_place, tasks, is_growth: false });
             }
         }
     }
 
-    /// The queue in order, and the jobs within their teams' guarantees.
-    fn finish(mut self) -> (Vec<Queued>, HashSet<JobId>) {
+    /// Sorts the queue; returns it with the jobs within their teams' guarantees.
+    fn build(mut self) -> (Vec<QueuedTasks>, HashSet<JobId>) {
         self.candidates.sort();
-        let queued = |Candidate { place, tasks, growth }| Queued {
+        let queued = |Candidate { place, tasks, is_growth }| QueuedTasks {
             job: place.id,
             urgency: place.urgency,
             tasks,
-            growth,
+            is_growth,
         };
         (self.candidates.into_iter().map(queued).collect(), self.guaranteed)
     }
 }
 
-/// A small job of an overloaded class. Ordered by moment.
+/// A small job of an overloaded class. Ordered by `order_ms`.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct SmallJob {
-    moment: u64,
-    /// Its candidate, by number.
+    order_ms: u64,
+    /// Index of its candidate.
     candidate: usize,
     /// Processors that it needs, in thousandths.
-    needs: i64,
+    needed_cpus: i64,
 }
 
-/// A job of the middle or the largest of an overloaded class.
+/// A job of an overloaded class in one of the two upper size classes.
 struct LargerJob {
     demand: size_classes::Waiting,
-    /// Its candidate, by number, if anything of it waits.
+    /// Index of its candidate, if any of its tasks wait.
     candidate: Option<usize>,
 }
 
-/// What of a class that is not served in time has a place, and what waits.
+/// The claimed processors and the waiting jobs of a class that is not served in time.
 #[derive(Default)]
 struct OverloadedClass<'a> {
-    /// Of each of its teams: the small jobs' guaranteed minimum, and the size classes.
+    /// By team: the guaranteed minimum of its small jobs, and the bounds and minimums of its size
+    /// classes.
     floors: BTreeMap<&'a TeamId, (i64, Option<&'a Sizes>)>,
-    /// Processors in thousandths that its small jobs have.
-    has: i64,
+    /// Processors that its small jobs have claimed, in thousandths.
+    claimed_cpus: i64,
     small: Vec<SmallJob>,
     middle: Vec<LargerJob>,
     large: Vec<LargerJob>,
--- a/crates/cleatfold-control/src/store/session.rs
+++ b/crates/cleatfold-control/src/store/session.rs
@@ -198,7 +198,7 @@
         self.session.load_revision = None;
         // A claim whose reply arrives during the load is in no page that was read before, and is no
         // longer in flight either.
-        self.quota.blind = Some(self.event);
+        self.quota.unread_claims_since = Some(self.event);
     }
 
     /// A page of the listing that fills the cache.
@@ -252,8 +252,8 @@
         self.session.last_read =
             Some(self.session.last_read.map_or(sent, |last_read| last_read.max(sent)));
         self.reachability.view.worker_release.reset();
-        if self.quota.blind.is_some_and(|since| since <= sent_event) {
-            self.quota.blind = None;
+        if self.quota.unread_claims_since.is_some_and(|since| since <= sent_event) {
+            self.quota.unread_claims_since = None;
         }
         for job_state in self.job_states.values_mut() {
             if job_state.stale_since.is_some_and(|since| since <= sent_event) {
