--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -371,9 +371,7 @@
         let has_planner: Vec<bool> = pools.iter().map(|p| self.has_live_owner(p)).collect();
         let mut assigned: Vec<(String, Vec<u16>)> = Vec::new();
         for QueuedTasks { job: id, tasks: unclaimed, is_growth, .. } in &queue {
-            let Some(cached) = self.cache.jobs.get(id) else {
-                continue;
-            };
+            let Some(cached) = self.cache.jobs.get(id) else { continue };
             // The job's base tasks are already assigned to pools, in an earlier round or in this one;
             // its growth uses the same pools.
             if *is_growth
