--- a/crates/cleatfold-backfill/src/pools.rs
+++ b/crates/cleatfold-backfill/src/pools.rs
@@ -1,17 +1,17 @@
-//! Which pools a job is sent to: the K least loaded ones that can hold it.
+//! Pool selection: a job is assigned to the K least loaded pools that can run it.
 
-/// A pool's load in seconds: remaining processor-time per processor.
+/// The outstanding work of a pool and the processors that share it.
 #[derive(Clone, Copy, Debug)]
-pub struct Load {
-    /// Processor-seconds that its tasks still take.
+pub struct PoolLoad {
+    /// Remaining processor-seconds of its tasks.
     pub work: f64,
     /// Processors of its machines.
     pub processors: f64,
 }
 
-impl Load {
-    /// Remaining processor-time per processor.
-    pub fn seconds(&self) -> f64 {
+impl PoolLoad {
+    /// Remaining processor-time per processor, in seconds.
+    pub fn load_s(&self) -> f64 {
         if self.processors > 0.0 {
             self.work / self.processors
         } else {
@@ -20,31 +20,32 @@
     }
 }
 
-/// Picks the `k` least loaded of `eligible` and charges each its share of `work`. A pool the
-/// job is in already is kept unless another is clearly better, so that reservations stay put.
-pub fn choose(
-    loads: &mut [Load],
+/// Selects the `k` least loaded of the `eligible` pools and adds a share of `work` to each, in
+/// proportion to its processors. A pool that the job is already assigned to is kept unless another
+/// one is clearly less loaded, so that reservations do not move between pools.
+pub fn choose_pools(
+    loads: &mut [PoolLoad],
     eligible: &[usize],
     current: &[usize],
     k: usize,
     work: f64,
 ) -> Vec<usize> {
-    const STAY: f64 = 0.8;
-    let mut order: Vec<usize> =
+    const CURRENT_POOL_LOAD_FACTOR: f64 = 0.8;
+    let mut chosen: Vec<usize> =
         eligible.iter().copied().filter(|&p| loads[p].processors > 0.0).collect();
-    let key = |p: usize| {
-        let s = loads[p].seconds();
+    let weighted_load = |p: usize| {
+        let load_s = loads[p].load_s();
         if current.contains(&p) {
-            s * STAY
+            load_s * CURRENT_POOL_LOAD_FACTOR
         } else {
-            s
+            load_s
         }
     };
-    order.sort_by(|&a, &b| key(a).total_cmp(&key(b)).then(a.cmp(&b)));
-    order.truncate(k);
-    let processors: f64 = order.iter().map(|&p| loads[p].processors).sum();
-    for &p in &order {
-        loads[p].work += work * loads[p].processors / processors;
+    chosen.sort_by(|&a, &b| weighted_load(a).total_cmp(&weighted_load(b)).then(a.cmp(&b)));
+    chosen.truncate(k);
+    let total_processors: f64 = chosen.iter().map(|&p| loads[p].processors).sum();
+    for &p in &chosen {
+        loads[p].work += work * loads[p].processors / total_processors;
     }
-    order
+    chosen
 }
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -8,7 +8,7 @@
 use crate::scheduling::queue::Queued;
 use crate::store::cache::Versioned;
 use crate::store::records::{pool_key, ControllerRecord, HolderRecord};
-use cleatfold_backfill::pools::{choose, Load};
+use cleatfold_backfill::pools::{choose_pools, PoolLoad};
 use cleatfold_roles::Role;
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::mesh::Message;
@@ -311,7 +311,7 @@
         let pools = self.inventory.pools();
         let index: BTreeMap<&PoolId, usize> =
             pools.iter().enumerate().map(|(i, p)| (p, i)).collect();
-        let mut loads = vec![Load { work: 0.0, processors: 0.0 }; pools.len()];
+        let mut loads = vec![PoolLoad { work: 0.0, processors: 0.0 }; pools.len()];
         for m in self.inventory.machines.values() {
             if !m.takes_work() {
                 continue;
@@ -363,7 +363,7 @@
             } else {
                 self.cfg.pools_per_job
             };
-            let chosen = choose(&mut loads, &eligible, &current, k, work);
+            let chosen = choose_pools(&mut loads, &eligible, &current, k, work);
             assigned.push((id.to_string(), chosen.iter().map(|&i| i as u16).collect()));
         }
         let names: Vec<String> = pools.iter().map(|p| p.to_string()).collect();
