--- a/crates/cleatfold-backfill/src/order.rs
+++ b/crates/cleatfold-backfill/src/order.rs
@@ -1,55 +1,58 @@
-//! Queue order: what fills its group's floor, what can be of use, urgency, then work within its team's guarantee, then arrival.
+//! Queue order: first jobs that fill the guaranteed minimum of their group, then jobs that can still
+//! meet their objective, then by urgency, by the team's guarantee and by arrival.
 
 use crate::resources::Resources;
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::{JobId, TeamId};
 use std::collections::HashMap;
 
-/// A place in the queue; the least goes first.
+/// Sort key of a queued job; the smallest is scheduled first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
-    /// False for what a group that is not served in time gets before everybody else.
+pub struct QueueKey {
+    /// False for jobs that fill the guaranteed minimum of an overloaded group: they go before all
+    /// others.
     pub beyond_floor: bool,
-    /// Of such a group, and past its use: it goes behind all that can still be of some.
+    /// A job of an overloaded group that can no longer be of use: it goes after all jobs that can.
     pub past_use: bool,
-    /// More urgent jobs go first.
+    /// Jobs of higher urgency go first.
     pub urgency: Urgency,
-    /// Work within its team's guarantee goes first.
+    /// Jobs within their team's guarantee go first.
     pub beyond_guarantee: bool,
-    /// The moment that its place stands for, perhaps moved.
+    /// Arrival time that the job is ordered by; overload control may shift it.
     pub arrival: u64,
-    /// Its durable place: of two with one moment the earlier goes first.
-    pub turn: u64,
-    /// Decides between jobs that are equal otherwise.
+    /// Revision at which the job was accepted; breaks ties between equal arrival times.
+    pub acceptance_revision: u64,
+    /// Breaks the remaining ties.
     pub id: JobId,
 }
 
-/// Keeps, per team, how much of the guarantee earlier unfinished jobs already fill. Feed it
-/// the team's jobs in order of arrival.
+/// Tracks how much of each team's guarantee is left by earlier unfinished jobs. A team's jobs must
+/// be passed in order of arrival.
 #[derive(Debug, Default)]
 pub struct Guarantees {
-    left: HashMap<TeamId, Resources>,
+    remaining: HashMap<TeamId, Resources>,
 }
 
 impl Guarantees {
-    /// Guarantees of teams, in processors and GPUs.
+    /// Creates the guarantees from (team, processors, GPUs).
     pub fn new(teams: impl IntoIterator<Item = (TeamId, f64, f64)>) -> Self {
-        let left = teams
+        let remaining = teams
             .into_iter()
             .map(|(team, cpus, gpus)| (team, Resources::new(cpus, gpus, 0.0)))
             .collect();
-        Self { left }
+        Self { remaining }
     }
 
-    /// Whether the job fits together with its team's earlier ones; takes its part if so.
+    /// Whether the job fits into its team's guarantee together with the team's earlier jobs. Its
+    /// unfinished work is deducted in either case.
     pub fn admit(&mut self, team: &TeamId, unfinished: Resources) -> bool {
-        let Some(left) = self.left.get_mut(team) else {
+        let Some(remaining) = self.remaining.get_mut(team) else {
             return false;
         };
-        let fits = unfinished.cpus <= left.cpus && unfinished.gpus <= left.gpus;
-        // An earlier job counts in full even where it does not fit itself.
-        left.cpus -= unfinished.cpus;
-        left.gpus -= unfinished.gpus;
+        let fits = unfinished.cpus <= remaining.cpus && unfinished.gpus <= remaining.gpus;
+        // A job is deducted in full even if it does not fit itself.
+        remaining.cpus -= unfinished.cpus;
+        remaining.gpus -= unfinished.gpus;
         fits
     }
 }
--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::store::cache::CachedJob;
 use cleatfold_admission::{order, size_classes, Entry, SizeClass, Sizes};
-use cleatfold_backfill::order::{Guarantees, Place};
+use cleatfold_backfill::order::{Guarantees, QueueKey};
 use cleatfold_priority::acceptance_times;
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::{ClassId, JobId, TeamId};
@@ -90,7 +90,7 @@
 /// A place in the queue, and what of a job waits for it. Ordered by place.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    place: Place,
+    place: QueueKey,
     tasks: u32,
     growth: bool,
 }
@@ -122,13 +122,13 @@
             None => (job.accepted_ms, false),
             Some(entry) => self.arrival_under_overload(job, entry, is_small),
         };
-        let place = Place {
+        let place = QueueKey {
             beyond_floor: true,
             past_use,
             urgency: spec.urgency,
             beyond_guarantee: !job.is_guaranteed || gives_way,
             arrival,
-            turn: cached.place(),
+            acceptance_revision: cached.place(),
             id: job.id.clone(),
         };
         self.candidates.push(Candidate { place, tasks: job.tasks, growth: false });
@@ -140,13 +140,13 @@
             return;
         }
         // Behind everything of its urgency: it takes only what nobody has reserved.
-        let place = Place {
+        let place = QueueKey {
             beyond_floor: true,
             past_use: false,
             urgency: cached.record.spec.urgency,
             beyond_guarantee: true,
             arrival: u64::MAX,
-            turn: cached.place(),
+            acceptance_revision: cached.place(),
             id: id.clone(),
         };
         self.candidates.push(Candidate { place, tasks, growth: true });
@@ -230,7 +230,8 @@
         for (job, promoted) in jobs.iter().zip(promoted) {
             let Some(index) = job.candidate.filter(|_| promoted > 0) else { continue };
             let candidate = &mut self.candidates[index];
-            let first = Place { beyond_floor: false, past_use: false, ..candidate.place.clone() };
+            let first =
+                QueueKey { beyond_floor: false, past_use: false, ..candidate.place.clone() };
             let tasks = (promoted / job.demand.each.max(1)).max(1) as u32;
             if !is_divisible(&first.id) || tasks >= candidate.tasks {
                 candidate.place = first;
