--- a/crates/cleatfold-backfill/src/preemption.rs
+++ b/crates/cleatfold-backfill/src/preemption.rs
@@ -1,157 +1,166 @@
-//! Who gives way to whom: which running tasks are stopped so that waiting ones get their place.
+//! Preemption: which running tasks are stopped to free capacity for waiting ones.
 //!
-//! The rules are the protocol's: a task may be stopped for a job of higher urgency, and what a
-//! team runs beyond its guarantee may be stopped to give another team its guarantee; nothing
-//! else preempts work of equal or higher urgency. Members of an elastic job beyond its least
-//! width are not preempted but give way, which their job asked for by being elastic: to
-//! everything of their urgency or above.
+//! The rules are those of the protocol. A task may be stopped for a job of higher urgency, and a task
+//! beyond its team's guarantee may be stopped to give another team its guarantee; nothing else
+//! preempts work of equal or higher urgency. Surplus members of an elastic job, those beyond its
+//! minimum width, are not subject to these rules: an elastic job agrees to release them to any job of
+//! its own urgency or higher.
 
 use crate::resources::Resources;
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::TeamId;
 
-/// A task that has a place.
+/// A task that occupies resources on a machine.
 #[derive(Clone, Debug)]
-pub struct Running {
-    /// The caller's name for it.
+pub struct RunningTask {
+    /// Identifier chosen by the caller.
     pub id: usize,
-    /// What one task takes.
+    /// Resources of the task.
     pub each: Resources,
     /// The urgency of the job.
     pub urgency: Urgency,
     /// The job's team.
     pub team: TeamId,
-    /// Its job lies beyond its team's guarantee.
+    /// Whether its job is beyond its team's guarantee.
     pub beyond_guarantee: bool,
-    /// A member beyond its elastic job's least width.
-    pub yields: bool,
-    /// May be stopped at all: it is not being stopped, and if it was stopped before it has
-    /// gained since.
+    /// Whether it is a member beyond its elastic job's minimum width.
+    pub is_surplus_member: bool,
+    /// Whether it may be stopped at all: it is not being stopped already and, if it was preempted
+    /// before, has made progress since.
     pub stoppable: bool,
-    /// Work that is lost if it is stopped, in processor-milliseconds.
+    /// Work lost if it is stopped, in processor-milliseconds.
     pub loss: u64,
 }
 
-/// Who needs places.
+/// Waiting tasks of one job that need capacity.
 #[derive(Clone, Debug)]
-pub struct Need {
-    /// What one task takes.
+pub struct PreemptionRequest {
+    /// Resources of one task.
     pub each: Resources,
     /// The urgency of the job.
     pub urgency: Urgency,
     /// The job's team.
     pub team: TeamId,
-    /// The job lies within its team's guarantee.
+    /// Whether the job is within its team's guarantee.
     pub within_guarantee: bool,
-    /// Preempts ordinary work where the rules allow it; else only takes what yields.
+    /// Whether ordinary tasks may be preempted where the rules allow it; if not, only surplus
+    /// members of elastic jobs are stopped.
     pub preempts: bool,
-    /// The most that may be lost for one of its tasks, in processor-milliseconds.
-    pub worth: u64,
+    /// Maximum work that may be lost to place one task, in processor-milliseconds.
+    pub max_loss: u64,
 }
 
-/// A machine.
+/// Free resources and running tasks of one machine.
 #[derive(Clone, Debug)]
 pub struct MachineLoad {
-    /// What no task holds.
+    /// Resources not used by any task.
     pub free: Resources,
-    /// The tasks that hold the rest.
-    pub running: Vec<Running>,
+    /// Tasks that use the rest.
+    pub running: Vec<RunningTask>,
 }
 
-/// Places made on one machine.
+/// Capacity to be freed on one machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Preemption {
-    /// Index of the machine.
+    /// Index of the machine in the loads.
     pub machine: usize,
-    /// How many tasks fit there then.
+    /// How many of the waiting tasks fit there afterwards.
     pub tasks: u32,
-    /// Whom to stop, by the caller's names.
-    pub stop: Vec<usize>,
-    /// Work that is lost, in processor-milliseconds.
+    /// Identifiers of the tasks to stop.
+    pub victims: Vec<usize>,
+    /// Work lost, in processor-milliseconds.
     pub loss: u64,
 }
 
-/// Whether the protocol lets a task be stopped for this need.
-pub fn may_stop(need: &Need, r: &Running) -> bool {
+/// Whether the protocol allows a task to be stopped for this request.
+pub fn may_preempt(request: &PreemptionRequest, r: &RunningTask) -> bool {
     if !r.stoppable {
         return false;
     }
-    if r.yields && r.urgency >= need.urgency {
+    if r.is_surplus_member && r.urgency >= request.urgency {
         return true;
     }
-    let higher = need.urgency < r.urgency;
-    // The protocol would allow any urgency here. Stopping urgent work that is late itself cost
-    // its deadlines more than the guarantee gained.
-    let not_above = need.urgency <= r.urgency;
-    let guarantee = need.within_guarantee && r.beyond_guarantee && r.team != need.team;
-    need.preempts && (higher || (guarantee && not_above))
+    let is_more_urgent = request.urgency < r.urgency;
+    // The protocol would allow victims of any urgency here. Stopping more urgent work that is
+    // itself late cost more missed deadlines than the guarantee gained.
+    let not_less_urgent = request.urgency <= r.urgency;
+    let for_guarantee = request.within_guarantee && r.beyond_guarantee && r.team != request.team;
+    request.preempts && (is_more_urgent || (for_guarantee && not_less_urgent))
 }
 
-/// The cheapest way to one more place on a machine, if there is one: candidates in the order of
-/// their loss until the task fits, less whoever is not needed after all.
-fn one_place(need: &Need, machine: &MachineLoad) -> Option<(Vec<usize>, u64)> {
+/// Finds the victims for one more task on a machine, and the work lost; none if the task cannot fit
+/// or the loss is too high. Adds candidates in order of loss until the task fits, then drops those
+/// that turn out not to be needed.
+fn cheapest_preemption(
+    request: &PreemptionRequest,
+    machine: &MachineLoad,
+) -> Option<(Vec<usize>, u64)> {
     let mut free = machine.free;
-    if free.fits(&need.each, 1) > 0 {
+    if free.fits(&request.each, 1) > 0 {
         return Some((vec![], 0));
     }
-    let mut candidates: Vec<&Running> =
-        machine.running.iter().filter(|r| may_stop(need, r)).collect();
-    candidates.sort_by_key(|r| (!r.yields, r.loss, r.id));
-    let mut chosen: Vec<&Running> = Vec::new();
+    let mut candidates: Vec<&RunningTask> =
+        machine.running.iter().filter(|r| may_preempt(request, r)).collect();
+    candidates.sort_by_key(|r| (!r.is_surplus_member, r.loss, r.id));
+    let mut chosen: Vec<&RunningTask> = Vec::new();
     for r in candidates {
         free += r.each;
         chosen.push(r);
-        if free.fits(&need.each, 1) > 0 {
+        if free.fits(&request.each, 1) > 0 {
             break;
         }
     }
-    if free.fits(&need.each, 1) == 0 {
+    if free.fits(&request.each, 1) == 0 {
         return None;
     }
-    // The dearest first: a large one may have made the small ones before it unnecessary.
+    // The most expensive first: a large victim may have made smaller ones unnecessary.
     for i in (0..chosen.len()).rev() {
         let without = free - chosen[i].each;
-        if without.fits(&need.each, 1) > 0 {
+        if without.fits(&request.each, 1) > 0 {
             free = without;
             chosen.remove(i);
         }
     }
     let loss = chosen.iter().map(|r| r.loss).sum();
-    (loss <= need.worth).then(|| (chosen.iter().map(|r| r.id).collect(), loss))
+    (loss <= request.max_loss).then(|| (chosen.iter().map(|r| r.id).collect(), loss))
 }
 
-/// Makes room for up to `tasks`, one place after the other, each where the least is lost; never
-/// stops more than that takes. Takes the places out of `loads`.
-pub fn choose_preemptions(need: &Need, loads: &mut [MachineLoad], tasks: u32) -> Vec<Preemption> {
+/// Chooses victims for up to `tasks` tasks, one task after the other, each on the machine where the
+/// least work is lost. Never stops more than needed. Updates `loads` as if the tasks were placed.
+pub fn choose_preemptions(
+    request: &PreemptionRequest,
+    loads: &mut [MachineLoad],
+    tasks: u32,
+) -> Vec<Preemption> {
     let mut preemptions: Vec<Preemption> = Vec::new();
-    let mut offers: Vec<Option<(Vec<usize>, u64)>> =
-        loads.iter().map(|s| one_place(need, s)).collect();
+    let mut options: Vec<Option<(Vec<usize>, u64)>> =
+        loads.iter().map(|load| cheapest_preemption(request, load)).collect();
     for _ in 0..tasks {
-        let best = offers
+        let best = options
             .iter()
             .enumerate()
-            .filter_map(|(i, o)| o.as_ref().map(|o| (o.1, o.0.len(), i)))
+            .filter_map(|(i, option)| option.as_ref().map(|option| (option.1, option.0.len(), i)))
             .min();
         let Some((loss, _, i)) = best else { break };
-        let Some((stop, _)) = offers[i].take() else { break };
+        let Some((victims, _)) = options[i].take() else { break };
         let machine = &mut loads[i];
         machine.running.retain(|r| {
-            let gone = stop.contains(&r.id);
-            if gone {
+            let is_victim = victims.contains(&r.id);
+            if is_victim {
                 machine.free += r.each;
             }
-            !gone
+            !is_victim
         });
-        machine.free -= need.each;
+        machine.free -= request.each;
         match preemptions.iter_mut().find(|r| r.machine == i) {
-            Some(known) => {
-                known.tasks += 1;
-                known.loss += loss;
-                known.stop.extend(stop);
+            Some(existing) => {
+                existing.tasks += 1;
+                existing.loss += loss;
+                existing.victims.extend(victims);
             }
-            None => preemptions.push(Preemption { machine: i, tasks: 1, stop, loss }),
+            None => preemptions.push(Preemption { machine: i, tasks: 1, victims, loss }),
         }
-        offers[i] = one_place(need, &loads[i]);
+        options[i] = cheapest_preemption(request, &loads[i]);
     }
     preemptions
 }
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -11,7 +11,9 @@
 use crate::scheduling::evictions::{Eviction, YIELD_MS};
 use crate::scheduling::planning::PoolPlan;
 use crate::store::cache::CachedJob;
-use cleatfold_backfill::preemption::{self, MachineLoad, Need, Preemption, Running};
+use cleatfold_backfill::preemption::{
+    self, MachineLoad, Preemption, PreemptionRequest, RunningTask,
+};
 use cleatfold_priority::{PreemptionPlan, Victim};
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::worker::{Command, Exit, Heartbeat, Orders, TaskReport, TaskState};
@@ -100,7 +102,7 @@
                 let choices = preemption::choose_preemptions(&need, &mut here, tasks);
                 for choice in choices {
                     loads[choice.machine] = here[choice.machine].clone();
-                    if !choice.stop.is_empty() {
+                    if !choice.victims.is_empty() {
                         self.evict_for(plan, &wait, &choice, names, save_ms);
                     }
                 }
@@ -110,7 +112,12 @@
     }
 
     /// What may be done for a job that waits, and how long a victim may take to save.
-    fn need(&self, plan: &PoolPlan, wait: &Wait, within: &HashSet<JobId>) -> Option<(Need, u64)> {
+    fn need(
+        &self,
+        plan: &PoolPlan,
+        wait: &Wait,
+        within: &HashSet<JobId>,
+    ) -> Option<(PreemptionRequest, u64)> {
         let job = &plan.jobs[wait.request];
         let cached = self.cache.jobs.get(job)?;
         let spec = &cached.record.spec;
@@ -127,13 +134,13 @@
         } else {
             u64::MAX
         };
-        let need = Need {
+        let need = PreemptionRequest {
             each: cached.each,
             urgency: spec.urgency,
             team: spec.team.clone(),
             within_guarantee,
             preempts,
-            worth,
+            max_loss: worth,
         };
         Some((need, time.unwrap_or(0)))
     }
@@ -226,7 +233,7 @@
         cached: &CachedJob,
         task: &Named,
         save_ms: u64,
-    ) -> Running {
+    ) -> RunningTask {
         let spec = &cached.record.spec;
         let evictions = self
             .job_states
@@ -245,13 +252,13 @@
             None if interval > 0 && saves_in_time(spec.save_s, save_ms) => 0,
             None => ran % interval.max(u64::from(interval == 0) * u64::MAX),
         };
-        Running {
+        RunningTask {
             id: 0,
             each: cached.each,
             urgency: spec.urgency,
             team: spec.team.clone(),
             beyond_guarantee: true,
-            yields,
+            is_surplus_member: yields,
             stoppable: gained
                 && spec.kind == Kind::Array
                 && !cached.record.aborted
@@ -282,7 +289,7 @@
         let mut leaving = Vec::new();
         let mut last = 0;
         let mut preempts = false;
-        for task in choice.stop.iter().filter_map(|v| names.get(*v)) {
+        for task in choice.victims.iter().filter_map(|v| names.get(*v)) {
             let Some(cached) = self.cache.jobs.get(&task.job) else { continue };
             let spec = &cached.record.spec;
             let grace_ms = match cached.width() {
