--- a/crates/cleatfold-backfill/src/availability.rs
+++ b/crates/cleatfold-backfill/src/availability.rs
@@ -1,32 +1,33 @@
-//! An amount over time: what is free from each step on until the next.
+//! Free resources over time, as a step function.
 //!
-//! A machine's future is one, and so is what is left of a team's limit.
+//! Used for the free resources of a machine and for the unused part of a team's limit.
 
 use crate::resources::Resources;
 use cleatfold_wire::Ms;
 
-/// What is free of a machine or of a limit, as steps over time.
+/// Free resources of a machine or of a limit over time: each step holds until the next one.
 #[derive(Clone, Debug)]
 pub struct AvailabilityProfile {
     steps: Vec<(Ms, Resources)>,
 }
 
 impl AvailabilityProfile {
-    /// All of `total` is free from `ready` on.
+    /// Creates a profile in which all of `total` is free from `ready` on.
     pub fn new(ready: Ms, total: Resources) -> Self {
         Self { steps: vec![(ready, total)] }
     }
 
-    /// `free` now, and more whenever one of `ends` comes (in order of time).
-    pub fn growing(
+    /// Creates a profile with `free` available now and more after each of `releases`, which must be
+    /// in order of time.
+    pub fn with_releases(
         now: Ms,
         free: Resources,
-        ends: impl IntoIterator<Item = (Ms, Resources)>,
+        releases: impl IntoIterator<Item = (Ms, Resources)>,
     ) -> Self {
         let mut steps = vec![(now, free)];
-        for (at, more) in ends {
+        for (at, released) in releases {
             let last = steps.len() - 1;
-            let sum = steps[last].1 + more;
+            let sum = steps[last].1 + released;
             if at <= steps[last].0 {
                 steps[last].1 = sum;
             } else {
@@ -36,21 +37,21 @@
         Self { steps }
     }
 
-    /// Takes `what` from `from` until `until`.
-    pub fn carve(&mut self, from: Ms, until: Ms, what: Resources) {
+    /// Subtracts `amount` from what is free between `from` and `until`.
+    pub fn allocate(&mut self, from: Ms, until: Ms, amount: Resources) {
         let from = from.max(self.steps[0].0);
         if until <= from {
             return;
         }
-        self.split(from);
-        self.split(until);
+        self.split_at(from);
+        self.split_at(until);
         let first = self.steps.partition_point(|s| s.0 < from);
         for (_, free) in self.steps[first..].iter_mut().take_while(|s| s.0 < until) {
-            *free -= what;
+            *free -= amount;
         }
     }
 
-    fn split(&mut self, at: Ms) {
+    fn split_at(&mut self, at: Ms) {
         let i = self.steps.partition_point(|s| s.0 < at);
         if i == self.steps.len() || self.steps[i].0 != at {
             let free = self.steps[i - 1].1;
@@ -58,24 +59,24 @@
         }
     }
 
-    /// The earliest start, not before `from`, of at least one of `tasks`, until when it is taken
-    /// (by `finish`), and how many can start together then.
-    pub fn earliest(
+    /// Finds the earliest time, not before `from`, at which at least one of `tasks` can start.
+    /// Returns the start, the finish (as given by `finish_of`) and how many can start together.
+    pub fn earliest_start(
         &self,
         from: Ms,
         each: &Resources,
         tasks: u32,
-        finish: impl Fn(Ms) -> Ms,
+        finish_of: impl Fn(Ms) -> Ms,
     ) -> Option<(Ms, Ms, u32)> {
         let mut i = self.steps.partition_point(|s| s.0 <= from).saturating_sub(1);
         while i < self.steps.len() {
-            // Most steps of a busy machine have no room at all.
+            // Skips steps that cannot fit a single task, which are most steps of a busy machine.
             if !self.steps[i].1.holds(each) {
                 i += 1;
                 continue;
             }
             let start = self.steps[i].0.max(from);
-            let finish = finish(start);
+            let finish = finish_of(start);
             let mut count = tasks;
             let mut j = i;
             while j < self.steps.len() && self.steps[j].0 < finish {
@@ -88,14 +89,14 @@
             if count > 0 {
                 return Some((start, finish, count));
             }
-            // The step that has no room rules out every start up to and including it.
+            // Every start up to and including the step without capacity is ruled out.
             i = j + 1;
         }
         None
     }
 
-    /// How many of `tasks` have room from `start` until `finish`.
-    pub fn free_capacity(&self, start: Ms, finish: Ms, each: &Resources, tasks: u32) -> u32 {
+    /// Number of `tasks` that fit throughout `start` to `finish`.
+    pub fn fitting_tasks(&self, start: Ms, finish: Ms, each: &Resources, tasks: u32) -> u32 {
         let first = self.steps.partition_point(|s| s.0 <= start);
         if first == 0 {
             return 0;
@@ -110,18 +111,18 @@
         count
     }
 
-    /// What is free at the first step.
-    pub fn at_first(&self) -> Resources {
+    /// Resources that are free at the first step.
+    pub fn initial(&self) -> Resources {
         self.steps[0].1
     }
 
-    /// When it begins.
-    pub fn first(&self) -> Ms {
+    /// Start of the first step.
+    pub fn start_time(&self) -> Ms {
         self.steps[0].0
     }
 
-    /// The moments at which what is free changes.
-    pub fn starts(&self) -> impl Iterator<Item = Ms> + '_ {
+    /// Times at which the free resources change.
+    pub fn change_times(&self) -> impl Iterator<Item = Ms> + '_ {
         self.steps.iter().map(|s| s.0)
     }
 }
--- a/crates/cleatfold-backfill/src/lib.rs
+++ b/crates/cleatfold-backfill/src/lib.rs
@@ -1,4 +1,5 @@
-//! Profiles of free resources, reservations, pool choice and queue order. Pure: no I/O and no clock.
+//! Availability profiles, reservations, pool selection, preemption and queue order. Pure: no I/O and
+//! no clock.
 
 #![warn(
     missing_docs,
--- a/crates/cleatfold-backfill/src/quota_slice.rs
+++ b/crates/cleatfold-backfill/src/quota_slice.rs
@@ -1,44 +1,44 @@
-//! How large a pool's slice of a team's limit should be.
+//! Sizing of a pool's slice of a team's limit.
 
-/// Amounts of one resource, in thousandths, from which a pool's slice is sized.
+/// Demand of one pool for one resource of a team's limit, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SliceDemand {
-    /// Used by the team in the pool, claims on their way included.
+    /// Used by the team in the pool, including claims that are not yet committed.
     pub used: i64,
-    /// What could start now but for the slice.
-    pub short: i64,
-    /// What is reserved to start soon.
-    pub soon: i64,
-    /// What the pool's machines hold at once.
+    /// Demand that could start now but exceeds the slice.
+    pub shortfall: i64,
+    /// Reserved to start soon.
+    pub reserved_soon: i64,
+    /// Total capacity of the pool's machines.
     pub capacity: i64,
-    /// The team's whole limit; 0: there is none.
+    /// The team's whole limit; 0 means unlimited.
     pub limit: i64,
-    /// The most that something of the team needs at once to start at all.
+    /// The largest amount that any of the team's jobs needs at once to start.
     pub largest_need: i64,
 }
 
 impl SliceDemand {
-    /// The slice's new size. `free` is what of the limit is no pool's; it changes with the slice.
+    /// Returns the slice's new size and updates `free`, the part of the limit that no slice holds.
     ///
-    /// A pool asks only for what it could start right now, and then gets all that it can hold, so that
-    /// it need not ask again. It gives back what it neither uses nor is about to use once little is
-    /// free. (Given back between two tasks, a slice at its limit was asked for again at every task's
-    /// end.)
+    /// A slice grows only for tasks that could start now, but then up to the pool's capacity, so
+    /// that it need not grow again soon. Once little is free, it shrinks to what is used or reserved
+    /// to start soon. (Without the reserved part, a slice of a team at its limit was released and
+    /// requested again between any two tasks.)
     pub fn resize(&self, slice: i64, free: &mut i64) -> i64 {
         if self.limit == 0 {
             return 0;
         }
-        let most = self.capacity.max(self.used);
-        let wanted = (self.used + self.short).min(most);
-        if wanted > slice && *free > 0 {
-            let grown = (self.capacity.max(wanted) - slice).min(*free).max(0);
-            *free -= grown;
-            return slice + grown;
+        let max_slice = self.capacity.max(self.used);
+        let required = (self.used + self.shortfall).min(max_slice);
+        if required > slice && *free > 0 {
+            let increase = (self.capacity.max(required) - slice).min(*free).max(0);
+            *free -= increase;
+            return slice + increase;
         }
-        let kept = (wanted + self.soon).min(most);
-        // Little is free where it is less than an eighth of the limit, or where some task could not
-        // start with it: an eighth of a small limit was less than that, and a pool without machines
-        // kept the rest for ever.
+        let kept = (required + self.reserved_soon).min(max_slice);
+        // Scarce means less than an eighth of the limit, or too little for the largest task to
+        // start: with a small limit an eighth can be less than one task, and a pool without machines
+        // would then keep its unused slice forever.
         let is_scarce = *free < (self.limit / 8).max(self.largest_need);
         if slice > kept && is_scarce {
             *free += slice - kept;
--- a/crates/cleatfold-backfill/src/resources.rs
+++ b/crates/cleatfold-backfill/src/resources.rs
@@ -1,13 +1,13 @@
-//! What tasks take and machines have, in whole thousandths so that sums are exact.
+//! Resource amounts in integer thousandths, so that sums are exact.
 
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
-/// Amounts of what machines have and tasks take.
+/// Resources that a machine provides or a task requires.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Resources {
-    /// Thousandths of processors.
+    /// Processors, in thousandths.
     pub cpus: i64,
-    /// Thousandths of GPUs.
+    /// GPUs, in thousandths.
     pub gpus: i64,
     /// Memory, in thousandths of GB.
     pub memory: i64,
@@ -18,25 +18,25 @@
 }
 
 impl Resources {
-    /// From amounts in whole units.
+    /// Converts amounts given in whole units.
     pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         Self { cpus: thousandths(cpus), gpus: thousandths(gpus), memory: thousandths(memory_gb) }
     }
 
-    /// How many tasks taking `each` fit, at most `limit`.
+    /// Number of tasks requiring `each` that fit, at most `limit`.
     pub fn fits(&self, each: &Resources, limit: u32) -> u32 {
-        let mut n = i64::from(limit);
-        for (have, want) in
+        let mut count = i64::from(limit);
+        for (available, required) in
             [(self.cpus, each.cpus), (self.gpus, each.gpus), (self.memory, each.memory)]
         {
-            // Dividing is dear and seldom needed: this is asked of every step of every profile.
-            if want > 0 && have < want.saturating_mul(n) {
-                n = have.max(0) / want;
-            } else if have < 0 {
+            // Avoids the division where possible: this runs for every step of every profile.
+            if required > 0 && available < required.saturating_mul(count) {
+                count = available.max(0) / required;
+            } else if available < 0 {
                 return 0;
             }
         }
-        n as u32
+        count as u32
     }
 
     /// Whether a single task fits.
@@ -44,13 +44,13 @@
         self.cpus >= each.cpus && self.gpus >= each.gpus && self.memory >= each.memory
     }
 
-    /// So many times as much.
+    /// These resources multiplied by `n`.
     pub fn times(&self, n: u32) -> Resources {
         let n = i64::from(n);
         Resources { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
     }
 
-    /// Whether no amount exceeds the limit's.
+    /// Whether no amount exceeds that of `limit`.
     pub fn within(&self, limit: &Resources) -> bool {
         self.cpus <= limit.cpus && self.gpus <= limit.gpus && self.memory <= limit.memory
     }
@@ -58,34 +58,34 @@
 
 impl Add for Resources {
     type Output = Resources;
-    fn add(self, o: Resources) -> Resources {
+    fn add(self, other: Resources) -> Resources {
         Resources {
-            cpus: self.cpus + o.cpus,
-            gpus: self.gpus + o.gpus,
-            memory: self.memory + o.memory,
+            cpus: self.cpus + other.cpus,
+            gpus: self.gpus + other.gpus,
+            memory: self.memory + other.memory,
         }
     }
 }
 
 impl Sub for Resources {
     type Output = Resources;
-    fn sub(self, o: Resources) -> Resources {
+    fn sub(self, other: Resources) -> Resources {
         Resources {
-            cpus: self.cpus - o.cpus,
-            gpus: self.gpus - o.gpus,
-            memory: self.memory - o.memory,
+            cpus: self.cpus - other.cpus,
+            gpus: self.gpus - other.gpus,
+            memory: self.memory - other.memory,
         }
     }
 }
 
 impl AddAssign for Resources {
-    fn add_assign(&mut self, o: Resources) {
-        *self = *self + o;
+    fn add_assign(&mut self, other: Resources) {
+        *self = *self + other;
     }
 }
 
 impl SubAssign for Resources {
-    fn sub_assign(&mut self, o: Resources) {
-        *self = *self - o;
+    fn sub_assign(&mut self, other: Resources) {
+        *self = *self - other;
     }
 }
--- a/crates/cleatfold-backfill/tests/quota_slice.rs
+++ b/crates/cleatfold-backfill/tests/quota_slice.rs
@@ -1,11 +1,11 @@
-//! Slices of a team's limit.
+//! Sizing of slices of a team's limit.
 
 use cleatfold_backfill::SliceDemand;
 
-/// A pool that had no machines any more kept 21 of a limit of 24, an eighth was free, and tasks of 4 in
-/// another pool waited for ever.
+/// Guards against a pool without machines that keeps 21 of a limit of 24: an eighth is free, so
+/// nothing was released, and tasks of 4 in another pool never started.
 #[test]
-fn a_part_that_nobody_uses_goes_to_whoever_cannot_start_a_task() {
+fn unused_slice_is_released_when_a_task_cannot_start() {
     let resize = |free: &mut i64, largest_need: i64| {
         SliceDemand { limit: 24_000, largest_need, ..SliceDemand::default() }.resize(21_000, free)
     };
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -108,7 +108,7 @@
 
     pub(crate) fn over_time(&self, now: Ms) -> AvailabilityProfile {
         let back = self.back.iter().map(|(s, what)| (now.plus(s * 1000), *what));
-        AvailabilityProfile::growing(now, self.left, back)
+        AvailabilityProfile::with_releases(now, self.left, back)
     }
 }
 
@@ -356,8 +356,8 @@
                 let (used, short, soon) = (of(&usage), of(&self.quota.short), of(&self.quota.soon));
                 let demand = |amount: fn(&Resources) -> i64| SliceDemand {
                     used: amount(&used),
-                    short: amount(&short),
-                    soon: amount(&soon),
+                    shortfall: amount(&short),
+                    reserved_soon: amount(&soon),
                     capacity: amount(capacity),
                     limit: amount(&max),
                     largest_need: amount(&need),
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -245,7 +245,7 @@
             if let Some(limit) = limit {
                 binding[limit].ends(now, end, cached.each);
             }
-            profile.carve(now, end, cached.each);
+            profile.allocate(now, end, cached.each);
             let image = &cached.record.spec.image;
             if noted != Some(job) && !profile.images.iter().any(|(i, _)| i == image) {
                 let ready = now.plus_s(cached.record.spec.image_gb / kind.fetch_gb_per_s);
@@ -361,7 +361,7 @@
                 spot: spec.spot,
                 gang: spec.kind == Kind::Gang,
                 limit: limited.iter().position(|b| b.binds(spec)),
-                prompt_ms: prompt_ms(*urgency, spec.estimate_s),
+                min_wait_benefit_ms: prompt_ms(*urgency, spec.estimate_s),
                 avoid: self.barred(id, *urgency, plan),
             });
         }
