--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -10,7 +10,7 @@
 use crate::store::cache::CachedJob;
 use cleatfold_backfill::profile::FOREVER;
 use cleatfold_backfill::{AvailabilityProfile, MachineProfile, Request, Reservation};
-use cleatfold_priority::{believed, prompt_ms};
+use cleatfold_priority::{is_promise_trusted, min_wait_benefit_ms};
 use cleatfold_wire::cloud::MachineType;
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::mesh::{Message, Promise};
@@ -361,7 +361,7 @@
                 spot: spec.spot,
                 gang: spec.kind == Kind::Gang,
                 limit: limited.iter().position(|b| b.binds(spec)),
-                min_wait_benefit_ms: prompt_ms(*urgency, spec.estimate_s),
+                min_wait_benefit_ms: min_wait_benefit_ms(*urgency, spec.estimate_s),
                 avoid: self.barred(id, *urgency, plan),
             });
         }
@@ -502,7 +502,7 @@
                 for (job, finishes) in jobs {
                     let cached = self.cache.jobs.get(job);
                     let urgency = cached.map_or(Urgency::BestEffort, |l| l.record.spec.urgency);
-                    if !believed(urgency, age_ms, lives) {
+                    if !is_promise_trusted(urgency, age_ms, lives) {
                         continue;
                     }
                     let known = promises.entry(job).or_default();
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -309,10 +309,10 @@
             job: job.clone(),
             machine: id,
             tasks: choice.tasks,
-            had,
+            claimed_before: had,
             until_ms: self.wall_ms + last + CHANGE_MS + self.preemption_hold_ms(),
             grace_ms: leaving.iter().map(|l| l.1).max().unwrap_or(0),
-            stop: leaving.into_iter().map(|l| l.0).collect(),
+            victims: leaving.into_iter().map(|l| l.0).collect(),
         };
         let until = now.plus(last + CHANGE_MS);
         self.evictions.expect(job, plan.pool.clone(), choice.tasks, until);
@@ -329,7 +329,7 @@
     pub(crate) fn evict(&mut self, token: FencingToken, choice: PreemptionPlan) {
         let id = choice.machine;
         let mut commands = Vec::new();
-        for Victim(job, ix, attempt) in choice.stop {
+        for Victim(job, ix, attempt) in choice.victims {
             let Some(cached) = self.cache.jobs.get(&job) else { continue };
             let elastic = cached.width().is_some();
             let grace_s = choice.grace_ms as f64 / 1000.0;
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -6,7 +6,9 @@
 use crate::scheduling::queue::Queued;
 use crate::store::cache::Versioned;
 use crate::store::records::{pool_key, preemption_key};
-use cleatfold_priority::{lives, ListenerHealth, Owner, PreemptionPlan, Seen, StartBarrier};
+use cleatfold_priority::{
+    is_owner_live, BeneficiaryState, ListenerHealth, OwnerStatus, PreemptionPlan, StartBarrier,
+};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::{FencingToken, JobId, MachineId, PoolId, Version};
@@ -31,7 +33,7 @@
             self.priority.fallen = fallen;
             self.replan_needed = true;
         }
-        let closed = |g: &StartBarrier| g.lowest() < Urgency::BestEffort;
+        let closed = |g: &StartBarrier| g.lowest_startable_urgency() < Urgency::BestEffort;
         if self.priority.start_barriers.values().any(closed) {
             self.session.sync_wanted = true;
             self.sync_if_due();
@@ -42,7 +44,11 @@
     pub(crate) fn refresh_priority(&mut self, queue: &[Queued]) {
         self.priority.fallen = self.fallen();
         let (read, assigned) = (self.session.last_read, self.priority.assigned);
-        let gate = |taken| StartBarrier { taken, read, assigned };
+        let gate = |acquired_at| StartBarrier {
+            acquired_at,
+            last_read_started_at: read,
+            last_assignment_at: assigned,
+        };
         self.priority.start_barriers =
             self.pools.owned.iter().map(|(p, o)| (p.clone(), gate(o.since))).collect();
         self.refresh_waiting(queue);
@@ -76,9 +82,9 @@
 
     fn is_preemption_active(&self, preemption: &PreemptionPlan) -> bool {
         let waits = self.cache.jobs.get(&preemption.job).filter(|l| !l.record.aborted);
-        preemption.stands(Seen {
-            waits: waits.map_or(0, |l| l.unclaimed()),
-            here: self.claims_on(&preemption.machine, &preemption.job),
+        preemption.is_active(BeneficiaryState {
+            unclaimed_tasks: waits.map_or(0, |l| l.unclaimed()),
+            claimed_on_machine: self.claims_on(&preemption.machine, &preemption.job),
             wall_ms: self.wall_ms,
         })
     }
@@ -111,7 +117,7 @@
         }
         let Versioned { version, value: known } =
             self.cache.preemptions.get(pool).cloned().unwrap_or_default();
-        let record = known.with(preemptions.clone(), |r| self.is_preemption_active(r));
+        let record = known.with_plans(preemptions.clone(), |r| self.is_preemption_active(r));
         let mut txn = Txn::default();
         txn.guard(pool_key(pool), Version(token.0));
         txn.guard(preemption_key(pool), version);
@@ -175,11 +181,10 @@
     fn listener_health(&self) -> ListenerHealth {
         ListenerHealth {
             listening_ms: self.now.since(self.priority.listening),
-            receives_from_any_peer: self
-                .reachability
-                .view
-                .peers
-                .receives_from_any_peer(self.now, ListenerHealth::silence_ms(self.backpressure)),
+            receives_from_any_peer: self.reachability.view.peers.receives_from_any_peer(
+                self.now,
+                ListenerHealth::max_silence_ms(self.backpressure),
+            ),
             backpressure: self.backpressure,
         }
     }
@@ -197,14 +202,14 @@
         let (controller, now) = (&holding.owner, self.now);
         let peers = &self.reachability.view.peers;
         let known = self.cache.controllers.get(controller);
-        let owner = Owner {
-            stands: known.is_some_and(|n| n.value.incarnation == holding.incarnation)
+        let owner = OwnerStatus {
+            lease_valid: known.is_some_and(|n| n.value.incarnation == holding.incarnation)
                 && *controller != self.cfg.me,
-            silence_ms: peers.last_message(controller).map(|at| now.since(at)),
-            read_ms: peers.contact(controller).map(|at| now.since(at)),
+            last_message_age_ms: peers.last_message(controller).map(|at| now.since(at)),
+            store_read_age_ms: peers.contact(controller).map(|at| now.since(at)),
             lost_workers: peers.of_zone(controller, &pool.zone, now).is_some_and(|h| h.lost),
         };
         // One that was told us over the mesh, and not read yet, is its teller's.
-        self.pools.hinted.contains_key(pool) || lives(owner, listener_health)
+        self.pools.hinted.contains_key(pool) || is_owner_live(owner, listener_health)
     }
 }
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -1,6 +1,8 @@
 //! What a controller knows of the others' pools and of room that is being made in its own.
 
-use cleatfold_priority::{considers, PreemptionPlan, PreemptionRecord, Sent, StartBarrier};
+use cleatfold_priority::{
+    should_plan, JobAssignment, PreemptionPlan, PreemptionRecord, StartBarrier,
+};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::{FencingToken, JobId, MachineId, Ms, PoolId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -46,7 +48,9 @@
 
     /// The lowest urgency that may start in a pool of ours.
     pub(crate) fn lowest(&self, pool: &PoolId) -> Urgency {
-        self.start_barriers.get(pool).map_or(Urgency::Critical, StartBarrier::lowest)
+        self.start_barriers
+            .get(pool)
+            .map_or(Urgency::Critical, StartBarrier::lowest_startable_urgency)
     }
 
     pub(crate) fn has_preemption_for(&self, pool: &PoolId, job: &JobId) -> bool {
@@ -63,7 +67,7 @@
         machines: &[MachineId],
     ) -> Vec<usize> {
         let preemptions = self.preemptions.get(pool).map(Vec::as_slice).unwrap_or_default();
-        let barred = preemptions.iter().filter(|(l, r)| r.bars(*l, job, urgency));
+        let barred = preemptions.iter().filter(|(l, r)| r.excludes(*l, job, urgency));
         barred.filter_map(|(_, r)| machines.iter().position(|m| *m == r.machine)).collect()
     }
 
@@ -76,14 +80,14 @@
         pool: &PoolId,
         now: Ms,
     ) -> bool {
-        let wide = self.start_barriers.get(pool).is_some_and(|g| g.wide(now));
-        let sent = Sent {
-            anywhere: !sent.is_empty(),
-            here: sent.contains(pool),
-            all_live: !wide && sent.iter().all(|p| self.lives(p)),
-            late: self.late.contains(job),
-            preempted_here: self.has_preemption_for(pool, job),
+        let wide = self.start_barriers.get(pool).is_some_and(|g| g.plans_all_urgent(now));
+        let sent = JobAssignment {
+            to_any_pool: !sent.is_empty(),
+            to_this_pool: sent.contains(pool),
+            all_pools_live: !wide && sent.iter().all(|p| self.lives(p)),
+            overdue: self.late.contains(job),
+            has_preemption: self.has_preemption_for(pool, job),
         };
-        considers(urgency, sent)
+        should_plan(urgency, sent)
     }
 }
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -56,7 +56,7 @@
 impl CachedJob {
     /// Where it stands among jobs of its kind: the revision at which it was accepted.
     pub(crate) fn place(&self) -> u64 {
-        cleatfold_priority::place_of(self.record.place, self.version)
+        cleatfold_priority::acceptance_revision(self.record.place, self.version)
     }
 
     /// Where a one-zone job has to stay while any task of it may run.
--- a/crates/cleatfold-control/tests/urgency_order.rs
+++ b/crates/cleatfold-control/tests/urgency_order.rs
@@ -235,7 +235,7 @@
         assert_eq!(
             world.priority_watch.counted.inverted, 0,
             "seed {seed}: {:?}",
-            world.priority_watch.counted.shown
+            world.priority_watch.counted.examples
         );
     }
     assert!(rooms >= 2, "room was made {rooms} times");
--- a/crates/cleatfold-priority/src/inversions.rs
+++ b/crates/cleatfold-priority/src/inversions.rs
@@ -1,55 +1,60 @@
-//! Inversions: starts of a lower urgency while something of a higher one, that would have fitted there, waited.
+//! Priority inversions: a task starts while a job of higher urgency waits that would have fitted there.
 
 use cleatfold_backfill::Resources;
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::{JobId, Ms, TypeId, ZoneId};
 use std::collections::BTreeSet;
 
-/// A task that is to start, or has started, on a machine.
+/// Start of a task on a machine, planned or done.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct TaskStart {
     /// The job.
     pub job: JobId,
-    /// Its urgency.
+    /// The job's urgency.
     pub urgency: Urgency,
     /// The machine's type.
     pub machine_type: TypeId,
     /// The machine's zone.
     pub zone: ZoneId,
-    /// The machine may be taken away.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// What was free there before it.
+    /// Resources free on the machine before the start.
     pub free: Resources,
 }
 
-/// A job of which tasks wait for a place.
+/// A job with tasks that are not claimed on any machine.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct WaitingJob {
     /// The job.
     pub job: JobId,
-    /// Its urgency.
+    /// The job's urgency.
     pub urgency: Urgency,
-    /// Since when: accepted, or a place of it ended.
+    /// When it began to wait: on acceptance, or when one of its tasks lost its machine.
     pub since: Ms,
-    /// What one task takes.
+    /// Resources of one task.
     pub each: Resources,
-    /// The machine types it may run on; none: any.
+    /// Machine types that it may run on; any if none is given.
     pub types: Option<Vec<TypeId>>,
-    /// The only zone it may run in.
+    /// The only zone that it may run in, if restricted to one.
     pub zone: Option<ZoneId>,
-    /// Zones in which it may have no more.
-    pub barred: BTreeSet<ZoneId>,
-    /// It may run on spot machines.
+    /// Zones in which it may start no further tasks.
+    pub excluded_zones: BTreeSet<ZoneId>,
+    /// Whether it may run on spot machines.
     pub spot: bool,
-    /// Its team's limit holds one more.
+    /// Whether one more task fits its team's limit.
     pub within_limit: bool,
-    /// Its tasks start together or not at all: that one of them would fit says nothing.
+    /// Whether its tasks start all together; then it proves nothing that one of them would fit.
     pub gang: bool,
 }
 
-/// Whether the start went before the waiting one out of turn. A report interval passes before anything known
-/// reaches a worker.
-pub fn inverts(start: &Start, waiting: &Waiting, now: Ms, heartbeat_interval_ms: u64) -> bool {
+/// Whether the start is a priority inversion of the waiting job. A job that has waited for at most one
+/// heartbeat interval does not count: a decision takes up to that long to reach a worker.
+pub fn is_inversion(
+    start: &TaskStart,
+    waiting: &WaitingJob,
+    now: Ms,
+    heartbeat_interval_ms: u64,
+) -> bool {
     waiting.job != start.job
         && waiting.urgency < start.urgency
         && !waiting.gang
@@ -57,40 +62,43 @@
         && now.since(waiting.since) > heartbeat_interval_ms
         && (waiting.spot || !start.spot)
         && waiting.zone.as_ref().is_none_or(|z| *z == start.zone)
-        && !waiting.barred.contains(&start.zone)
+        && !waiting.excluded_zones.contains(&start.zone)
         && waiting.types.as_ref().is_none_or(|t| t.contains(&start.machine_type))
         && start.free.fits(&waiting.each, 1) > 0
 }
 
-/// Counts them over a day.
+/// Number of inversions that are kept as examples.
+const MAX_EXAMPLES: usize = 8;
+
+/// Counts task starts and priority inversions.
 #[derive(Clone, Debug, Default)]
 pub struct Inversions {
-    /// All starts.
+    /// Number of all starts.
     pub starts: u32,
-    /// Those before something more urgent that would have fitted.
+    /// Number of starts that were inversions.
     pub inverted: u32,
-    /// The first few, to be looked at.
-    pub shown: Vec<(Ms, Start, Waiting)>,
+    /// The first inversions, for diagnosis.
+    pub examples: Vec<(Ms, TaskStart, WaitingJob)>,
 }
 
 impl Inversions {
-    /// Counts a start while these jobs wait.
-    pub fn started<'a>(
+    /// Counts a start that happens while the given jobs wait.
+    pub fn record_start<'a>(
         &mut self,
-        start: &Start,
-        waiting: impl IntoIterator<Item = &'a Waiting>,
+        start: &TaskStart,
+        waiting: impl IntoIterator<Item = &'a WaitingJob>,
         now: Ms,
         heartbeat_interval_ms: u64,
     ) {
         self.starts += 1;
-        let Some(first) =
-            waiting.into_iter().find(|w| inverts(start, w, now, heartbeat_interval_ms))
+        let Some(waiting_job) =
+            waiting.into_iter().find(|w| is_inversion(start, w, now, heartbeat_interval_ms))
         else {
             return;
         };
         self.inverted += 1;
-        if self.shown.len() < 8 {
-            self.shown.push((now, start.clone(), first.clone()));
+        if self.examples.len() < MAX_EXAMPLES {
+            self.examples.push((now, start.clone(), waiting_job.clone()));
         }
     }
 }
--- a/crates/cleatfold-priority/src/lib.rs
+++ b/crates/cleatfold-priority/src/lib.rs
@@ -1,6 +1,7 @@
-//! Priority: urgent work starts before background work, whoever plans and whoever fails.
+//! Priority rules: urgent work starts before background work, also while pools change their owner and
+//! controllers fail.
 //!
-//! Pure: no I/O and no clock. `docs/priority.md` argues.
+//! Pure: no I/O and no clock. `docs/priority.md` gives the reasons.
 
 #![warn(
     missing_docs,
@@ -10,14 +11,17 @@
     clippy::unwrap_used
 )]
 
-mod decision;
+mod acceptance_order;
 mod inversions;
-mod live;
-mod place;
+mod owner_liveness;
+mod preemption_record;
 mod start_barrier;
 
-pub use decision::{PreemptionPlan, PreemptionRecord, Seen, Victim};
-pub use inversions::{inverts, Inversions, Start, Waiting};
-pub use live::{believed, considers, lives, prompt_ms, ListenerHealth, Owner, Sent};
-pub use place::{acceptance_times, place_of};
+pub use acceptance_order::{acceptance_revision, acceptance_times};
+pub use inversions::{is_inversion, Inversions, TaskStart, WaitingJob};
+pub use owner_liveness::{
+    is_owner_live, is_promise_trusted, min_wait_benefit_ms, should_plan, JobAssignment,
+    ListenerHealth, OwnerStatus,
+};
+pub use preemption_record::{BeneficiaryState, PreemptionPlan, PreemptionRecord, Victim};
 pub use start_barrier::StartBarrier;
--- a/crates/cleatfold-priority/tests/explored.rs
+++ b/crates/cleatfold-priority/tests/explored.rs
@@ -1,66 +1,71 @@
-//! Preemption, explored in every order of what can happen: two controllers that both believe they own the
-//! pool plan, write, order stops and claim, and any write or stop may arrive after its sender was
-//! replaced, restarted or frozen. The record, what stands in it and whom it bars are the service's own.
+//! Exhaustive exploration of preemption under all event orders. Two controllers that both believe they
+//! own the pool plan, write, order stops and claim; any write or stop may arrive after its sender was
+//! replaced, restarted or frozen. The record and its rules are those of the production code.
 //!
-//! One machine with one place, on which background runs; one urgent task wants it, and other background
-//! waits. The search is that of `cleatfold_fakes::explore`.
+//! One machine has one slot, which a background task occupies. One urgent task needs it, and another
+//! background task waits. The search is that of `cleatfold_fakes::explore`.
 
 use cleatfold_fakes::explore::{explore, Exploration, ModelState};
-use cleatfold_priority::{PreemptionPlan, PreemptionRecord, Seen, Victim};
+use cleatfold_priority::{BeneficiaryState, PreemptionPlan, PreemptionRecord, Victim};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::*;
 use std::collections::BTreeSet;
 
-const HANDS: u64 = 3;
+const MAX_OWNERSHIP_CHANGES: u64 = 3;
 
-/// The guards, to be removed one at a time.
+/// Guards of the protocol, which tests disable one at a time.
 #[derive(Clone, Copy)]
 struct Guards {
-    /// The record's write is guarded by the pool's token.
+    /// The write of the record is guarded by the pool's token.
     token: bool,
-    /// Who leaves is told only once the record is durable.
+    /// Victims are ordered to stop only once the record is durable.
     durable_first: bool,
-    /// Room that stands is kept from whom it bars.
-    keep: bool,
-    /// A room that stands counts as coming.
-    count: bool,
+    /// An active plan keeps the slot from other jobs.
+    exclude_others: bool,
+    /// An active plan counts as pending capacity, so no second plan is made.
+    count_written: bool,
     /// Claims are guarded by the pool's token and the job's version.
     claims: bool,
 }
 
-const ALL: Guards =
-    Guards { token: true, durable_first: true, keep: true, count: true, claims: true };
+const ALL: Guards = Guards {
+    token: true,
+    durable_first: true,
+    exclude_others: true,
+    count_written: true,
+    claims: true,
+};
 
-/// Who is on the machine's one place, by the records.
+/// Occupant of the machine's one slot, by the records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-enum Place {
+enum Occupant {
     #[default]
     Old,
     Free,
     Urgent,
-    /// Background again: what was stopped, or other.
-    Low,
+    /// Another background task, or the stopped one again.
+    Background,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Way {
+enum InFlight {
     Write { token: u64, seen: u64 },
     Stop,
-    Claim { token: u64, seen: u64, who: Place },
+    Claim { token: u64, seen: u64, claimant: Occupant },
 }
 
-/// What a controller has read, and remembers.
+/// What a controller has read or remembers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Controller {
     token: Option<u64>,
-    place: Place,
+    occupant: Occupant,
     claims: u64,
     /// Version of the record, 0 for none.
-    made: u64,
-    /// It has asked for room already and remembers.
-    asked: bool,
-    /// Under which token it has told those to leave that its record names.
-    told: u64,
+    record_version: u64,
+    /// Whether it remembers having requested a plan.
+    plan_requested: bool,
+    /// Token under which it ordered the record's victims to stop.
+    ordered_under: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -68,16 +73,16 @@
     controllers: [Controller; 2],
     owner: Option<usize>,
     token: u64,
-    place: Place,
-    /// Version of the place's claims.
+    occupant: Occupant,
+    /// Version of the slot's claims.
     claims: u64,
-    made: u64,
-    ways: BTreeSet<(usize, Way)>,
-    /// The victim has left; its exit is known to whoever owns the pool.
-    left: bool,
-    /// Rooms ever written.
-    plans: u32,
-    broken: BTreeSet<&'static str>,
+    record_version: u64,
+    in_flight: BTreeSet<(usize, InFlight)>,
+    /// The victim has exited; the pool's owner knows of it.
+    victim_stopped: bool,
+    /// Number of plans ever written.
+    plans_written: u32,
+    violations: BTreeSet<&'static str>,
 }
 
 fn urgent() -> JobId {
@@ -85,152 +90,169 @@
 }
 
 fn record() -> PreemptionRecord {
-    let room = PreemptionPlan {
+    let plan = PreemptionPlan {
         job: urgent(),
         machine: MachineId::new("m"),
         tasks: 1,
-        had: 0,
+        claimed_before: 0,
         until_ms: 1000,
-        stop: vec![Victim(JobId::new("old"), TaskIx(0), Attempt(1))],
+        victims: vec![Victim(JobId::new("old"), TaskIx(0), Attempt(1))],
         grace_ms: 0,
     };
-    PreemptionRecord::default().with(vec![room], |_| true)
+    PreemptionRecord::default().with_plans(vec![plan], |_| true)
 }
 
-/// Whether the room that a controller has read stands, by the service's own rule.
-fn stands(controller: &Controller) -> bool {
-    let urgent_has = controller.place == Place::Urgent;
-    let seen = Seen { waits: u32::from(!urgent_has), here: u32::from(urgent_has), wall_ms: 0 };
-    controller.made > 0 && record().plans[0].stands(seen)
+/// Whether the plan that a controller has read is active, by the production rule.
+fn is_plan_active(controller: &Controller) -> bool {
+    let urgent_is_placed = controller.occupant == Occupant::Urgent;
+    let beneficiary = BeneficiaryState {
+        unclaimed_tasks: u32::from(!urgent_is_placed),
+        claimed_on_machine: u32::from(urgent_is_placed),
+        wall_ms: 0,
+    };
+    controller.record_version > 0 && record().plans[0].is_active(beneficiary)
 }
 
-fn barred(controller: &Controller, g: Guards) -> bool {
+fn is_excluded(controller: &Controller, guards: Guards) -> bool {
     let other = JobId::new("other");
-    g.keep
-        && stands(controller)
-        && record().plans[0].bars(Urgency::Critical, &other, Urgency::BestEffort)
+    guards.exclude_others
+        && is_plan_active(controller)
+        && record().plans[0].excludes(Urgency::Critical, &other, Urgency::BestEffort)
 }
 
-fn step(s: &State, g: Guards) -> Vec<State> {
+fn successors(s: &State, guards: Guards) -> Vec<State> {
     let mut next = Vec::new();
     for n in 0..2 {
-        // The pool is assigned to it: the other may go on believing.
-        if s.owner != Some(n) && s.token < HANDS {
+        // The pool is assigned to it; the other may still believe that it owns the pool.
+        if s.owner != Some(n) && s.token < MAX_OWNERSHIP_CHANGES {
             let mut t = s.clone();
             t.token += 1;
             t.owner = Some(n);
-            // It has read all that stood when it got the pool, and remembers nothing.
+            // It has read the state as of the assignment and remembers nothing.
             t.controllers[n] = Controller {
                 token: Some(t.token),
-                place: s.place,
+                occupant: s.occupant,
                 claims: s.claims,
-                made: s.made,
+                record_version: s.record_version,
                 ..Controller::default()
             };
             next.push(t);
         }
         let controller = s.controllers[n];
         // It reads.
-        let read = Controller { place: s.place, claims: s.claims, made: s.made, ..controller };
+        let read = Controller {
+            occupant: s.occupant,
+            claims: s.claims,
+            record_version: s.record_version,
+            ..controller
+        };
         if read != controller {
             let mut t = s.clone();
             t.controllers[n] = read;
             next.push(t);
         }
-        // Or reads that the pool is another's.
+        // It reads that the pool has another owner.
         if controller.token.is_some_and(|k| k < s.token) {
             let mut t = s.clone();
             t.controllers[n] = Controller { token: None, ..read };
             next.push(t);
         }
         let Some(token) = controller.token else { continue };
-        // It plans: the urgent one wants the place.
-        let coming = controller.asked || (g.count && stands(&controller));
-        if controller.place == Place::Old && !coming {
+        // It plans a preemption for the urgent task.
+        let plan_pending =
+            controller.plan_requested || (guards.count_written && is_plan_active(&controller));
+        if controller.occupant == Occupant::Old && !plan_pending {
             let mut t = s.clone();
-            t.controllers[n].asked = true;
-            t.ways.insert((n, Way::Write { token, seen: controller.made }));
-            if !g.durable_first {
-                t.ways.insert((n, Way::Stop));
+            t.controllers[n].plan_requested = true;
+            t.in_flight.insert((n, InFlight::Write { token, seen: controller.record_version }));
+            if !guards.durable_first {
+                t.in_flight.insert((n, InFlight::Stop));
             }
             next.push(t);
         }
-        // What a former owner was making it goes on making; its own it tells once it is durable.
-        if stands(&controller) && controller.place == Place::Old && controller.told != token {
+        // It continues a former owner's plan, and carries out its own once that is durable.
+        if is_plan_active(&controller)
+            && controller.occupant == Occupant::Old
+            && controller.ordered_under != token
+        {
             let mut t = s.clone();
-            t.controllers[n].told = token;
-            t.ways.insert((n, Way::Stop));
+            t.controllers[n].ordered_under = token;
+            t.in_flight.insert((n, InFlight::Stop));
             next.push(t);
         }
         // The exit is recorded by the owner, whose worker reports it.
-        if s.left && controller.place == Place::Old && s.place == Place::Old && s.owner == Some(n) {
+        if s.victim_stopped
+            && controller.occupant == Occupant::Old
+            && s.occupant == Occupant::Old
+            && s.owner == Some(n)
+        {
             let mut t = s.clone();
-            t.place = Place::Free;
+            t.occupant = Occupant::Free;
             t.claims += 1;
-            (t.controllers[n].place, t.controllers[n].claims) = (t.place, t.claims);
+            (t.controllers[n].occupant, t.controllers[n].claims) = (t.occupant, t.claims);
             next.push(t);
         }
-        if controller.place == Place::Free {
-            // The first that is not barred is claimed for. That the urgent one was not sent here, or is
-            // not considered for another reason, is part of the play: only the room's record makes sure.
+        if controller.occupant == Occupant::Free {
+            // It claims the slot for any task that is not excluded. The urgent task may be skipped, for
+            // example because it is not assigned to this pool: only the record reserves the slot.
             let seen = controller.claims;
-            let whos = match barred(&controller, g) {
-                true => vec![Place::Urgent],
-                false => vec![Place::Urgent, Place::Low],
+            let claimants = match is_excluded(&controller, guards) {
+                true => vec![Occupant::Urgent],
+                false => vec![Occupant::Urgent, Occupant::Background],
             };
-            for who in whos {
+            for claimant in claimants {
                 let mut t = s.clone();
-                if t.ways.insert((n, Way::Claim { token, seen, who })) {
+                if t.in_flight.insert((n, InFlight::Claim { token, seen, claimant })) {
                     next.push(t);
                 }
             }
         }
     }
-    for way in &s.ways {
+    for message in &s.in_flight {
         let mut t = s.clone();
-        t.ways.remove(way);
-        let (n, way) = *way;
-        match way {
-            Way::Write { token, seen } => {
-                if (!g.token || token == s.token) && seen == s.made {
+        t.in_flight.remove(message);
+        let (n, message) = *message;
+        match message {
+            InFlight::Write { token, seen } => {
+                if (!guards.token || token == s.token) && seen == s.record_version {
                     if token != s.token {
-                        t.broken.insert("a former owner wrote");
+                        t.violations.insert("former owner wrote the record");
                     }
-                    t.made += 1;
-                    t.plans += 1;
-                    if t.plans > 1 {
-                        t.broken.insert("room was made twice for one need");
+                    t.record_version += 1;
+                    t.plans_written += 1;
+                    if t.plans_written > 1 {
+                        t.violations.insert("two plans for one task");
                     }
                     if s.controllers[n].token == Some(token) {
-                        t.controllers[n].made = t.made;
+                        t.controllers[n].record_version = t.record_version;
                     }
                 }
             }
-            Way::Stop => {
-                // However late: it names one start of one task.
-                if s.place == Place::Old && !s.left {
-                    t.left = true;
-                    if s.made == 0 {
-                        t.broken.insert("somebody left for a room that nobody knows of");
+            InFlight::Stop => {
+                // A late stop is harmless: it names one attempt of one task.
+                if s.occupant == Occupant::Old && !s.victim_stopped {
+                    t.victim_stopped = true;
+                    if s.record_version == 0 {
+                        t.violations.insert("victim stopped without a durable plan");
                     }
                 }
             }
-            Way::Claim { token, seen, who } => {
-                if !g.claims || (token == s.token && seen == s.claims) {
-                    if s.place != Place::Free {
-                        t.broken.insert("two in one place");
+            InFlight::Claim { token, seen, claimant } => {
+                if !guards.claims || (token == s.token && seen == s.claims) {
+                    if s.occupant != Occupant::Free {
+                        t.violations.insert("two tasks in one slot");
                     }
-                    if who == Place::Low && s.made > 0 {
-                        t.broken.insert("the room went to somebody else");
+                    if claimant == Occupant::Background && s.record_version > 0 {
+                        t.violations.insert("freed slot went to another task");
                     }
-                    t.place = who;
+                    t.occupant = claimant;
                     t.claims += 1;
                 }
             }
         }
-        // Or it is lost on its way.
+        // The message may also be lost.
         let mut lost = s.clone();
-        lost.ways.remove(&(n, way));
+        lost.in_flight.remove(&(n, message));
         next.push(lost);
         next.push(t);
     }
@@ -239,31 +261,31 @@
 
 impl ModelState for State {
     fn violations(&self) -> &BTreeSet<&'static str> {
-        &self.broken
+        &self.violations
     }
 }
 
 fn explore_model(guards: Guards, wanted: Option<&str>) -> Exploration {
-    explore(|state| step(state, guards), wanted)
+    explore(|state| successors(state, guards), wanted)
 }
 
 #[test]
-fn preempted_capacity_goes_to_its_beneficiary_in_any_order_of_events() {
+fn preempted_capacity_goes_to_its_beneficiary_in_any_order() {
     let Exploration { violations, states } = explore_model(ALL, None);
     assert!(violations.is_empty(), "{violations:?} in {states} states");
     assert!(states > 1000, "only {states} states");
 }
 
 #[test]
-fn each_guard_is_needed() {
+fn missing_guard_causes_violation() {
     for (guards, what) in [
-        (Guards { token: false, ..ALL }, "a former owner wrote"),
-        (Guards { durable_first: false, ..ALL }, "somebody left for a room that nobody knows of"),
-        (Guards { keep: false, ..ALL }, "the room went to somebody else"),
-        (Guards { count: false, ..ALL }, "room was made twice for one need"),
-        (Guards { claims: false, ..ALL }, "two in one place"),
+        (Guards { token: false, ..ALL }, "former owner wrote the record"),
+        (Guards { durable_first: false, ..ALL }, "victim stopped without a durable plan"),
+        (Guards { exclude_others: false, ..ALL }, "freed slot went to another task"),
+        (Guards { count_written: false, ..ALL }, "two plans for one task"),
+        (Guards { claims: false, ..ALL }, "two tasks in one slot"),
     ] {
         let Exploration { violations, .. } = explore_model(guards, Some(what));
-        assert!(violations.contains(what), "not seen without its guard: {what}; {violations:?}");
+        assert!(violations.contains(what), "not found without its guard: {what}; {violations:?}");
     }
 }
--- a/crates/cleatfold-testbed/src/world/priority_watch.rs
+++ b/crates/cleatfold-testbed/src/world/priority_watch.rs
@@ -3,7 +3,7 @@
 
 use super::{records, BTreeMap, BTreeSet, JobId, Kind, MachineId, Ms, TaskId, World, ZoneId};
 use cleatfold_backfill::Resources;
-use cleatfold_priority::{inverts, Inversions, Start, Waiting};
+use cleatfold_priority::{is_inversion, Inversions, TaskStart, WaitingJob};
 
 #[derive(Default)]
 pub struct PriorityWatch {
@@ -132,7 +132,7 @@
         if !free.holds(&each) {
             free = each;
         }
-        let start = Start {
+        let start = TaskStart {
             job: task.job.clone(),
             urgency: spec.urgency,
             machine_type: worker.machine_type.clone(),
@@ -143,18 +143,18 @@
         let worker_zone = worker.zone.clone();
         let (now, heartbeat_interval_ms) = (self.now, self.size.heartbeat_interval_ms);
         let waits = self.waiting(&worker_zone);
-        if waits.iter().any(|w| inverts(&start, w, decided, heartbeat_interval_ms))
+        if waits.iter().any(|w| is_inversion(&start, w, decided, heartbeat_interval_ms))
             && self.priority_watch.last_checked < now
         {
             // It may have got its place since we last looked.
             self.check_waiting();
         }
         let waits = self.waiting(&worker_zone);
-        self.priority_watch.counted.started(&start, &waits, decided, heartbeat_interval_ms);
+        self.priority_watch.counted.record_start(&start, &waits, decided, heartbeat_interval_ms);
     }
 
     /// What waits, as seen from a zone.
-    fn waiting(&self, zone: &ZoneId) -> Vec<Waiting> {
+    fn waiting(&self, zone: &ZoneId) -> Vec<WaitingJob> {
         let mut zones: BTreeMap<(&JobId, &ZoneId), u32> = BTreeMap::new();
         for (other, on) in &self.running {
             if let Some(w) = self.workers.get(on) {
@@ -168,14 +168,18 @@
             let full = |z: &&ZoneId| zones.get(&(id, *z)).is_some_and(|n| *n >= half);
             let used = self.in_use.get(&spec.team).copied().unwrap_or_default();
             let within = self.limit_of(&spec.team).is_none_or(|limit| used + spec.cpus <= limit);
-            Some(Waiting {
+            Some(WaitingJob {
                 job: id.clone(),
                 urgency: spec.urgency,
                 since: *since,
                 each: record.each(),
                 types: spec.types.clone(),
                 zone: spec.zone.clone().or_else(|| record.zone.clone()),
-                barred: [zone].into_iter().filter(|z| spec.spread && full(z)).cloned().collect(),
+                excluded_zones: [zone]
+                    .into_iter()
+                    .filter(|z| spec.spread && full(z))
+                    .cloned()
+                    .collect(),
                 spot: spec.spot,
                 within_limit: within,
                 gang: spec.kind == Kind::Gang,
