--- a/crates/cleatfold-control/src/jobs/step_reports.rs
+++ b/crates/cleatfold-control/src/jobs/step_reports.rs
@@ -4,7 +4,7 @@
 
 use crate::store::cache::ProgressMap;
 use crate::store::records::{progress_key, JobRecord};
-use cleatfold_elastic::{Members, Part, Progress, StepAccounts, Verdict};
+use cleatfold_elastic::{Members, Progress, ProgressPart, StepLedger, Verdict};
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::{JobId, Ms};
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct JudgedReports {
     pub verdicts: Vec<(MemberReport, Verdict)>,
-    pub changes: Vec<(u32, Part)>,
+    pub changes: Vec<(u32, ProgressPart)>,
     pub complete: bool,
     pub finished: u32,
 }
@@ -40,11 +40,11 @@
 ) -> JudgedReports {
     let members: Members =
         record.table.claims.iter().flat_map(|g| g.tasks.iter().copied()).collect();
-    let mut accounts = StepAccounts::new(progress, &members, members.len() as u32);
+    let mut accounts = StepLedger::new(progress, &members, members.len() as u32);
     let mut verdicts = Vec::new();
     let mut waiting = std::mem::take(member_reports).into_iter();
     // A report changes its own parts and at most two that it is given steps of.
-    while accounts.touched() + 2 < parts.max(3) {
+    while accounts.changed_part_count() + 2 < parts.max(3) {
         let Some(next) = waiting.next() else { break };
         let verdict = accounts.report(&next.report);
         verdicts.push((next, verdict));
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -89,7 +89,7 @@
         for (member_reports, verdict) in verdicts {
             let response = match verdict {
                 Verdict::Accepted(reply) => Response::Steps(reply),
-                Verdict::Lost(why) => {
+                Verdict::Rejected(why) => {
                     let member = &member_reports.report.member;
                     tracing::info!(%member, attempt = member_reports.report.attempt.0, why, "step report refused");
                     Response::refuse(409, why)
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -310,7 +310,7 @@
     let finished = progress.finished();
     if draft.record.aborted {
         // What stays here would be looked at for ever.
-        let cancelled = Verdict::Lost("the job is cancelled");
+        let cancelled = Verdict::Rejected("the job is cancelled");
         let reports = job_state.member_reports.drain(..);
         let verdicts = reports.map(|report| (report, cancelled.clone())).collect();
         return JudgedReports { verdicts, finished, ..JudgedReports::default() };
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -260,7 +260,7 @@
             return FOREVER;
         }
         if let Some(width) = cached.width() {
-            return width.rest_ms(cached.claimed.max(width.base()));
+            return width.remaining_ms(cached.claimed.max(width.base_members()));
         }
         (cached.record.spec.estimate_s * 1000.0) as u64
     }
@@ -286,7 +286,7 @@
             // Beyond the least width it gives way when somebody's reservation comes near, so
             // it delays none.
             let beyond = ix >= cached.beyond;
-            return self.now.plus(if beyond { width.yield_ms(YIELD_MS) } else { run });
+            return self.now.plus(if beyond { width.release_delay_ms(YIELD_MS) } else { run });
         }
         let saved = job_state.and_then(|l| l.saved.get(&ix)).copied().unwrap_or(0);
         let run = run.saturating_sub(saved);
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -293,7 +293,7 @@
             let Some(cached) = self.cache.jobs.get(&task.job) else { continue };
             let spec = &cached.record.spec;
             let grace_ms = match cached.width() {
-                Some(width) => width.yield_ms(patience),
+                Some(width) => width.release_delay_ms(patience),
                 None if spec.checkpoint_s > 0.0 && saves_in_time(spec.save_s, save_ms) => {
                     (spec.save_s * 1000.0) as u64 + 500
                 }
--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -116,7 +116,7 @@
         }
         // A job that may shrink to nothing gives way to all of its urgency, or it would
         // take the very place that it has just given to somebody else.
-        let gives_way = cached.width().is_some_and(|w| w.least == 0);
+        let gives_way = cached.width().is_some_and(|w| w.min_members == 0);
         let (arrival, past_use) = match entry {
             _ if gives_way => (u64::MAX, false),
             None => (job.accepted_ms, false),
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -10,7 +10,7 @@
 };
 use cleatfold_admission::OverloadQuota;
 use cleatfold_backfill::Resources;
-use cleatfold_elastic::{Part, PartRecord, Progress, Width};
+use cleatfold_elastic::{ElasticWidth, Progress, ProgressPart, ProgressPartRecord};
 use cleatfold_roles::{Role, ScaleOutIntents};
 use cleatfold_wire::store::{Event, Item};
 use cleatfold_wire::{
@@ -36,7 +36,7 @@
 const MAX_REMOVED_KEYS: usize = 500;
 
 pub(crate) type PartMap = BTreeMap<u32, Versioned<Table>>;
-pub(crate) type ProgressMap = BTreeMap<u32, Versioned<Part>>;
+pub(crate) type ProgressMap = BTreeMap<u32, Versioned<ProgressPart>>;
 
 #[derive(Clone, Debug)]
 pub(crate) struct CachedJob {
@@ -65,12 +65,12 @@
     }
 
     /// How wide an elastic job should run.
-    pub(crate) fn width(&self) -> Option<Width> {
+    pub(crate) fn width(&self) -> Option<ElasticWidth> {
         let elastic = self.record.spec.elastic.as_ref()?;
-        Some(Width {
-            least: elastic.least,
-            most: self.record.spec.tasks,
-            left: self.steps_left?,
+        Some(ElasticWidth {
+            min_members: elastic.least,
+            max_members: self.record.spec.tasks,
+            remaining_steps: self.steps_left?,
             step_ms: ((elastic.step_s * 1000.0) as u64).max(1),
         })
     }
@@ -78,7 +78,7 @@
     /// Tasks that are not done; of an elastic job the members it could still use.
     pub(crate) fn unfinished(&self) -> u32 {
         match self.width() {
-            Some(width) => width.useful(),
+            Some(width) => width.max_useful_members(),
             None => self.record.spec.tasks.saturating_sub(self.done),
         }
     }
@@ -87,7 +87,7 @@
     /// that only takes holes.
     pub(crate) fn unclaimed(&self) -> u32 {
         match self.width() {
-            Some(width) => width.base().saturating_sub(self.claimed),
+            Some(width) => width.base_members().saturating_sub(self.claimed),
             None => self.record.spec.tasks.saturating_sub(self.done + self.claimed),
         }
     }
@@ -278,8 +278,8 @@
             Key::Job(id) => self.install_job(id, from_str(value)?, version),
             Key::Part(id, part) => self.install_part(id, part, from_str(value)?, version),
             Key::Progress(id, part) => {
-                let record: PartRecord = from_str(value)?;
-                match Part::from_record(&record) {
+                let record: ProgressPartRecord = from_str(value)?;
+                match ProgressPart::from_record(&record) {
                     Ok(progress) => self.install_progress(id, part, progress, version),
                     Err(error) => tracing::error!(job = %id, part, %error, "unreadable progress"),
                 }
@@ -448,7 +448,7 @@
         &mut self,
         id: JobId,
         part: u32,
-        progress: Part,
+        progress: ProgressPart,
         version: Version,
     ) {
         self.progress
--- a/crates/cleatfold-control/tests/formats.rs
+++ b/crates/cleatfold-control/tests/formats.rs
@@ -50,7 +50,7 @@
     match key {
         Key::Job(_) => rewritten::<JobRecord>(fixture),
         Key::Part(..) => rewritten::<Table>(fixture),
-        Key::Progress(..) => rewritten::<cleatfold_elastic::PartRecord>(fixture),
+        Key::Progress(..) => rewritten::<cleatfold_elastic::ProgressPartRecord>(fixture),
         Key::Pool(_) | Key::Role(_) | Key::Workspace(_) => rewritten::<HolderRecord>(fixture),
         Key::Controller(_) => rewritten::<ControllerRecord>(fixture),
         Key::Slice(_) => rewritten::<SliceRecord>(fixture),
--- a/crates/cleatfold-elastic/src/lib.rs
+++ b/crates/cleatfold-elastic/src/lib.rs
@@ -1,5 +1,7 @@
-//! Elastic jobs: which steps are finished, who holds which, and how wide a job should run.
-//! Pure: no I/O and no clock. `docs/elastic.md` says why it is as it is.
+//! Elastic jobs: which steps are finished, which member holds which steps, and how many members a job
+//! should have.
+//!
+//! Pure: no I/O and no clock. `docs/elastic.md` gives the reasons.
 
 #![warn(
     missing_docs,
@@ -9,10 +11,13 @@
     clippy::unwrap_used
 )]
 
-pub mod accounting;
 pub mod progress;
+pub mod step_ledger;
 pub mod width;
 
-pub use accounting::{Members, StepAccounts, Verdict};
-pub use progress::{part_count, Hold, Part, PartRecord, Progress, Unreadable, STEPS_PART};
-pub use width::Width;
+pub use progress::{
+    progress_part_count, Hold, Progress, ProgressDecodeError, ProgressPart, ProgressPartRecord,
+    STEPS_PER_PART,
+};
+pub use step_ledger::{Members, StepLedger, Verdict};
+pub use width::ElasticWidth;
--- a/crates/cleatfold-elastic/tests/model.rs
+++ b/crates/cleatfold-elastic/tests/model.rs
@@ -1,40 +1,43 @@
-//! The ledger against a plain model: a table with one line a step.
+//! Compares the step ledger with a reference model that keeps one entry per step.
 
-use cleatfold_elastic::{Members, Part, PartRecord, Progress, StepAccounts, Verdict, STEPS_PART};
+use cleatfold_elastic::{
+    Members, Progress, ProgressPart, ProgressPartRecord, StepLedger, Verdict, STEPS_PER_PART,
+};
 use cleatfold_wire::steps::{NextAction, StepReport};
 use cleatfold_wire::{Attempt, JobId, TaskId, TaskIx};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-type By = (TaskIx, Attempt);
+type MemberAttempt = (TaskIx, Attempt);
 
-fn report(by: By, finished: Vec<(u32, u32)>, wants: u32) -> StepReport {
-    let member = TaskId { job: JobId::new("run-1"), ix: by.0 };
-    StepReport { member, attempt: by.1, finished, wants, generate_load: false }
+fn report(reporter: MemberAttempt, finished: Vec<(u32, u32)>, wants: u32) -> StepReport {
+    let member = TaskId { job: JobId::new("run-1"), ix: reporter.0 };
+    StepReport { member, attempt: reporter.1, finished, wants, generate_load: false }
 }
 
-/// Writes and reads again, as the state service keeps it.
-fn through_records(changes: Vec<(u32, Part)>, progress: &mut Progress) {
+/// Stores the changed parts in their stored form and reads them back.
+fn store_and_reload(changes: Vec<(u32, ProgressPart)>, progress: &mut Progress) {
     for (number, part) in changes {
         let text = serde_json::to_string(&part.to_record()).expect("plain");
-        let record: PartRecord = serde_json::from_str(&text).expect("as written");
-        progress.parts.insert(number, Part::from_record(&record).expect("as written"));
+        let record: ProgressPartRecord = serde_json::from_str(&text).expect("as written");
+        progress.parts.insert(number, ProgressPart::from_record(&record).expect("as written"));
     }
 }
 
-/// Members come, work, repeat themselves, lie, vanish and leave, by seed. What the ledger
-/// accepts must be what a table of steps says: held by the reporter, and by nobody else.
+/// Members join, work, repeat reports, report steps they do not hold, vanish and leave at random. The
+/// ledger must accept a step only from the one member that holds it in the reference model.
 #[test]
-fn each_step_is_finished_by_the_one_member_that_holds_it() {
+fn step_is_finished_only_by_its_holder() {
     for seed in 0..60 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let steps = [1, 7, 200, STEPS_PART + 300][seed as usize % 4];
+        let steps = [1, 7, 200, STEPS_PER_PART + 300][seed as usize % 4];
         let mut progress = Progress::new(steps);
         let mut members = Members::new();
-        // The model: who holds each step, by what members were told; who finished it.
-        let mut holds: BTreeMap<By, BTreeSet<u32>> = BTreeMap::new();
-        let mut finished: BTreeMap<u32, By> = BTreeMap::new();
+        // The model: the steps that each member was told it holds, and the member that finished each
+        // step.
+        let mut holds: BTreeMap<MemberAttempt, BTreeSet<u32>> = BTreeMap::new();
+        let mut finished: BTreeMap<u32, MemberAttempt> = BTreeMap::new();
         let mut attempts = 0;
         for _ in 0..20_000 {
             if members.len() < 6 && rng.random_bool(0.3) {
@@ -42,7 +45,7 @@
                 members.insert(TaskIx(rng.random_range(0..8)), Attempt(attempts));
             }
             if rng.random_bool(0.02) {
-                // Its claim ends: what it held is anybody's.
+                // Its claim ends, so its steps become free.
                 let ix = TaskIx(rng.random_range(0..8));
                 members.remove(&ix);
             }
@@ -52,45 +55,47 @@
                 continue;
             };
             let stale = rng.random_bool(0.05);
-            let by = (ix, if stale { Attempt(attempt.0.saturating_sub(1)) } else { attempt });
-            let mine = holds.get(&by).cloned().unwrap_or_default();
-            let mut says: Vec<(u32, u32)> =
-                mine.iter().take(rng.random_range(0..4)).map(|s| (*s, s + 1)).collect();
+            let reporter = (ix, if stale { Attempt(attempt.0.saturating_sub(1)) } else { attempt });
+            let own = holds.get(&reporter).cloned().unwrap_or_default();
+            let mut reported: Vec<(u32, u32)> =
+                own.iter().take(rng.random_range(0..4)).map(|s| (*s, s + 1)).collect();
             if rng.random_bool(0.1) {
                 let s = rng.random_range(0..steps);
-                says.push((s, s + 1));
+                reported.push((s, s + 1));
             }
-            let mut accounts = StepAccounts::new(progress.clone(), &members, members.len() as u32);
-            let on_reply = accounts.report(&report(by, says.clone(), rng.random_range(0..4)));
-            let (changes, _) = accounts.into_changes();
-            match on_reply {
-                Verdict::Lost(_) => {
-                    assert!(stale, "seed {seed}: a member whose claim stands was sent away");
+            let mut ledger = StepLedger::new(progress.clone(), &members, members.len() as u32);
+            let verdict =
+                ledger.report(&report(reporter, reported.clone(), rng.random_range(0..4)));
+            let (changes, _) = ledger.into_changes();
+            match verdict {
+                Verdict::Rejected(_) => {
+                    assert!(stale, "seed {seed}: a member with a current claim was rejected");
                     assert!(changes.is_empty());
                     continue;
                 }
                 Verdict::Accepted(reply) => {
-                    assert!(!stale, "seed {seed}: a member of an earlier attempt was heard");
-                    // Now and then the transaction does not come to pass.
+                    assert!(!stale, "seed {seed}: a report of an earlier attempt was accepted");
+                    // Some transactions fail.
                     if rng.random_bool(0.2) {
                         continue;
                     }
-                    through_records(changes, &mut progress);
-                    for step in says.iter().map(|s| s.0) {
+                    store_and_reload(changes, &mut progress);
+                    for step in reported.iter().map(|s| s.0) {
                         let refused = reply.refused.iter().any(|r| r.0 <= step && step < r.1);
                         if !refused {
-                            let first = finished.entry(step).or_insert(by);
-                            assert_eq!(*first, by, "seed {seed}: step {step} counts twice");
+                            let first = finished.entry(step).or_insert(reporter);
+                            assert_eq!(*first, reporter, "seed {seed}: step {step} counts twice");
                         }
                     }
-                    let now: BTreeSet<u32> = reply.holds.iter().flat_map(|r| r.0..r.1).collect();
-                    for (other, theirs) in &mut holds {
-                        if *other != by {
-                            theirs.retain(|s| !now.contains(s));
+                    let held_now: BTreeSet<u32> =
+                        reply.holds.iter().flat_map(|r| r.0..r.1).collect();
+                    for (other, other_holds) in &mut holds {
+                        if *other != reporter {
+                            other_holds.retain(|s| !held_now.contains(s));
                         }
                     }
                     assert_eq!(reply.next_action == NextAction::Over, progress.is_complete());
-                    holds.insert(by, now);
+                    holds.insert(reporter, held_now);
                 }
             }
             if progress.is_complete() {
@@ -102,31 +107,32 @@
     }
 }
 
-/// A lost answer makes a member say the same again: it is told the same again.
+/// A lost reply makes a member repeat its report, which must be accepted again.
 #[test]
-fn a_repeated_report_is_answered_alike_also_after_new_steps_were_given() {
+fn repeated_report_is_accepted_after_new_steps_were_assigned() {
     let members = Members::from([(TaskIx(0), Attempt(1))]);
-    let by = (TaskIx(0), Attempt(1));
+    let reporter = (TaskIx(0), Attempt(1));
     let mut progress = Progress::new(10);
-    for (says, wants) in [(vec![], 2), (vec![(0, 5)], 2), (vec![(0, 5)], 2), (vec![(0, 5)], 0)] {
-        let mut accounts = StepAccounts::new(progress.clone(), &members, 1);
-        let Verdict::Accepted(reply) = accounts.report(&report(by, says, wants)) else {
-            panic!("its claim stands")
+    for (reported, wants) in [(vec![], 2), (vec![(0, 5)], 2), (vec![(0, 5)], 2), (vec![(0, 5)], 0)]
+    {
+        let mut ledger = StepLedger::new(progress.clone(), &members, 1);
+        let Verdict::Accepted(reply) = ledger.report(&report(reporter, reported, wants)) else {
+            panic!("the claim is current")
         };
         assert_eq!(reply.refused, vec![]);
-        through_records(accounts.into_changes().0, &mut progress);
+        store_and_reload(ledger.into_changes().0, &mut progress);
     }
     assert_eq!(progress.finished(), 5);
 }
 
-/// However the steps of a part are finished, its record stays under the least value size that
-/// the settings may have.
+/// Whichever steps of a part are finished, its record stays below the smallest value size that the
+/// settings allow.
 #[test]
-fn a_part_never_outgrows_its_value() {
+fn part_record_stays_below_value_limit() {
     let mut rng = SmallRng::seed_from_u64(1);
     for share in [0.02, 0.33, 0.5, 0.66, 0.8, 0.97] {
-        let mut part = Part::default();
-        for s in 0..STEPS_PART {
+        let mut part = ProgressPart::default();
+        for s in 0..STEPS_PER_PART {
             if rng.random_bool(share) || (share == 0.66 && s % 3 != 0) {
                 part.finished.insert(s);
             }
@@ -134,6 +140,6 @@
         let text = serde_json::to_string(&part.to_record()).expect("plain");
         assert!(text.len() < 8 * 1024, "{share}: {} bytes", text.len());
     }
-    let all = Part { finished: (0..STEPS_PART).collect(), held: vec![] };
+    let all = ProgressPart { finished: (0..STEPS_PER_PART).collect(), held: vec![] };
     assert!(serde_json::to_string(&all.to_record()).expect("plain").len() < 60);
 }
--- a/crates/cleatfold-elastic/tests/width.rs
+++ b/crates/cleatfold-elastic/tests/width.rs
@@ -1,17 +1,25 @@
-//! How wide an elastic job runs.
+//! Width of an elastic job.
 
-use cleatfold_elastic::Width;
+use cleatfold_elastic::ElasticWidth;
 
 #[test]
-fn a_job_narrows_as_its_steps_run_out_and_grows_by_doubling() {
-    let w = |left| Width { least: 2, most: 40, left, step_ms: 4000 };
-    assert_eq!((w(200).base(), w(1).base(), w(0).base()), (2, 1, 0));
-    assert_eq!(w(200).growth(0, 5000), 1);
-    assert_eq!(w(200).growth(4, 5000), 4);
-    assert_eq!(w(200).growth(40, 5000), 0);
-    // Eight steps of 4 s are no work for four more machines that need 5 s to start.
-    assert_eq!(w(8).growth(2, 5000), 1);
-    assert_eq!(w(5).growth(2, 5000), 0);
-    let nothing = Width { least: 0, ..w(9) };
-    assert_eq!(nothing.base(), 1, "it must be able to go on");
+fn width_shrinks_with_remaining_steps_and_at_most_doubles() {
+    let width = |remaining_steps| ElasticWidth {
+        min_members: 2,
+        max_members: 40,
+        remaining_steps,
+        step_ms: 4000,
+    };
+    assert_eq!(
+        (width(200).base_members(), width(1).base_members(), width(0).base_members()),
+        (2, 1, 0)
+    );
+    assert_eq!(width(200).growth(0, 5000), 1);
+    assert_eq!(width(200).growth(4, 5000), 4);
+    assert_eq!(width(200).growth(40, 5000), 0);
+    // Eight steps of 4 s are too little work for four more machines that take 5 s to start.
+    assert_eq!(width(8).growth(2, 5000), 1);
+    assert_eq!(width(5).growth(2, 5000), 0);
+    let no_minimum = ElasticWidth { min_members: 0, ..width(9) };
+    assert_eq!(no_minimum.base_members(), 1, "a job without minimum must be able to resume");
 }
--- a/crates/cleatfold-testbed/src/history.rs
+++ b/crates/cleatfold-testbed/src/history.rs
@@ -1,7 +1,7 @@
 //! What became of the steps of elastic jobs, checked against the state service's own record.
 
 use cleatfold_control::records::{self, JobRecord, Key};
-use cleatfold_elastic::{Hold, Part, STEPS_PART};
+use cleatfold_elastic::{Hold, ProgressPart, STEPS_PER_PART};
 use cleatfold_fakes::member::Member;
 use cleatfold_fakes::store::Store;
 use cleatfold_wire::store::Txn;
@@ -55,7 +55,7 @@
             let Some(Key::Progress(job, number)) = records::parse_key(key) else { continue };
             let read = |v: &str| {
                 let record = serde_json::from_str(v).expect("a part");
-                Part::from_record(&record).expect("a part")
+                ProgressPart::from_record(&record).expect("a part")
             };
             let old = store.get(key).map(|i| read(i.value.get())).unwrap_or_default();
             let new = read(new.get());
@@ -66,7 +66,7 @@
                 broken.push(format!("{key} forgets finished steps"));
             }
             for step in (&new.finished - &old.finished).iter() {
-                let step = number * STEPS_PART + step;
+                let step = number * STEPS_PER_PART + step;
                 let stands = |h: &&Hold| {
                     let mut tasks = head.table.claims.iter().flat_map(|g| &g.tasks);
                     h.from <= step && step < h.to && tasks.any(|t| *t == (h.member, h.attempt))
