--- a/crates/cleatfold-backfill/src/availability.rs
+++ b/crates/cleatfold-backfill/src/availability.rs
@@ -71,7 +71,7 @@
         let mut i = self.steps.partition_point(|s| s.0 <= from).saturating_sub(1);
         while i < self.steps.len() {
             // Skips steps that cannot fit a single task, which are most steps of a busy machine.
-            if !self.steps[i].1.holds(each) {
+            if !self.steps[i].1.fits_one(each) {
                 i += 1;
                 continue;
             }
@@ -80,7 +80,7 @@
             let mut count = tasks;
             let mut j = i;
             while j < self.steps.len() && self.steps[j].0 < finish {
-                count = self.steps[j].1.fits(each, count);
+                count = self.steps[j].1.fitting_tasks(each, count);
                 if count == 0 {
                     break;
                 }
@@ -106,7 +106,7 @@
             if *at >= finish || count == 0 {
                 break;
             }
-            count = free.fits(each, count);
+            count = free.fitting_tasks(each, count);
         }
         count
     }
--- a/crates/cleatfold-backfill/src/order.rs
+++ b/crates/cleatfold-backfill/src/order.rs
@@ -1,5 +1,5 @@
 //! Queue order: first jobs that fill the guaranteed minimum of their group, then jobs that can still
-//! meet their objective, then by urgency, by the team's guarantee and by arrival.
+//! be of use, then by urgency, by the team's guarantee and by arrival.
 
 use crate::resources::Resources;
 use cleatfold_wire::job::Urgency;
--- a/crates/cleatfold-backfill/src/preemption.rs
+++ b/crates/cleatfold-backfill/src/preemption.rs
@@ -73,18 +73,19 @@
 }
 
 /// Whether the protocol allows a task to be stopped for this request.
-pub fn may_preempt(request: &PreemptionRequest, r: &RunningTask) -> bool {
-    if !r.stoppable {
+pub fn may_preempt(request: &PreemptionRequest, task: &RunningTask) -> bool {
+    if !task.stoppable {
         return false;
     }
-    if r.is_surplus_member && r.urgency >= request.urgency {
+    if task.is_surplus_member && task.urgency >= request.urgency {
         return true;
     }
-    let is_more_urgent = request.urgency < r.urgency;
+    let is_more_urgent = request.urgency < task.urgency;
     // The protocol would allow victims of any urgency here. Stopping more urgent work that is
     // itself late cost more missed deadlines than the guarantee gained.
-    let not_less_urgent = request.urgency <= r.urgency;
-    let for_guarantee = request.within_guarantee && r.beyond_guarantee && r.team != request.team;
+    let not_less_urgent = request.urgency <= task.urgency;
+    let for_guarantee =
+        request.within_guarantee && task.beyond_guarantee && task.team != request.team;
     request.preempts && (is_more_urgent || (for_guarantee && not_less_urgent))
 }
 
@@ -96,33 +97,33 @@
     machine: &MachineLoad,
 ) -> Option<(Vec<usize>, u64)> {
     let mut free = machine.free;
-    if free.fits(&request.each, 1) > 0 {
+    if free.fitting_tasks(&request.each, 1) > 0 {
         return Some((vec![], 0));
     }
     let mut candidates: Vec<&RunningTask> =
-        machine.running.iter().filter(|r| may_preempt(request, r)).collect();
-    candidates.sort_by_key(|r| (!r.is_surplus_member, r.loss, r.id));
+        machine.running.iter().filter(|task| may_preempt(request, task)).collect();
+    candidates.sort_by_key(|task| (!task.is_surplus_member, task.loss, task.id));
     let mut chosen: Vec<&RunningTask> = Vec::new();
-    for r in candidates {
-        free += r.each;
-        chosen.push(r);
-        if free.fits(&request.each, 1) > 0 {
+    for task in candidates {
+        free += task.each;
+        chosen.push(task);
+        if free.fitting_tasks(&request.each, 1) > 0 {
             break;
         }
     }
-    if free.fits(&request.each, 1) == 0 {
+    if free.fitting_tasks(&request.each, 1) == 0 {
         return None;
     }
     // The most expensive first: a large victim may have made smaller ones unnecessary.
     for i in (0..chosen.len()).rev() {
         let without = free - chosen[i].each;
-        if without.fits(&request.each, 1) > 0 {
+        if without.fitting_tasks(&request.each, 1) > 0 {
             free = without;
             chosen.remove(i);
         }
     }
-    let loss = chosen.iter().map(|r| r.loss).sum();
-    (loss <= request.max_loss).then(|| (chosen.iter().map(|r| r.id).collect(), loss))
+    let loss = chosen.iter().map(|task| task.loss).sum();
+    (loss <= request.max_loss).then(|| (chosen.iter().map(|task| task.id).collect(), loss))
 }
 
 /// Chooses victims for up to `tasks` tasks, one task after the other, each on the machine where the
@@ -144,15 +145,15 @@
         let Some((loss, _, i)) = best else { break };
         let Some((victims, _)) = options[i].take() else { break };
         let machine = &mut loads[i];
-        machine.running.retain(|r| {
-            let is_victim = victims.contains(&r.id);
+        machine.running.retain(|task| {
+            let is_victim = victims.contains(&task.id);
             if is_victim {
-                machine.free += r.each;
+                machine.free += task.each;
             }
             !is_victim
         });
         machine.free -= request.each;
-        match preemptions.iter_mut().find(|r| r.machine == i) {
+        match preemptions.iter_mut().find(|preemption| preemption.machine == i) {
             Some(existing) => {
                 existing.tasks += 1;
                 existing.loss += loss;
--- a/crates/cleatfold-backfill/src/profile.rs
+++ b/crates/cleatfold-backfill/src/profile.rs
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Time in milliseconds that stands for an unbounded run.
+/// Duration in milliseconds that represents an unbounded run.
 pub const FOREVER: u64 = u64::MAX / 4;
 
 /// Availability of one machine over time, with the properties that affect placement.
@@ -264,8 +264,9 @@
     fn candidate(&self, i: usize, request: &Request, tasks: u32, from: Ms) -> Option<Candidate> {
         let machine = &self.machines[i];
         let (start, finish, count) = machine.earliest_start(request, tasks, from)?;
-        let wait_penalty_ms = if start <= self.now { request.min_wait_benefit_ms } else { 0 };
-        let finish_s = finish.0.saturating_sub(wait_penalty_ms) / 1000;
+        let immediate_start_bonus_ms =
+            if start <= self.now { request.min_wait_benefit_ms } else { 0 };
+        let finish_s = finish.0.saturating_sub(immediate_start_bonus_ms) / 1000;
         let rank = (finish_s, machine.cost, finish, start, machine.initial_free_cpus(), i);
         Some(Reverse((rank, count)))
     }
--- a/crates/cleatfold-backfill/src/resources.rs
+++ b/crates/cleatfold-backfill/src/resources.rs
@@ -24,7 +24,7 @@
     }
 
     /// Number of tasks requiring `each` that fit, at most `limit`.
-    pub fn fits(&self, each: &Resources, limit: u32) -> u32 {
+    pub fn fitting_tasks(&self, each: &Resources, limit: u32) -> u32 {
         let mut count = i64::from(limit);
         for (available, required) in
             [(self.cpus, each.cpus), (self.gpus, each.gpus), (self.memory, each.memory)]
@@ -40,7 +40,7 @@
     }
 
     /// Whether a single task fits.
-    pub fn holds(&self, each: &Resources) -> bool {
+    pub fn fits_one(&self, each: &Resources) -> bool {
         self.cpus >= each.cpus && self.gpus >= each.gpus && self.memory >= each.memory
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Whether no amount exceeds that of `limit`.
-    pub fn within(&self, limit: &Resources) -> bool {
+    pub fn is_within(&self, limit: &Resources) -> bool {
         self.cpus <= limit.cpus && self.gpus <= limit.gpus && self.memory <= limit.memory
     }
 }
--- a/crates/cleatfold-backfill/tests/model.rs
+++ b/crates/cleatfold-backfill/tests/model.rs
@@ -29,7 +29,7 @@
 
 fn fitting_tasks(free: &[Resources], r: &Request, from: u64, until: u64, tasks: u32) -> u32 {
     (from / SECOND_MS..until / SECOND_MS)
-        .map(|s| free[s as usize].fits(&r.each, tasks))
+        .map(|s| free[s as usize].fitting_tasks(&r.each, tasks))
         .min()
         .unwrap_or(tasks)
 }
@@ -209,7 +209,7 @@
         }
         let none = Resources::default();
         for free in case.machines.iter().map(|m| &m.free).chain(&case.model_limits) {
-            assert!(free.iter().all(|f| none.within(f)), "seed {seed}: overbooked");
+            assert!(free.iter().all(|f| none.is_within(f)), "seed {seed}: overbooked");
         }
     }
     assert!(reserved_gangs > 200, "only {reserved_gangs} gangs were reserved");
--- a/crates/cleatfold-backfill/tests/preemption.rs
+++ b/crates/cleatfold-backfill/tests/preemption.rs
@@ -17,7 +17,7 @@
     let mut machine = MachineLoad { free: Resources::new(8.0, 0.0, 32.0), running: vec![] };
     for _ in 0..rng.random_range(0..7) {
         let each = Resources::new(f64::from(rng.random_range(1..4)), 0.0, 2.0);
-        if machine.free.fits(&each, 1) == 0 {
+        if machine.free.fitting_tasks(&each, 1) == 0 {
             continue;
         }
         machine.free -= each;
@@ -76,14 +76,14 @@
             }
             let freed = victims.iter().fold(machine.free, |f, r| f + r.each);
             assert!(
-                freed.fits(&request.each, preemption.tasks) == preemption.tasks,
+                freed.fitting_tasks(&request.each, preemption.tasks) == preemption.tasks,
                 "seed {seed}: does not fit"
             );
             if preemption.tasks == 1 {
                 for r in &victims {
                     let without = freed - r.each;
                     assert_eq!(
-                        without.fits(&request.each, 1),
+                        without.fitting_tasks(&request.each, 1),
                         0,
                         "seed {seed}: one victim too many"
                     );
@@ -96,7 +96,7 @@
             for machine in &before {
                 let permitted = machine.running.iter().filter(|r| may_preempt(&request, r));
                 let all = permitted.fold(machine.free, |f, r| f + r.each);
-                assert_eq!(all.fits(&request.each, 1), 0, "seed {seed}");
+                assert_eq!(all.fitting_tasks(&request.each, 1), 0, "seed {seed}");
             }
         }
     }
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -114,7 +114,7 @@
         let fits = self.inventory.types.values().any(|t| {
             spec.types.as_ref().is_none_or(|allowed| allowed.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-                && each.within(&self.inventory.total(&t.name))
+                && each.is_within(&self.inventory.total(&t.name))
         });
         if !fits {
             return Some("a task fits no allowed machine type".into());
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -292,7 +292,7 @@
             gpus: if limit.gpus_max > 0.0 { gpus - used.gpus } else { far },
             memory: far,
         };
-        let n = room.fits(&each, tasks);
+        let n = room.fitting_tasks(&each, tasks);
         *used += each.times(n);
         n
     }
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -309,7 +309,7 @@
         spec.types.as_ref().is_none_or(|t| t.contains(&pool.machine_type))
             && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
             && cached.bound_zone().is_none_or(|z| *z == pool.zone)
-            && cached.each.within(&self.inventory.total(&pool.machine_type))
+            && cached.each.is_within(&self.inventory.total(&pool.machine_type))
     }
 
     fn requests_for(
--- a/crates/cleatfold-priority/src/inversions.rs
+++ b/crates/cleatfold-priority/src/inversions.rs
@@ -64,7 +64,7 @@
         && waiting.zone.as_ref().is_none_or(|z| *z == start.zone)
         && !waiting.excluded_zones.contains(&start.zone)
         && waiting.types.as_ref().is_none_or(|t| t.contains(&start.machine_type))
-        && start.free.fits(&waiting.each, 1) > 0
+        && start.free.fitting_tasks(&waiting.each, 1) > 0
 }
 
 /// Number of inversions that are kept as examples.
--- a/crates/cleatfold-priority/src/preemption_record.rs
+++ b/crates/cleatfold-priority/src/preemption_record.rs
@@ -76,7 +76,8 @@
 }
 
 impl PreemptionRecord {
-    /// Returns the record with `new` plans added and inactive ones removed.
+    /// Returns the record with `new` plans added and inactive ones removed. Above `MAX_PLANS` the
+    /// oldest plans are dropped.
     pub fn with_plans(
         &self,
         new: Vec<PreemptionPlan>,
--- a/crates/cleatfold-priority/tests/explored.rs
+++ b/crates/cleatfold-priority/tests/explored.rs
@@ -39,8 +39,9 @@
 /// Occupant of the machine's one slot, by the records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum Occupant {
+    /// The background task that the preemption stops.
     #[default]
-    Old,
+    Victim,
     Free,
     Urgent,
     /// Another background task, or the stopped one again.
@@ -161,7 +162,7 @@
         // It plans a preemption for the urgent task.
         let plan_pending =
             controller.plan_requested || (guards.count_written && is_plan_active(&controller));
-        if controller.occupant == Occupant::Old && !plan_pending {
+        if controller.occupant == Occupant::Victim && !plan_pending {
             let mut t = s.clone();
             t.controllers[n].plan_requested = true;
             t.in_flight.insert((n, InFlight::Write { token, seen: controller.record_version }));
@@ -172,7 +173,7 @@
         }
         // It continues a former owner's plan, and carries out its own once that is durable.
         if is_plan_active(&controller)
-            && controller.occupant == Occupant::Old
+            && controller.occupant == Occupant::Victim
             && controller.ordered_under != token
         {
             let mut t = s.clone();
@@ -182,8 +183,8 @@
         }
         // The exit is recorded by the owner, whose worker reports it.
         if s.victim_stopped
-            && controller.occupant == Occupant::Old
-            && s.occupant == Occupant::Old
+            && controller.occupant == Occupant::Victim
+            && s.occupant == Occupant::Victim
             && s.owner == Some(n)
         {
             let mut t = s.clone();
@@ -230,7 +231,7 @@
             }
             InFlight::Stop => {
                 // A late stop is harmless: it names one attempt of one task.
-                if s.occupant == Occupant::Old && !s.victim_stopped {
+                if s.occupant == Occupant::Victim && !s.victim_stopped {
                     t.victim_stopped = true;
                     if s.record_version == 0 {
                         t.violations.insert("victim stopped without a durable plan");
--- a/crates/cleatfold-priority/tests/model.rs
+++ b/crates/cleatfold-priority/tests/model.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn owner_is_not_live_only_on_reliable_evidence() {
+fn owner_is_lost_only_on_reliable_evidence() {
     let listener_health =
         ListenerHealth { listening_ms: 60_000, receives_from_any_peer: true, backpressure: 1 };
     let healthy = OwnerStatus {
@@ -73,7 +73,7 @@
     );
     assert!(
         !is_owner_live(OwnerStatus { last_message_age_ms: Some(1600), ..healthy }, listener_health),
-        "frozen, dead or cut clock_error"
+        "no message for too long"
     );
     assert!(!is_owner_live(OwnerStatus { last_message_age_ms: None, ..healthy }, listener_health));
     assert!(
@@ -82,14 +82,14 @@
     );
     assert!(!is_owner_live(OwnerStatus { lost_workers: true, ..healthy }, listener_health));
     // Without any peer's messages (mesh refused), or soon after the start, only leases count.
-    let silent = OwnerStatus { last_message_age_ms: None, store_read_age_ms: None, ..healthy };
+    let unheard = OwnerStatus { last_message_age_ms: None, store_read_age_ms: None, ..healthy };
     assert!(is_owner_live(
-        silent,
+        unheard,
         ListenerHealth { receives_from_any_peer: false, ..listener_health }
     ));
-    assert!(is_owner_live(silent, ListenerHealth { listening_ms: 700, ..listener_health }));
+    assert!(is_owner_live(unheard, ListenerHealth { listening_ms: 700, ..listener_health }));
     assert!(!is_owner_live(
-        OwnerStatus { lease_valid: false, ..silent },
+        OwnerStatus { lease_valid: false, ..unheard },
         ListenerHealth { receives_from_any_peer: false, ..listener_health }
     ));
     // Messages are less frequent under backpressure.
--- a/crates/cleatfold-testbed/src/world/priority_watch.rs
+++ b/crates/cleatfold-testbed/src/world/priority_watch.rs
@@ -129,7 +129,7 @@
                 free -= *each;
             }
         }
-        if !free.holds(&each) {
+        if !free.fits_one(&each) {
             free = each;
         }
         let start = TaskStart {
