--- a/crates/cleatfold-control/src/jobs/step_reports.rs
+++ b/crates/cleatfold-control/src/jobs/step_reports.rs
@@ -5,7 +5,7 @@
 
 use crate::store::cache::ProgressMap;
 use crate::store::records::{progress_key, JobRecord};
-use cleatfold_elastic::{Members, Part, Progress, StepAccounts, Verdict};
+use cleatfold_elastic::{Members, Progress, ProgressPart, StepLedger, Verdict};
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::{JobId, Ms};
@@ -28,7 +28,7 @@
 pub(crate) struct EvaluatedReports {
     pub verdicts: Vec<(MemberReport, Verdict)>,
     /// Changed parts of the job's progress, by number.
-    pub changes: Vec<(u32, Part)>,
+    pub changes: Vec<(u32, ProgressPart)>,
     /// Whether all steps are finished.
     pub complete: bool,
     /// Number of finished steps.
@@ -44,12 +44,12 @@
 ) -> EvaluatedReports {
     let members: Members =
         record.table.claims.iter().flat_map(|g| g.tasks.iter().copied()).collect();
-    let mut accounts = StepAccounts::new(progress, &members, members.len() as u32);
+    let mut accounts = StepLedger::new(progress, &members, members.len() as u32);
     let mut verdicts = Vec::new();
     let mut waiting = std::mem::take(member_reports).into_iter();
     // A report changes the parts of its own steps and at most two parts that it is assigned steps
     // from.
-    while accounts.touched() + 2 < max_parts.max(3) {
+    while accounts.changed_part_count() + 2 < max_parts.max(3) {
         let Some(next) = waiting.next() else { break };
         let verdict = accounts.report(&next.report);
         verdicts.push((next, verdict));
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -103,7 +103,7 @@
         for (member_report, verdict) in verdicts {
             let response = match verdict {
                 Verdict::Accepted(reply) => Response::Steps(reply),
-                Verdict::Lost(why) => {
+                Verdict::Rejected(why) => {
                     let member = &member_report.report.member;
                     tracing::info!(%member, attempt = member_report.report.attempt.0, why, "step report refused");
                     Response::rejection(409, why)
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -321,7 +321,7 @@
     let finished = progress.finished();
     if draft.record.aborted {
         // Refuse all reports: any that stayed queued would keep the job due for writing forever.
-        let cancelled = Verdict::Lost("the job is cancelled");
+        let cancelled = Verdict::Rejected("the job is cancelled");
         let reports = job_state.member_reports.drain(..);
         let verdicts = reports.map(|report| (report, cancelled.clone())).collect();
         return EvaluatedReports { verdicts, finished, ..EvaluatedReports::default() };
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -116,7 +116,7 @@
     /// What is left of the limit over time.
     pub(crate) fn availability(&self, now: Ms) -> AvailabilityProfile {
         let releases = self.releases.iter().map(|(s, what)| (now.plus(s * 1000), *what));
-        AvailabilityProfile::growing(now, self.remaining, releases)
+        AvailabilityProfile::with_releases(now, self.remaining, releases)
     }
 }
 
@@ -312,7 +312,7 @@
             gpus: if limit.gpus_max > 0.0 { gpus - used.gpus } else { no_limit },
             memory: no_limit,
         };
-        let count = remaining.fits(&each, tasks);
+        let count = remaining.fitting_tasks(&each, tasks);
         *used += each.times(count);
         count
     }
@@ -379,8 +379,8 @@
                     (of(&usage), of(&self.quota.shortfall), of(&self.quota.reserved_soon));
                 let demand = |amount: fn(&Resources) -> i64| SliceDemand {
                     used: amount(&used),
-                    short: amount(&short),
-                    soon: amount(&soon),
+                    shortfall: amount(&short),
+                    reserved_soon: amount(&soon),
                     capacity: amount(capacity),
                     limit: amount(&max),
                     largest_need: amount(&need),
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -11,7 +11,7 @@
 use crate::store::cache::CachedJob;
 use cleatfold_backfill::profile::FOREVER;
 use cleatfold_backfill::{AvailabilityProfile, MachineProfile, Request, Reservation};
-use cleatfold_priority::{believed, prompt_ms};
+use cleatfold_priority::{is_promise_trusted, min_wait_benefit_ms};
 use cleatfold_wire::cloud::MachineType;
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::mesh::{Message, Promise};
@@ -260,7 +260,7 @@
             if let Some(limit) = limit {
                 binding[limit].add_release(now, end, cached.task_resources);
             }
-            profile.carve(now, end, cached.task_resources);
+            profile.allocate(now, end, cached.task_resources);
             let image = &cached.record.spec.image;
             if image_noted_for != Some(job) && !profile.images.iter().any(|(i, _)| i == image) {
                 let ready = now.plus_s(cached.record.spec.image_gb / kind.fetch_gb_per_s);
@@ -276,7 +276,7 @@
             return FOREVER;
         }
         if let Some(width) = cached.width() {
-            return width.rest_ms(cached.claimed.max(width.base()));
+            return width.remaining_ms(cached.claimed.max(width.base_members()));
         }
         (cached.record.spec.estimate_s * 1000.0) as u64
     }
@@ -302,7 +302,7 @@
             // A member beyond the least width is evicted for a reservation, so it delays none.
             let is_beyond_least = ix >= cached.first_surplus_member;
             return self.now.plus(if is_beyond_least {
-                width.yield_ms(YIELD_GRACE_MS)
+                width.release_delay_ms(YIELD_GRACE_MS)
             } else {
                 run_ms
             });
@@ -329,7 +329,7 @@
         spec.types.as_ref().is_none_or(|t| t.contains(&pool.machine_type))
             && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
             && cached.bound_zone().is_none_or(|z| *z == pool.zone)
-            && cached.task_resources.within(&self.inventory.machine_resources(&pool.machine_type))
+            && cached.task_resources.is_within(&self.inventory.machine_resources(&pool.machine_type))
     }
 
     /// Adds the requests of the queued jobs that the pool plans for.
@@ -383,7 +383,7 @@
                 spot: spec.spot,
                 gang: spec.kind == Kind::Gang,
                 limit: limits.iter().position(|limit| limit.applies_to(spec)),
-                prompt_ms: prompt_ms(*urgency, spec.estimate_s),
+                min_wait_benefit_ms: min_wait_benefit_ms(*urgency, spec.estimate_s),
                 avoid: self.excluded_machines(id, *urgency, plan),
             });
         }
@@ -537,7 +537,7 @@
                 for (job, finishes) in jobs {
                     let cached = self.cache.jobs.get(job);
                     let urgency = cached.map_or(Urgency::BestEffort, |l| l.record.spec.urgency);
-                    if !believed(urgency, age_ms, is_live) {
+                    if !is_promise_trusted(urgency, age_ms, is_live) {
                         continue;
                     }
                     let known = promises.entry(job).or_default();
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -11,7 +11,9 @@
 use crate::scheduling::evictions::{Eviction, YIELD_GRACE_MS};
 use crate::scheduling::planning::PoolPlan;
 use crate::store::cache::CachedJob;
-use cleatfold_backfill::preemption::{self, MachineLoad, Need, Preemption, Running};
+use cleatfold_backfill::preemption::{
+    self, MachineLoad, Preemption, PreemptionRequest, RunningTask,
+};
 use cleatfold_priority::{PreemptionPlan, Victim};
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::worker::{Command, Exit, Heartbeat, Orders, TaskReport, TaskState};
@@ -111,7 +113,7 @@
                 let choices = preemption::choose_preemptions(&need, &mut usable_loads, tasks);
                 for choice in choices {
                     loads[choice.machine] = usable_loads[choice.machine].clone();
-                    if !choice.stop.is_empty() {
+                    if !choice.victims.is_empty() {
                         self.evict_for(plan, &waiting, &choice, running, save_ms);
                     }
                 }
@@ -127,7 +129,7 @@
         plan: &PoolPlan,
         waiting: &WaitingTasks,
         guaranteed: &HashSet<JobId>,
-    ) -> Option<(Need, u64)> {
+    ) -> Option<(PreemptionRequest, u64)> {
         let job = &plan.jobs[waiting.request];
         let cached = self.cache.jobs.get(job)?;
         let spec = &cached.record.spec;
@@ -145,13 +147,13 @@
         } else {
             u64::MAX
         };
-        let need = Need {
+        let need = PreemptionRequest {
             each: cached.task_resources,
             urgency: spec.urgency,
             team: spec.team.clone(),
             within_guarantee,
             preempts,
-            worth: max_loss,
+            max_loss: worth: max_loss,
         };
         Some((need, budget_ms.unwrap_or(0)))
     }
@@ -255,7 +257,7 @@
         cached: &CachedJob,
         task: &RunningTask,
         save_ms: u64,
-    ) -> Running {
+    ) -> RunningTask {
         let spec = &cached.record.spec;
         let evictions = self
             .job_states
@@ -275,13 +277,13 @@
             None if checkpoint_ms > 0 && can_save_within(spec.save_s, save_ms) => 0,
             None => ran % checkpoint_ms.max(u64::from(checkpoint_ms == 0) * u64::MAX),
         };
-        Running {
+        RunningTask {
             id: 0,
             each: cached.task_resources,
             urgency: spec.urgency,
             team: spec.team.clone(),
             beyond_guarantee: true,
-            yields,
+            is_surplus_member: yields,
             stoppable: may_stop_again
                 && spec.kind == Kind::Array
                 && !cached.record.aborted
@@ -313,11 +315,11 @@
         let mut victims = Vec::new();
         let mut last_exit_ms = 0;
         let mut preempts = false;
-        for task in choice.stop.iter().filter_map(|v| running.get(*v)) {
+        for task in choice.victims.iter().filter_map(|v| running.get(*v)) {
             let Some(cached) = self.cache.jobs.get(&task.job) else { continue };
             let spec = &cached.record.spec;
             let grace_ms = match cached.width() {
-                Some(width) => width.yield_ms(yield_grace_ms),
+                Some(width) => width.release_delay_ms(yield_grace_ms),
                 None if spec.checkpoint_s > 0.0 && can_save_within(spec.save_s, save_ms) => {
                     (spec.save_s * 1000.0) as u64 + 500
                 }
@@ -333,10 +335,10 @@
             job: job.clone(),
             machine: id,
             tasks: choice.tasks,
-            had,
+            claimed_before: had,
             until_ms: self.wall_ms + last_exit_ms + SLOT_HANDOVER_MS + self.preemption_hold_ms(),
             grace_ms: victims.iter().map(|l| l.1).max().unwrap_or(0),
-            stop: victims.into_iter().map(|l| l.0).collect(),
+            victims: victims.into_iter().map(|l| l.0).collect(),
         };
         let until = now.plus(last_exit_ms + SLOT_HANDOVER_MS);
         self.evictions.expect_slots(job, plan.pool.clone(), choice.tasks, until);
@@ -354,7 +356,7 @@
     pub(crate) fn evict(&mut self, token: FencingToken, preemption: PreemptionPlan) {
         let id = preemption.machine;
         let mut commands = Vec::new();
-        for Victim(job, ix, attempt) in preemption.stop {
+        for Victim(job, ix, attempt) in preemption.victims {
             let Some(cached) = self.cache.jobs.get(&job) else { continue };
             let elastic = cached.width().is_some();
             let grace_s = preemption.grace_ms as f64 / 1000.0;
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -8,7 +8,9 @@
 use crate::scheduling::queue::QueuedTasks;
 use crate::store::cache::Versioned;
 use crate::store::records::{pool_key, preemption_key};
-use cleatfold_priority::{lives, ListenerHealth, Owner, PreemptionPlan, Seen, StartBarrier};
+use cleatfold_priority::{
+    is_owner_live, BeneficiaryState, ListenerHealth, OwnerStatus, PreemptionPlan, StartBarrier,
+};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::{FencingToken, JobId, MachineId, PoolId, Version};
@@ -36,7 +38,7 @@
             self.priority.orphaned_pools = orphaned;
             self.replan_needed = true;
         }
-        let is_closed = |barrier: &StartBarrier| barrier.lowest() < Urgency::BestEffort;
+        let is_closed = |barrier: &StartBarrier| barrier.lowest_startable_urgency() < Urgency::BestEffort;
         if self.priority.start_barriers.values().any(is_closed) {
             self.session.sync_wanted = true;
             self.sync_if_due();
@@ -48,7 +50,11 @@
     pub(crate) fn refresh_priority(&mut self, queue: &[QueuedTasks]) {
         self.priority.orphaned_pools = self.orphaned_pools();
         let (read, assigned) = (self.session.last_read, self.priority.last_assignment);
-        let barrier = |taken| StartBarrier { taken, read, assigned };
+        let barrier = |acquired_at| StartBarrier {
+            acquired_at,
+            last_read_started_at: read,
+            last_assignment_at: assigned,
+        };
         self.priority.start_barriers =
             self.pools.owned.iter().map(|(p, o)| (p.clone(), barrier(o.acquired_at))).collect();
         self.refresh_waiting(queue);
@@ -84,9 +90,9 @@
     /// Whether the job still waits for the freed resources and the plan has not expired.
     fn is_preemption_active(&self, preemption: &PreemptionPlan) -> bool {
         let waiting_job = self.cache.jobs.get(&preemption.job).filter(|l| !l.record.aborted);
-        preemption.stands(Seen {
-            waits: waiting_job.map_or(0, |l| l.unclaimed()),
-            here: self.count_claims_on(&preemption.machine, &preemption.job),
+        preemption.is_active(BeneficiaryState {
+            unclaimed_tasks: waiting_job.map_or(0, |l| l.unclaimed()),
+            claimed_on_machine: self.count_claims_on(&preemption.machine, &preemption.job),
             wall_ms: self.wall_ms,
         })
     }
@@ -120,7 +126,7 @@
         }
         let Versioned { version, value: known } =
             self.cache.preemptions.get(pool).cloned().unwrap_or_default();
-        let record = known.with(preemptions.clone(), |r| self.is_preemption_active(r));
+        let record = known.with_plans(preemptions.clone(), |r| self.is_preemption_active(r));
         let mut txn = Txn::default();
         txn.guard(pool_key(pool), Version(token.0));
         txn.guard(preemption_key(pool), version);
@@ -188,11 +194,10 @@
     fn listener_health(&self) -> ListenerHealth {
         ListenerHealth {
             listening_ms: self.now.since(self.priority.listening_since),
-            receives_from_any_peer: self
-                .reachability
-                .view
-                .peers
-                .receives_from_any_peer(self.now, ListenerHealth::silence_ms(self.backpressure)),
+            receives_from_any_peer: self.reachability.view.peers.receives_from_any_peer(
+                self.now,
+                ListenerHealth::max_silence_ms(self.backpressure),
+            ),
             backpressure: self.backpressure,
         }
     }
@@ -212,14 +217,14 @@
         let (owner_id, now) = (&ownership.owner, self.now);
         let peers = &self.reachability.view.peers;
         let known = self.cache.controllers.get(owner_id);
-        let owner = Owner {
-            stands: known.is_some_and(|n| n.value.incarnation == ownership.incarnation)
+        let owner = OwnerStatus {
+            lease_valid: known.is_some_and(|n| n.value.incarnation == ownership.incarnation)
                 && *owner_id != self.cfg.controller_id,
-            silence_ms: peers.last_message(owner_id).map(|at| now.since(at)),
-            read_ms: peers.contact(owner_id).map(|at| now.since(at)),
+            last_message_age_ms: peers.last_message(owner_id).map(|at| now.since(at)),
+            store_read_age_ms: peers.contact(owner_id).map(|at| now.since(at)),
             lost_workers: peers.of_zone(owner_id, &pool.zone, now).is_some_and(|h| h.lost),
         };
         // A pool announced over the mesh under a token that is not read yet belongs to the sender.
-        self.pools.superseded_by.contains_key(pool) || lives(owner, listener_health)
+        self.pools.superseded_by.contains_key(pool) || is_owner_live(owner, listener_health)
     }
 }
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -1,6 +1,8 @@
 //! What a controller knows about the owners of other pools, and the preemptions in its own pools.
 
-use cleatfold_priority::{considers, PreemptionPlan, PreemptionRecord, Sent, StartBarrier};
+use cleatfold_priority::{
+    should_plan, JobAssignment, PreemptionPlan, PreemptionRecord, StartBarrier,
+};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::{FencingToken, JobId, MachineId, Ms, PoolId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,7 +52,9 @@
 
     /// The lowest urgency that may start in an owned pool.
     pub(crate) fn lowest_urgency(&self, pool: &PoolId) -> Urgency {
-        self.start_barriers.get(pool).map_or(Urgency::Critical, StartBarrier::lowest)
+        self.start_barriers
+            .get(pool)
+            .map_or(Urgency::Critical, StartBarrier::lowest_startable_urgency)
     }
 
     /// Whether resources are being freed for the job in an owned pool.
@@ -69,7 +73,7 @@
     ) -> Vec<usize> {
         let preemptions = self.preemptions.get(pool).map(Vec::as_slice).unwrap_or_default();
         let reserved =
-            preemptions.iter().filter(|(for_urgency, plan)| plan.bars(*for_urgency, job, urgency));
+            preemptions.iter().filter(|(for_urgency, plan)| plan.excludes(*for_urgency, job, urgency));
         reserved.filter_map(|(_, plan)| machines.iter().position(|m| *m == plan.machine)).collect()
     }
 
@@ -82,14 +86,14 @@
         pool: &PoolId,
         now: Ms,
     ) -> bool {
-        let is_wide = self.start_barriers.get(pool).is_some_and(|barrier| barrier.wide(now));
-        let sent = Sent {
-            anywhere: !sent.is_empty(),
-            here: sent.contains(pool),
-            all_live: !is_wide && sent.iter().all(|p| self.has_live_owner(p)),
-            late: self.overdue_jobs.contains(job),
-            preempted_here: self.has_preemption_for(pool, job),
+        let is_wide = self.start_barriers.get(pool).is_some_and(|barrier| barrier.plans_all_urgent(now));
+        let sent = JobAssignment {
+            to_any_pool: !sent.is_empty(),
+            to_this_pool: sent.contains(pool),
+            all_pools_live: !is_wide && sent.iter().all(|p| self.has_live_owner(p)),
+            overdue: self.overdue_jobs.contains(job),
+            has_preemption: self.has_preemption_for(pool, job),
         };
-        considers(urgency, sent)
+        should_plan(urgency, sent)
     }
 }
--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::store::cache::CachedJob;
 use cleatfold_admission::{order, size_classes, Entry, SizeClass, Sizes};
-use cleatfold_backfill::order::{Guarantees, Place};
+use cleatfold_backfill::order::{Guarantees, QueueKey};
 use cleatfold_priority::acceptance_times;
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::{ClassId, JobId, TeamId};
@@ -93,7 +93,7 @@
 /// Tasks of a job with their place in the queue. Ordered by place.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    place: Place,
+    place: QueueKey,
     tasks: u32,
     is_growth: bool,
 }
@@ -119,19 +119,19 @@
         }
         // An elastic job that may shrink to nothing goes behind all others of its urgency;
         // otherwise it would take back the slot that it has just yielded.
-        let can_shrink_to_zero = cached.width().is_some_and(|w| w.least == 0);
+        let can_shrink_to_zero = cached.width().is_some_and(|w| w.min_members == 0);
         let (arrival, past_use) = match entry {
             _ if can_shrink_to_zero => (u64::MAX, false),
             None => (job.accepted_ms, false),
             Some(entry) => self.arrival_under_overload(job, entry, is_small),
         };
-        let place = Place {
+        let place = QueueKey {
             beyond_floor: true,
             past_use,
             urgency: spec.urgency,
             beyond_guarantee: !job.is_guaranteed || can_shrink_to_zero,
             arrival,
-            turn: cached.accepted_revision(),
+            acceptance_revision: cached.accepted_revision(),
             id: job.id.clone(),
         };
         self.candidates.push(Candidate { place, tasks: job.tasks, is_growth: false });
@@ -143,13 +143,13 @@
             return;
         }
         // Behind everything of its urgency: growth uses only what no other job has reserved.
-        let place = Place {
+        let place = QueueKey {
             beyond_floor: true,
             past_use: false,
             urgency: cached.record.spec.urgency,
             beyond_guarantee: true,
             arrival: u64::MAX,
-            turn: cached.accepted_revision(),
+            acceptance_revision: cached.accepted_revision(),
             id: id.clone(),
         };
         self.candidates.push(Candidate { place, tasks, is_growth: true });
@@ -236,7 +236,7 @@
             let Some(index) = job.candidate.filter(|_| promoted > 0) else { continue };
             let candidate = &mut self.candidates[index];
             let promoted_place =
-                Place { beyond_floor: false, past_use: false, ..candidate.place.clone() };
+                QueueKey { beyond_floor: false, past_use: false, ..candidate.place.clone() };
             let tasks = (promoted / job.demand.each.max(1)).max(1) as u32;
             if !is_divisible(&promoted_place.id) || tasks >= candidate.tasks {
                 candidate.place = promoted_place;
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -10,7 +10,7 @@
 };
 use cleatfold_admission::OverloadQuota;
 use cleatfold_backfill::Resources;
-use cleatfold_elastic::{Part, PartRecord, Progress, Width};
+use cleatfold_elastic::{ElasticWidth, Progress, ProgressPart, ProgressPartRecord};
 use cleatfold_roles::{Role, ScaleOutIntents};
 use cleatfold_wire::store::{Event, Item};
 use cleatfold_wire::{
@@ -38,7 +38,7 @@
 /// Task tables of a job by part.
 pub(crate) type PartMap = BTreeMap<u32, Versioned<TaskTable>>;
 /// Progress of an elastic job by part.
-pub(crate) type ProgressMap = BTreeMap<u32, Versioned<Part>>;
+pub(crate) type ProgressMap = BTreeMap<u32, Versioned<ProgressPart>>;
 
 /// A job that has not ended, with totals over all its parts.
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
 impl CachedJob {
     /// The job's queue position among jobs of its kind: the revision at which it was accepted.
     pub(crate) fn accepted_revision(&self) -> u64 {
-        cleatfold_priority::place_of(self.record.accepted_revision, self.version)
+        cleatfold_priority::acceptance_revision(self.record.accepted_revision, self.version)
     }
 
     /// The zone in which a one-zone job has to stay while any of its tasks may run.
@@ -68,12 +68,12 @@
     }
 
     /// The width at which an elastic job should run.
-    pub(crate) fn width(&self) -> Option<Width> {
+    pub(crate) fn width(&self) -> Option<ElasticWidth> {
         let elastic = self.record.spec.elastic.as_ref()?;
-        Some(Width {
-            least: elastic.least,
-            most: self.record.spec.tasks,
-            left: self.steps_left?,
+        Some(ElasticWidth {
+            min_members: elastic.least,
+            max_members: self.record.spec.tasks,
+            remaining_steps: self.steps_left?,
             step_ms: ((elastic.step_s * 1000.0) as u64).max(1),
         })
     }
@@ -81,7 +81,7 @@
     /// Tasks that are not done; of an elastic job, the members that it can still use.
     pub(crate) fn unfinished(&self) -> u32 {
         match self.width() {
-            Some(width) => width.useful(),
+            Some(width) => width.max_useful_members(),
             None => self.record.spec.tasks.saturating_sub(self.done),
         }
     }
@@ -90,7 +90,7 @@
     /// beyond that only fill gaps.
     pub(crate) fn unclaimed(&self) -> u32 {
         match self.width() {
-            Some(width) => width.base().saturating_sub(self.claimed),
+            Some(width) => width.base_members().saturating_sub(self.claimed),
             None => self.record.spec.tasks.saturating_sub(self.done + self.claimed),
         }
     }
@@ -295,8 +295,8 @@
             Key::Job(id) => self.install_job(id, from_str(value)?, version),
             Key::Part(id, part) => self.install_part(id, part, from_str(value)?, version),
             Key::Progress(id, part) => {
-                let record: PartRecord = from_str(value)?;
-                match Part::from_record(&record) {
+                let record: ProgressPartRecord = from_str(value)?;
+                match ProgressPart::from_record(&record) {
                     Ok(progress) => self.install_progress(id, part, progress, version),
                     Err(error) => tracing::error!(job = %id, part, %error, "unreadable progress"),
                 }
@@ -472,7 +472,7 @@
         &mut self,
         id: JobId,
         part: u32,
-        progress: Part,
+        progress: ProgressPart,
         version: Version,
     ) {
         self.progress
