--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -329,7 +329,9 @@
         spec.types.as_ref().is_none_or(|t| t.contains(&pool.machine_type))
             && spec.zone.as_ref().is_none_or(|z| *z == pool.zone)
             && cached.bound_zone().is_none_or(|z| *z == pool.zone)
-            && cached.task_resources.is_within(&self.inventory.machine_resources(&pool.machine_type))
+            && cached
+                .task_resources
+                .is_within(&self.inventory.machine_resources(&pool.machine_type))
     }
 
     /// Adds the requests of the queued jobs that the pool plans for.
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -75,7 +75,7 @@
             if waiting_requests.is_empty() {
                 continue;
             }
-            let mut loads: Option<(Vec<MachineLoad>, Vec<RunningTask>)> = None;
+            let mut loads: Option<(Vec<MachineLoad>, Vec<ClaimedTask>)> = None;
             for waiting in waiting_requests {
                 let Some((need, save_ms)) = self.preemption_need(plan, &waiting, guaranteed) else {
                     continue;
@@ -153,7 +153,7 @@
             team: spec.team.clone(),
             within_guarantee,
             preempts,
-            max_loss: worth: max_loss,
+            max_loss,
         };
         Some((need, budget_ms.unwrap_or(0)))
     }
@@ -214,8 +214,8 @@
         plan: &PoolPlan,
         guaranteed: &HashSet<JobId>,
         save_ms: u64,
-    ) -> (Vec<MachineLoad>, Vec<RunningTask>) {
-        let mut tasks: Vec<RunningTask> = Vec::new();
+    ) -> (Vec<MachineLoad>, Vec<ClaimedTask>) {
+        let mut tasks: Vec<ClaimedTask> = Vec::new();
         let mut loads = Vec::new();
         let total = self.inventory.machine_resources(&plan.pool.machine_type);
         for (i, id) in plan.machines.iter().enumerate() {
@@ -232,7 +232,7 @@
                     continue;
                 }
                 load.free -= cached.task_resources;
-                let task = RunningTask { job: job.clone(), ix: *ix, attempt: claim.attempt };
+                let task = ClaimedTask { job: job.clone(), ix: *ix, attempt: claim.attempt };
                 let mut candidate = self.preemption_candidate(id, machine, cached, &task, save_ms);
                 candidate.beyond_guarantee = !guaranteed.contains(job);
                 candidate.id = tasks.len();
@@ -255,7 +255,7 @@
         id: &MachineId,
         machine: &Machine,
         cached: &CachedJob,
-        task: &RunningTask,
+        task: &ClaimedTask,
         save_ms: u64,
     ) -> RunningTask {
         let spec = &cached.record.spec;
@@ -306,7 +306,7 @@
         plan: &PoolPlan,
         waiting: &WaitingTasks,
         choice: &Preemption,
-        running: &[RunningTask],
+        running: &[ClaimedTask],
         save_ms: u64,
     ) {
         let now = self.now;
@@ -465,7 +465,7 @@
 }
 
 /// A running task; its index in the list of tasks is its id in the choice of victims.
-struct RunningTask {
+struct ClaimedTask {
     job: JobId,
     ix: TaskIx,
     attempt: Attempt,
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -38,7 +38,8 @@
             self.priority.orphaned_pools = orphaned;
             self.replan_needed = true;
         }
-        let is_closed = |barrier: &StartBarrier| barrier.lowest_startable_urgency() < Urgency::BestEffort;
+        let is_closed =
+            |barrier: &StartBarrier| barrier.lowest_startable_urgency() < Urgency::BestEffort;
         if self.priority.start_barriers.values().any(is_closed) {
             self.session.sync_wanted = true;
             self.sync_if_due();
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -72,8 +72,9 @@
         machines: &[MachineId],
     ) -> Vec<usize> {
         let preemptions = self.preemptions.get(pool).map(Vec::as_slice).unwrap_or_default();
-        let reserved =
-            preemptions.iter().filter(|(for_urgency, plan)| plan.excludes(*for_urgency, job, urgency));
+        let reserved = preemptions
+            .iter()
+            .filter(|(for_urgency, plan)| plan.excludes(*for_urgency, job, urgency));
         reserved.filter_map(|(_, plan)| machines.iter().position(|m| *m == plan.machine)).collect()
     }
 
@@ -86,7 +87,8 @@
         pool: &PoolId,
         now: Ms,
     ) -> bool {
-        let is_wide = self.start_barriers.get(pool).is_some_and(|barrier| barrier.plans_all_urgent(now));
+        let is_wide =
+            self.start_barriers.get(pool).is_some_and(|barrier| barrier.plans_all_urgent(now));
         let sent = JobAssignment {
             to_any_pool: !sent.is_empty(),
             to_this_pool: sent.contains(pool),
