--- a/crates/cleatfold-cancellation-broadcast/src/lib.rs
+++ b/crates/cleatfold-cancellation-broadcast/src/lib.rs
@@ -1,10 +1,10 @@
-//! The broadcast of cancellations: which ones a controller knows to be durable, and which peers have not
-//! acknowledged them.
+//! Broadcasts job cancellations between controllers and tracks which peers have not acknowledged them.
 //!
-//! An owner that cannot read the state service goes on answering its workers for a while. A peer that knows of a
-//! cancellation tells it, again and again until that is acknowledged or the peer is known to have read the state
-//! service since. Whoever is told passes it on. A cancellation is final, so it may be acted on without a reading; a
-//! peer that is never reached is covered by the bound on how long it answers (`docs/safety.md`), never by this.
+//! An owner that cannot read the state service keeps answering its workers for a while. A peer that knows of a
+//! cancellation sends it to that owner and retries until the owner acknowledges it or is known to have read the state
+//! service since. Every receiver forwards it. A cancellation is final, so a controller may act on it without reading
+//! the state service. A peer that is never reached is covered by the limit on how long it keeps answering
+//! (`docs/safety.md`), not by this broadcast.
 //!
 //! Pure: no I/O and no clock.
 
@@ -19,36 +19,38 @@
 use cleatfold_wire::{ControllerId, JobId, Ms};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A peer that has not acknowledged a cancellation is told again after this time.
+/// Delay before a cancellation is sent again to a peer that has not acknowledged it.
 const RETRY_MS: u64 = 500;
-/// Most peers read in the state service what we read, and say so each second; the others are told after this time.
+/// Most peers read a cancellation in the state service themselves and report their last reading every second; it is
+/// sent to the remaining peers after this time.
 const READ_GRACE_MS: u64 = 2_000;
-/// Cancellations of one message at most.
-const MESSAGE_JOBS: usize = 256;
-/// Cancellations that one controller remembers at most; the oldest are forgotten first.
-const KNOWN_JOBS: usize = 4_096;
+/// Maximum number of cancellations in one message.
+const MAX_JOBS_PER_MESSAGE: usize = 256;
+/// Maximum number of cancellations that one controller remembers; the oldest are dropped first.
+const MAX_KNOWN_JOBS: usize = 4_096;
 
 /// A cancellation that some peer has not acknowledged.
 #[derive(Clone, Debug)]
 struct Unacknowledged {
-    /// The cancellation was durable by then.
+    /// Time by which the cancellation was durable.
     durable_at: Ms,
-    /// Peers that may not know of it, and when each is told next.
-    peers: BTreeMap<ControllerId, Ms>,
+    /// Peers that may not know of the cancellation, with the time of the next message to each.
+    next_send: BTreeMap<ControllerId, Ms>,
 }
 
-/// What one controller knows of cancelled jobs, and whom it has still to tell.
+/// The cancellations that one controller knows, and the peers that have not acknowledged them.
 #[derive(Clone, Debug, Default)]
 pub struct CancellationBroadcast {
+    /// Known cancellations and when this controller learned of each.
     known: BTreeMap<JobId, Ms>,
     by_age: BTreeSet<(Ms, JobId)>,
-    /// Of the known cancellations, those that some peer may not know of.
-    open: BTreeMap<JobId, Unacknowledged>,
+    /// The known cancellations that at least one peer may not know of.
+    unacknowledged: BTreeMap<JobId, Unacknowledged>,
 }
 
 impl CancellationBroadcast {
-    /// Our own change has cancelled the job: whoever holds tasks of it (`owners`) is told at once, the others
-    /// unless they read it meanwhile.
+    /// Records a cancellation committed by this controller. The controllers that own tasks of the job (`owners`) are
+    /// notified at once, the other peers only if they do not read it in the state service first.
     pub fn confirmed<'a>(
         &mut self,
         job: &JobId,
@@ -56,22 +58,28 @@
         peers: impl Iterator<Item = &'a ControllerId>,
         now: Ms,
     ) {
-        let first =
-            |n: &ControllerId| if owners.contains(n) { now } else { now.plus(READ_GRACE_MS) };
-        self.note(job, now, peers, first);
+        let first_send = |peer: &ControllerId| {
+            if owners.contains(peer) {
+                now
+            } else {
+                now.plus(READ_GRACE_MS)
+            }
+        };
+        self.record(job, now, peers, first_send);
     }
 
-    /// The state service says so.
-    pub fn read<'a>(
+    /// Records a cancellation that was read in the state service.
+    pub fn read_from_store<'a>(
         &mut self,
         job: &JobId,
         peers: impl Iterator<Item = &'a ControllerId>,
         now: Ms,
     ) {
-        self.note(job, now, peers, |_| now.plus(READ_GRACE_MS));
+        self.record(job, now, peers, |_| now.plus(READ_GRACE_MS));
     }
 
-    /// A peer says so, which therefore knows. True if it is news.
+    /// Records a cancellation received from the peer `from`, which also acknowledges it for that peer. Returns true if
+    /// this controller did not know of it.
     pub fn received<'a>(
         &mut self,
         job: &JobId,
@@ -79,26 +87,26 @@
         peers: impl Iterator<Item = &'a ControllerId>,
         now: Ms,
     ) -> bool {
-        let is_new = self.note(job, now, peers, |_| now);
+        let is_new = self.record(job, now, peers, |_| now);
         self.acknowledged(from, job);
         is_new
     }
 
-    fn note<'a>(
+    fn record<'a>(
         &mut self,
         job: &JobId,
         now: Ms,
         peers: impl Iterator<Item = &'a ControllerId>,
-        first: impl Fn(&ControllerId) -> Ms,
+        first_send: impl Fn(&ControllerId) -> Ms,
     ) -> bool {
         if self.known.contains_key(job) {
             return false;
         }
-        let peers = peers.map(|n| (n.clone(), first(n))).collect();
+        let next_send = peers.map(|peer| (peer.clone(), first_send(peer))).collect();
         self.known.insert(job.clone(), now);
         self.by_age.insert((now, job.clone()));
-        self.open.insert(job.clone(), Unacknowledged { durable_at: now, peers });
-        if self.known.len() > KNOWN_JOBS {
+        self.unacknowledged.insert(job.clone(), Unacknowledged { durable_at: now, next_send });
+        if self.known.len() > MAX_KNOWN_JOBS {
             self.forget_oldest();
         }
         true
@@ -107,49 +115,52 @@
     fn forget_oldest(&mut self) {
         if let Some((_, job)) = self.by_age.pop_first() {
             self.known.remove(&job);
-            self.open.remove(&job);
+            self.unacknowledged.remove(&job);
         }
     }
 
-    /// The peer knows of the cancellation.
+    /// Records that the peer knows of the cancellation.
     pub fn acknowledged(&mut self, peer: &ControllerId, job: &JobId) {
-        if let Some(cancellation) = self.open.get_mut(job) {
-            cancellation.peers.remove(peer);
-            if cancellation.peers.is_empty() {
-                self.open.remove(job);
+        if let Some(cancellation) = self.unacknowledged.get_mut(job) {
+            cancellation.next_send.remove(peer);
+            if cancellation.next_send.is_empty() {
+                self.unacknowledged.remove(job);
             }
         }
     }
 
-    /// Cancelled, as far as we know from anybody.
-    pub fn knows(&self, job: &JobId) -> bool {
+    /// Whether this controller knows that the job is cancelled, from any source.
+    pub fn is_cancelled(&self, job: &JobId) -> bool {
         self.known.contains_key(job)
     }
 
-    /// Whom to tell of what now. `read` is when a peer last read the state service: what was durable before that it
-    /// knows. After `keep_ms` nothing of the job can be on a machine any more.
-    pub fn due(
+    /// The cancellations to send to each peer now. `last_read` returns when a peer last read the state service; it
+    /// knows every cancellation that was durable before then. Cancellations are dropped after `retention_ms`, when no
+    /// task of the job can still be on a machine.
+    pub fn messages_due(
         &mut self,
         now: Ms,
-        keep_ms: u64,
-        read: impl Fn(&ControllerId) -> Option<Ms>,
+        retention_ms: u64,
+        last_read: impl Fn(&ControllerId) -> Option<Ms>,
     ) -> BTreeMap<ControllerId, Vec<JobId>> {
-        while self.by_age.first().is_some_and(|(at, _)| now.since(*at) > keep_ms) {
+        while self.by_age.first().is_some_and(|(at, _)| now.since(*at) > retention_ms) {
             self.forget_oldest();
         }
         let mut due: BTreeMap<ControllerId, Vec<JobId>> = BTreeMap::new();
-        self.open.retain(|job, cancellation| {
+        self.unacknowledged.retain(|job, cancellation| {
             let durable_at = cancellation.durable_at;
-            cancellation.peers.retain(|peer, _| read(peer).is_none_or(|r| r <= durable_at));
-            let due_peers = cancellation.peers.iter_mut().filter(|(_, next)| **next <= now);
+            cancellation
+                .next_send
+                .retain(|peer, _| last_read(peer).is_none_or(|read_at| read_at <= durable_at));
+            let due_peers = cancellation.next_send.iter_mut().filter(|(_, next)| **next <= now);
             for (peer, next) in due_peers {
                 let jobs = due.entry(peer.clone()).or_default();
-                if jobs.len() < MESSAGE_JOBS {
+                if jobs.len() < MAX_JOBS_PER_MESSAGE {
                     *next = now.plus(RETRY_MS);
                     jobs.push(job.clone());
                 }
             }
-            !cancellation.peers.is_empty()
+            !cancellation.next_send.is_empty()
         });
         due
     }
--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -18,7 +18,7 @@
     /// Cancelled, by what a peer told or by what we did or read.
     pub(crate) fn is_cancelled(&self, job: &JobId) -> bool {
         self.cache.jobs.get(job).is_some_and(|j| j.record.aborted)
-            || self.cancellations.broadcast.knows(job)
+            || self.cancellations.broadcast.is_cancelled(job)
     }
 
     /// Our transaction has cancelled the job.
@@ -40,7 +40,7 @@
             return;
         }
         let mut broadcast = std::mem::take(&mut self.cancellations.broadcast);
-        read.iter().for_each(|job| broadcast.read(job, self.peers(), self.now));
+        read.iter().for_each(|job| broadcast.read_from_store(job, self.peers(), self.now));
         self.cancellations.broadcast = broadcast;
     }
 
@@ -54,7 +54,8 @@
 
     fn tell_cancelled(&mut self) {
         let (peers, keep_ms) = (&self.reachability.view.peers, self.cfg.cancel_ms);
-        let due = self.cancellations.broadcast.due(self.now, keep_ms, |n| peers.contact(n));
+        let due =
+            self.cancellations.broadcast.messages_due(self.now, keep_ms, |n| peers.contact(n));
         for (peer, jobs) in due {
             let jobs = jobs.iter().map(|j| j.to_string()).collect();
             self.tell(Some(peer), Message::Cancelled { jobs });
