--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -3,7 +3,7 @@
 use crate::controller::Controller;
 use crate::jobs::state::{EndReason, LocalJobState};
 use crate::store::cache::CachedJob;
-use cleatfold_fault_attribution::{pause_ms, verdict, Evidence, Failure, Verdict};
+use cleatfold_fault_attribution::{job_health, retry_backoff_ms, Evidence, Failure, JobHealth};
 use cleatfold_wire::job::{JobState, Kind};
 use cleatfold_wire::worker::Exit;
 use cleatfold_wire::{Attempt, JobId, MachineId, TaskId, TaskIx};
@@ -35,7 +35,7 @@
         id: &JobId,
         cached: &CachedJob,
         job_state: Option<&LocalJobState>,
-    ) -> Option<Verdict> {
+    ) -> Option<JobHealth> {
         let failures = self.failures(id, job_state);
         (!failures.is_empty()).then(|| self.judged(&failures, cached, job_state))
     }
@@ -45,10 +45,10 @@
         failures: &[Failure],
         cached: &CachedJob,
         job_state: Option<&LocalJobState>,
-    ) -> Verdict {
+    ) -> JobHealth {
         let done =
             cached.done + job_state.map_or(0, |l| l.ends.iter().filter(|e| e.done).count() as u32);
-        verdict(failures, done, |id| self.is_faulty(id), self.wall_ms)
+        job_health(failures, done, |id| self.is_faulty(id), self.wall_ms)
     }
 
     /// How many of `tasks` that wait may be planned and rented for now. What pauses waits for its
@@ -61,9 +61,10 @@
         verdict.map_or(tasks, |s| self.startable(&s, cached, tasks))
     }
 
-    fn startable(&self, verdict: &Verdict, cached: &CachedJob, tasks: u32) -> u32 {
-        let may = verdict.may_start(tasks, cached.claimed, self.wall_ms);
-        let pauses = matches!(verdict, Verdict::Sound { pausing } if !pausing.is_empty());
+    fn startable(&self, verdict: &JobHealth, cached: &CachedJob, tasks: u32) -> u32 {
+        let may = verdict.startable_tasks(tasks, cached.claimed, self.wall_ms);
+        let pauses =
+            matches!(verdict, JobHealth::Healthy { backing_off: pausing } if !pausing.is_empty());
         match cached.record.spec.kind {
             // Whole or not at all.
             Kind::Gang if may > 0 && !pauses => tasks,
@@ -80,15 +81,15 @@
         };
         let most = self.startable(&verdict, cached, tasks);
         match verdict {
-            Verdict::Sound { pausing } => (pausing, most),
-            Verdict::Suspect { .. } => (BTreeSet::new(), most),
+            JobHealth::Healthy { backing_off: pausing } => (pausing, most),
+            JobHealth::Suspect { .. } => (BTreeSet::new(), most),
         }
     }
 
     /// It fails wherever it runs, and its record says so.
     pub(crate) fn is_suspect(&self, id: &JobId, cached: &CachedJob) -> bool {
         self.cache.lossy.contains(id)
-            && matches!(self.verdict(id, cached, None), Some(Verdict::Suspect { .. }))
+            && matches!(self.verdict(id, cached, None), Some(JobHealth::Suspect { .. }))
     }
 
     /// Machines of a plan (by index) that a job should not be tried on again: those that it failed
@@ -122,7 +123,9 @@
             failures.len(),
             machines.len()
         );
-        if let Verdict::Suspect { until_ms } = self.judged(&failures, cached, job_state) {
+        if let JobHealth::Suspect { retry_at_ms: until_ms } =
+            self.judged(&failures, cached, job_state)
+        {
             let next = until_ms.saturating_sub(self.wall_ms) / 1000;
             why += &format!("; it fails wherever it runs, next try in {next} s");
         }
@@ -133,10 +136,10 @@
     pub(crate) fn note_failed(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
         let wall_ms = self.wall_ms;
         self.job_state(&task.job).failed_ms = wall_ms;
-        let pause_s = pause_ms(attempt) / 1000;
+        let pause_s = retry_backoff_ms(attempt) / 1000;
         tracing::info!(job = %task.job, task = task.ix.0, attempt = attempt.0, %machine, pause_s, "task failed");
         if let Some(machine) = self.inventory.machines.get_mut(machine) {
-            machine.suspicion.failed(task.job.clone(), task.ix);
+            machine.suspicion.record_failure(task.job.clone(), task.ix);
         }
     }
 
@@ -175,7 +178,7 @@
         if cached.done > 0 || ends.into_iter().any(|e| e.done) {
             return Evidence::WorksElsewhere;
         }
-        Evidence::Open
+        Evidence::Undetermined
     }
 
     fn is_faulty(&self, machine: &MachineId) -> bool {
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -55,7 +55,7 @@
     /// When tasks were first seen running.
     pub started: BTreeMap<(JobId, TaskIx), Ms>,
     /// Jobs that failed here.
-    pub suspicion: cleatfold_fault_attribution::Suspicion,
+    pub suspicion: cleatfold_fault_attribution::MachineFailures,
     /// What works elsewhere fails here.
     pub faulty: bool,
     /// Being emptied to be returned.
--- a/crates/cleatfold-control/src/pools/tasks.rs
+++ b/crates/cleatfold-control/src/pools/tasks.rs
@@ -94,7 +94,7 @@
             }
             Exit::Done => {
                 if let Some(machine) = self.inventory.machines.get_mut(id) {
-                    machine.suspicion.completed();
+                    machine.suspicion.record_completion();
                 }
             }
             _ => {}
--- a/crates/cleatfold-fault-attribution/src/lib.rs
+++ b/crates/cleatfold-fault-attribution/src/lib.rs
@@ -1,11 +1,10 @@
-//! Fault attribution: a task has failed. A faulty machine fails whatever runs on it; a job that was submitted
-//! with a mistake fails wherever it runs. What is known of both sides decides which it was: when
-//! and how widely the job is tried again, and whether the machine is returned.
+//! Attributes task failures to the job or to the machine. A faulty machine fails every job that runs on it; a
+//! job that was submitted with a mistake fails on every machine. The failures of both decide when and with how
+//! many tasks the job is retried, and whether the machine is returned.
 //!
-//! The evidence about jobs is what their records say (each failed start with machine, task,
-//! attempt and time), so every controller comes to the same answer, also one that was started
-//! just now. The evidence about machines is their owner's memory: a new owner begins anew, and
-//! a machine that is faulty shows it again.
+//! The evidence about jobs is in their records (each failed start with machine, task, attempt and time), so
+//! every controller reaches the same result, including one that has just started. The evidence about machines
+//! is kept in memory by their owner only: a new owner starts without it, and a faulty machine fails again.
 
 #![warn(
     missing_docs,
@@ -18,5 +17,5 @@
 mod job;
 mod machine;
 
-pub use job::{pause_ms, verdict, Failure, Verdict};
-pub use machine::{Evidence, Suspicion};
+pub use job::{job_health, retry_backoff_ms, Failure, JobHealth};
+pub use machine::{Evidence, MachineFailures};
--- a/crates/cleatfold-fault-attribution/src/machine.rs
+++ b/crates/cleatfold-fault-attribution/src/machine.rs
@@ -1,59 +1,59 @@
-//! Machines at fault: what the failures of jobs on them say.
+//! Detects faulty machines from the failures of jobs on them.
 
 use cleatfold_wire::{JobId, TaskIx};
 use std::collections::BTreeMap;
 
-/// So many jobs that work elsewhere and fail on a machine show that it is faulty.
-const FAULTY_JOBS: usize = 2;
+/// A machine is faulty when this many jobs failed on it that work elsewhere.
+const MIN_FAILED_JOBS: usize = 2;
 
-/// What is known by now of a job that failed on a machine.
+/// What the other starts of a job say about its failure on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// Nothing yet: it has done nothing anywhere, and has failed nowhere else.
-    Open,
-    /// It works elsewhere, and this task of it has failed nowhere else: the machine's fault.
+    /// Nothing yet: the job has completed no task anywhere and has failed on no other machine.
+    Undetermined,
+    /// The job works elsewhere and this task of it failed on no other machine: evidence against the machine.
     WorksElsewhere,
-    /// It fails elsewhere too, or is gone without having done anything.
+    /// The job fails on other machines too, or ended without completing any task.
     NoEvidence,
 }
 
-/// The jobs that failed on one machine since a task was last completed there.
+/// The jobs that failed on one machine since a task last completed there.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Suspicion {
-    failed: BTreeMap<JobId, TaskIx>,
+pub struct MachineFailures {
+    failed_tasks: BTreeMap<JobId, TaskIx>,
 }
 
-impl Suspicion {
-    /// A task of the job has failed on this machine.
-    pub fn failed(&mut self, job: JobId, task: TaskIx) {
-        self.failed.insert(job, task);
+impl MachineFailures {
+    /// Records that a task of the job failed on this machine.
+    pub fn record_failure(&mut self, job: JobId, task: TaskIx) {
+        self.failed_tasks.insert(job, task);
     }
 
-    /// Something was completed here: whatever failed before, the machine works.
-    pub fn completed(&mut self) {
-        self.failed.clear();
+    /// Records that a task completed on this machine, which shows that the machine works and clears its failures.
+    pub fn record_completion(&mut self) {
+        self.failed_tasks.clear();
     }
 
-    /// No job speaks against the machine.
+    /// Whether no failure is recorded for the machine.
     pub fn is_empty(&self) -> bool {
-        self.failed.is_empty()
+        self.failed_tasks.is_empty()
     }
 
-    /// This job has failed here.
-    pub fn names(&self, job: &JobId) -> bool {
-        self.failed.contains_key(job)
+    /// Whether the job has failed on this machine.
+    pub fn contains(&self, job: &JobId) -> bool {
+        self.failed_tasks.contains_key(job)
     }
 
-    /// Whether the machine is at fault, by what is known of the jobs now. (Three jobs of any kind
-    /// were once enough: one in twenty-five was submitted with a mistake, and good machines
-    /// were returned by the dozen.)
+    /// Whether the machine is faulty, by the current evidence about its failed jobs. Failures of jobs that work
+    /// nowhere do not count: when any three failed jobs were enough and one job in twenty-five was submitted
+    /// with a mistake, dozens of working machines were returned.
     pub fn is_faulty(&mut self, evidence: impl Fn(&JobId, TaskIx) -> Evidence) -> bool {
-        let mut against = 0;
-        self.failed.retain(|job, task| {
+        let mut incriminating = 0;
+        self.failed_tasks.retain(|job, task| {
             let evidence = evidence(job, *task);
-            against += usize::from(evidence == Evidence::WorksElsewhere);
+            incriminating += usize::from(evidence == Evidence::WorksElsewhere);
             evidence != Evidence::NoEvidence
         });
-        against >= FAULTY_JOBS
+        incriminating >= MIN_FAILED_JOBS
     }
 }
