--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -58,15 +58,15 @@
             // Gone meanwhile, or to be cancelled: at once.
             let pending_updates = match self.cache.jobs.get(id) {
                 Some(cached) => self.pending_updates(id, job_state, cached),
-                None => PendingUpdates { abort: true, ..PendingUpdates::default() },
+                None => PendingUpdates { cancel_requested: true, ..PendingUpdates::default() },
             };
-            let pressing = pending_updates.presses(waited);
+            let pressing = pending_updates.is_due(waited);
             // Steps gather even while changes are plenty: nobody waits for these.
             let only_steps = pending_updates.member_reports > 0 && job_state.ends.is_empty();
             if !pressing && (!ample || only_steps) {
                 continue;
             }
-            let weight = (pressing, pending_updates.weight(waited));
+            let weight = (pressing, pending_updates.priority(waited));
             if best.as_ref().is_none_or(|b| weight > b.0) {
                 best = Some((weight, id.clone()));
             }
@@ -105,23 +105,26 @@
         PendingUpdates {
             done,
             lost,
-            starts,
+            claims: starts,
             member_reports: job_state.member_reports.len() as u32,
-            idle: job_state.member_reports.iter().filter(|a| a.idle).count() as u32,
-            abort: job_state.abort,
-            over: job_state.over,
-            finishes,
-            mine_left: mine.saturating_sub(job_state.ends.len() as u32),
+            idle_members: job_state.member_reports.iter().filter(|a| a.idle).count() as u32,
+            cancel_requested: job_state.abort,
+            work_done: job_state.over,
+            completes_job: finishes,
+            running_here: mine.saturating_sub(job_state.ends.len() as u32),
             unclaimed: cached.unclaimed(),
-            changes,
+            record_writes: changes,
             urgency: match spec.urgency {
                 Urgency::Critical => 4,
                 Urgency::High => 3,
                 Urgency::Normal => 2,
                 Urgency::BestEffort => 1,
             },
-            patience_ms: ((spec.estimate_s * 1000.0) as u64).clamp(LEAST_WAIT_MS, most),
-            gathers: crate::jobs::step_reports::can_gather(&job_state.member_reports, self.now),
+            max_delay_ms: ((spec.estimate_s * 1000.0) as u64).clamp(LEAST_WAIT_MS, most),
+            can_batch_reports: crate::jobs::step_reports::can_gather(
+                &job_state.member_reports,
+                self.now,
+            ),
         }
     }
 
@@ -153,13 +156,13 @@
             let (from, to) = cached.record.part_range(*number);
             pending_updates.unclaimed =
                 (to - from).saturating_sub(table.done_count() + claims(false));
-            pending_updates.mine_left =
+            pending_updates.running_here =
                 claims(true).saturating_sub(pending_updates.done + pending_updates.lost);
         }
         let waited = job_state.unsent_since.map_or(0, |s| self.now.since(s));
         let pending_updates = self.pending_updates(job, job_state, cached);
-        let everything = pending_updates.is_all()
-            || waited >= pending_updates.patience_ms
+        let everything = pending_updates.is_final()
+            || waited >= pending_updates.max_delay_ms
             || self.rate_limiter.is_ample();
         Some(Selection::new(&parts, everything, self.rate_limiter.max_changes()))
     }
--- a/crates/cleatfold-write-batching/src/lib.rs
+++ b/crates/cleatfold-write-batching/src/lib.rs
@@ -1,7 +1,6 @@
-//! What of the jobs' news is recorded, and when: changes to the state service are what runs
-//! short first. Decisions only; no rule rests on any of them, since whatever is recorded later is
-//! still with the workers, who keep an exited task in their reports until they are told to
-//! forget it.
+//! Decides which updates of jobs are written to the state service, and when: the write rate of the state service
+//! is the first resource to run short. No correctness rule depends on these decisions, because workers keep an
+//! exited task in their reports until a controller tells them to drop it.
 
 #![warn(
     missing_docs,
--- a/crates/cleatfold-write-batching/src/parts.rs
+++ b/crates/cleatfold-write-batching/src/parts.rs
@@ -1,65 +1,71 @@
-//! A large job's parts: which of them a controller claims from, and whose ends it records.
+//! The parts of a large job: the order in which a controller claims from them, and the parts whose task ends a
+//! transaction records.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The parts of a job in the order in which the controller of this rank claims from them. Each
-/// begins at a place of its own. (All of them began at the first one, so each claim but one of
-/// every round met a part that another controller had just changed, and its changes were spent
-/// in vain; and what ended was spread over all parts.)
+/// The parts of a job in the order in which the controller of this rank claims from them. Each controller starts
+/// at a different part: when all started at the first one, all but one claim of every round conflicted with
+/// another controller's change and was wasted, and task ends were spread over all parts.
 pub fn claim_order(parts: u32, rank: usize, controllers: usize) -> impl Iterator<Item = u32> {
     let controllers = controllers.max(1) as u64;
-    let from = (u64::from(parts) * (rank as u64 % controllers) / controllers) as u32;
-    (0..parts).map(move |i| (from + i) % parts.max(1))
+    let first = (u64::from(parts) * (rank as u64 % controllers) / controllers) as u32;
+    (0..parts).map(move |i| (first + i) % parts.max(1))
 }
 
-/// What is to be recorded of one part.
+/// The updates of one part that are not recorded yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PendingPartUpdates {
     /// Completed tasks.
     pub done: u32,
-    /// Tasks that ended otherwise.
+    /// Tasks that ended without completing.
     pub lost: u32,
-    /// Tasks of it that still run in this controller's pools.
-    pub mine_left: u32,
-    /// Tasks of it that nobody has claimed.
+    /// Tasks of the part that still run in this controller's pools.
+    pub running_here: u32,
+    /// Tasks of the part that no controller has claimed.
     pub unclaimed: u32,
 }
 
 impl PendingPartUpdates {
-    /// Nothing will be gained by waiting for more of it.
-    fn is_ripe(&self) -> bool {
-        self.lost > 0 || (self.mine_left == 0 && self.unclaimed == 0)
+    /// Whether waiting would not add more updates of the part, or would delay the restart of a lost task.
+    fn is_ready(&self) -> bool {
+        self.lost > 0 || (self.running_here == 0 && self.unclaimed == 0)
     }
 }
 
-/// Which parts' ends a transaction records.
+/// The parts whose task ends a transaction records.
 #[derive(Clone, Debug, Default)]
 pub struct Selection {
-    chosen: BTreeSet<u32>,
+    parts: BTreeSet<u32>,
 }
 
 impl Selection {
-    /// Ripe parts, then, if everything of the job should be told, those that tell most; `room` at most.
-    pub fn new(parts: &BTreeMap<u32, PendingPartUpdates>, everything: bool, room: usize) -> Self {
+    /// Selects at most `max_parts` parts: the ready ones and, if `include_all`, then the others, those with the most
+    /// ended tasks first.
+    pub fn new(
+        parts: &BTreeMap<u32, PendingPartUpdates>,
+        include_all: bool,
+        max_parts: usize,
+    ) -> Self {
         let mut order: Vec<(&u32, &PendingPartUpdates)> =
-            parts.iter().filter(|(_, p)| everything || p.is_ripe()).collect();
-        // What must start again first, then what tells most for its change.
-        order.sort_by_key(|(n, p)| (!p.is_ripe(), p.lost == 0, u32::MAX - p.done - p.lost, **n));
-        Self { chosen: order.into_iter().take(room).map(|(n, _)| *n).collect() }
+            parts.iter().filter(|(_, p)| include_all || p.is_ready()).collect();
+        // Ready parts first, those with lost tasks ahead, since these tasks must be restarted; then the parts that
+        // record the most task ends in one write.
+        order.sort_by_key(|(n, p)| (!p.is_ready(), p.lost == 0, u32::MAX - p.done - p.lost, **n));
+        Self { parts: order.into_iter().take(max_parts).map(|(n, _)| *n).collect() }
     }
 
-    /// Whether the part's ends are recorded.
+    /// Whether the transaction records the task ends of this part.
     pub fn contains(&self, part: u32) -> bool {
-        self.chosen.contains(&part)
+        self.parts.contains(&part)
     }
 
-    /// How many parts are.
+    /// The number of selected parts.
     pub fn len(&self) -> usize {
-        self.chosen.len()
+        self.parts.len()
     }
 
-    /// Whether none is.
+    /// Whether no part is selected.
     pub fn is_empty(&self) -> bool {
-        self.chosen.is_empty()
+        self.parts.is_empty()
     }
 }
--- a/crates/cleatfold-write-batching/src/pending_updates.rs
+++ b/crates/cleatfold-write-batching/src/pending_updates.rs
@@ -1,81 +1,82 @@
-//! What waits to be recorded of one job.
+//! The updates of one job that are not recorded yet, and when they are written.
 
-/// What waits to be recorded of one job, as this controller sees it.
+/// The updates of one job that this controller has not recorded yet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PendingUpdates {
     /// Completed tasks.
     pub done: u32,
-    /// Tasks that ended otherwise: they can start again only once that is recorded.
+    /// Tasks that ended without completing; they can be restarted only once that is recorded.
     pub lost: u32,
     /// Tasks to be claimed.
-    pub starts: u32,
-    /// Members of an elastic job that report, and those of them that have nothing to do.
+    pub claims: u32,
+    /// Members of an elastic job with an unanswered report.
     pub member_reports: u32,
-    /// Members that have nothing to do until they are answered.
-    pub idle: u32,
-    /// Its user has asked to cancel it.
-    pub abort: bool,
-    /// All that it has to do is done; only that has to be said.
-    pub over: bool,
-    /// With this all of its tasks are done.
-    pub finishes: bool,
-    /// Tasks of it that still run in this controller's pools.
-    pub mine_left: u32,
-    /// Tasks of it that nobody has claimed.
+    /// Members that are idle until their report is answered.
+    pub idle_members: u32,
+    /// The user has requested cancellation of the job.
+    pub cancel_requested: bool,
+    /// All work of the job is done and only its completion is left to be recorded.
+    pub work_done: bool,
+    /// Recording these updates completes the job.
+    pub completes_job: bool,
+    /// Tasks of the job that still run in this controller's pools.
+    pub running_here: u32,
+    /// Tasks of the job that no controller has claimed.
     pub unclaimed: u32,
-    /// Records that would be written.
-    pub changes: u32,
-    /// 1 to 4.
+    /// Number of records that would be written.
+    pub record_writes: u32,
+    /// Urgency of the job, from 1 (lowest) to 4.
     pub urgency: u64,
-    /// How long completed tasks may be kept back at most.
-    pub patience_ms: u64,
-    /// Members' reports may still gather.
-    pub gathers: bool,
+    /// How long completed tasks may be delayed at most.
+    pub max_delay_ms: u64,
+    /// Whether member reports may wait to be combined with further ones.
+    pub can_batch_reports: bool,
 }
 
 impl PendingUpdates {
-    /// Nothing but completed tasks of a job that goes on here: nobody waits for them to be
-    /// recorded. The end of a lost task is another matter, for it can start again only after that.
-    /// (Counted as one end among many, it waited a minute to be recorded when changes ran short.)
+    /// Whether there are only completed tasks of a job that continues here, so that nothing waits for them to be
+    /// recorded. A lost task can be restarted only after its end is recorded. When it counted like any other
+    /// end, it waited a minute to be recorded while the write rate was short.
     ///
-    /// When nothing of it runs here any more and nothing is left to be claimed, what is kept back is
-    /// all that we will ever say of it: then others may be waiting for just this. (Each of three
-    /// owners once kept its third until the longest wait had passed, since the job was not
-    /// done for any of them.)
-    pub fn can_wait(&self) -> bool {
-        !(self.abort || self.over || self.is_all())
-            && self.gathers
-            && self.starts == 0
+    /// When no task of the job runs here and none is left to be claimed, these are the last updates from this
+    /// controller, and the completion of the job may depend on them. When they were deferred, each of three
+    /// owners held back its third of a job for the maximum delay, since none of them saw the job complete.
+    pub fn is_deferrable(&self) -> bool {
+        !(self.cancel_requested || self.work_done || self.is_final())
+            && self.can_batch_reports
+            && self.claims == 0
             && self.lost == 0
     }
 
-    /// Nothing more of the job is to come from here.
-    pub fn is_all(&self) -> bool {
-        self.finishes || (self.mine_left == 0 && self.unclaimed == 0)
+    /// Whether this controller will have no further updates of the job.
+    pub fn is_final(&self) -> bool {
+        self.completes_job || (self.running_here == 0 && self.unclaimed == 0)
     }
 
-    /// It goes before all that can wait.
-    pub fn presses(&self, waited_ms: u64) -> bool {
-        waited_ms >= self.patience_ms || !self.can_wait()
+    /// Whether the updates must be written ahead of all deferrable ones.
+    pub fn is_due(&self, waited_ms: u64) -> bool {
+        waited_ms >= self.max_delay_ms || !self.is_deferrable()
     }
 
-    /// What recording it now is worth for each change that it takes, in task-milliseconds of waiting.
-    pub fn weight(&self, waited_ms: u64) -> u64 {
-        if self.abort {
+    /// Priority of writing the updates now, in task-milliseconds of waiting per written record.
+    pub fn priority(&self, waited_ms: u64) -> u64 {
+        if self.cancel_requested {
             return u64::MAX;
         }
-        // A completed task holds nothing up: its room is planned with already. It can wait for
-        // others of its job; a start cannot, nor can what must be started again.
-        let steps =
-            u64::from(self.member_reports).max(u64::from(self.over)) + 4 * u64::from(self.idle);
-        let mut n = u64::from(self.done) + 4 * u64::from(self.starts) + 8 * u64::from(self.lost);
-        n += steps;
-        if self.finishes {
-            // Its user waits for just this.
-            n *= 4;
+        // A completed task delays nothing, since the planner already reuses its capacity: it can wait for others of
+        // its job. A start or a lost task that must be restarted cannot.
+        let steps = u64::from(self.member_reports).max(u64::from(self.work_done))
+            + 4 * u64::from(self.idle_members);
+        let mut weighted_tasks =
+            u64::from(self.done) + 4 * u64::from(self.claims) + 8 * u64::from(self.lost);
+        weighted_tasks += steps;
+        if self.completes_job {
+            // The user is waiting for the job to complete.
+            weighted_tasks *= 4;
         }
-        let worth = n.saturating_mul(self.urgency.max(1)).saturating_mul(300 + waited_ms);
-        // A large job's ends lie in many records: what counts is what each of them tells.
-        worth / u64::from(self.changes.max(1))
+        let benefit =
+            weighted_tasks.saturating_mul(self.urgency.max(1)).saturating_mul(300 + waited_ms);
+        // The task ends of a large job are spread over many records; only the benefit per record counts.
+        benefit / u64::from(self.record_writes.max(1))
     }
 }
