--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -39,13 +39,15 @@
             Role::ALL.iter().filter_map(|d| Some((*d, self.former_life(*d)?))).collect();
         let roles = &self.cache.roles;
         let controllers = self.cache.controllers.keys();
-        self.leadership.roles.see(now, &self.cfg.me, controllers, |d| roles.contains_key(&d));
+        self.leadership.roles.observe(now, &self.cfg.me, controllers, |d| roles.contains_key(&d));
         if self.in_contact() {
             if let (Some(lease), Some(incarnation)) = (self.session.lease, self.session.incarnation)
             {
                 let former_of = |d: Role| former.iter().find(|f| f.0 == d).map(|f| f.1);
                 let mine_before = |d: Role| former_of(d).is_some();
-                if let Some(role) = self.leadership.roles.take(now, &self.cfg.me, mine_before) {
+                if let Some(role) =
+                    self.leadership.roles.next_to_acquire(now, &self.cfg.me, mine_before)
+                {
                     let holder = HolderRecord { owner: self.cfg.me.clone(), incarnation };
                     let mut txn = Txn::default();
                     txn.guard(role.key(), former_of(role).unwrap_or_default());
@@ -54,7 +56,8 @@
                 }
             }
             let mine: Vec<Role> = Role::ALL.into_iter().filter(|d| self.holds(*d)).collect();
-            if let Some(role) = self.leadership.roles.give(now, &self.cfg.me, |d| mine.contains(&d))
+            if let Some(role) =
+                self.leadership.roles.next_to_release(now, &self.cfg.me, |d| mine.contains(&d))
             {
                 self.give_back(role);
             }
@@ -79,7 +82,7 @@
 
     /// Whatever came of it, the next reading tells.
     pub(crate) fn on_role_written(&mut self, role: Role, reply: StoreReply) {
-        self.leadership.roles.settled(role);
+        self.leadership.roles.request_completed(role);
         self.session.sync_wanted = true;
         if matches!(reply, StoreReply::Committed(_)) {
             self.tell(None, cleatfold_wire::mesh::Message::Changed);
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -11,8 +11,8 @@
 use crate::scheduling::queue::Queued;
 use crate::store::cache::{CachedJob, Versioned};
 use crate::store::records::SCALE_OUT_KEY;
-use cleatfold_roles::scale_out::Step;
-use cleatfold_roles::{Answer, Role, ScaleOutIntent, ScaleOutTracker};
+use cleatfold_roles::scale_out::ScaleOutStep;
+use cleatfold_roles::{Role, ScaleOutIntent, ScaleOutOutcome, ScaleOutTracker};
 use cleatfold_wire::cloud::ScaleOutRequest;
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::mesh::Message;
@@ -95,13 +95,13 @@
         let lag_ms = 2 * self.cfg.list_lag_ms + 5000;
         let Versioned { version, value: book } = &self.cache.scale_out_intents;
         let times = (self.now, self.wall_ms);
-        let Some(step) = self.scale_out.tracker.next(book, epoch, new, times, lag_ms) else {
+        let Some(step) = self.scale_out.tracker.next_step(book, epoch, new, times, lag_ms) else {
             return;
         };
         let mut txn = Txn::default();
         txn.guard(SCALE_OUT_KEY, *version);
         txn.guard(Role::ScaleOut.key(), epoch);
-        txn.put(SCALE_OUT_KEY, &step.book, None);
+        txn.put(SCALE_OUT_KEY, &step.record, None);
         self.scale_out.writing = true;
         self.store(
             CallPriority::Renewal,
@@ -113,7 +113,7 @@
     fn new_scale_out_intents(&mut self) -> Vec<ScaleOutIntent> {
         let Some(incarnation) = self.session.incarnation else { return vec![] };
         // What is answered and only not yet out of the record holds nobody up.
-        let coming = self.scale_out.tracker.coming(&self.cache.scale_out_intents.value);
+        let coming = self.scale_out.tracker.pending(&self.cache.scale_out_intents.value);
         let open: Vec<Offer> = coming.map(Offer::of).collect();
         let free = MAX_OPEN_INTENTS.saturating_sub(open.len());
         if free == 0 {
@@ -143,15 +143,15 @@
         new
     }
 
-    pub(crate) fn on_scale_out_written(&mut self, step: Step, reply: StoreReply) {
+    pub(crate) fn on_scale_out_written(&mut self, step: ScaleOutStep, reply: StoreReply) {
         self.scale_out.writing = false;
         match reply {
             StoreReply::Committed(version) => {
                 if self.cache.scale_out_intents.version < version {
-                    self.cache.scale_out_intents = Versioned::new(version, step.book);
+                    self.cache.scale_out_intents = Versioned::new(version, step.record);
                 }
-                self.scale_out.tracker.called(&step.calls);
-                for intent in step.calls {
+                self.scale_out.tracker.requests_sent(&step.requests);
+                for intent in step.requests {
                     if intent.inherited {
                         tracing::info!(request = %intent.name, "repeating inherited scale-out request");
                     }
@@ -181,20 +181,20 @@
                 self.tell(None, message);
                 self.note_created_machines(&pool, request.spot, machines);
                 if short {
-                    Answer::Short
+                    ScaleOutOutcome::Shortfall
                 } else {
-                    Answer::Given
+                    ScaleOutOutcome::Fulfilled
                 }
             }
-            CloudReply::NoCapacity => Answer::Short,
+            CloudReply::NoCapacity => ScaleOutOutcome::Shortfall,
             // The same name again creates nothing twice.
             _ if tries < 3 => {
                 let pending = Pending::ScaleOut { request: request.clone(), tries: tries + 1 };
                 return self.cloud(CloudRequest::ScaleOut(request), pending);
             }
-            _ => Answer::Unknown,
+            _ => ScaleOutOutcome::Unknown,
         };
-        self.scale_out.tracker.answered(&request.request, answer, self.now);
+        self.scale_out.tracker.record_outcome(&request.request, answer, self.now);
     }
 
     /// Machines that will come up, as the cloud has just said to us or to the holder of the role.
@@ -273,7 +273,7 @@
             *supply.entry(offer).or_default() += free.max(0.0);
         }
         // What stands in the record is on its way, whoever asked for it.
-        for intent in self.scale_out.tracker.coming(&self.cache.scale_out_intents.value) {
+        for intent in self.scale_out.tracker.pending(&self.cache.scale_out_intents.value) {
             let kind = self.inventory.types.get(&intent.machine_type);
             let cpus = kind.map_or(0.0, |t| t.cpus) * f64::from(intent.count);
             *supply.entry(Offer::of(intent)).or_default() += cpus;
@@ -339,7 +339,7 @@
                 let offer = Offer { pool: pool.clone(), spot };
                 let book = &self.cache.scale_out_intents.value;
                 let refused = book.is_refused(&pool, spot, self.wall_ms)
-                    || self.scale_out.tracker.was_short(book, &pool, spot);
+                    || self.scale_out.tracker.has_shortfall(book, &pool, spot);
                 if (spot && !cached.record.spec.spot) || refused {
                     continue;
                 }
--- a/crates/cleatfold-control/src/namespaces/workspace_state.rs
+++ b/crates/cleatfold-control/src/namespaces/workspace_state.rs
@@ -1,7 +1,7 @@
 //! The workspaces that a controller owns, and what is on its way to their histories.
 
 use crate::store::records::{HistoryGroup, HistoryHead};
-use cleatfold_roles::Vacancies;
+use cleatfold_roles::OwnershipTracker;
 use cleatfold_wire::store::{Item, Txn};
 use cleatfold_wire::{JobId, Ms, TeamId, Version};
 use cleatfold_workspace::{Ended, JobEnd};
@@ -10,7 +10,7 @@
 /// Which teams' workspaces are ours, and how far their histories are written.
 #[derive(Default)]
 pub(crate) struct Workspaces {
-    pub vacancies: Vacancies<TeamId>,
+    pub vacancies: OwnershipTracker<TeamId>,
     pub kept: BTreeMap<TeamId, Kept>,
     pub ended: Ended,
     /// The whole archive is being gone through.
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -89,7 +89,7 @@
                     .is_some_and(|n| n.value.incarnation == h.incarnation)
             }) || !self.readable(&workspace_key(team))
         };
-        vacancies.see(now, &me, cache.controllers.keys(), teams.iter(), held);
+        vacancies.observe(now, &me, cache.controllers.keys(), teams.iter(), held);
         let known = cache.controllers.get(&me).map(|n| n.value.incarnation);
         let unsure =
             self.workspaces.unsure.is_some_and(|t| self.session.last_read.is_none_or(|f| f < t));
@@ -105,14 +105,14 @@
                     && self.readable(&workspace_key(team))
             };
             let most = self.cfg.max_txn_changes.min(self.rate_limiter.max_changes());
-            let taken = vacancies.take(now, most, teams.iter(), rank, former);
+            let taken = vacancies.next_to_acquire(now, most, teams.iter(), rank, former);
             if !taken.is_empty() {
                 let holder = HolderRecord { owner: me.clone(), incarnation };
                 self.hand(taken, holder);
             }
             let kept = &self.workspaces.kept;
             let idle = kept.iter().filter(|(_, k)| !k.writing).map(|(t, _)| t);
-            if let Some(team) = vacancies.give(now, idle, rank) {
+            if let Some(team) = vacancies.next_to_release(now, idle, rank) {
                 let first = owner::first(&team, vacancies.live().iter()).cloned();
                 let first = first.filter(|n| *n != me);
                 let holder = first.and_then(|owner| {
@@ -124,7 +124,7 @@
                         tracing::info!(%team, to = %holder.owner, "handing over workspace ownership");
                         self.hand(vec![team], holder);
                     }
-                    None => vacancies.settled(&team),
+                    None => vacancies.request_completed(&team),
                 }
             }
         }
@@ -162,7 +162,7 @@
             }
         };
         for team in teams {
-            self.workspaces.vacancies.settled(&team);
+            self.workspaces.vacancies.request_completed(&team);
             let known = self.cache.workspaces.get(&team).map(|w| w.version).unwrap_or_default();
             if let Some(version) = committed.filter(|v| *v > known) {
                 self.cache.workspaces.insert(team, Versioned::new(version, holder.clone()));
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -49,7 +49,7 @@
     /// Taking a role, or giving it back.
     Role(Role),
     /// The record of rentals, and what to ask for once it is durable.
-    ScaleOutIntents(Box<cleatfold_roles::scale_out::Step>),
+    ScaleOutIntents(Box<cleatfold_roles::scale_out::ScaleOutStep>),
     /// Any transaction on pool keys or slices: whatever comes of it, the next sync tells.
     PoolAssignment,
     Slice(Box<crate::quota::SentSlice>),
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -167,7 +167,7 @@
         Some(Key::Preemption(PoolId::parse(id)?))
     } else if let Some(id) = key.strip_prefix(IMAGE_HOLDERS) {
         Some(Key::ImageHolders(ImageId::new(id)))
-    } else if let Some(role) = Role::of_key(key) {
+    } else if let Some(role) = Role::from_key(key) {
         Some(Key::Role(role))
     } else if key == SCALE_OUT_KEY {
         Some(Key::ScaleOutIntents)
--- a/crates/cleatfold-roles/src/lib.rs
+++ b/crates/cleatfold-roles/src/lib.rs
@@ -1,9 +1,9 @@
-//! What only one controller may do at a time: who holds it, and what may be asked of the cloud
-//! under it.
+//! Exclusive controller roles: which controller holds each of them, and the scale-out requests made under one.
 //!
 //! A role is a key in the state service under its holder's lease; the key's version is the role's
-//! epoch, and every transaction of the role is guarded by it. The cloud knows no epochs, so a
-//! rental is first a durable intent. Pure: no I/O and no clock. `docs/roles.md` argues.
+//! epoch, and every transaction of the role is guarded by it. The cloud does not check epochs, so every
+//! scale-out request is stored as a durable intent first. Pure: no I/O and no clock. `docs/roles.md` gives the
+//! reasons.
 
 #![warn(
     missing_docs,
@@ -13,12 +13,12 @@
     clippy::unwrap_used
 )]
 
+mod ownership_tracker;
 pub mod role;
 pub mod role_assignment;
 pub mod scale_out;
-mod vacancies;
 
+pub use ownership_tracker::OwnershipTracker;
 pub use role::Role;
 pub use role_assignment::RoleAssignment;
-pub use scale_out::{Answer, ScaleOutIntent, ScaleOutIntents, ScaleOutTracker};
-pub use vacancies::Vacancies;
+pub use scale_out::{ScaleOutIntent, ScaleOutIntents, ScaleOutOutcome, ScaleOutTracker};
--- a/crates/cleatfold-roles/src/role.rs
+++ b/crates/cleatfold-roles/src/role.rs
@@ -1,20 +1,20 @@
-//! Roles by name.
+//! The roles and their keys in the state service.
 
-/// What one controller does for all.
+/// A task that exactly one controller performs for all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
     /// Assigning pools to controllers and sending jobs to pools.
     PoolAssignment,
-    /// Requests machines from the cloud.
+    /// Requesting machines from the cloud.
     ScaleOut,
-    /// Removing records that nothing refers to any more.
+    /// Removing records that are no longer referenced.
     GarbageCollection,
-    /// Deciding what is done about overload that lasts.
+    /// Deciding the overload quota.
     OverloadQuota,
 }
 
 const KEYS: [(Role, &str); 4] = [
-    // The key of the time when one controller had all roles.
+    // This key dates from when one controller held all roles.
     (Role::PoolAssignment, "cf/leader"),
     (Role::ScaleOut, "cf/duty/rent"),
     (Role::GarbageCollection, "cf/duty/tidy"),
@@ -31,8 +31,8 @@
         KEYS[self as usize].1
     }
 
-    /// The role that a key stands for.
-    pub fn of_key(key: &str) -> Option<Role> {
+    /// The role with this key.
+    pub fn from_key(key: &str) -> Option<Role> {
         KEYS.iter().find(|k| k.1 == key).map(|k| k.0)
     }
 }
--- a/crates/cleatfold-roles/src/role_assignment.rs
+++ b/crates/cleatfold-roles/src/role_assignment.rs
@@ -1,66 +1,64 @@
-//! Who should hold which role.
+//! Decides which controller should hold which role.
 //!
-//! Each role has an order of the live controllers, the first of them a different one for each
-//! role, so that one death takes few roles with it. When one is taken and given back is
-//! `Vacancies`' decision.
+//! Each role ranks the live controllers. The ranking starts at a different controller for each role, so that the
+//! failure of one controller affects few roles. `OwnershipTracker` decides when a role is acquired or released.
 
+use crate::ownership_tracker::OwnershipTracker;
 use crate::role::Role;
-use crate::vacancies::Vacancies;
 use cleatfold_wire::{ControllerId, Ms};
 use std::collections::BTreeSet;
 
-/// When this controller takes roles and gives them back.
+/// Decides when this controller acquires and releases roles.
 #[derive(Debug, Default)]
 pub struct RoleAssignment {
-    vacancies: Vacancies<Role>,
+    ownership: OwnershipTracker<Role>,
 }
 
-/// The place of `me` among those who should hold the role.
+/// The rank of the controller `me` for the role; the controller of rank 0 should hold it.
 pub fn rank(role: Role, me: &ControllerId, live: &BTreeSet<ControllerId>) -> usize {
-    let me = live.range(..me.clone()).count();
+    let position = live.range(..me.clone()).count();
     let first = role as usize % live.len().max(1);
-    (me + live.len() - first) % live.len().max(1)
+    (position + live.len() - first) % live.len().max(1)
 }
 
 impl RoleAssignment {
-    /// Sees who lives and what is held. Call it with what was read last.
-    pub fn see<'a>(
+    /// Updates the live controllers and the held roles from the last reading.
+    pub fn observe<'a>(
         &mut self,
         now: Ms,
         me: &ControllerId,
         live: impl Iterator<Item = &'a ControllerId>,
-        held: impl Fn(Role) -> bool,
+        is_held: impl Fn(Role) -> bool,
     ) {
-        self.vacancies.see(now, me, live, Role::ALL.iter(), |role| held(*role));
+        self.ownership.observe(now, me, live, Role::ALL.iter(), |role| is_held(*role));
     }
 
-    /// A role that is ours to take now: one that stands empty, or that was ours before we were
-    /// restarted.
-    pub fn take(
+    /// A role that this controller should acquire now: a vacant one, or one that it held before it was restarted.
+    pub fn next_to_acquire(
         &mut self,
         now: Ms,
         me: &ControllerId,
-        was_mine: impl Fn(Role) -> bool,
+        held_before_restart: impl Fn(Role) -> bool,
     ) -> Option<Role> {
         let all = Role::ALL.iter();
         let rank = |role: &Role, live: &BTreeSet<ControllerId>| rank(*role, me, live);
-        self.vacancies.take(now, 1, all, rank, |role| was_mine(*role)).pop()
+        self.ownership.next_to_acquire(now, 1, all, rank, |role| held_before_restart(*role)).pop()
     }
 
-    /// A role of ours that should go back to its first controller now.
-    pub fn give(
+    /// A role of this controller that it should release now to the controller of rank 0.
+    pub fn next_to_release(
         &mut self,
         now: Ms,
         me: &ControllerId,
-        mine: impl Fn(Role) -> bool,
+        owned: impl Fn(Role) -> bool,
     ) -> Option<Role> {
-        // Pool assignment stays: its holder knows what it has just assigned.
-        let mine = Role::ALL.iter().filter(|d| **d != Role::PoolAssignment && mine(**d));
-        self.vacancies.give(now, mine, |role, live| rank(*role, me, live))
+        // Pool assignment is not released: its holder has its latest assignments in memory.
+        let owned = Role::ALL.iter().filter(|role| **role != Role::PoolAssignment && owned(**role));
+        self.ownership.next_to_release(now, owned, |role, live| rank(*role, me, live))
     }
 
-    /// The state service has answered; what stands is read next.
-    pub fn settled(&mut self, role: Role) {
-        self.vacancies.settled(&role);
+    /// The state service has answered the request for the role; the next reading shows the result.
+    pub fn request_completed(&mut self, role: Role) {
+        self.ownership.request_completed(&role);
     }
 }
--- a/crates/cleatfold-roles/src/scale_out.rs
+++ b/crates/cleatfold-roles/src/scale_out.rs
@@ -1,26 +1,25 @@
-//! Rentals as durable intents.
+//! Scale-out requests to the cloud, stored as durable intents before they are sent.
 //!
-//! The record names every request before it is made: whoever is replaced can have asked only for
-//! what stands there, and whoever comes next asks for the same by the same names, which rents
-//! nothing twice, and counts it as had. What the cloud would not give is noted too, with growing
-//! pauses, so that a change of holder costs no relearning.
+//! A former holder of the role can have sent only requests that are in the record. Its successor repeats them under
+//! the same names, which creates no machine twice, and counts their machines as requested. Refusals by the cloud
+//! are recorded as well, with increasing delays, so that a new holder does not repeat refused requests.
 
 use cleatfold_wire::cloud::ScaleOutRequest;
 use cleatfold_wire::{Ms, PoolId, TypeId, Version, ZoneId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After a refusal by the cloud the same is asked for again only after so long; after a further
-/// one twice as long, up to the most.
-const PAUSE_MS: u64 = 10_000;
-const PAUSE_MOST_MS: u64 = 20_000;
-/// What is over is taken out of the record with the next rental, or after so long.
-const CLOSE_MS: u64 = 10_000;
+/// Delay before machines that the cloud refused are requested again; doubled after each further refusal, up to
+/// `MAX_BACKOFF_MS`.
+const INITIAL_BACKOFF_MS: u64 = 10_000;
+const MAX_BACKOFF_MS: u64 = 20_000;
+/// Finished intents are removed from the record with the next request, or after this time.
+const CLEANUP_DELAY_MS: u64 = 10_000;
 
-/// A request to the cloud, written down before it is made.
+/// A scale-out request that is recorded before it is sent to the cloud.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ScaleOutIntent {
-    /// The request's name; used once.
+    /// Unique name of the request.
     #[serde(rename = "n")]
     pub name: String,
     /// The machine type.
@@ -29,14 +28,14 @@
     /// The zone.
     #[serde(rename = "z")]
     pub zone: ZoneId,
-    /// Spot machines.
+    /// Whether spot machines are requested.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// How many machines.
+    /// Number of machines.
     #[serde(rename = "c")]
     pub count: u32,
-    /// It has been asked for once more by a later holder, and is not again: after a refusal a
-    /// name may be used only once more.
+    /// Whether a later holder has repeated the request. It is not repeated again, since after a refusal a name may be
+    /// used only once more.
     #[serde(rename = "h", default)]
     pub inherited: bool,
 }
@@ -47,7 +46,7 @@
         PoolId { machine_type: self.machine_type.clone(), zone: self.zone.clone() }
     }
 
-    /// The request to the cloud.
+    /// The request that is sent to the cloud.
     pub fn request(&self) -> ScaleOutRequest {
         ScaleOutRequest {
             request: self.name.clone(),
@@ -59,7 +58,7 @@
     }
 }
 
-/// What the cloud would not give.
+/// Machines that the cloud refused to provide.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CapacityRefusal {
     /// The machine type.
@@ -68,33 +67,33 @@
     /// The zone.
     #[serde(rename = "z")]
     pub zone: ZoneId,
-    /// Spot machines.
+    /// Whether spot machines are requested.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// Time of day.
+    /// Time of day before which they are not requested again, in milliseconds.
     #[serde(rename = "u")]
     pub until_ms: u64,
-    /// The pause that led there; the next one is twice as long.
+    /// The current delay; the next one is twice as long.
     #[serde(rename = "p")]
-    pub pause_ms: u64,
+    pub backoff_ms: u64,
 }
 
-/// All requests that may have been made, and refusals that still count.
+/// All requests that may have been sent, and the refusals that still apply.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ScaleOutIntents {
-    /// Under which version of the role's key it was written.
+    /// Version of the role's key under which the record was written.
     #[serde(rename = "e", default)]
     pub epoch: Version,
-    /// Requests that are not known to be answered.
+    /// Requests without a recorded outcome.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub open: Vec<ScaleOutIntent>,
-    /// What is not asked for again for a while.
+    /// Machines that are not requested again for some time.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub refused: Vec<CapacityRefusal>,
 }
 
 impl ScaleOutIntents {
-    /// Whether the cloud would not give machines of this pool just now.
+    /// Whether the cloud has refused machines of this pool and the delay has not passed.
     pub fn is_refused(&self, pool: &PoolId, spot: bool, wall_ms: u64) -> bool {
         self.refusal(pool, spot).is_some_and(|r| r.until_ms > wall_ms)
     }
@@ -107,130 +106,140 @@
     }
 }
 
-/// What became of a request.
+/// The outcome of a scale-out request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Answer {
-    /// All that was asked for.
-    Given,
-    /// Some of it, or nothing.
-    Short,
-    /// No answer that tells: it may have been executed, or may yet be.
+pub enum ScaleOutOutcome {
+    /// The cloud provides all requested machines.
+    Fulfilled,
+    /// The cloud provides only some of the machines, or none.
+    Shortfall,
+    /// No conclusive answer: the request may have been executed or may still be.
     Unknown,
 }
 
-/// The holder's memory beside the record.
+/// The state of requests that the holder of the role keeps in memory.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ScaleOutTracker {
-    calling: BTreeSet<String>,
-    answered: BTreeMap<String, (Answer, Ms)>,
-    /// Since when an intent has stood that nobody here is asking for.
-    idle: BTreeMap<String, Ms>,
+    /// Requests that were sent and have no outcome yet.
+    in_flight: BTreeSet<String>,
+    /// Outcomes and when they were received.
+    outcomes: BTreeMap<String, (ScaleOutOutcome, Ms)>,
+    /// When each inherited intent that this controller does not send was first seen.
+    unattended_since: BTreeMap<String, Ms>,
 }
 
-/// What to write next, and what to ask the cloud for once that is durable.
+/// The record to write next, and the requests to send once it is durable.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Step {
+pub struct ScaleOutStep {
     /// The record to be written.
-    pub book: ScaleOutIntents,
-    /// Requests to be made once it is durable.
-    pub calls: Vec<ScaleOutIntent>,
+    pub record: ScaleOutIntents,
+    /// Requests to send once the record is durable.
+    pub requests: Vec<ScaleOutIntent>,
 }
 
 impl ScaleOutTracker {
-    /// The record as it should be, if writing it is worth a change. `lag_ms`: after so long the
-    /// list of machines shows whatever a request without an answer has rented.
-    pub fn next(
+    /// The next record and requests, if there is anything to write. After `list_lag_ms` the list of machines shows
+    /// every machine that a request without an answer has created.
+    pub fn next_step(
         &mut self,
-        known: &ScaleOutIntents,
+        stored: &ScaleOutIntents,
         epoch: Version,
         new: Vec<ScaleOutIntent>,
         (now, wall_ms): (Ms, u64),
-        lag_ms: u64,
-    ) -> Option<Step> {
-        let mut step = Step::default();
-        let mut over = false;
-        let names: BTreeSet<&String> = known.open.iter().map(|i| &i.name).collect();
-        self.idle.retain(|n, _| names.contains(n));
-        self.answered.retain(|n, _| names.contains(n));
-        let mut refused: Vec<CapacityRefusal> = known.refused.clone();
-        for intent in &known.open {
-            match self.answered.get(&intent.name) {
-                Some((Answer::Unknown, at)) if now.since(*at) < lag_ms => {}
-                Some((answer, at)) => {
-                    over |= now.since(*at) >= CLOSE_MS;
-                    note(&mut refused, intent, *answer, wall_ms);
+        list_lag_ms: u64,
+    ) -> Option<ScaleOutStep> {
+        let mut step = ScaleOutStep::default();
+        let mut needs_cleanup = false;
+        let names: BTreeSet<&String> = stored.open.iter().map(|i| &i.name).collect();
+        self.unattended_since.retain(|n, _| names.contains(n));
+        self.outcomes.retain(|n, _| names.contains(n));
+        let mut refused: Vec<CapacityRefusal> = stored.refused.clone();
+        for intent in &stored.open {
+            match self.outcomes.get(&intent.name) {
+                Some((ScaleOutOutcome::Unknown, at)) if now.since(*at) < list_lag_ms => {}
+                Some((outcome, at)) => {
+                    needs_cleanup |= now.since(*at) >= CLEANUP_DELAY_MS;
+                    update_refusals(&mut refused, intent, *outcome, wall_ms);
                     continue;
                 }
-                None if self.calling.contains(&intent.name) => {}
+                None if self.in_flight.contains(&intent.name) => {}
                 None if !intent.inherited => {
-                    // A former holder's, or one whose writing had an unknown outcome.
+                    // From a former holder, or the write that recorded it had an unknown outcome.
                     let intent = ScaleOutIntent { inherited: true, ..intent.clone() };
-                    step.calls.push(intent.clone());
-                    step.book.open.push(intent);
+                    step.requests.push(intent.clone());
+                    step.record.open.push(intent);
                     continue;
                 }
                 None => {
-                    let since = *self.idle.entry(intent.name.clone()).or_insert(now);
-                    if now.since(since) >= lag_ms {
-                        over = true;
+                    let since = *self.unattended_since.entry(intent.name.clone()).or_insert(now);
+                    if now.since(since) >= list_lag_ms {
+                        needs_cleanup = true;
                         continue;
                     }
                 }
             }
-            step.book.open.push(intent.clone());
+            step.record.open.push(intent.clone());
         }
-        refused.retain(|r| r.until_ms + PAUSE_MOST_MS > wall_ms);
-        step.calls.extend(new.iter().cloned());
-        step.book.open.extend(new);
-        step.book.refused = refused;
-        step.book.epoch = epoch;
-        (over || !step.calls.is_empty()).then_some(step)
+        refused.retain(|r| r.until_ms + MAX_BACKOFF_MS > wall_ms);
+        step.requests.extend(new.iter().cloned());
+        step.record.open.extend(new);
+        step.record.refused = refused;
+        step.record.epoch = epoch;
+        (needs_cleanup || !step.requests.is_empty()).then_some(step)
     }
 
-    /// The record is durable: these are being asked for.
-    pub fn called(&mut self, calls: &[ScaleOutIntent]) {
-        self.calling.extend(calls.iter().map(|i| i.name.clone()));
+    /// The record is durable and these requests are being sent.
+    pub fn requests_sent(&mut self, requests: &[ScaleOutIntent]) {
+        self.in_flight.extend(requests.iter().map(|i| i.name.clone()));
     }
 
-    /// The cloud has answered a request.
-    pub fn answered(&mut self, name: &str, answer: Answer, now: Ms) {
-        if self.calling.remove(name) {
-            self.answered.insert(name.to_string(), (answer, now));
+    /// Records the outcome of a request.
+    pub fn record_outcome(&mut self, name: &str, outcome: ScaleOutOutcome, now: Ms) {
+        if self.in_flight.remove(name) {
+            self.outcomes.insert(name.to_string(), (outcome, now));
         }
     }
 
-    /// An answer that says no is known before it is in the record.
-    pub fn was_short(&self, known: &ScaleOutIntents, pool: &PoolId, spot: bool) -> bool {
-        known.open.iter().any(|i| {
-            let short = matches!(self.answered.get(&i.name), Some((Answer::Short, _)));
-            short && i.spot == spot && i.pool() == *pool
+    /// Whether a request for machines of this pool had a shortfall that is not in the record yet.
+    pub fn has_shortfall(&self, stored: &ScaleOutIntents, pool: &PoolId, spot: bool) -> bool {
+        stored.open.iter().any(|i| {
+            let has_shortfall =
+                matches!(self.outcomes.get(&i.name), Some((ScaleOutOutcome::Shortfall, _)));
+            has_shortfall && i.spot == spot && i.pool() == *pool
         })
     }
 
-    /// Machines that are on their way by what stands in the record, for each intent.
-    pub fn coming<'a>(
+    /// The recorded intents whose machines are still expected.
+    pub fn pending<'a>(
         &'a self,
-        known: &'a ScaleOutIntents,
+        stored: &'a ScaleOutIntents,
     ) -> impl Iterator<Item = &'a ScaleOutIntent> + 'a {
-        let is_coming = |i: &&ScaleOutIntent| !matches!(self.answered.get(&i.name), Some((a, _)) if *a != Answer::Unknown);
-        known.open.iter().filter(is_coming)
+        let is_pending = |i: &&ScaleOutIntent| !matches!(self.outcomes.get(&i.name), Some((outcome, _)) if *outcome != ScaleOutOutcome::Unknown);
+        stored.open.iter().filter(is_pending)
     }
 }
 
-fn note(refused: &mut Vec<CapacityRefusal>, intent: &ScaleOutIntent, answer: Answer, wall_ms: u64) {
+/// Replaces the refusal of the intent's machines according to the outcome of the request.
+fn update_refusals(
+    refused: &mut Vec<CapacityRefusal>,
+    intent: &ScaleOutIntent,
+    outcome: ScaleOutOutcome,
+    wall_ms: u64,
+) {
     let same = |r: &CapacityRefusal| {
         r.machine_type == intent.machine_type && r.zone == intent.zone && r.spot == intent.spot
     };
-    let before = refused.iter().position(same).map(|i| refused.swap_remove(i));
-    if answer == Answer::Given {
+    let previous = refused.iter().position(same).map(|i| refused.swap_remove(i));
+    if outcome == ScaleOutOutcome::Fulfilled {
         return;
     }
-    let pause_ms = before.map_or(PAUSE_MS, |r| (2 * r.pause_ms).min(PAUSE_MOST_MS));
+    let backoff_ms =
+        previous.map_or(INITIAL_BACKOFF_MS, |r| (2 * r.backoff_ms).min(MAX_BACKOFF_MS));
     refused.push(CapacityRefusal {
         machine_type: intent.machine_type.clone(),
         zone: intent.zone.clone(),
         spot: intent.spot,
-        until_ms: wall_ms + pause_ms,
-        pause_ms,
+        until_ms: wall_ms + backoff_ms,
+        backoff_ms,
     });
 }
--- a/crates/cleatfold-roles/tests/explored.rs
+++ b/crates/cleatfold-roles/tests/explored.rs
@@ -1,54 +1,52 @@
-//! Scaling out under a role, explored in every order of what can happen: two controllers take it, lose
-//! it, read, write and call, and any write or call may arrive after its sender was replaced or
-//! restarted. The record and the holder's memory are the service's own.
-//!
-//! The search is that of `cleatfold_fakes::explore`.
+//! Model check of scaling out under a role: explores every order of events in which two controllers acquire and
+//! lose the role, read, write and send requests, and any write or request may arrive after its sender was replaced
+//! or restarted. The model uses the production record and tracker, and the search of `cleatfold_fakes::explore`.
 
 use cleatfold_fakes::explore::{explore, Exploration, ModelState};
-use cleatfold_roles::{Answer, ScaleOutIntent, ScaleOutIntents, ScaleOutTracker};
+use cleatfold_roles::{ScaleOutIntent, ScaleOutIntents, ScaleOutOutcome, ScaleOutTracker};
 use cleatfold_wire::{Ms, TypeId, Version, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
 const CONTROLLERS: usize = 2;
-/// How often the role may change hands, and how many requests a controller may name.
-const HANDS: u64 = 2;
-const NAMES: u32 = 1;
+/// How often the role may be acquired, and how many requests a controller may create.
+const MAX_ACQUISITIONS: u64 = 2;
+const MAX_REQUESTS: u32 = 1;
 
-/// The guards, to be removed one at a time.
+/// The safety rules, which the tests disable one at a time.
 #[derive(Clone, Copy)]
 struct Guards {
-    /// A write is guarded by the role's epoch.
+    /// Writes are guarded by the role's epoch.
     epoch: bool,
-    /// And by the version of the record that it was made from.
+    /// Writes are guarded by the version of the record they were made from.
     record: bool,
-    /// The cloud is asked only once the record is durable.
+    /// Requests are sent only once the record is durable.
     commit_first: bool,
-    /// What stands in the record counts as had.
+    /// Recorded intents count as machines.
     count_intents: bool,
 }
 
 const ALL: Guards = Guards { epoch: true, record: true, commit_first: true, count_intents: true };
 
-/// A write on its way.
+/// A write that has not reached the state service.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Write {
     controller: usize,
-    life: u64,
+    incarnation: u64,
     epoch: Version,
     record: Version,
-    book: ScaleOutIntents,
-    calls: Vec<ScaleOutIntent>,
+    intents: ScaleOutIntents,
+    requests: Vec<ScaleOutIntent>,
 }
 
 #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Controller {
-    life: u64,
+    incarnation: u64,
     role: Option<(usize, Version)>,
-    book: (Version, ScaleOutIntents),
+    record: (Version, ScaleOutIntents),
     tracker: ScaleOutTracker,
-    named: u32,
+    requests_created: u32,
     writing: bool,
-    /// Machines that it has been told of.
+    /// Machines that the cloud has confirmed to this controller.
     machines: u32,
 }
 
@@ -56,43 +54,44 @@
 struct State {
     controllers: [Controller; CONTROLLERS],
     role: Option<(usize, Version)>,
-    book: (Version, ScaleOutIntents),
+    record: (Version, ScaleOutIntents),
     revision: u64,
-    hands: u64,
+    acquisitions: u64,
     writes: BTreeSet<Write>,
-    calls: BTreeSet<(usize, u64, String)>,
-    /// What the cloud has rented, by name.
-    rented: BTreeMap<String, u32>,
-    /// Names that ever stood in the record.
-    intents: BTreeSet<String>,
-    broken: BTreeSet<&'static str>,
+    requests: BTreeSet<(usize, u64, String)>,
+    /// Machines that the cloud has created, by request name.
+    created: BTreeMap<String, u32>,
+    /// Names of all requests that were ever in the record.
+    recorded_names: BTreeSet<String>,
+    violations: BTreeSet<&'static str>,
 }
 
-/// One machine is needed; none is in the list yet, for it lags.
-fn step(s: &State, g: Guards) -> Vec<State> {
+/// All states that can follow `s` when one machine is needed and the list of machines, which lags, shows none.
+fn successors(s: &State, guards: Guards) -> Vec<State> {
     let mut next = Vec::new();
-    if s.role.is_some() && s.hands < HANDS {
-        // Its holder's lease ends.
+    if s.role.is_some() && s.acquisitions < MAX_ACQUISITIONS {
+        // The holder's lease expires.
         next.push(State { role: None, ..s.clone() });
     }
     for n in 0..CONTROLLERS {
-        if s.role.is_none() && s.hands < HANDS {
+        if s.role.is_none() && s.acquisitions < MAX_ACQUISITIONS {
             let mut t = s.clone();
             t.revision += 1;
-            t.hands += 1;
+            t.acquisitions += 1;
             t.role = Some((n, Version(t.revision)));
             next.push(t);
         }
         let controller = &s.controllers[n];
-        if controller.role != s.role || controller.book != s.book {
+        if controller.role != s.role || controller.record != s.record {
             let mut t = s.clone();
-            (t.controllers[n].role, t.controllers[n].book) = (s.role, s.book.clone());
+            (t.controllers[n].role, t.controllers[n].record) = (s.role, s.record.clone());
             next.push(t);
         }
-        if n == 0 && controller.life < 1 {
-            // Restarted: all it knew is gone, its writes and calls are still on their way.
+        if n == 0 && controller.incarnation < 1 {
+            // Restart: the controller loses its memory; its writes and requests are still in transit.
             let mut t = s.clone();
-            t.controllers[n] = Controller { life: controller.life + 1, ..Controller::default() };
+            t.controllers[n] =
+                Controller { incarnation: controller.incarnation + 1, ..Controller::default() };
             next.push(t);
         }
         let Some((_, epoch)) = controller.role.filter(|d| d.0 == n && !controller.writing) else {
@@ -100,11 +99,11 @@
         };
         let mut t = s.clone();
         let me = &mut t.controllers[n];
-        let coming = me.tracker.coming(&me.book.1).count();
-        let has = me.machines > 0 || (g.count_intents && coming > 0);
-        let new: Vec<ScaleOutIntent> = (!has && me.named < NAMES)
+        let pending = me.tracker.pending(&me.record.1).count();
+        let has_machine = me.machines > 0 || (guards.count_intents && pending > 0);
+        let new: Vec<ScaleOutIntent> = (!has_machine && me.requests_created < MAX_REQUESTS)
             .then(|| ScaleOutIntent {
-                name: format!("{n}-{}-{}", me.life, me.named),
+                name: format!("{n}-{}-{}", me.incarnation, me.requests_created),
                 machine_type: TypeId::new("t"),
                 zone: ZoneId::new("z"),
                 spot: false,
@@ -113,63 +112,70 @@
             })
             .into_iter()
             .collect();
-        me.named += new.len() as u32;
-        let known = me.book.clone();
-        if let Some(step) = me.tracker.next(&known.1, epoch, new, (Ms(0), 0), u64::MAX) {
+        me.requests_created += new.len() as u32;
+        let known = me.record.clone();
+        if let Some(step) = me.tracker.next_step(&known.1, epoch, new, (Ms(0), 0), u64::MAX) {
             me.writing = true;
-            let life = me.life;
-            if !g.commit_first {
-                t.calls.extend(step.calls.iter().map(|i| (n, life, i.name.clone())));
+            let incarnation = me.incarnation;
+            if !guards.commit_first {
+                t.requests.extend(step.requests.iter().map(|i| (n, incarnation, i.name.clone())));
             }
-            let (book, calls) = (step.book, step.calls);
-            t.writes.insert(Write { controller: n, life, epoch, record: known.0, book, calls });
+            let (intents, requests) = (step.record, step.requests);
+            t.writes.insert(Write {
+                controller: n,
+                incarnation,
+                epoch,
+                record: known.0,
+                intents,
+                requests,
+            });
             next.push(t);
         }
     }
     for write in &s.writes {
         let mut t = s.clone();
         t.writes.remove(write);
-        let role = !g.epoch || s.role.is_some_and(|d| d.1 == write.epoch);
-        let done = role && (!g.record || s.book.0 == write.record);
-        if done {
+        let role_matches = !guards.epoch || s.role.is_some_and(|d| d.1 == write.epoch);
+        let committed = role_matches && (!guards.record || s.record.0 == write.record);
+        if committed {
             t.revision += 1;
-            t.book = (Version(t.revision), write.book.clone());
-            t.intents.extend(write.book.open.iter().map(|i| i.name.clone()));
+            t.record = (Version(t.revision), write.intents.clone());
+            t.recorded_names.extend(write.intents.open.iter().map(|i| i.name.clone()));
             if s.role.is_none_or(|d| d.1 != write.epoch) {
-                t.broken.insert("a former holder wrote");
+                t.violations.insert("a former holder wrote");
             }
         }
-        let same_life = s.controllers[write.controller].life == write.life;
-        let mut lost = t.clone();
-        if same_life {
+        let same_incarnation = s.controllers[write.controller].incarnation == write.incarnation;
+        let mut answer_lost = t.clone();
+        if same_incarnation {
             let me = &mut t.controllers[write.controller];
             me.writing = false;
-            if done {
-                me.book = t.book.clone();
-                me.tracker.called(&write.calls);
-                let names = write.calls.iter().map(|i| i.name.clone());
-                t.calls.extend(names.map(|name| (write.controller, write.life, name)));
+            if committed {
+                me.record = t.record.clone();
+                me.tracker.requests_sent(&write.requests);
+                let names = write.requests.iter().map(|i| i.name.clone());
+                t.requests.extend(names.map(|name| (write.controller, write.incarnation, name)));
             }
-            // Or its answer is lost: the outcome is read.
-            lost.controllers[write.controller].writing = false;
-            next.push(lost);
+            // The answer may be lost; the controller then reads the result.
+            answer_lost.controllers[write.controller].writing = false;
+            next.push(answer_lost);
         }
         next.push(t);
     }
-    for call in &s.calls {
+    for request in &s.requests {
         let mut t = s.clone();
-        t.calls.remove(call);
-        let (n, life, name) = call;
-        if !s.intents.contains(name) {
-            t.broken.insert("the cloud was asked for what was not durable");
+        t.requests.remove(request);
+        let (n, incarnation, name) = request;
+        if !s.recorded_names.contains(name) {
+            t.violations.insert("a request was sent before its intent was durable");
         }
-        t.rented.entry(name.clone()).or_insert(1);
-        if t.rented.values().sum::<u32>() > 1 {
-            t.broken.insert("rented twice for one need");
+        t.created.entry(name.clone()).or_insert(1);
+        if t.created.values().sum::<u32>() > 1 {
+            t.violations.insert("two machines were created for one need");
         }
-        if s.controllers[*n].life == *life {
+        if s.controllers[*n].incarnation == *incarnation {
             let me = &mut t.controllers[*n];
-            me.tracker.answered(name, Answer::Given, Ms(0));
+            me.tracker.record_outcome(name, ScaleOutOutcome::Fulfilled, Ms(0));
             me.machines = 1;
         }
         next.push(t);
@@ -179,30 +185,33 @@
 
 impl ModelState for State {
     fn violations(&self) -> &BTreeSet<&'static str> {
-        &self.broken
+        &self.violations
     }
 }
 
 fn explore_model(guards: Guards, wanted: Option<&str>) -> Exploration {
-    explore(|state| step(state, guards), wanted)
+    explore(|state| successors(state, guards), wanted)
 }
 
 #[test]
-fn no_order_of_events_rents_twice_or_asks_for_what_is_not_durable() {
+fn all_event_orders_create_one_machine_per_need() {
     let Exploration { violations, states } = explore_model(ALL, None);
     assert!(violations.is_empty(), "{violations:?}");
     assert!(states > 1000, "only {states} states");
 }
 
 #[test]
-fn each_guard_is_needed() {
-    for (guards, what) in [
+fn disabling_any_guard_causes_its_violation() {
+    for (guards, violation) in [
         (Guards { epoch: false, ..ALL }, "a former holder wrote"),
-        (Guards { commit_first: false, ..ALL }, "the cloud was asked for what was not durable"),
-        (Guards { count_intents: false, ..ALL }, "rented twice for one need"),
-        (Guards { epoch: false, record: false, ..ALL }, "rented twice for one need"),
+        (Guards { commit_first: false, ..ALL }, "a request was sent before its intent was durable"),
+        (Guards { count_intents: false, ..ALL }, "two machines were created for one need"),
+        (Guards { epoch: false, record: false, ..ALL }, "two machines were created for one need"),
     ] {
-        let Exploration { violations, .. } = explore_model(guards, Some(what));
-        assert!(violations.contains(what), "not seen without its guard: {what}; {violations:?}");
+        let Exploration { violations, .. } = explore_model(guards, Some(violation));
+        assert!(
+            violations.contains(violation),
+            "not found without its guard: {violation}; {violations:?}"
+        );
     }
 }
