--- a/crates/cleatfold-admission/src/decide.rs
+++ b/crates/cleatfold-admission/src/decide.rs
@@ -1,74 +1,74 @@
-//! From what is asked and what there is to an overload quota.
+//! Computes the overload quota from the measured demand and the capacity.
 
-use crate::fill::{fill, Need};
-use crate::overload_quota::{Entry, Group, OverloadQuota};
-use crate::size_classes::{SizeClass, Sizes};
+use crate::max_min::{max_min_shares, WeightedDemand};
+use crate::overload_quota::{Group, OverloadQuota, QuotaEntry};
+use crate::size_classes::{SizeClass, SizeClassQuota};
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::TeamId;
 use std::collections::BTreeMap;
 
-/// What one group asks for, in processors and processor-seconds.
+/// The demand of one group, in processors and processor-seconds.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// Whose jobs these are.
+    /// The team and class of the jobs.
     pub group: Group,
-    /// Of the most urgent of them.
+    /// Urgency of the most urgent job.
     pub urgency: Urgency,
-    /// Work that waits, and work that runs and is not done.
+    /// Work of the tasks that wait, in processor-seconds.
     pub waiting: f64,
-    /// Work that runs, by its estimates, in processor-seconds.
+    /// Estimated remaining work of the running tasks, in processor-seconds.
     pub running: f64,
-    /// Work that comes, per second.
+    /// Arriving work per second, that is, in processors.
     pub rate: f64,
-    /// How long its jobs are of use to their users, in the mean.
+    /// Mean time within which its jobs are useful to their users.
     pub patience_s: f64,
-    /// Its smallest jobs: those that have to be served, and those that should be.
-    pub must: Small,
-    /// The jobs that should be served.
-    pub should: Small,
-    /// Of its middle and of its largest jobs those that have to be served.
-    pub middle: Small,
-    /// The largest jobs.
-    pub large: Small,
-    /// Where its size classes begin.
-    pub bounds: Bounds,
-    /// Its middle job, in processor-seconds.
-    pub typical: f64,
-    /// Of its team: what it is guaranteed and its limit (0: none).
+    /// The smallest jobs, which have to be served.
+    pub required: SizeDemand,
+    /// The jobs that should be served; includes the required ones.
+    pub desired: SizeDemand,
+    /// The middle-sized jobs that have to be served.
+    pub middle: SizeDemand,
+    /// The largest jobs that have to be served.
+    pub large: SizeDemand,
+    /// Bounds of the size classes.
+    pub bounds: SizeBounds,
+    /// Work of the median job, in processor-seconds.
+    pub median_work: f64,
+    /// Guaranteed processors of its team; 0: none.
     pub guarantee: f64,
-    /// Its team's limit in processors; 0: none.
+    /// Limit of its team in processors; 0: none.
     pub limit: f64,
 }
 
-/// Jobs up to some size.
+/// The demand of the jobs of one size range.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Small {
-    /// Their largest, in processor-seconds.
-    pub most: f64,
-    /// The part of all work that they make up.
-    pub part: f64,
-    /// Work of theirs that waits.
+pub struct SizeDemand {
+    /// Work of the largest of these jobs, in processor-seconds.
+    pub max_work: f64,
+    /// Their share of the group's work.
+    pub work_share: f64,
+    /// Their waiting work, in processor-seconds.
     pub waiting: f64,
 }
 
-/// Where a group's sizes begin: up to so much work a job is small; from so much on, or from so many tasks,
-/// it is one of the largest.
+/// The bounds of a group's size classes: a job is large by its work or by its number of tasks, small by its work, and
+/// otherwise of the middle class.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
-    /// Work up to which a job is small, in processor-seconds.
-    pub small: f64,
-    /// Work from which on a job is one of the largest, in processor-seconds.
-    pub work: f64,
-    /// Tasks from which on a job is one of the largest.
-    pub tasks: u32,
+pub struct SizeBounds {
+    /// Maximum work of a small job, in processor-seconds.
+    pub small_max_work: f64,
+    /// Minimum work of a large job, in processor-seconds.
+    pub large_min_work: f64,
+    /// Number of tasks from which a job is large.
+    pub large_min_tasks: u32,
 }
 
-impl Bounds {
+impl SizeBounds {
     /// The size class of a job.
     pub fn size_class(&self, work: f64, tasks: u32) -> SizeClass {
-        if work >= self.work || tasks >= self.tasks {
+        if work >= self.large_min_work || tasks >= self.large_min_tasks {
             SizeClass::Large
-        } else if work <= self.small {
+        } else if work <= self.small_max_work {
             SizeClass::Small
         } else {
             SizeClass::Middle
@@ -77,206 +77,219 @@
 }
 
 impl Demand {
-    /// Processors that serve all that comes, and all that waits within its patience.
-    fn asks(&self) -> f64 {
+    /// Processors that serve all arriving work, and the waiting work within its patience.
+    fn total_cpus(&self) -> f64 {
         self.rate + self.waiting / self.patience_s.max(1.0)
     }
 }
 
-impl Small {
-    /// Processors that serve those that come, and those that wait within twice their patience.
-    fn need(&self, of: &Demand) -> f64 {
-        let need = self.part * of.rate + 0.5 * self.waiting / of.patience_s.max(1.0);
-        if of.limit > 0.0 {
-            need.min(of.limit)
+impl SizeDemand {
+    /// Processors that serve the arriving jobs of this range, and the waiting ones within twice their patience.
+    fn cpus_needed(&self, group: &Demand) -> f64 {
+        let needed = self.work_share * group.rate + 0.5 * self.waiting / group.patience_s.max(1.0);
+        if group.limit > 0.0 {
+            needed.min(group.limit)
         } else {
-            need
+            needed
         }
     }
 }
 
-/// What one decision is made from.
+/// The capacity and the demand that one decision is based on.
 #[derive(Clone, Debug, Default)]
-pub struct View {
-    /// Processors of all machines there are, booting ones included.
+pub struct DemandSnapshot {
+    /// Processors of all machines, including those that are booting.
     pub capacity: f64,
-    /// The number of machines no longer grows: what there is, is what there will be.
-    pub settled: bool,
-    /// What each group asks for.
+    /// Whether the number of machines has stopped growing.
+    pub capacity_settled: bool,
+    /// The demand of each group.
     pub groups: Vec<Demand>,
 }
 
-/// Numbers of the decision. None of them is a bench's: they are shares and times of patience.
+/// Parameters of the decision. Waits are ratios to the patience of a group.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
-    /// A group counts as not served in time when its jobs will wait so many patiences, for so long.
-    pub enter: f64,
-    /// A group that waits for longer than its patience for so many seconds comes under the quota.
-    pub enter_s: f64,
-    /// And as served again below this many, for so long. Far apart, or it would swing: under an
-    /// overload quota the queue is shorter than without.
-    pub leave: f64,
-    /// It leaves it again after so many seconds in which it is served in time.
-    pub leave_s: f64,
-    /// So large a part of a group's jobs has to be served, whoever else waits: a little over half.
-    pub must: f64,
-    /// And so large a part should be, with what more urgent groups do not ask for.
-    pub should: f64,
-    /// The largest part of jobs that are looked at apart, by tasks and by work; the operators' rule names the
-    /// largest without a number.
-    pub largest: f64,
-    /// Of those, and of what lies between, so large a part has to be served: a little over half.
-    pub of_each: f64,
-    /// The operators' rule: within so many seconds of its acceptance a job is to begin.
-    pub begin_s: f64,
-    /// Before the largest have theirs, the small take no more than this part of all processors: they too can
-    /// wait for a while and begin in time. (In a flood of seven times what there is their floors took all.)
-    pub small_first: f64,
-    /// With the largest of its jobs a team's floors go up to so many times its share.
-    pub beyond: f64,
-    /// What has to be served takes no more than this part of all processors.
-    pub floors: f64,
-    /// New jobs are refused where they would wait for so many patiences; none: never.
-    pub refuse: Option<f64>,
+pub struct AdmissionRules {
+    /// A group is overloaded when the expected wait of its jobs exceeds this ratio for `enter_hold_s`.
+    pub enter_wait_ratio: f64,
+    /// Time for which the wait must exceed `enter_wait_ratio` before the group gets a quota.
+    pub enter_hold_s: f64,
+    /// A group is no longer overloaded when its expected wait is below this ratio for `leave_hold_s`. It is well below
+    /// `enter_wait_ratio` to avoid oscillation, since the queue is shorter under an overload quota.
+    pub leave_wait_ratio: f64,
+    /// Time for which the wait must stay below `leave_wait_ratio` before the quota of the group ends.
+    pub leave_hold_s: f64,
+    /// Share of a group's jobs that has to be served whatever other groups demand: slightly more than half.
+    pub required_job_share: f64,
+    /// Share of a group's jobs that should be served with the capacity that more urgent groups leave.
+    pub desired_job_share: f64,
+    /// Share of the jobs that counts as the largest, by tasks and by work; the operators' rule about the largest jobs
+    /// gives no number.
+    pub largest_job_share: f64,
+    /// Share of the largest and of the middle-sized jobs that has to be served: slightly more than half.
+    pub upper_class_job_share: f64,
+    /// Time after its acceptance within which a job should start, by the operators' rule.
+    pub start_within_s: f64,
+    /// Maximum share of all processors for the floors of the small jobs before those of the largest are filled, since
+    /// small jobs can also wait for a while and start in time. Without this limit their floors took all processors at a
+    /// demand of seven times the capacity.
+    pub small_jobs_first_share: f64,
+    /// The floors of a team, including those of its upper size classes, may reach this multiple of its fair share.
+    pub upper_class_share_factor: f64,
+    /// Maximum share of all processors for the floors.
+    pub max_floor_share: f64,
+    /// New jobs are refused when their expected wait exceeds this ratio; `None`: never.
+    pub refuse_wait_ratio: Option<f64>,
 }
 
-impl Default for Rules {
+impl Default for AdmissionRules {
     fn default() -> Self {
         Self {
-            enter: 1.0,
-            enter_s: 5.0,
-            leave: 0.5,
-            leave_s: 20.0,
-            must: 0.52,
-            should: 0.7,
-            largest: 0.1,
-            of_each: 0.55,
-            begin_s: 240.0,
-            small_first: 0.75,
-            beyond: 1.5,
-            floors: 0.9,
-            refuse: None,
+            enter_wait_ratio: 1.0,
+            enter_hold_s: 5.0,
+            leave_wait_ratio: 0.5,
+            leave_hold_s: 20.0,
+            required_job_share: 0.52,
+            desired_job_share: 0.7,
+            largest_job_share: 0.1,
+            upper_class_job_share: 0.55,
+            start_within_s: 240.0,
+            small_jobs_first_share: 0.75,
+            upper_class_share_factor: 1.5,
+            max_floor_share: 0.9,
+            refuse_wait_ratio: None,
         }
     }
 }
 
-/// How long a group has been above or below its bound.
+/// How long each group's expected wait has been above the bound for entering or below the bound for leaving.
 #[derive(Debug, Default)]
-pub struct Judge {
-    since: BTreeMap<Group, f64>,
+pub struct OverloadTimers {
+    crossed_since: BTreeMap<Group, f64>,
 }
 
-/// How many seconds a job of the group that comes now would wait in the ordinary order, less what
-/// goes to the floors of less urgent ones.
-pub fn expected_wait(view: &View, known: &OverloadQuota, of: &Demand) -> f64 {
+/// Expected wait in seconds of a job of the group that arrives now, in the ordinary queue order, with the floors of less
+/// urgent groups deducted from the capacity.
+pub fn expected_wait(snapshot: &DemandSnapshot, quota: &OverloadQuota, group: &Demand) -> f64 {
     let floor = |g: &Demand| {
-        known.entry(&g.group.team, &g.group.class).map_or(0.0, |e| e.floor as f64 / 1000.0)
+        quota.entry(&g.group.team, &g.group.class).map_or(0.0, |e| e.floor as f64 / 1000.0)
     };
-    let wait = |mine: &dyn Fn(&Demand) -> bool, capacity: f64| {
-        let groups = || view.groups.iter().filter(|g| mine(g));
-        let ahead: f64 = groups().filter(|g| g.urgency <= of.urgency).map(|g| g.waiting).sum();
+    let wait = |is_included: &dyn Fn(&Demand) -> bool, capacity: f64| {
+        let groups = || snapshot.groups.iter().filter(|g| is_included(g));
+        let ahead: f64 = groups().filter(|g| g.urgency <= group.urgency).map(|g| g.waiting).sum();
         let running: f64 = groups().map(|g| g.running).sum();
-        // More urgent work that comes meanwhile goes first too.
-        let taken: f64 = groups().filter(|g| g.urgency < of.urgency).map(|g| g.rate).sum();
-        let taken = taken + groups().filter(|g| g.urgency > of.urgency).map(floor).sum::<f64>();
+        // More urgent work that arrives in the meantime goes first, too.
+        let arriving: f64 = groups().filter(|g| g.urgency < group.urgency).map(|g| g.rate).sum();
+        let taken =
+            arriving + groups().filter(|g| g.urgency > group.urgency).map(floor).sum::<f64>();
         let free = (capacity - taken).max(capacity * 0.02);
-        // What runs makes room all the while; only the part beyond that holds anybody up.
+        // Running work releases processors continuously; only the wait beyond that delays the job.
         ((ahead + running) / free.max(1e-9) - running / capacity.max(1e-9)).max(0.0)
     };
-    let region = wait(&|_| true, view.capacity);
-    if of.limit > 0.0 {
-        region.max(wait(&|g| g.group.team == of.group.team, of.limit))
+    let region_wait = wait(&|_| true, snapshot.capacity);
+    if group.limit > 0.0 {
+        region_wait.max(wait(&|g| g.group.team == group.group.team, group.limit))
     } else {
-        region
+        region_wait
     }
 }
 
-/// The entries of the next overload quota. `judge` is the decider's memory; a new decider goes on
-/// from `known`, which is durable.
+/// The entries of the next overload quota. `timers` are kept in the memory of the deciding controller; a new one
+/// continues from `quota`, which is durable.
 pub fn decide(
-    rules: &Rules,
-    judge: &mut Judge,
-    known: &OverloadQuota,
-    view: &View,
+    rules: &AdmissionRules,
+    timers: &mut OverloadTimers,
+    quota: &OverloadQuota,
+    snapshot: &DemandSnapshot,
     now_s: f64,
-) -> Vec<Entry> {
-    let mut pressed: Vec<(&Demand, f64)> = Vec::new();
-    let mut since = BTreeMap::new();
-    for g in &view.groups {
-        let was = known.entry(&g.group.team, &g.group.class).is_some();
-        let wait = expected_wait(view, known, g) / g.patience_s.max(0.001);
-        // While machines still come, a long queue says nothing.
-        let turns = if was { wait < rules.leave } else { wait > rules.enter && view.settled };
-        let mut is = was;
-        if turns {
-            let from = judge.since.get(&g.group).copied().unwrap_or(now_s);
-            let hold = if was { rules.leave_s } else { rules.enter_s };
-            is = was != (now_s - from >= hold);
-            since.insert(g.group.clone(), from);
+) -> Vec<QuotaEntry> {
+    let mut overloaded: Vec<(&Demand, f64)> = Vec::new();
+    let mut crossed_since = BTreeMap::new();
+    for g in &snapshot.groups {
+        let was_overloaded = quota.entry(&g.group.team, &g.group.class).is_some();
+        let wait_ratio = expected_wait(snapshot, quota, g) / g.patience_s.max(0.001);
+        // While machines are still being added, a long queue does not indicate overload.
+        let is_crossed = if was_overloaded {
+            wait_ratio < rules.leave_wait_ratio
+        } else {
+            wait_ratio > rules.enter_wait_ratio && snapshot.capacity_settled
+        };
+        let mut is_overloaded = was_overloaded;
+        if is_crossed {
+            let since = timers.crossed_since.get(&g.group).copied().unwrap_or(now_s);
+            let hold_s = if was_overloaded { rules.leave_hold_s } else { rules.enter_hold_s };
+            is_overloaded = was_overloaded != (now_s - since >= hold_s);
+            crossed_since.insert(g.group.clone(), since);
         }
-        if is {
-            pressed.push((g, wait));
+        if is_overloaded {
+            overloaded.push((g, wait_ratio));
         }
     }
-    judge.since = since;
-    let (floors, short) = floors(rules, view, &pressed);
-    let shifts: Vec<f64> = pressed.iter().map(|(g, _)| shift(g, &pressed)).collect();
-    pressed
+    timers.crossed_since = crossed_since;
+    let (floors, capacity_short) = floors(rules, snapshot, &overloaded);
+    let delays: Vec<f64> = overloaded.iter().map(|(g, _)| queue_delay(g, &overloaded)).collect();
+    overloaded
         .into_iter()
-        .zip(floors.into_iter().zip(shifts))
-        .map(|((g, wait), (floor, shift))| Entry {
+        .zip(floors.into_iter().zip(delays))
+        .map(|((g, wait_ratio), (floor, delay))| QuotaEntry {
             team: g.group.team.clone(),
             class: g.group.class.clone(),
             floor: (floor[0] * 1000.0) as i64,
-            typical: g.typical.max(1.0) as u64,
+            median_work: g.median_work.max(1.0) as u64,
             patience_ms: (g.patience_s * 1000.0) as u64,
-            later_ms: (g.patience_s * 1000.0 * shift) as u64,
-            most: rules.refuse.filter(|r| wait > *r).map(|_| g.should.most.max(1.0) as u64),
-            sizes: Some(Sizes {
-                small: g.bounds.small as u64,
-                work: g.bounds.work as u64,
-                tasks: g.bounds.tasks,
-                middle: (floor[1] * 1000.0) as i64,
-                large: (floor[2] * 1000.0) as i64,
-                begin_ms: (rules.begin_s * 1000.0) as u64,
-                short,
+            delay_ms: (g.patience_s * 1000.0 * delay) as u64,
+            max_new_work: rules
+                .refuse_wait_ratio
+                .filter(|ratio| wait_ratio > *ratio)
+                .map(|_| g.desired.max_work.max(1.0) as u64),
+            sizes: Some(SizeClassQuota {
+                small_max_work: g.bounds.small_max_work as u64,
+                large_min_work: g.bounds.large_min_work as u64,
+                large_min_tasks: g.bounds.large_min_tasks,
+                middle_floor: (floor[1] * 1000.0) as i64,
+                large_floor: (floor[2] * 1000.0) as i64,
+                start_within_ms: (rules.start_within_s * 1000.0) as u64,
+                capacity_short,
             }),
         })
         .collect()
 }
 
-/// How much later a group goes than others of its urgency, in patiences: by how much its team asks
-/// for beyond what an even part of half of all would be. Twice as much as the others is luck.
-/// (Looked at class by class, a guest whose classes nobody else has was never found to send
-/// more than its part.)
-fn shift(of: &Demand, pressed: &[(&Demand, f64)]) -> f64 {
+/// Delay of a group in the queue order relative to others of its urgency, in multiples of its patience. It depends on
+/// how far its team's demand exceeds a fair share of half of the total demand; up to twice the others' ratio is accepted
+/// as random variation. Demand is compared by team, since a comparison by class never detected a guest team whose
+/// classes no other team uses.
+fn queue_delay(group: &Demand, overloaded: &[(&Demand, f64)]) -> f64 {
     let mut teams: BTreeMap<&TeamId, (f64, f64)> = BTreeMap::new();
-    for (g, _) in pressed.iter().filter(|(g, _)| g.urgency == of.urgency) {
+    for (g, _) in overloaded.iter().filter(|(g, _)| g.urgency == group.urgency) {
         let team = teams.entry(&g.group.team).or_default();
         (team.0, team.1) = (team.0 + g.rate, g.guarantee);
     }
     let rates: Vec<f64> = teams.values().map(|t| t.0).collect();
-    let needs: Vec<Need> = teams
+    let demands: Vec<WeightedDemand> = teams
         .values()
-        .map(|(rate, guarantee)| Need {
+        .map(|(rate, guarantee)| WeightedDemand {
             amount: *rate,
-            weight: 1.0 + guarantee / (1.0 + of.guarantee),
+            weight: 1.0 + guarantee / (1.0 + group.guarantee),
         })
         .collect();
-    let even = fill(rates.iter().sum::<f64>() / 2.0, &needs);
-    let over = |rate: f64, even: f64| if even > 0.0 { rate / even } else { 1.0 };
-    let least = rates.iter().zip(&even).map(|(r, e)| over(*r, *e)).fold(f64::INFINITY, f64::min);
-    let mine = teams.keys().position(|t| **t == of.group.team);
-    mine.map_or(0.0, |i| ((over(rates[i], even[i]) / least).log2() - 1.0).max(0.0))
+    let fair_shares = max_min_shares(rates.iter().sum::<f64>() / 2.0, &demands);
+    let ratio = |rate: f64, share: f64| if share > 0.0 { rate / share } else { 1.0 };
+    let min_ratio = rates
+        .iter()
+        .zip(&fair_shares)
+        .map(|(rate, share)| ratio(*rate, *share))
+        .fold(f64::INFINITY, f64::min);
+    let index = teams.keys().position(|t| **t == group.group.team);
+    index.map_or(0.0, |i| ((ratio(rates[i], fair_shares[i]) / min_ratio).log2() - 1.0).max(0.0))
 }
 
-/// What each team should have of all processors, by max-min of all that it asks for, a team's
-/// guarantee counting by how it compares with the others'.
-fn shares(view: &View) -> BTreeMap<&TeamId, f64> {
+/// The max-min fair share of each team in all processors. A team's weight grows with its guarantee relative to the mean
+/// guarantee.
+fn team_shares(snapshot: &DemandSnapshot) -> BTreeMap<&TeamId, f64> {
     let mut teams: BTreeMap<&TeamId, (f64, f64)> = BTreeMap::new();
-    for g in &view.groups {
+    for g in &snapshot.groups {
         let team = teams.entry(&g.group.team).or_default();
-        team.0 += g.asks();
+        team.0 += g.total_cpus();
         team.1 = g.guarantee;
         if g.limit > 0.0 {
             team.0 = team.0.min(g.limit);
@@ -284,78 +297,93 @@
     }
     let mean = teams.values().map(|t| t.1).sum::<f64>() / teams.len().max(1) as f64;
     let weight = |guarantee: f64| 1.0 + if mean > 0.0 { guarantee / mean } else { 0.0 };
-    let needs: Vec<Need> =
-        teams.values().map(|t| Need { amount: t.0, weight: weight(t.1) }).collect();
-    teams.into_keys().zip(fill(view.capacity, &needs)).collect()
+    let demands: Vec<WeightedDemand> =
+        teams.values().map(|t| WeightedDemand { amount: t.0, weight: weight(t.1) }).collect();
+    teams.into_keys().zip(max_min_shares(snapshot.capacity, &demands)).collect()
 }
 
-/// What each pressed group gets for its small, its middle and its largest jobs, by max-min. First what of the
-/// small of any group has to be served, within the guarantees and then beyond; then half of the largest, and half of what lies between; and
-/// then, as far as groups that are served in time leave it, what should be of the small. Also whether
-/// the machines do not allow half of the largest.
-fn floors(rules: &Rules, view: &View, pressed: &[(&Demand, f64)]) -> (Vec<[f64; 3]>, bool) {
-    let is_pressed = |g: &&Demand| pressed.iter().any(|(p, _)| p.group == g.group);
-    let served: Vec<&Demand> = view.groups.iter().filter(|g| !is_pressed(g)).collect();
-    let all: Vec<&Demand> = pressed.iter().map(|p| p.0).chain(served.iter().copied()).collect();
-    let most = rules.floors * view.capacity;
-    // A floor keeps a group from starving; it is no way to more than its team's share. (A guest's
-    // six jobs, all of a size, had a floor of two thirds of the region: half of them was nearly
-    // all they asked for, and of the residents only the small ones counted.)
-    let shares = shares(view);
-    let mut given: BTreeMap<&TeamId, f64> = BTreeMap::new();
-    let mut within = |need: &dyn Fn(&Demand) -> f64, times: f64| {
-        let mut wanted = vec![0.0; all.len()];
+/// The floors of each overloaded group for its small, middle-sized and largest jobs, by max-min. They are filled in this
+/// order: the required small jobs of all groups, first within the guarantees and then beyond them; half of the largest
+/// jobs and half of the middle-sized ones; then the desired small jobs, with the capacity that groups served in time
+/// leave. Also returns whether the capacity does not suffice for half of the largest jobs.
+fn floors(
+    rules: &AdmissionRules,
+    snapshot: &DemandSnapshot,
+    overloaded: &[(&Demand, f64)],
+) -> (Vec<[f64; 3]>, bool) {
+    let is_overloaded = |g: &&Demand| overloaded.iter().any(|(p, _)| p.group == g.group);
+    let served: Vec<&Demand> = snapshot.groups.iter().filter(|g| !is_overloaded(g)).collect();
+    let all: Vec<&Demand> = overloaded.iter().map(|p| p.0).chain(served.iter().copied()).collect();
+    let max_floors = rules.max_floor_share * snapshot.capacity;
+    // A floor prevents starvation and must not exceed the share of the team. Without this limit a guest team's six jobs,
+    // all of the same size, had a floor of two thirds of the region: half of the jobs was nearly all of their demand,
+    // while only the small jobs of the resident teams counted.
+    let shares = team_shares(snapshot);
+    let mut granted: BTreeMap<&TeamId, f64> = BTreeMap::new();
+    let mut limit_to_shares = |needed: &dyn Fn(&Demand) -> f64, factor: f64| {
+        let mut limited = vec![0.0; all.len()];
         for (team, share) in &shares {
-            let given = given.entry(team).or_default();
-            // Of one team's groups, by max-min again.
-            let of: Vec<usize> = (0..all.len()).filter(|&i| all[i].group.team == **team).collect();
-            let need = |&i: &usize| Need { amount: need(all[i]), weight: 1.0 };
-            let needs: Vec<Need> = of.iter().map(need).collect();
-            for (&i, amount) in of.iter().zip(fill(times * share - *given, &needs)) {
-                wanted[i] = amount;
-                *given += amount;
+            let granted = granted.entry(team).or_default();
+            // Max-min again between the groups of one team.
+            let members: Vec<usize> =
+                (0..all.len()).filter(|&i| all[i].group.team == **team).collect();
+            let demand = |&i: &usize| WeightedDemand { amount: needed(all[i]), weight: 1.0 };
+            let demands: Vec<WeightedDemand> = members.iter().map(demand).collect();
+            let amounts = max_min_shares(factor * share - *granted, &demands);
+            for (&i, amount) in members.iter().zip(amounts) {
+                limited[i] = amount;
+                *granted += amount;
             }
         }
-        wanted
+        limited
     };
-    let must = within(&|g| g.must.need(g), 1.0);
-    // Half of a class's largest has to be served also where one team alone sends them, and its small ones
-    // take its share; up to a bound, for a guest's jobs may all be of the largest. Of groups that are served in
-    // time all they ask for counts: by max-min a little of urgent work is not in the way of anybody.
-    // (Half of it was kept: 0.13 of `controle`, a sixth of all, was late for others' largest.)
+    let required = limit_to_shares(&|g| g.required.cpus_needed(g), 1.0);
+    // Half of the largest jobs of a class has to be served even if one team alone submits them and its small jobs use up
+    // its share. The excess over the share is limited, since all jobs of a guest team may be among the largest. Groups
+    // that are served in time count with their whole demand: under max-min a small amount of urgent work does not
+    // reduce the other shares. When only half of it counted, 0.13 of the class `controle`, a sixth of all jobs, was
+    // late because of other groups' largest jobs.
     let is_served = |g: &Demand| served.iter().any(|s| s.group == g.group);
-    let rest = |g: &Demand| (g.asks() - g.must.need(g)).max(0.0);
-    let half = |g: &Demand| g.large.need(g) + g.middle.need(g);
-    let upper = within(&|g| if is_served(g) { rest(g) } else { half(g) }, rules.beyond);
-    let should = within(&|g| (g.should.need(g) - g.must.need(g)).max(0.0), 1.0);
+    let other_demand = |g: &Demand| (g.total_cpus() - g.required.cpus_needed(g)).max(0.0);
+    let upper_classes = |g: &Demand| g.large.cpus_needed(g) + g.middle.cpus_needed(g);
+    let upper = limit_to_shares(
+        &|g| if is_served(g) { other_demand(g) } else { upper_classes(g) },
+        rules.upper_class_share_factor,
+    );
+    let additional =
+        limit_to_shares(&|g| (g.desired.cpus_needed(g) - g.required.cpus_needed(g)).max(0.0), 1.0);
 
     let mut small = vec![0.0; all.len()];
-    let guaranteed = all.iter().zip(&must).map(|(g, must)| must.min(g.guarantee));
-    let first = rules.small_first.min(rules.floors) * view.capacity;
-    raise(&mut small, first, guaranteed);
-    raise(&mut small, first, must.iter().copied());
-    let mut given = vec![0.0; all.len()];
-    raise(&mut given, most - small.iter().sum::<f64>(), upper.iter().copied());
-    raise(&mut small, most - given.iter().sum::<f64>(), must.iter().copied());
-    // Of what a group has for its upper size classes the largest have theirs first.
+    let guaranteed = all.iter().zip(&required).map(|(g, required)| required.min(g.guarantee));
+    let max_small_first =
+        rules.small_jobs_first_share.min(rules.max_floor_share) * snapshot.capacity;
+    raise(&mut small, max_small_first, guaranteed);
+    raise(&mut small, max_small_first, required.iter().copied());
+    let mut upper_floors = vec![0.0; all.len()];
+    raise(&mut upper_floors, max_floors - small.iter().sum::<f64>(), upper.iter().copied());
+    raise(&mut small, max_floors - upper_floors.iter().sum::<f64>(), required.iter().copied());
+    // Within the upper size classes of a group the largest jobs take precedence.
     let mut largest: Vec<f64> =
-        all.iter().zip(&given).map(|(g, u)| u.min(g.large.need(g))).collect();
-    let mut between: Vec<f64> = given.iter().zip(&largest).map(|(u, l)| u - l).collect();
-    let wanted: f64 = pressed.iter().map(|(g, _)| g.large.need(g)).sum();
-    let short = largest[..pressed.len()].iter().sum::<f64>() < 0.8 * wanted;
-    for part in [&mut small, &mut largest, &mut between] {
-        part.truncate(pressed.len());
+        all.iter().zip(&upper_floors).map(|(g, u)| u.min(g.large.cpus_needed(g))).collect();
+    let mut middle: Vec<f64> = upper_floors.iter().zip(&largest).map(|(u, l)| u - l).collect();
+    let largest_needed: f64 = overloaded.iter().map(|(g, _)| g.large.cpus_needed(g)).sum();
+    let capacity_short = largest[..overloaded.len()].iter().sum::<f64>() < 0.8 * largest_needed;
+    for floors in [&mut small, &mut largest, &mut middle] {
+        floors.truncate(overloaded.len());
     }
-    let others: f64 = served.iter().map(|g| g.asks()).sum();
-    let left = most.min(view.capacity - others) - largest.iter().chain(&between).sum::<f64>();
-    raise(&mut small, left, must.iter().zip(should).map(|(m, s)| m + s));
-    ((0..pressed.len()).map(|i| [small[i], between[i], largest[i]]).collect(), short)
+    let served_demand: f64 = served.iter().map(|g| g.total_cpus()).sum();
+    let available = max_floors.min(snapshot.capacity - served_demand)
+        - largest.iter().chain(&middle).sum::<f64>();
+    raise(&mut small, available, required.iter().zip(additional).map(|(r, a)| r + a));
+    ((0..overloaded.len()).map(|i| [small[i], middle[i], largest[i]]).collect(), capacity_short)
 }
 
-/// Raises what everybody has towards what it wants, as far as `total` goes.
-fn raise(has: &mut [f64], total: f64, want: impl Iterator<Item = f64>) {
-    let needs: Vec<Need> =
-        want.zip(&*has).map(|(w, h)| Need { amount: (w - h).max(0.0), weight: 1.0 }).collect();
-    let more = fill(total - has.iter().sum::<f64>(), &needs);
-    has.iter_mut().zip(more).for_each(|(h, m)| *h += m);
+/// Raises the amounts towards the targets by max-min, up to a sum of `total`.
+fn raise(amounts: &mut [f64], total: f64, targets: impl Iterator<Item = f64>) {
+    let demands: Vec<WeightedDemand> = targets
+        .zip(&*amounts)
+        .map(|(target, amount)| WeightedDemand { amount: (target - amount).max(0.0), weight: 1.0 })
+        .collect();
+    let increases = max_min_shares(total - amounts.iter().sum::<f64>(), &demands);
+    amounts.iter_mut().zip(increases).for_each(|(amount, increase)| *amount += increase);
 }
--- a/crates/cleatfold-admission/src/lib.rs
+++ b/crates/cleatfold-admission/src/lib.rs
@@ -1,8 +1,9 @@
-//! Under lasting overload: who is served, in what order, and who is told to come back.
+//! Admission under sustained overload: which groups of jobs get a guaranteed minimum, the order of the queue, and
+//! which new jobs are refused for now.
 //!
-//! Jobs are looked at by group, a team's jobs of one class. One controller decides from what all of them
-//! read in the state service and writes an `OverloadQuota` there; every controller orders its queue by the
-//! one it has read. Pure: no I/O and no clock. `docs/admission.md` weighs and argues.
+//! Jobs are grouped by team and class. One controller computes an `OverloadQuota` from the state that all controllers
+//! read and writes it to the state service; every controller orders its queue by the quota that it read last. Pure:
+//! no I/O and no clock. `docs/admission.md` gives the reasons.
 
 #![warn(
     missing_docs,
@@ -13,14 +14,16 @@
 )]
 
 pub mod decide;
-pub mod fill;
 pub mod long_work_limit;
+pub mod max_min;
 pub mod meter;
 pub mod order;
 pub mod overload_quota;
 pub mod size_classes;
 
-pub use decide::{decide, Bounds, Demand, Judge, Rules, Small, View};
+pub use decide::{
+    decide, AdmissionRules, Demand, DemandSnapshot, OverloadTimers, SizeBounds, SizeDemand,
+};
 pub use meter::Meter;
-pub use overload_quota::{Entry, Group, OverloadQuota};
-pub use size_classes::{SizeClass, Sizes};
+pub use overload_quota::{Group, OverloadQuota, QuotaEntry};
+pub use size_classes::{SizeClass, SizeClassQuota};
--- a/crates/cleatfold-admission/src/long_work_limit.rs
+++ b/crates/cleatfold-admission/src/long_work_limit.rs
@@ -1,58 +1,58 @@
-//! Room that long work leaves for what arrives next.
+//! Limits the capacity that a team's long-running tasks may hold, so that other teams' next tasks can start.
 //!
-//! Work that runs long gives its place back late. A team that finds the region half empty could
-//! fill it with such work, and everybody who comes in the next minutes would wait for it: once a guest's
-//! night runs of six minutes each held two thirds of all processors while the residents' tasks of half
-//! a minute waited behind them. Nothing may be stopped for those of the same urgency. So long work leaves free
-//! what the others ask for all the time; short work need not, for its places are back in a moment.
+//! Long-running tasks release their processors late. A team that finds the region half empty could fill it with such
+//! tasks, and all work that arrives in the next minutes would wait for them: a guest team's six-minute tasks once
+//! held two thirds of all processors while the resident teams' tasks of half a minute waited. Tasks are not preempted
+//! for others of the same urgency. Long-running tasks therefore leave free the capacity that the other teams
+//! continuously demand; short tasks need not, since they release their processors soon.
 
 use std::collections::BTreeMap;
 
-/// Work that takes its processors so many times as long as the others' does is long.
-const LONG: f64 = 3.0;
-/// What the others ask for is left to them with so much to spare, for it comes unevenly.
-const SPARE: f64 = 1.25;
+/// A task is long-running if it runs this many times as long as the other teams' mean task.
+const LONG_RUN_FACTOR: f64 = 3.0;
+/// Factor on the other teams' demand to leave free, since their work arrives unevenly.
+const DEMAND_HEADROOM: f64 = 1.25;
 
-/// What one team asks for at one urgency, all of its classes together.
+/// The demand of one team at one urgency, as measured for one of its classes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asks<U> {
+pub struct TeamDemand<U> {
     /// The urgency of this work.
     pub urgency: U,
-    /// Work that comes, per second: processors.
+    /// Arriving work in processor-seconds per second, that is, in processors.
     pub rate: f64,
-    /// How long it takes a processor, in the mean.
+    /// Mean run time of its tasks, weighted by their work.
     pub run_s: f64,
 }
 
-/// What a team's long work may hold.
+/// The limit on a team's long-running tasks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LongWorkLimit {
-    /// Tasks that run longer are long.
+    /// Run time above which a task is long-running.
     pub longer_than_s: f64,
-    /// The part of all processors that they may hold together.
-    pub part: f64,
+    /// Share of all processors that long-running tasks of the team may hold together.
+    pub capacity_share: f64,
 }
 
 impl LongWorkLimit {
-    /// Whether a task of this run time is long.
+    /// Whether a task of this run time is long-running.
     pub fn is_long(&self, run_s: f64) -> bool {
         run_s > self.longer_than_s
     }
 }
 
-/// The room of a team's long work of this urgency; none: nobody else asks for anything that it could
-/// hold up. `capacity` in processors. Teams count by heads: one without a guarantee still has half of its
-/// jobs to be served.
+/// The limit for a team's long-running tasks of this urgency; `None` if they cannot delay work of any other team.
+/// `capacity` is in processors. All teams count equally, since half of the jobs of a team without a guarantee must be
+/// served, too.
 pub fn long_work_limit<T: Ord, U: Ord + Copy>(
-    asks: &BTreeMap<T, Vec<Asks<U>>>,
+    demands: &BTreeMap<T, Vec<TeamDemand<U>>>,
     capacity: f64,
     team: &T,
     urgency: U,
 ) -> Option<LongWorkLimit> {
-    // Less urgent work can be stopped for this, or waits behind it in any case.
-    let mut others: Vec<(&T, &Asks<U>)> = Vec::new();
-    for (other, asks) in asks.iter().filter(|(t, _)| *t != team) {
-        others.extend(asks.iter().filter(|a| a.urgency <= urgency).map(|a| (other, a)));
+    // Less urgent work can be preempted for this work or is queued behind it anyway.
+    let mut others: Vec<(&T, &TeamDemand<U>)> = Vec::new();
+    for (other, team_demands) in demands.iter().filter(|(t, _)| *t != team) {
+        others.extend(team_demands.iter().filter(|a| a.urgency <= urgency).map(|a| (other, a)));
     }
     let rate: f64 = others.iter().map(|o| o.1.rate).sum();
     if rate < 0.01 * capacity || capacity <= 0.0 {
@@ -61,7 +61,10 @@
     let run_s = others.iter().map(|o| o.1.rate * o.1.run_s).sum::<f64>() / rate;
     let mut teams: Vec<&T> = others.iter().map(|o| o.0).collect();
     teams.dedup();
-    let even = 1.0 / (1 + teams.len()) as f64;
-    let left = 1.0 - SPARE * rate / capacity;
-    Some(LongWorkLimit { longer_than_s: LONG * run_s, part: left.max(even).min(1.0) })
+    let equal_share = 1.0 / (1 + teams.len()) as f64;
+    let unclaimed_share = 1.0 - DEMAND_HEADROOM * rate / capacity;
+    Some(LongWorkLimit {
+        longer_than_s: LONG_RUN_FACTOR * run_s,
+        capacity_share: unclaimed_share.max(equal_share).min(1.0),
+    })
 }
--- a/crates/cleatfold-admission/src/order.rs
+++ b/crates/cleatfold-admission/src/order.rs
@@ -1,61 +1,63 @@
-//! The queue's order under overload.
+//! The queue order under overload.
 //!
-//! Half of the jobs cost much less than half of the work, so within a group that is not served in
-//! time small ones go first. A job's place is still a moment, as its arrival is, only moved: later
-//! for the large, earlier for the small and the nearly finished, by no more than `MAX_SHIFT` times the
-//! patience. So whatever was accepted is overtaken by what comes later for a bounded time only.
+//! The smaller half of the jobs needs much less than half of the work, so small jobs go first within a group that is
+//! not served in time. A job is sorted by its acceptance time plus a shift: later for large jobs, earlier for small and
+//! nearly finished ones, by at most `MAX_SHIFT` times the patience. Later jobs can therefore overtake an accepted job
+//! only for a bounded time.
 
-use crate::overload_quota::Entry;
+use crate::overload_quota::QuotaEntry;
 
-/// How far a place is moved at most, in patiences, by a job's size and by its team's part.
+/// Maximum shift by the size of a job, and maximum delay by the demand of its team, in multiples of the patience.
 const MAX_SHIFT: f64 = 2.0;
-/// A job that has begun goes earlier by so many: what ran of it is of use only when all has.
-const BEGUN: f64 = 1.5;
+/// Shift of a started job to an earlier time, in multiples of the patience: completed tasks are useful only once the
+/// whole job is done.
+const STARTED_SHIFT: f64 = 1.5;
 
-/// What of a job decides its place.
+/// The properties of a queued job that determine its sort time.
 #[derive(Clone, Copy, Debug)]
-pub struct Waiting {
+pub struct QueuedJob {
     /// Time of day of its acceptance, in milliseconds.
     pub accepted_ms: u64,
-    /// What it still needs started, in processor-seconds.
-    pub rest: f64,
-    /// Some of its tasks run or are done.
-    pub begun: bool,
+    /// Work of the tasks that are not started, in processor-seconds.
+    pub remaining_work: f64,
+    /// Whether some of its tasks run or are done.
+    pub started: bool,
 }
 
-/// Past its use a job lets those go first that can still be of some, whatever its urgency; not
-/// once it has begun, or ever new jobs would be begun and none finished.
-pub fn past_use(entry: &Entry, job: Waiting, now_ms: u64) -> bool {
-    !job.begun && now_ms.saturating_sub(job.accepted_ms) > entry.patience_ms
+/// Whether the patience of the job has passed. Such a job is queued behind all jobs that can still be useful, whatever
+/// its urgency. A started job is exempt: otherwise new jobs would be started and none finished.
+pub fn is_past_patience(entry: &QuotaEntry, job: QueuedJob, now_ms: u64) -> bool {
+    !job.started && now_ms.saturating_sub(job.accepted_ms) > entry.patience_ms
 }
 
-/// The moment a job's place in the queue goes by.
-pub fn place(entry: &Entry, job: Waiting, now_ms: u64) -> u64 {
+/// The time by which a job is sorted in the queue, in milliseconds.
+pub fn sort_time_ms(entry: &QuotaEntry, job: QueuedJob, now_ms: u64) -> u64 {
     let patience = entry.patience_ms as f64;
-    let size =
-        (job.rest.max(1.0) / entry.typical.max(1) as f64).log2().clamp(-MAX_SHIFT, MAX_SHIFT);
-    let turn = match (job.begun, past_use(entry, job, now_ms)) {
-        (true, _) => -BEGUN,
+    let size_shift = (job.remaining_work.max(1.0) / entry.median_work.max(1) as f64)
+        .log2()
+        .clamp(-MAX_SHIFT, MAX_SHIFT);
+    let state_shift = match (job.started, is_past_patience(entry, job, now_ms)) {
+        (true, _) => -STARTED_SHIFT,
         (false, true) => 1.0,
         (false, false) => 0.0,
     };
-    let moved = job.accepted_ms as f64 + patience * (size + turn);
-    let later = (entry.later_ms as f64).min(patience * MAX_SHIFT);
-    // Everything is a little later, so that no place lies before the beginning of time.
-    (moved + later + patience * (MAX_SHIFT + BEGUN)).max(0.0) as u64
+    let shifted = job.accepted_ms as f64 + patience * (size_shift + state_shift);
+    let delay = (entry.delay_ms as f64).min(patience * MAX_SHIFT);
+    // A constant offset keeps the result from becoming negative.
+    (shifted + delay + patience * (MAX_SHIFT + STARTED_SHIFT)).max(0.0) as u64
 }
 
-/// Which waiting jobs of one class go before everybody else's: from the first of `waiting` on
-/// (in their order, with the processors each still needs in thousandths) until what the class
-/// has, and will have with these, reaches its floor.
-pub fn promote(floor: i64, has: i64, waiting: impl IntoIterator<Item = i64>) -> usize {
-    let mut has = has;
+/// How many of the waiting small jobs of one class precede all other jobs: as many, in their order, as it takes for the
+/// allocation of the class to reach its floor. `demands` are the processors that each job still needs. All amounts are
+/// in thousandths of processors.
+pub fn promote_small(floor: i64, allocated: i64, demands: impl IntoIterator<Item = i64>) -> usize {
+    let mut allocated = allocated;
     let mut promoted = 0;
-    for needs in waiting {
-        if has >= floor {
+    for demand in demands {
+        if allocated >= floor {
             break;
         }
-        has += needs;
+        allocated += demand;
         promoted += 1;
     }
     promoted
--- a/crates/cleatfold-admission/src/overload_quota.rs
+++ b/crates/cleatfold-admission/src/overload_quota.rs
@@ -1,11 +1,11 @@
-//! What the controllers agree on while the region is overloaded.
+//! The quota that all controllers apply while the region is overloaded.
 
-use crate::size_classes::Sizes;
+use crate::size_classes::SizeClassQuota;
 use cleatfold_wire::{ClassId, TeamId, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A team's jobs of one class.
+/// The jobs of one team and class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Group {
     /// The team.
@@ -14,60 +14,62 @@
     pub class: ClassId,
 }
 
-/// One group that is not served in time by the ordinary order.
+/// The quota of a group whose jobs would not start in time in the ordinary queue order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct QuotaEntry {
     /// The team.
     #[serde(rename = "q")]
     pub team: TeamId,
     /// The class of its jobs.
     #[serde(rename = "c")]
     pub class: ClassId,
-    /// Processors in thousandths by which its class goes before everybody else.
+    /// Guaranteed minimum of the group's small jobs, in thousandths of processors; up to it they precede all other jobs.
     #[serde(rename = "f")]
     pub floor: i64,
-    /// Work of its middle job, in processor-seconds.
+    /// Work of the group's median job, in processor-seconds.
     #[serde(rename = "t")]
-    pub typical: u64,
-    /// Its users' patience in milliseconds: by its most lenient aim.
+    pub median_work: u64,
+    /// Time within which a job is useful to its users, in milliseconds, by the most lenient of its objectives.
     #[serde(rename = "p")]
     pub patience_ms: u64,
-    /// Its jobs go so much later than others of their class: its team sends far more than an even
-    /// part.
+    /// Delay of the group's jobs in the queue order relative to others of the same urgency, in milliseconds, because its
+    /// team submits far more than an equal share.
     #[serde(rename = "l", default)]
-    pub later_ms: u64,
-    /// New jobs with more work than this, in processor-seconds, are told to come back.
+    pub delay_ms: u64,
+    /// New jobs with more work than this, in processor-seconds, are refused for now.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
-    pub most: Option<u64>,
-    /// Its sizes apart, `floor` being the small ones'. None: as written before there were any.
+    pub max_new_work: Option<u64>,
+    /// The size classes and the guaranteed minimums of the upper two; `floor` is that of the small jobs. `None` in
+    /// records written before size classes existed.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
-    pub sizes: Option<Sizes>,
+    pub sizes: Option<SizeClassQuota>,
 }
 
-impl Entry {
+impl QuotaEntry {
     fn floors(&self) -> [i64; 3] {
-        let upper = self.sizes.as_ref().map_or((0, 0), |s| (s.middle, s.large));
-        [self.floor, upper.0, upper.1]
+        let (middle, large) =
+            self.sizes.as_ref().map_or((0, 0), |s| (s.middle_floor, s.large_floor));
+        [self.floor, middle, large]
     }
 }
 
-/// What is done about overload, under a number that only grows. Empty while there is none.
+/// The quotas of all groups under overload. Without overload there are no entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OverloadQuota {
-    /// Grows with every decision.
+    /// Increases with every decision.
     #[serde(rename = "g")]
     pub generation: u64,
-    /// Under which version of the leader's key it was decided.
+    /// Version of the role's key under which the quota was decided.
     #[serde(rename = "h", default)]
     pub epoch: Version,
-    /// One for each group that is not served in time.
+    /// One entry for each group that is not served in time.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
-    pub entries: Vec<Entry>,
+    pub entries: Vec<QuotaEntry>,
 }
 
 impl OverloadQuota {
     /// The entry of a group.
-    pub fn entry(&self, team: &TeamId, class: &ClassId) -> Option<&Entry> {
+    pub fn entry(&self, team: &TeamId, class: &ClassId) -> Option<&QuotaEntry> {
         self.entries.iter().find(|e| e.team == *team && e.class == *class)
     }
 
@@ -76,21 +78,25 @@
         self.entries.is_empty()
     }
 
-    /// Whether a write of `next` is worth a change to the state service.
-    pub fn differs(&self, next: &[Entry]) -> bool {
-        let known: BTreeMap<_, _> = self.entries.iter().map(|e| ((&e.team, &e.class), e)).collect();
-        known.len() != next.len()
+    /// Whether `next` differs enough to be written to the state service.
+    pub fn differs(&self, next: &[QuotaEntry]) -> bool {
+        let current: BTreeMap<_, _> =
+            self.entries.iter().map(|e| ((&e.team, &e.class), e)).collect();
+        current.len() != next.len()
             || next.iter().any(|n| {
-                known.get(&(&n.team, &n.class)).is_none_or(|k| {
-                    let later = k.later_ms.abs_diff(n.later_ms) > n.patience_ms / 2;
-                    // A processor up or down is no news.
-                    let moved = |(a, b): (i64, i64)| {
+                current.get(&(&n.team, &n.class)).is_none_or(|k| {
+                    let delay_changed = k.delay_ms.abs_diff(n.delay_ms) > n.patience_ms / 2;
+                    // A change of at most one processor is not significant.
+                    let is_significant = |(a, b): (i64, i64)| {
                         let (a, b) = (a.max(1) as f64, b.max(1) as f64);
                         !(0.8..=1.25).contains(&(a / b)) && (a - b).abs() > 1000.0
                     };
-                    let floor = k.floors().into_iter().zip(n.floors()).any(moved);
-                    let sizes = k.sizes.is_some() != n.sizes.is_some();
-                    floor || later || sizes || k.most.is_some() != n.most.is_some()
+                    let floor_changed = k.floors().into_iter().zip(n.floors()).any(is_significant);
+                    let sizes_changed = k.sizes.is_some() != n.sizes.is_some();
+                    floor_changed
+                        || delay_changed
+                        || sizes_changed
+                        || k.max_new_work.is_some() != n.max_new_work.is_some()
                 })
             })
     }
--- a/crates/cleatfold-admission/src/size_classes.rs
+++ b/crates/cleatfold-admission/src/size_classes.rs
@@ -1,193 +1,205 @@
-//! Sizes: half of each is served, the largest tenth too.
+//! Size classes: half of the jobs of each size class are served, including the largest tenth.
 //!
-//! Floors that are filled with the smallest first leave the large out for as long as the overload lasts. So
-//! a group's jobs are looked at in three size classes, and a class has a floor for each. In the two upper
-//! size classes a floor is filled in the order of acceptance, not of size: what has begun goes on at a rate that ends
-//! it in a stated time, and no more is begun than can go on so. Not all of a size class can be served;
-//! every other job, by its id, goes before those that may or may not be.
+//! Floors that are filled with the smallest jobs first would exclude the large ones for as long as the overload lasts.
+//! The jobs of a group are therefore divided into three size classes, each with a floor of its own. In the upper two a
+//! floor is filled in order of acceptance, not of size: started jobs continue at a rate that completes them in a stated
+//! time, and no more jobs are started than can continue at that rate. Since not all jobs of a size class can be served,
+//! half of them, selected by job id, are preferred to the others.
 
-use crate::decide::Bounds;
+use crate::decide::SizeBounds;
 use serde::{Deserialize, Serialize};
 
-/// So large a part of a size class's floor is for jobs that have not begun, whatever has.
-const BEGINNINGS: i64 = 4;
-/// What has begun may ask for so many floors together; after that nothing more begins. As many times
-/// longer than stated may a job take.
-const UNDER_WAY: i64 = 2;
-/// The same where the machines do not allow half: it has to begin while the flood lasts, and ends when that is over.
-const UNDER_WAY_SHORT: i64 = 4;
-/// A job that waited for longer than this part of the time in which it should begin, is late.
-const SOON: f64 = 0.85;
+/// The floor of a size class divided by this number is reserved for jobs that have not started.
+const NEW_JOBS_DIVISOR: i64 = 4;
+/// Maximum sum of the target widths of started jobs as a multiple of the floor; beyond it no further job starts. A job
+/// may therefore take up to this many times the stated time.
+const MAX_OVERCOMMIT: i64 = 2;
+/// The same multiple when the capacity does not suffice for half of the jobs: they have to start during the overload and may
+/// complete after it.
+const MAX_OVERCOMMIT_SHORT: i64 = 4;
+/// A job is late once it has waited longer than this share of the time within which it should start.
+const LATE_SHARE: f64 = 0.85;
 
-/// How large a job is among those of its class.
+/// The size of a job relative to the other jobs of its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SizeClass {
-    /// One of the many small ones.
+    /// One of the many small jobs.
     Small,
-    /// Between the small ones and the largest.
+    /// Between the small and the largest jobs.
     Middle,
-    /// One of the largest tenth.
+    /// One of the largest tenth of the jobs.
     Large,
 }
 
-/// Where a group's size classes begin and what the upper two have. Work in processor-seconds, floors in
+/// The bounds of a group's size classes and the floors of the upper two. Work is in processor-seconds, floors are in
 /// thousandths of processors.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sizes {
-    /// A job is small up to so much work.
+pub struct SizeClassQuota {
+    /// Maximum work of a small job.
     #[serde(rename = "s")]
-    pub small: u64,
-    /// And of the largest from so much work on, or from so many tasks on.
+    pub small_max_work: u64,
+    /// Minimum work of a large job.
     #[serde(rename = "w")]
-    pub work: u64,
-    /// A job of so many tasks is one of the largest, whatever its work.
+    pub large_min_work: u64,
+    /// Number of tasks from which a job is large, whatever its work.
     #[serde(rename = "n")]
-    pub tasks: u32,
-    /// Guaranteed minimum of the middle ones.
+    pub large_min_tasks: u32,
+    /// Guaranteed minimum of the middle jobs.
     #[serde(rename = "m")]
-    pub middle: i64,
-    /// Guaranteed minimum of the largest.
+    pub middle_floor: i64,
+    /// Guaranteed minimum of the large jobs.
     #[serde(rename = "l")]
-    pub large: i64,
-    /// Within so many milliseconds of its acceptance a job should begin.
+    pub large_floor: i64,
+    /// Time after its acceptance within which a job should start, in milliseconds.
     #[serde(rename = "b")]
-    pub begin_ms: u64,
-    /// The machines do not allow half of the largest: as many as can be, so the smaller of them first.
+    pub start_within_ms: u64,
+    /// Whether the capacity does not suffice for half of the largest jobs; the smaller of them then go first, so that as
+    /// many as possible are served.
     #[serde(rename = "x", default)]
-    pub short: bool,
+    pub capacity_short: bool,
 }
 
-impl Sizes {
+impl SizeClassQuota {
     /// The size class of a job.
     pub fn size_class(&self, work: f64, tasks: u32) -> SizeClass {
-        let (small, most) = (self.small as f64, self.work as f64);
-        Bounds { small, work: most, tasks: self.tasks }.size_class(work, tasks)
+        let bounds = SizeBounds {
+            small_max_work: self.small_max_work as f64,
+            large_min_work: self.large_min_work as f64,
+            large_min_tasks: self.large_min_tasks,
+        };
+        bounds.size_class(work, tasks)
     }
 
-    /// The guaranteed minimum of a size class.
+    /// The guaranteed minimum of an upper size class; 0 for small jobs, whose floor is in the quota entry.
     pub fn floor(&self, size_class: SizeClass) -> i64 {
         match size_class {
             SizeClass::Small => 0,
-            SizeClass::Middle => self.middle,
-            SizeClass::Large => self.large,
+            SizeClass::Middle => self.middle_floor,
+            SizeClass::Large => self.large_floor,
         }
     }
 }
 
-/// A job of an upper size class that is not done.
+/// An unfinished job of an upper size class. Processors are in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct LargerJobDemand {
     /// Time of day of its acceptance, in milliseconds.
     pub accepted_ms: u64,
-    /// Spread evenly, the same for this job at every controller: of its id.
-    pub turn: u64,
-    /// Some of its tasks run or are done.
-    pub begun: bool,
-    /// What it has, and what it could still use, in thousandths of processors.
-    pub has: i64,
-    /// What it could still use, in thousandths of processors.
-    pub needs: i64,
-    /// One task's processors.
-    pub each: i64,
-    /// By which it ends in the stated time after it began.
-    pub width: i64,
-    /// All of it, in processor-seconds.
+    /// Hash of the job id, which is the same on every controller.
+    pub id_hash: u64,
+    /// Whether some of its tasks run or are done.
+    pub started: bool,
+    /// Processors that the job has.
+    pub allocated: i64,
+    /// Processors that the job could use in addition.
+    pub claimable: i64,
+    /// Processors of one task.
+    pub per_task: i64,
+    /// Processors with which the job completes in the stated time after its start.
+    pub target_width: i64,
+    /// Work of the whole job, in processor-seconds.
     pub work: u64,
 }
 
-/// What holds for all jobs of a size class.
+/// The quota of one size class, summed over all teams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
-    /// The guaranteed minimum of a size class.
+pub struct SizeClassTerms {
+    /// The guaranteed minimum of the size class, in thousandths of processors.
     pub floor: i64,
-    /// Within so many milliseconds of its acceptance a job should begin.
-    pub begin_ms: u64,
-    /// Whether the machines do not allow half of them.
-    pub short: bool,
+    /// Time after its acceptance within which a job should start, in milliseconds.
+    pub start_within_ms: u64,
+    /// Whether the capacity does not suffice for half of the jobs.
+    pub capacity_short: bool,
 }
 
-/// The width of a job: all its tasks in `within_s`, one at a time at least.
-pub fn width(tasks: u32, each: i64, run_s: f64, within_s: f64) -> i64 {
+/// The processors with which all tasks of a job complete within `within_s`, at least those of one task, in thousandths.
+pub fn target_width(tasks: u32, per_task: i64, run_s: f64, within_s: f64) -> i64 {
     let rounds = (within_s / run_s.max(0.001)).floor().max(1.0);
-    let wide = (f64::from(tasks) / rounds).ceil().max(1.0);
-    each.saturating_mul(wide as i64)
+    let parallel_tasks = (f64::from(tasks) / rounds).ceil().max(1.0);
+    per_task.saturating_mul(parallel_tasks as i64)
 }
 
-/// Every other job: these are served before the others.
-pub fn chosen(turn: u64) -> bool {
-    turn.is_multiple_of(2)
+/// Whether a job belongs to the half that is served before the other half.
+pub fn is_preferred(id_hash: u64) -> bool {
+    id_hash.is_multiple_of(2)
 }
 
-/// A job that has not begun in time gives its chance to those that still can.
-pub fn late(begin_ms: u64, accepted_ms: u64, now_ms: u64) -> bool {
-    now_ms.saturating_sub(accepted_ms) as f64 > SOON * begin_ms as f64
+/// Whether a job has waited too long to start in time. Late jobs give way to those that can still start in time.
+pub fn is_late(start_within_ms: u64, accepted_ms: u64, now_ms: u64) -> bool {
+    now_ms.saturating_sub(accepted_ms) as f64 > LATE_SHARE * start_within_ms as f64
 }
 
-/// How much of each job goes before everybody else's, for one class and size class. Jobs in any order; ties in acceptance
-/// are broken by `turn`, so every controller that reads the same decides the same.
-pub fn promote(terms: Terms, now_ms: u64, jobs: &[Waiting]) -> Vec<i64> {
-    let Terms { floor, begin_ms, short } = terms;
+/// How much of each job precedes all other jobs, for one class and size class, in thousandths of processors. The jobs
+/// may be in any order. Jobs accepted at the same time are ordered by `id_hash`, so that all controllers reach the same
+/// result from the same state.
+pub fn promote_larger(terms: SizeClassTerms, now_ms: u64, jobs: &[LargerJobDemand]) -> Vec<i64> {
+    let SizeClassTerms { floor, start_within_ms, capacity_short } = terms;
     let mut promoted = vec![0; jobs.len()];
-    let mut begun: Vec<usize> = (0..jobs.len()).filter(|&i| jobs[i].begun).collect();
-    begun.sort_by_key(|&i| (jobs[i].accepted_ms, jobs[i].turn));
-    let is_late = |j: &Waiting| late(begin_ms, j.accepted_ms, now_ms);
-    let mut new: Vec<usize> = (0..jobs.len()).filter(|&i| !jobs[i].begun).collect();
-    // The chosen as they came; of the others the last one, which has the most time left; then the late. Where
-    // not half can be served, the smallest.
+    let mut started: Vec<usize> = (0..jobs.len()).filter(|&i| jobs[i].started).collect();
+    started.sort_by_key(|&i| (jobs[i].accepted_ms, jobs[i].id_hash));
+    let job_is_late = |j: &LargerJobDemand| is_late(start_within_ms, j.accepted_ms, now_ms);
+    let mut new: Vec<usize> = (0..jobs.len()).filter(|&i| !jobs[i].started).collect();
+    // The preferred jobs in order of acceptance, then the others with the latest first, since it has the most time left,
+    // then the late jobs. If the capacity does not suffice for half of the jobs, the smallest go first.
     new.sort_by_key(|&i| {
-        let (j, late) = (&jobs[i], is_late(&jobs[i]));
-        if short && !late {
-            return (false, false, j.work, j.turn);
+        let (j, late) = (&jobs[i], job_is_late(&jobs[i]));
+        if capacity_short && !late {
+            return (false, false, j.work, j.id_hash);
         }
-        let came = if late || chosen(j.turn) { j.accepted_ms } else { u64::MAX - j.accepted_ms };
-        (late, !chosen(j.turn), came, j.turn)
+        let acceptance_order =
+            if late || is_preferred(j.id_hash) { j.accepted_ms } else { u64::MAX - j.accepted_ms };
+        (late, !is_preferred(j.id_hash), acceptance_order, j.id_hash)
     });
-    let due = |j: &Waiting| j.width.min(j.has + j.needs);
-    // What has begun goes on: each in its turn up to its width.
-    let some_wait = new.iter().any(|&i| !is_late(&jobs[i]));
-    let kept = if some_wait { floor / BEGINNINGS } else { 0 };
-    let mut left = floor - kept;
-    let mut wanted = 0;
-    for &i in &begun {
-        let due = due(&jobs[i]);
-        wanted += due;
-        // One task at least: none that has begun stands still.
-        let give = due.min(left.max(jobs[i].each.min(due)));
-        left -= give;
-        promoted[i] = (give - jobs[i].has).clamp(0, jobs[i].needs);
+    let target = |j: &LargerJobDemand| j.target_width.min(j.allocated + j.claimable);
+    // Started jobs continue, each in order up to its target width.
+    let has_timely_new_job = new.iter().any(|&i| !job_is_late(&jobs[i]));
+    let reserved = if has_timely_new_job { floor / NEW_JOBS_DIVISOR } else { 0 };
+    let mut remaining = floor - reserved;
+    let mut committed = 0;
+    for &i in &started {
+        let target = target(&jobs[i]);
+        committed += target;
+        // At least one task, so that every started job makes progress.
+        let granted = target.min(remaining.max(jobs[i].per_task.min(target)));
+        remaining -= granted;
+        promoted[i] = (granted - jobs[i].allocated).clamp(0, jobs[i].claimable);
     }
-    let most = floor * if short { UNDER_WAY_SHORT } else { UNDER_WAY };
-    // New ones begin while all that is under way can go on.
-    let mut left = left.max(0) + kept;
+    let max_committed = floor * if capacity_short { MAX_OVERCOMMIT_SHORT } else { MAX_OVERCOMMIT };
+    // New jobs start as long as all started jobs can continue.
+    let mut remaining = remaining.max(0) + reserved;
     for &i in &new {
-        let (due, each) = (due(&jobs[i]), jobs[i].each.max(1));
-        if floor <= 0 || (wanted > 0 && (wanted + due > most || each > left)) {
+        let (target, per_task) = (target(&jobs[i]), jobs[i].per_task.max(1));
+        if floor <= 0
+            || (committed > 0 && (committed + target > max_committed || per_task > remaining))
+        {
             break;
         }
-        wanted += due;
-        promoted[i] = due.min((left - left % each).max(each));
-        left -= promoted[i];
-        begun.push(i);
+        committed += target;
+        promoted[i] = target.min((remaining - remaining % per_task).max(per_task));
+        remaining -= promoted[i];
+        started.push(i);
     }
-    // All of it only as far as the size class has less than its floor, or urgent work waits beside a class that has
-    // more than that. (`controle`: 0.99 in time without sizes, 0.83 before this.) What has nothing may
-    // have one task more, up to a quarter beyond it; what has begun in any case.
-    let mut spare = floor - jobs.iter().map(|j| j.has).sum::<i64>();
-    for &i in &begun {
-        let (j, each) = (&jobs[i], jobs[i].each.max(1));
-        let one = j.has == 0 && (j.begun || spare > -(floor / BEGINNINGS));
-        let least = if one { each } else { 0 };
-        let most = spare.max(0) - spare.max(0) % each;
+    // Promotions are limited to what the size class lacks of its floor; otherwise urgent work waits behind a class that
+    // has more than its floor (for the class `controle` 0.99 of the jobs were in time without size classes, 0.83
+    // without this limit). A job without processors may get one task beyond that, up to a quarter of the floor; a
+    // started job in any case.
+    let mut shortfall = floor - jobs.iter().map(|j| j.allocated).sum::<i64>();
+    for &i in &started {
+        let (j, per_task) = (&jobs[i], jobs[i].per_task.max(1));
+        let gets_one_task =
+            j.allocated == 0 && (j.started || shortfall > -(floor / NEW_JOBS_DIVISOR));
+        let least = if gets_one_task { per_task } else { 0 };
+        let most = shortfall.max(0) - shortfall.max(0) % per_task;
         promoted[i] = promoted[i].min(most.max(least));
-        spare -= promoted[i];
+        shortfall -= promoted[i];
     }
-    // And what of the floor nobody has, goes to the first.
-    for i in begun {
-        let more = (jobs[i].needs - promoted[i]).min(spare).max(0);
-        // In whole tasks.
-        let more = more - more % jobs[i].each.max(1);
+    // The remaining shortfall goes to the first started jobs.
+    for i in started {
+        let more = (jobs[i].claimable - promoted[i]).min(shortfall).max(0);
+        // Whole tasks only.
+        let more = more - more % jobs[i].per_task.max(1);
         promoted[i] += more;
-        spare -= more;
+        shortfall -= more;
     }
     promoted
 }
--- a/crates/cleatfold-admission/tests/decide.rs
+++ b/crates/cleatfold-admission/tests/decide.rs
@@ -1,7 +1,8 @@
-//! Who counts as not served in time, for how long, and that nobody starves or is overtaken for ever.
+//! Tests which groups are found overloaded and for how long, and that no group starves and no job is overtaken forever.
 
 use cleatfold_admission::{
-    decide, order, Bounds, Demand, Entry, Group, Judge, Meter, OverloadQuota, Rules, Small, View,
+    decide, order, AdmissionRules, Demand, DemandSnapshot, Group, Meter, OverloadQuota,
+    OverloadTimers, QuotaEntry, SizeBounds, SizeDemand,
 };
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::{ClassId, TeamId};
@@ -20,114 +21,124 @@
         running: 0.0,
         rate,
         patience_s: 300.0,
-        must: Small { most: 70.0, part: 0.25, waiting: 0.25 * waiting },
-        should: Small { most: 100.0, part: 0.25, waiting: 0.25 * waiting },
-        middle: Small::default(),
-        large: Small::default(),
-        bounds: Bounds { small: 70.0, work: 500.0, tasks: 100 },
-        typical: 60.0,
+        required: SizeDemand { max_work: 70.0, work_share: 0.25, waiting: 0.25 * waiting },
+        desired: SizeDemand { max_work: 100.0, work_share: 0.25, waiting: 0.25 * waiting },
+        middle: SizeDemand::default(),
+        large: SizeDemand::default(),
+        bounds: SizeBounds { small_max_work: 70.0, large_min_work: 500.0, large_min_tasks: 100 },
+        median_work: 60.0,
         guarantee: 0.0,
         limit: 0.0,
     }
 }
 
-/// Urgent work takes nearly all, and what comes behind it waits for ever.
-fn overload() -> View {
+/// Urgent work uses nearly all processors, and less urgent work waits forever.
+fn overload() -> DemandSnapshot {
     let groups = vec![
         demand("a", Urgency::High, 0.0, 950.0),
         demand("b", Urgency::BestEffort, 200_000.0, 800.0),
     ];
-    View { capacity: 1000.0, settled: true, groups }
+    DemandSnapshot { capacity: 1000.0, capacity_settled: true, groups }
 }
 
 struct Decider {
-    judge: Judge,
-    known: OverloadQuota,
+    timers: OverloadTimers,
+    quota: OverloadQuota,
 }
 
 impl Decider {
-    fn new(known: OverloadQuota) -> Self {
-        Self { judge: Judge::default(), known }
+    fn new(quota: OverloadQuota) -> Self {
+        Self { timers: OverloadTimers::default(), quota }
     }
 
-    /// Looks once a second; writes whenever something differs.
-    fn run(&mut self, view: &View, from_s: u32, to_s: u32) {
+    /// Decides once a second and stores the quota whenever it differs.
+    fn run(&mut self, snapshot: &DemandSnapshot, from_s: u32, to_s: u32) {
         for s in from_s..to_s {
-            let next = decide(&Rules::default(), &mut self.judge, &self.known, view, f64::from(s));
-            if self.known.differs(&next) {
-                let generation = self.known.generation + 1;
-                self.known = OverloadQuota { generation, entries: next, ..self.known.clone() };
+            let next = decide(
+                &AdmissionRules::default(),
+                &mut self.timers,
+                &self.quota,
+                snapshot,
+                f64::from(s),
+            );
+            if self.quota.differs(&next) {
+                let generation = self.quota.generation + 1;
+                self.quota = OverloadQuota { generation, entries: next, ..self.quota.clone() };
             }
         }
     }
 }
 
 #[test]
-fn a_class_that_would_starve_gets_a_floor_and_the_urgent_one_none() {
+fn starving_group_gets_floor_and_urgent_group_gets_none() {
     let mut decider = Decider::new(OverloadQuota::default());
     decider.run(&overload(), 0, 4);
-    assert!(decider.known.is_empty(), "not for a moment's queue");
+    assert!(decider.quota.is_empty(), "a short queue is not overload");
     decider.run(&overload(), 4, 10);
-    assert_eq!(decider.known.generation, 1);
-    let entry = &decider.known.entries[0];
-    assert_eq!((decider.known.entries.len(), entry.team.as_str()), (1, "b"));
-    // A quarter of what comes and of what waits, over its patience: all of it fits under the cap.
-    let need = 0.25 * (800.0 + 200_000.0 / 600.0);
-    assert!((entry.floor as f64 / 1000.0 - need).abs() < 1.0, "{entry:?}");
+    assert_eq!(decider.quota.generation, 1);
+    let entry = &decider.quota.entries[0];
+    assert_eq!((decider.quota.entries.len(), entry.team.as_str()), (1, "b"));
+    // A quarter of the arriving and of the waiting work, over twice the patience: all of it fits under the maximum.
+    let needed = 0.25 * (800.0 + 200_000.0 / 600.0);
+    assert!((entry.floor as f64 / 1000.0 - needed).abs() < 1.0, "{entry:?}");
 }
 
 #[test]
-fn while_machines_still_come_a_long_queue_says_nothing() {
+fn growing_capacity_prevents_a_quota() {
     let mut decider = Decider::new(OverloadQuota::default());
-    decider.run(&View { settled: false, ..overload() }, 0, 60);
-    assert!(decider.known.is_empty());
+    decider.run(&DemandSnapshot { capacity_settled: false, ..overload() }, 0, 60);
+    assert!(decider.quota.is_empty());
 }
 
-/// The queue under an overload quota is shorter than without; if that ended it, it would begin anew.
+/// Guards against oscillation: the queue is shorter under a quota, and ending the quota at once would cause the overload
+/// again.
 #[test]
-fn it_does_not_swing() {
+fn quota_persists_between_the_bounds() {
     let mut decider = Decider::new(OverloadQuota::default());
     decider.run(&overload(), 0, 10);
-    let mut half = overload();
-    half.groups[1].waiting = 0.7 * 300.0 * 50.0;
-    half.groups[1].must.waiting = 0.0;
-    half.groups[1].should.waiting = 0.0;
-    decider.run(&half, 10, 200);
-    assert_eq!(decider.known.entries.len(), 1, "between the bounds it stays as it is");
-    half.groups[1].waiting = 0.0;
-    decider.run(&half, 200, 215);
-    assert_eq!(decider.known.entries.len(), 1, "nor does a quiet moment end it");
-    decider.run(&half, 215, 230);
-    assert!(decider.known.is_empty());
-    assert_eq!(decider.known.generation, 3, "begun, adjusted and ended");
+    let mut shorter_queue = overload();
+    shorter_queue.groups[1].waiting = 0.7 * 300.0 * 50.0;
+    shorter_queue.groups[1].required.waiting = 0.0;
+    shorter_queue.groups[1].desired.waiting = 0.0;
+    decider.run(&shorter_queue, 10, 200);
+    assert_eq!(decider.quota.entries.len(), 1, "unchanged between the bounds");
+    shorter_queue.groups[1].waiting = 0.0;
+    decider.run(&shorter_queue, 200, 215);
+    assert_eq!(decider.quota.entries.len(), 1, "a short quiet period does not end it");
+    decider.run(&shorter_queue, 215, 230);
+    assert!(decider.quota.is_empty());
+    assert_eq!(decider.quota.generation, 3, "started, adjusted and ended");
 }
 
 #[test]
-fn a_new_holder_goes_on_from_what_was_written() {
+fn new_decider_continues_from_the_stored_quota() {
     let mut first = Decider::new(OverloadQuota::default());
     first.run(&overload(), 0, 10);
-    let mut second = Decider::new(first.known.clone());
-    second.run(&View { settled: false, ..overload() }, 0, 3);
-    assert_eq!(second.known, first.known, "without having seen the overload begin");
+    let mut second = Decider::new(first.quota.clone());
+    second.run(&DemandSnapshot { capacity_settled: false, ..overload() }, 0, 3);
+    assert_eq!(
+        second.quota, first.quota,
+        "unchanged by a decider that did not see the overload start"
+    );
 }
 
 #[test]
-fn a_team_at_its_limit_is_judged_by_its_limit() {
-    let mut view = overload();
-    view.groups = vec![
-        // Its limit alone makes it wait.
+fn team_at_its_limit_is_overloaded_despite_free_capacity() {
+    let mut snapshot = overload();
+    snapshot.groups = vec![
+        // Only the limit of the team makes its jobs wait.
         Demand { limit: 100.0, ..demand("a", Urgency::Normal, 60_000.0, 300.0) },
         demand("b", Urgency::BestEffort, 0.0, 100.0),
     ];
     let mut decider = Decider::new(OverloadQuota::default());
-    decider.run(&view, 0, 10);
-    let pressed: Vec<&str> = decider.known.entries.iter().map(|e| e.team.as_str()).collect();
-    assert_eq!(pressed, ["a"], "there is room in the region, but not for this team");
-    assert!(decider.known.entries[0].floor <= 100_000, "no floor above its limit");
+    decider.run(&snapshot, 0, 10);
+    let overloaded: Vec<&str> = decider.quota.entries.iter().map(|e| e.team.as_str()).collect();
+    assert_eq!(overloaded, ["a"], "the region has free capacity, but the team is at its limit");
+    assert!(decider.quota.entries[0].floor <= 100_000, "no floor above its limit");
 }
 
 #[test]
-fn floors_share_what_there_is() {
+fn floors_are_fair_and_within_capacity() {
     let mut rng = SmallRng::seed_from_u64(2);
     for case in 0..100 {
         let groups: Vec<Demand> = (0..rng.random_range(1..12))
@@ -139,128 +150,147 @@
                 d
             })
             .collect();
-        let view = View { capacity: 1000.0, settled: true, groups };
+        let snapshot = DemandSnapshot { capacity: 1000.0, capacity_settled: true, groups };
         let mut decider = Decider::new(OverloadQuota::default());
-        decider.run(&view, 0, 10);
-        let entries = &decider.known.entries;
+        decider.run(&snapshot, 0, 10);
+        let entries = &decider.quota.entries;
         let sum: i64 = entries.iter().map(|e| e.floor).sum();
         assert!(sum <= 900_000, "case {case}: {sum}");
         for e in entries {
-            let g = view.groups.iter().find(|g| g.group.team == e.team).expect("asked for");
-            let need = (g.must.part * g.rate + 0.5 * g.must.waiting / g.patience_s) * 1000.0;
-            // Guarantees come first, twelve of 50 at most; the rest is shared evenly.
-            let guaranteed = view.groups.iter().filter(|g| g.guarantee > 0.0).count() as i64;
-            let even = (900_000 - 50_000 * guaranteed).max(0) / entries.len() as i64;
-            // And nobody's floor is above its team's share, in which guarantees count as much
-            // again as heads do.
-            let even = even.min(500_000 / view.groups.len() as i64);
-            let least = if g.guarantee > 0.0 { 900_000 / 12 } else { even };
-            assert!(e.floor + 2 >= least.min(need as i64), "case {case}: {e:?} of {need}");
-            assert!(e.floor <= need as i64 + 2, "case {case}: more than it needs");
+            let g = snapshot
+                .groups
+                .iter()
+                .find(|g| g.group.team == e.team)
+                .expect("a group with demand");
+            let needed =
+                (g.required.work_share * g.rate + 0.5 * g.required.waiting / g.patience_s) * 1000.0;
+            // Guarantees come first, at most twelve of 50 processors; the remaining capacity is shared equally.
+            let guaranteed = snapshot.groups.iter().filter(|g| g.guarantee > 0.0).count() as i64;
+            let equal_share = (900_000 - 50_000 * guaranteed).max(0) / entries.len() as i64;
+            // No floor exceeds the share of its team, whose weight depends equally on its guarantee and on being a team.
+            let equal_share = equal_share.min(500_000 / snapshot.groups.len() as i64);
+            let least = if g.guarantee > 0.0 { 900_000 / 12 } else { equal_share };
+            assert!(e.floor + 2 >= least.min(needed as i64), "case {case}: {e:?} of {needed}");
+            assert!(e.floor <= needed as i64 + 2, "case {case}: floor exceeds the need");
         }
     }
 }
 
-fn entry() -> Entry {
-    Entry {
+fn entry() -> QuotaEntry {
+    QuotaEntry {
         team: TeamId::new("a"),
         class: ClassId::new("class"),
         floor: 10_000,
-        typical: 100,
+        median_work: 100,
         patience_ms: 300_000,
-        later_ms: 0,
-        most: None,
+        delay_ms: 0,
+        max_new_work: None,
         sizes: None,
     }
 }
 
-/// Small jobs go first, but a large one is overtaken only by what comes in a bounded time.
+/// Small jobs go first, but a large job is overtaken only by jobs that arrive within a bounded time.
 #[test]
-fn nobody_is_put_off_for_ever() {
+fn large_job_is_overtaken_only_for_a_bounded_time() {
     let now = 10_000_000;
-    let job = |accepted_ms, rest, begun| order::Waiting { accepted_ms, rest, begun };
-    let place = |accepted, rest| order::place(&entry(), job(accepted, rest, false), now);
-    assert!(place(now, 10.0) < place(now - 60_000, 1000.0), "the small one first");
-    for rest in [1.0, 100.0, 1e9] {
-        let old = place(now - 6 * 300_000, rest);
+    let job = |accepted_ms, remaining_work, started| order::QueuedJob {
+        accepted_ms,
+        remaining_work,
+        started,
+    };
+    let sort_time = |accepted, work| order::sort_time_ms(&entry(), job(accepted, work, false), now);
+    assert!(sort_time(now, 10.0) < sort_time(now - 60_000, 1000.0), "the small job goes first");
+    for work in [1.0, 100.0, 1e9] {
+        let old = sort_time(now - 6 * 300_000, work);
         assert!(
-            old < place(now, 1.0),
-            "whatever came five patiences ago goes before all that is new"
+            old < sort_time(now, 1.0),
+            "a job accepted five times the patience ago precedes all new jobs"
         );
     }
-    let late = place(now - 310_000, 100.0);
-    assert!(late > place(now - 290_000, 100.0), "what is late goes behind what can be in time");
+    let late = sort_time(now - 310_000, 100.0);
+    assert!(
+        late > sort_time(now - 290_000, 100.0),
+        "a late job goes behind jobs that can be in time"
+    );
 }
 
 #[test]
-fn a_floor_lifts_until_it_is_reached_and_no_further() {
-    assert_eq!(order::promote(10_000, 0, [4000, 4000, 4000, 4000]), 3);
-    assert_eq!(order::promote(10_000, 9000, [4000, 4000]), 1);
+fn small_jobs_are_promoted_up_to_the_floor() {
+    assert_eq!(order::promote_small(10_000, 0, [4000, 4000, 4000, 4000]), 3);
+    assert_eq!(order::promote_small(10_000, 9000, [4000, 4000]), 1);
     assert_eq!(
-        order::promote(10_000, 10_000, [4000]),
+        order::promote_small(10_000, 10_000, [4000]),
         0,
-        "a group that has its floor waits its turn"
+        "no promotion once the floor is reached"
     );
 }
 
 #[test]
-fn the_meter_forgets_and_knows_how_work_is_spread() {
+fn meter_decays_rates_and_measures_sizes() {
     let mut meter = Meter::default();
     let g = group("a", "class");
     for s in 0..600 {
-        meter.arrived(&g, f64::from(s), 50.0, 1, 10.0);
+        meter.record_arrival(&g, f64::from(s), 50.0, 1, 10.0);
         if s % 10 == 0 {
-            meter.arrived(&g, f64::from(s), 1000.0, 1, 10.0);
+            meter.record_arrival(&g, f64::from(s), 1000.0, 1, 10.0);
         }
     }
-    // 50 a second, and 1000 every ten seconds.
+    // 50 per second, and 1000 every ten seconds.
     let rate = meter.rate(&g, 600.0);
     assert!((rate / 150.0 - 1.0).abs() < 0.1, "{rate}");
     assert!(meter.rate(&g, 780.0) < 0.1 * rate);
-    let spread = meter.spread(&g, 0.6).expect("jobs came");
-    assert!((spread.typical / 50.0 - 1.0).abs() < 0.05, "{spread:?}");
-    let part = 0.6 * 11.0 * 50.0 / 1500.0;
-    assert!((spread.part / part - 1.0).abs() < 0.1, "{spread:?} against {part}");
-    // A restarted controller reads jobs in any order: late news counts by its age.
+    let sizes = meter.size_distribution(&g, 0.6).expect("jobs arrived");
+    assert!((sizes.median_work / 50.0 - 1.0).abs() < 0.05, "{sizes:?}");
+    let work_share = 0.6 * 11.0 * 50.0 / 1500.0;
+    assert!((sizes.work_share / work_share - 1.0).abs() < 0.1, "{sizes:?}, expected {work_share}");
+    // A restarted controller reads jobs in any order: an older arrival is weighted by its age.
     let mut late = Meter::default();
-    late.arrived(&g, 100.0, 60.0, 1, 10.0);
-    late.arrived(&g, 40.0, 60.0, 1, 10.0);
+    late.record_arrival(&g, 100.0, 60.0, 1, 10.0);
+    late.record_arrival(&g, 40.0, 60.0, 1, 10.0);
     assert!((late.rate(&g, 100.0) - (1.0 + (-1.0f64).exp())).abs() < 1e-9);
 }
 
-/// One team's flood delays that team, not the others of its class.
+/// Excessive demand of one team delays that team, not the others of its class.
 #[test]
-fn a_team_that_sends_much_more_goes_later() {
+fn team_with_excessive_demand_is_delayed() {
     let mut groups: Vec<Demand> = (0..6)
         .map(|i| {
             demand(&format!("team-{i}"), Urgency::Normal, 200_000.0, 100.0 + 10.0 * f64::from(i))
         })
         .collect();
     groups[3].rate = 1500.0;
-    let view = View { capacity: 1000.0, settled: true, groups };
+    let snapshot = DemandSnapshot { capacity: 1000.0, capacity_settled: true, groups };
     let mut decider = Decider::new(OverloadQuota::default());
-    decider.run(&view, 0, 10);
-    assert_eq!(decider.known.entries.len(), 6);
-    for e in &decider.known.entries {
-        let flood = e.team.as_str() == "team-3";
-        assert_eq!(e.later_ms > e.patience_ms / 2, flood, "{e:?}");
-        assert!(flood || e.later_ms == 0, "a little more than others is luck: {e:?}");
+    decider.run(&snapshot, 0, 10);
+    assert_eq!(decider.quota.entries.len(), 6);
+    for e in &decider.quota.entries {
+        let is_excessive = e.team.as_str() == "team-3";
+        assert_eq!(e.delay_ms > e.patience_ms / 2, is_excessive, "{e:?}");
+        assert!(
+            is_excessive || e.delay_ms == 0,
+            "slightly more demand than the others causes no delay: {e:?}"
+        );
     }
 }
 
-/// What goes beyond half of a group is not taken from more urgent work that is served in time.
+/// Only the required half of a group may take capacity from more urgent work that is served in time.
 #[test]
-fn only_half_is_taken_from_the_more_urgent() {
-    let mut view = overload();
-    view.groups[0].rate = 600.0;
-    view.groups[1].should = Small { most: 200.0, part: 0.5, waiting: 100_000.0 };
-    let floor = |view: &View| {
+fn desired_jobs_use_only_capacity_left_by_more_urgent_work() {
+    let mut snapshot = overload();
+    snapshot.groups[0].rate = 600.0;
+    snapshot.groups[1].desired =
+        SizeDemand { max_work: 200.0, work_share: 0.5, waiting: 100_000.0 };
+    let floor = |snapshot: &DemandSnapshot| {
         let mut decider = Decider::new(OverloadQuota::default());
-        decider.run(view, 0, 10);
-        decider.known.entries[0].floor as f64 / 1000.0
+        decider.run(snapshot, 0, 10);
+        decider.quota.entries[0].floor as f64 / 1000.0
     };
-    let must = 0.25 * 800.0 + 50_000.0 / 600.0;
-    assert!((floor(&view) - 400.0).abs() < 1.0, "all that the other leaves: {}", floor(&view));
-    view.groups[0].rate = 900.0;
-    assert!((floor(&view) - must).abs() < 1.0, "and what has to be: {}", floor(&view));
+    let required = 0.25 * 800.0 + 50_000.0 / 600.0;
+    assert!(
+        (floor(&snapshot) - 400.0).abs() < 1.0,
+        "all capacity that the other group leaves: {}",
+        floor(&snapshot)
+    );
+    snapshot.groups[0].rate = 900.0;
+    assert!((floor(&snapshot) - required).abs() < 1.0, "the required floor: {}", floor(&snapshot));
 }
--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -13,10 +13,11 @@
 use crate::store::cache::{CachedJob, Versioned};
 use crate::store::records::OVERLOAD_QUOTA_KEY;
 use cleatfold_admission::long_work_limit::LongWorkLimit;
-use cleatfold_admission::meter::{Largest, Spread};
+use cleatfold_admission::meter::{LargestJobs, SizeDistribution};
 use cleatfold_admission::size_classes;
 use cleatfold_admission::{
-    decide, Bounds, Demand, Entry, Group, OverloadQuota, Rules, SizeClass, Small, View,
+    decide, AdmissionRules, Demand, DemandSnapshot, Group, OverloadQuota, QuotaEntry, SizeBounds,
+    SizeClass, SizeDemand,
 };
 use cleatfold_roles::Role;
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
@@ -30,25 +31,30 @@
 const ENTRY_BYTES: usize = 260;
 
 /// For the log: floors of the small, the middle and the largest, in processors.
-fn quota_for_log(e: &Entry) -> (&TeamId, &ClassId, i64, Option<(i64, i64, bool)>) {
-    let upper = e.sizes.as_ref().map(|s| (s.middle / 1000, s.large / 1000, s.short));
+fn quota_for_log(e: &QuotaEntry) -> (&TeamId, &ClassId, i64, Option<(i64, i64, bool)>) {
+    let upper =
+        e.sizes.as_ref().map(|s| (s.middle_floor / 1000, s.large_floor / 1000, s.capacity_short));
     (&e.team, &e.class, e.floor / 1000, upper)
 }
 
 /// How the work of a group's jobs is distributed, as it was measured.
 struct Distribution {
     /// The jobs that must be served, the smallest first.
-    must: Spread,
+    must: SizeDistribution,
     /// Those that should be.
-    should: Spread,
+    should: SizeDistribution,
     /// The largest of their class.
-    largest: Largest,
+    largest: LargestJobs,
 }
 
 impl Distribution {
-    fn bounds(&self) -> Bounds {
-        let Largest { work, tasks, .. } = self.largest;
-        Bounds { small: self.must.most, work, tasks }
+    fn bounds(&self) -> SizeBounds {
+        let LargestJobs { min_work: work, min_tasks: tasks, .. } = self.largest;
+        SizeBounds {
+            small_max_work: self.must.max_work,
+            large_min_work: work,
+            large_min_tasks: tasks,
+        }
     }
 }
 
@@ -83,8 +89,8 @@
         let waits = work(spec, cached.unclaimed());
         let up_to = |most: f64| if all <= most { waits } else { 0.0 };
         self.waiting += waits;
-        self.must += up_to(distribution.must.most);
-        self.should += up_to(distribution.should.most);
+        self.must += up_to(distribution.must.max_work);
+        self.should += up_to(distribution.should.max_work);
         // What can no longer begin in time waits for what is left.
         let has_begun = cached.claimed + cached.done > 0;
         match distribution.bounds().size_class(all, spec.tasks) {
@@ -103,7 +109,7 @@
 
 impl Controller {
     /// What the agreement says of the job's group, if it is not served in time.
-    pub(crate) fn overload_entry(&self, cached: &CachedJob) -> Option<&Entry> {
+    pub(crate) fn overload_entry(&self, cached: &CachedJob) -> Option<&QuotaEntry> {
         let overload_quota = &self.cache.overload_quota.value;
         if overload_quota.is_empty() || cached.width().is_some() || self.cfg.admission.is_none() {
             return None;
@@ -116,7 +122,7 @@
     /// controller and at every retry, as long as the overload quota stands.
     pub(crate) fn refused_for_now(&self, spec: &JobSpec) -> Option<u32> {
         self.cfg.admission.as_ref()?;
-        let most = self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.most?;
+        let most = self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.max_new_work?;
         let refused = spec.kind == Kind::Array && work(spec, spec.tasks) > most as f64;
         // An overload quota is looked at again after STAND_MS; a retry before that is in vain.
         let spread = xxhash_rust::xxh3::xxh3_64(spec.id.as_str().as_bytes()) % 8;
@@ -187,17 +193,17 @@
             let Some(mut limit) = known.filter(|r| r.is_long(spec.estimate_s)) else { continue };
             // What it is promised while it is not served in time, it has in any case.
             let floor = self.overload_entry(cached).map_or(0.0, |e| e.floor as f64 / 1000.0);
-            limit.part = limit.part.max(floor / capacity.max(1.0)).min(1.0);
+            limit.capacity_share = limit.capacity_share.max(floor / capacity.max(1.0)).min(1.0);
             let rest = spec.cpus * f64::from(cached.unfinished());
             let begun = cached.claimed + cached.done > 0;
             let job = (!begun, cached.place(), id, rest);
             jobs.entry(&spec.team).or_default().push(job);
             let known = long.limits.entry(spec.team.clone()).or_insert(limit);
-            known.part = known.part.max(limit.part);
+            known.capacity_share = known.capacity_share.max(limit.capacity_share);
         }
         for (team, mut jobs) in jobs {
             jobs.sort_by(|a, b| (a.0, a.1, a.2).cmp(&(b.0, b.1, b.2)));
-            let mut left = long.limits[team].part * capacity;
+            let mut left = long.limits[team].capacity_share * capacity;
             for (i, (new, _, id, rest)) in jobs.into_iter().enumerate() {
                 // Only what fits whole is begun beside others, or all are in the end half done.
                 if i > 0 && (left <= 0.0 || (new && rest > left)) {
@@ -231,8 +237,8 @@
     }
 
     /// What all groups ask for, as the decision on the quota needs it.
-    fn view(&self) -> View {
-        let Some(rules) = &self.cfg.admission else { return View::default() };
+    fn view(&self) -> DemandSnapshot {
+        let Some(rules) = &self.cfg.admission else { return DemandSnapshot::default() };
         let history = &self.admission.capacity;
         let (oldest, before) = history.front().copied().unwrap_or_default();
         let capacity = history.back().map_or(0.0, |h| h.1);
@@ -244,16 +250,16 @@
             let distribution = distributions.get(&group)?;
             Some(self.demand_of(rules, group, demand, distribution))
         });
-        View { capacity, settled, groups: groups.collect() }
+        DemandSnapshot { capacity, capacity_settled: settled, groups: groups.collect() }
     }
 
     /// How the work of each group is distributed over its jobs, as far as that was measured.
-    fn distributions(&self, rules: &Rules) -> BTreeMap<&Group, Distribution> {
+    fn distributions(&self, rules: &AdmissionRules) -> BTreeMap<&Group, Distribution> {
         let meter = &self.admission.meter;
         let measured = meter.groups().filter_map(|group| {
-            let must = meter.spread(group, rules.must)?;
-            let largest = meter.largest(&group.class, rules.largest, must.most)?;
-            let should = meter.spread(group, rules.should)?;
+            let must = meter.size_distribution(group, rules.required_job_share)?;
+            let largest = meter.largest(&group.class, rules.largest_job_share, must.max_work)?;
+            let should = meter.size_distribution(group, rules.desired_job_share)?;
             Some((group, Distribution { must, should, largest }))
         });
         measured.collect()
@@ -262,10 +268,10 @@
     /// Adds up what the jobs of each group have and ask for.
     fn group_demands(
         &self,
-        rules: &Rules,
+        rules: &AdmissionRules,
         distributions: &BTreeMap<&Group, Distribution>,
     ) -> BTreeMap<Group, GroupDemand> {
-        let begin_ms = (rules.begin_s * 1000.0) as u64;
+        let begin_ms = (rules.start_within_s * 1000.0) as u64;
         let mut demands: BTreeMap<Group, GroupDemand> = BTreeMap::new();
         for cached in self.cache.jobs.values() {
             let spec = &cached.record.spec;
@@ -274,7 +280,7 @@
             }
             let group = Group { team: spec.team.clone(), class: spec.class.clone() };
             let Some(distribution) = distributions.get(&group) else { continue };
-            let is_late = size_classes::late(begin_ms, cached.record.accepted_ms, self.wall_ms);
+            let is_late = size_classes::is_late(begin_ms, cached.record.accepted_ms, self.wall_ms);
             let demand = demands.entry(group).or_default();
             demand.add(cached, distribution, is_late, self.patience_s(spec));
         }
@@ -283,18 +289,22 @@
 
     fn demand_of(
         &self,
-        rules: &Rules,
+        rules: &AdmissionRules,
         group: Group,
         demand: GroupDemand,
         distribution: &Distribution,
     ) -> Demand {
         let Distribution { must, should, largest } = distribution;
-        let small = |s: &Spread, waiting| Small { most: s.most, part: s.part, waiting };
+        let small = |s: &SizeDistribution, waiting| SizeDemand {
+            max_work: s.max_work,
+            work_share: s.work_share,
+            waiting,
+        };
         // Half of what waits of the larger ones is not going to be served.
-        let larger = |most, part, waiting| Small {
-            most,
-            part: rules.of_each * part,
-            waiting: rules.of_each * waiting,
+        let larger = |most, part, waiting| SizeDemand {
+            max_work: most,
+            work_share: rules.upper_class_job_share * part,
+            waiting: rules.upper_class_job_share * waiting,
         };
         let team = self.cfg.team(&group.team);
         Demand {
@@ -303,12 +313,12 @@
             running: demand.running,
             rate: self.admission.meter.rate(&group, self.wall_ms as f64 / 1000.0),
             patience_s: demand.patience_s / demand.jobs,
-            must: small(must, demand.must),
-            should: small(should, demand.should),
-            middle: larger(largest.work, largest.between, demand.middle),
-            large: larger(f64::INFINITY, largest.part, demand.large),
+            required: small(must, demand.must),
+            desired: small(should, demand.should),
+            middle: larger(largest.min_work, largest.middle_work_share, demand.middle),
+            large: larger(f64::INFINITY, largest.work_share, demand.large),
             bounds: distribution.bounds(),
-            typical: must.typical,
+            median_work: must.median_work,
             guarantee: team.map_or(0.0, |t| t.cpus),
             limit: team.map_or(0.0, |t| t.cpus_max),
             group,
--- a/crates/cleatfold-control/src/admission/state.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -1,8 +1,8 @@
 //! What each group asks for and what there was to give, as one controller has measured it.
 
 use crate::store::cache::CachedJob;
-use cleatfold_admission::long_work_limit::{Asks, LongWorkLimit};
-use cleatfold_admission::{size_classes, Entry, Group, Judge, Meter};
+use cleatfold_admission::long_work_limit::{LongWorkLimit, TeamDemand};
+use cleatfold_admission::{size_classes, Group, Meter, OverloadTimers, QuotaEntry};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::{JobId, Ms, TeamId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     pub meter: Meter,
-    pub judge: Judge,
+    pub judge: OverloadTimers,
     /// Jobs that are in the meter.
     seen: BTreeSet<JobId>,
     pub last_checked: Ms,
@@ -27,7 +27,7 @@
     /// How urgent each group's jobs are, as the last one was.
     urgencies: BTreeMap<Group, Urgency>,
     /// What each team asks for, by urgency.
-    pub asks: BTreeMap<TeamId, Vec<Asks<Urgency>>>,
+    pub asks: BTreeMap<TeamId, Vec<TeamDemand<Urgency>>>,
 }
 
 impl Admission {
@@ -43,7 +43,7 @@
             let group = Group { team: spec.team.clone(), class: spec.class.clone() };
             let at_s = (cached.record.accepted_ms as f64 / 1000.0).min(wall_s);
             let work = work(spec, spec.tasks);
-            self.meter.arrived(&group, at_s, work, spec.tasks, spec.estimate_s);
+            self.meter.record_arrival(&group, at_s, work, spec.tasks, spec.estimate_s);
             self.urgencies.insert(group, spec.urgency);
         }
     }
@@ -63,8 +63,8 @@
         self.asks.clear();
         for (group, urgency) in &self.urgencies {
             let rate = self.meter.rate(group, wall_s);
-            let run_s = self.meter.run_s(group);
-            let asks = Asks { urgency: *urgency, rate, run_s };
+            let run_s = self.meter.mean_run_s(group);
+            let asks = TeamDemand { urgency: *urgency, rate, run_s };
             self.asks.entry(group.team.clone()).or_default().push(asks);
         }
     }
@@ -94,26 +94,26 @@
 
 /// What of a job of an upper size class decides how much of it goes before everybody else's.
 pub(crate) fn size_class_demand(
-    entry: &Entry,
+    entry: &QuotaEntry,
     id: &JobId,
     cached: &CachedJob,
     begin_ms: u64,
-) -> size_classes::Waiting {
+) -> size_classes::LargerJobDemand {
     let spec = &cached.record.spec;
     let each = cached.each.cpus;
     let within_s = entry.patience_ms.max(begin_ms) as f64 / 1000.0;
-    size_classes::Waiting {
+    size_classes::LargerJobDemand {
         accepted_ms: cached.record.accepted_ms,
-        turn: xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes()),
-        begun: cached.claimed + cached.done > 0,
-        has: cached.each.times(cached.claimed).cpus,
-        needs: cached.each.times(cached.unclaimed()).cpus,
-        each,
+        id_hash: xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes()),
+        started: cached.claimed + cached.done > 0,
+        allocated: cached.each.times(cached.claimed).cpus,
+        claimable: cached.each.times(cached.unclaimed()).cpus,
+        per_task: each,
         work: work(spec, spec.tasks) as u64,
         // A gang is whole or nothing.
-        width: match spec.kind {
+        target_width: match spec.kind {
             Kind::Gang => cached.each.times(spec.tasks).cpus,
-            _ => size_classes::width(spec.tasks, each, spec.estimate_s, within_s),
+            _ => size_classes::target_width(spec.tasks, each, spec.estimate_s, within_s),
         },
     }
 }
--- a/crates/cleatfold-control/src/config.rs
+++ b/crates/cleatfold-control/src/config.rs
@@ -1,6 +1,6 @@
 //! What a controller is told at its start, from the platform's settings and the operator's.
 
-use cleatfold_admission::Rules;
+use cleatfold_admission::AdmissionRules;
 use cleatfold_wire::{ClassId, ControllerId, TeamId, ZoneId};
 
 /// A team that submits jobs, with its guarantee and its limit.
@@ -90,7 +90,7 @@
     /// Work within its team's guarantee should start within this time.
     pub guarantee_wait_s: Option<f64>,
     /// What is done about overload that lasts; none: arrival and urgency alone decide.
-    pub admission: Option<Rules>,
+    pub admission: Option<AdmissionRules>,
     /// How much of each team's history is kept.
     pub history: cleatfold_workspace::Keep,
     /// Images that many want at once are fetched in stages; none: each machine for itself.
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -180,8 +180,8 @@
         }
         for (team, room) in long_work {
             let mut left = Resources { memory: UNLIMITED, gpus: UNLIMITED, ..capacity };
-            left.cpus =
-                (capacity.cpus as f64 * room.part) as i64 - self.long_usage(team, room, pool);
+            left.cpus = (capacity.cpus as f64 * room.capacity_share) as i64
+                - self.long_usage(team, room, pool);
             let (team, back) = (team.clone(), BTreeMap::new());
             binding.push(Binding { team, longer_than_s: room.longer_than_s, left, back });
         }
--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -3,7 +3,7 @@
 use crate::admission::state::size_class_demand;
 use crate::controller::Controller;
 use crate::store::cache::CachedJob;
-use cleatfold_admission::{order, size_classes, Entry, SizeClass, Sizes};
+use cleatfold_admission::{order, size_classes, QuotaEntry, SizeClass, SizeClassQuota};
 use cleatfold_backfill::order::{Guarantees, Place};
 use cleatfold_priority::acceptance_times;
 use cleatfold_wire::job::{Kind, Urgency};
@@ -107,7 +107,7 @@
 
 impl<'a> QueueDraft<'a> {
     /// Adds what of a job has to run in any case. `entry`: its group's part of the overload quota.
-    fn add_base(&mut self, job: &Arrival<'a>, entry: Option<&'a Entry>) {
+    fn add_base(&mut self, job: &Arrival<'a>, entry: Option<&'a QuotaEntry>) {
         let cached = job.cached;
         let spec = &cached.record.spec;
         let is_small = entry.is_none_or(|entry| self.note_demand(job, entry));
@@ -153,7 +153,7 @@
     }
 
     /// Notes what a job of an overloaded group has and needs. True if it is one of the small ones.
-    fn note_demand(&mut self, job: &Arrival<'a>, entry: &'a Entry) -> bool {
+    fn note_demand(&mut self, job: &Arrival<'a>, entry: &'a QuotaEntry) -> bool {
         let cached = job.cached;
         let spec = &cached.record.spec;
         let class = self.overloaded.entry(&spec.class).or_default();
@@ -162,8 +162,8 @@
         let size_class =
             entry.sizes.as_ref().map_or(SizeClass::Small, |s| s.size_class(work, spec.tasks));
         if let (Some(sizes), Some(larger)) = (&entry.sizes, class.larger_mut(size_class)) {
-            let mut demand = size_class_demand(entry, job.id, cached, sizes.begin_ms);
-            demand.needs = demand.needs.min(cached.each.times(job.tasks).cpus);
+            let mut demand = size_class_demand(entry, job.id, cached, sizes.start_within_ms);
+            demand.claimable = demand.claimable.min(cached.each.times(job.tasks).cpus);
             let candidate = (job.tasks > 0).then_some(self.candidates.len());
             larger.push(LargerJob { demand, candidate });
             return false;
@@ -176,24 +176,24 @@
     fn arrival_under_overload(
         &mut self,
         job: &Arrival<'a>,
-        entry: &Entry,
+        entry: &QuotaEntry,
         is_small: bool,
     ) -> (u64, bool) {
         let cached = job.cached;
         let spec = &cached.record.spec;
-        let waiting = order::Waiting {
+        let waiting = order::QueuedJob {
             accepted_ms: job.accepted_ms,
-            rest: f64::from(cached.unclaimed()) * spec.cpus * spec.estimate_s,
-            begun: cached.claimed + cached.done > 0,
+            remaining_work: f64::from(cached.unclaimed()) * spec.cpus * spec.estimate_s,
+            started: cached.claimed + cached.done > 0,
         };
-        let moment = order::place(entry, waiting, self.wall_ms);
+        let moment = order::sort_time_ms(entry, waiting, self.wall_ms);
         if is_small {
             let needs = cached.each.times(cached.unclaimed()).cpus;
             let candidate = self.candidates.len();
             let class = self.overloaded.entry(&spec.class).or_default();
             class.small.push(SmallJob { moment, candidate, needs });
         }
-        (moment, order::past_use(entry, waiting, self.wall_ms))
+        (moment, order::is_past_patience(entry, waiting, self.wall_ms))
     }
 
     /// Lets go first what fills the guaranteed minimum of each class that is not served in time.
@@ -202,7 +202,7 @@
             let floor = class.floors.values().map(|f| f.0).sum();
             class.small.sort_unstable();
             let needs = class.small.iter().map(|job| job.needs);
-            let promoted = order::promote(floor, class.has, needs);
+            let promoted = order::promote_small(floor, class.has, needs);
             for job in &class.small[..promoted] {
                 self.candidates[job.candidate].place.beyond_floor = false;
             }
@@ -220,18 +220,19 @@
         is_divisible: impl Fn(&JobId) -> bool,
     ) {
         let sizes = || class.floors.values().filter_map(|f| f.1);
-        let terms = size_classes::Terms {
+        let terms = size_classes::SizeClassTerms {
             floor: sizes().map(|s| s.floor(size_class)).sum(),
-            begin_ms: sizes().map(|s| s.begin_ms).min().unwrap_or_default(),
-            short: sizes().any(|s| s.short),
+            start_within_ms: sizes().map(|s| s.start_within_ms).min().unwrap_or_default(),
+            capacity_short: sizes().any(|s| s.capacity_short),
         };
-        let demands: Vec<size_classes::Waiting> = jobs.iter().map(|job| job.demand).collect();
-        let promoted = size_classes::promote(terms, self.wall_ms, &demands);
+        let demands: Vec<size_classes::LargerJobDemand> =
+            jobs.iter().map(|job| job.demand).collect();
+        let promoted = size_classes::promote_larger(terms, self.wall_ms, &demands);
         for (job, promoted) in jobs.iter().zip(promoted) {
             let Some(index) = job.candidate.filter(|_| promoted > 0) else { continue };
             let candidate = &mut self.candidates[index];
             let first = Place { beyond_floor: false, past_use: false, ..candidate.place.clone() };
-            let tasks = (promoted / job.demand.each.max(1)).max(1) as u32;
+            let tasks = (promoted / job.demand.per_task.max(1)).max(1) as u32;
             if !is_divisible(&first.id) || tasks >= candidate.tasks {
                 candidate.place = first;
             } else {
@@ -266,7 +267,7 @@
 
 /// A job of the middle or the largest of an overloaded class.
 struct LargerJob {
-    demand: size_classes::Waiting,
+    demand: size_classes::LargerJobDemand,
     /// Its candidate, by number, if anything of it waits.
     candidate: Option<usize>,
 }
@@ -275,7 +276,7 @@
 #[derive(Default)]
 struct OverloadedClass<'a> {
     /// Of each of its teams: the small jobs' guaranteed minimum, and the size classes.
-    floors: BTreeMap<&'a TeamId, (i64, Option<&'a Sizes>)>,
+    floors: BTreeMap<&'a TeamId, (i64, Option<&'a SizeClassQuota>)>,
     /// Processors in thousandths that its small jobs have.
     has: i64,
     small: Vec<SmallJob>,
--- a/crates/cleatfold/src/operator_settings.rs
+++ b/crates/cleatfold/src/operator_settings.rs
@@ -116,7 +116,7 @@
         }
         config.image_distribution.clone_from(&self.image_distribution);
         if let Some(rules) = &mut config.admission {
-            rules.refuse = self.refuse_after;
+            rules.refuse_wait_ratio = self.refuse_after;
         }
     }
 }
