--- a/crates/cleatfold-admission/src/decide.rs
+++ b/crates/cleatfold-admission/src/decide.rs
@@ -85,10 +85,11 @@
 
 impl SizeDemand {
     /// Processors that serve the arriving jobs of this range, and the waiting ones within twice their patience.
-    fn cpus_needed(&self, group: &Demand) -> f64 {
-        let needed = self.work_share * group.rate + 0.5 * self.waiting / group.patience_s.max(1.0);
-        if group.limit > 0.0 {
-            needed.min(group.limit)
+    fn cpus_needed(&self, demand: &Demand) -> f64 {
+        let needed =
+            self.work_share * demand.rate + 0.5 * self.waiting / demand.patience_s.max(1.0);
+        if demand.limit > 0.0 {
+            needed.min(demand.limit)
         } else {
             needed
         }
@@ -169,25 +170,25 @@
 
 /// Expected wait in seconds of a job of the group that arrives now, in the ordinary queue order, with the floors of less
 /// urgent groups deducted from the capacity.
-pub fn expected_wait(snapshot: &DemandSnapshot, quota: &OverloadQuota, group: &Demand) -> f64 {
+pub fn expected_wait(snapshot: &DemandSnapshot, quota: &OverloadQuota, demand: &Demand) -> f64 {
     let floor = |g: &Demand| {
         quota.entry(&g.group.team, &g.group.class).map_or(0.0, |e| e.floor as f64 / 1000.0)
     };
     let wait = |is_included: &dyn Fn(&Demand) -> bool, capacity: f64| {
         let groups = || snapshot.groups.iter().filter(|g| is_included(g));
-        let ahead: f64 = groups().filter(|g| g.urgency <= group.urgency).map(|g| g.waiting).sum();
+        let ahead: f64 = groups().filter(|g| g.urgency <= demand.urgency).map(|g| g.waiting).sum();
         let running: f64 = groups().map(|g| g.running).sum();
         // More urgent work that arrives in the meantime goes first, too.
-        let arriving: f64 = groups().filter(|g| g.urgency < group.urgency).map(|g| g.rate).sum();
+        let arriving: f64 = groups().filter(|g| g.urgency < demand.urgency).map(|g| g.rate).sum();
         let taken =
-            arriving + groups().filter(|g| g.urgency > group.urgency).map(floor).sum::<f64>();
+            arriving + groups().filter(|g| g.urgency > demand.urgency).map(floor).sum::<f64>();
         let free = (capacity - taken).max(capacity * 0.02);
         // Running work releases processors continuously; only the wait beyond that delays the job.
         ((ahead + running) / free.max(1e-9) - running / capacity.max(1e-9)).max(0.0)
     };
     let region_wait = wait(&|_| true, snapshot.capacity);
-    if group.limit > 0.0 {
-        region_wait.max(wait(&|g| g.group.team == group.group.team, group.limit))
+    if demand.limit > 0.0 {
+        region_wait.max(wait(&|g| g.group.team == demand.group.team, demand.limit))
     } else {
         region_wait
     }
@@ -204,9 +205,9 @@
 ) -> Vec<QuotaEntry> {
     let mut overloaded: Vec<(&Demand, f64)> = Vec::new();
     let mut crossed_since = BTreeMap::new();
-    for g in &snapshot.groups {
-        let was_overloaded = quota.entry(&g.group.team, &g.group.class).is_some();
-        let wait_ratio = expected_wait(snapshot, quota, g) / g.patience_s.max(0.001);
+    for demand in &snapshot.groups {
+        let was_overloaded = quota.entry(&demand.group.team, &demand.group.class).is_some();
+        let wait_ratio = expected_wait(snapshot, quota, demand) / demand.patience_s.max(0.001);
         // While machines are still being added, a long queue does not indicate overload.
         let is_crossed = if was_overloaded {
             wait_ratio < rules.leave_wait_ratio
@@ -215,36 +216,37 @@
         };
         let mut is_overloaded = was_overloaded;
         if is_crossed {
-            let since = timers.crossed_since.get(&g.group).copied().unwrap_or(now_s);
+            let since = timers.crossed_since.get(&demand.group).copied().unwrap_or(now_s);
             let hold_s = if was_overloaded { rules.leave_hold_s } else { rules.enter_hold_s };
             is_overloaded = was_overloaded != (now_s - since >= hold_s);
-            crossed_since.insert(g.group.clone(), since);
+            crossed_since.insert(demand.group.clone(), since);
         }
         if is_overloaded {
-            overloaded.push((g, wait_ratio));
+            overloaded.push((demand, wait_ratio));
         }
     }
     timers.crossed_since = crossed_since;
     let (floors, capacity_short) = floors(rules, snapshot, &overloaded);
-    let delays: Vec<f64> = overloaded.iter().map(|(g, _)| queue_delay(g, &overloaded)).collect();
+    let delays: Vec<f64> =
+        overloaded.iter().map(|(demand, _)| queue_delay(demand, &overloaded)).collect();
     overloaded
         .into_iter()
         .zip(floors.into_iter().zip(delays))
-        .map(|((g, wait_ratio), (floor, delay))| QuotaEntry {
-            team: g.group.team.clone(),
-            class: g.group.class.clone(),
+        .map(|((demand, wait_ratio), (floor, delay))| QuotaEntry {
+            team: demand.group.team.clone(),
+            class: demand.group.class.clone(),
             floor: (floor[0] * 1000.0) as i64,
-            median_work: g.median_work.max(1.0) as u64,
-            patience_ms: (g.patience_s * 1000.0) as u64,
-            delay_ms: (g.patience_s * 1000.0 * delay) as u64,
+            median_work: demand.median_work.max(1.0) as u64,
+            patience_ms: (demand.patience_s * 1000.0) as u64,
+            delay_ms: (demand.patience_s * 1000.0 * delay) as u64,
             max_new_work: rules
                 .refuse_wait_ratio
                 .filter(|ratio| wait_ratio > *ratio)
-                .map(|_| g.desired.max_work.max(1.0) as u64),
+                .map(|_| demand.desired.max_work.max(1.0) as u64),
             sizes: Some(SizeClassQuota {
-                small_max_work: g.bounds.small_max_work as u64,
-                large_min_work: g.bounds.large_min_work as u64,
-                large_min_tasks: g.bounds.large_min_tasks,
+                small_max_work: demand.bounds.small_max_work as u64,
+                large_min_work: demand.bounds.large_min_work as u64,
+                large_min_tasks: demand.bounds.large_min_tasks,
                 middle_floor: (floor[1] * 1000.0) as i64,
                 large_floor: (floor[2] * 1000.0) as i64,
                 start_within_ms: (rules.start_within_s * 1000.0) as u64,
@@ -258,9 +260,9 @@
 /// how far its team's demand exceeds a fair share of half of the total demand; up to twice the others' ratio is accepted
 /// as random variation. Demand is compared by team, since a comparison by class never detected a guest team whose
 /// classes no other team uses.
-fn queue_delay(group: &Demand, overloaded: &[(&Demand, f64)]) -> f64 {
+fn queue_delay(demand: &Demand, overloaded: &[(&Demand, f64)]) -> f64 {
     let mut teams: BTreeMap<&TeamId, (f64, f64)> = BTreeMap::new();
-    for (g, _) in overloaded.iter().filter(|(g, _)| g.urgency == group.urgency) {
+    for (g, _) in overloaded.iter().filter(|(g, _)| g.urgency == demand.urgency) {
         let team = teams.entry(&g.group.team).or_default();
         (team.0, team.1) = (team.0 + g.rate, g.guarantee);
     }
@@ -269,7 +271,7 @@
         .values()
         .map(|(rate, guarantee)| WeightedDemand {
             amount: *rate,
-            weight: 1.0 + guarantee / (1.0 + group.guarantee),
+            weight: 1.0 + guarantee / (1.0 + demand.guarantee),
         })
         .collect();
     let fair_shares = max_min_shares(rates.iter().sum::<f64>() / 2.0, &demands);
@@ -279,7 +281,7 @@
         .zip(&fair_shares)
         .map(|(rate, share)| ratio(*rate, *share))
         .fold(f64::INFINITY, f64::min);
-    let index = teams.keys().position(|t| **t == group.group.team);
+    let index = teams.keys().position(|t| **t == demand.group.team);
     index.map_or(0.0, |i| ((ratio(rates[i], fair_shares[i]) / min_ratio).log2() - 1.0).max(0.0))
 }
 
@@ -287,12 +289,12 @@
 /// guarantee.
 fn team_shares(snapshot: &DemandSnapshot) -> BTreeMap<&TeamId, f64> {
     let mut teams: BTreeMap<&TeamId, (f64, f64)> = BTreeMap::new();
-    for g in &snapshot.groups {
-        let team = teams.entry(&g.group.team).or_default();
-        team.0 += g.total_cpus();
-        team.1 = g.guarantee;
-        if g.limit > 0.0 {
-            team.0 = team.0.min(g.limit);
+    for demand in &snapshot.groups {
+        let team = teams.entry(&demand.group.team).or_default();
+        team.0 += demand.total_cpus();
+        team.1 = demand.guarantee;
+        if demand.limit > 0.0 {
+            team.0 = team.0.min(demand.limit);
         }
     }
     let mean = teams.values().map(|t| t.1).sum::<f64>() / teams.len().max(1) as f64;
--- a/crates/cleatfold-admission/src/overload_quota.rs
+++ b/crates/cleatfold-admission/src/overload_quota.rs
@@ -83,20 +83,21 @@
         let current: BTreeMap<_, _> =
             self.entries.iter().map(|e| ((&e.team, &e.class), e)).collect();
         current.len() != next.len()
-            || next.iter().any(|n| {
-                current.get(&(&n.team, &n.class)).is_none_or(|k| {
-                    let delay_changed = k.delay_ms.abs_diff(n.delay_ms) > n.patience_ms / 2;
+            || next.iter().any(|new| {
+                current.get(&(&new.team, &new.class)).is_none_or(|old| {
+                    let delay_changed = old.delay_ms.abs_diff(new.delay_ms) > new.patience_ms / 2;
                     // A change of at most one processor is not significant.
                     let is_significant = |(a, b): (i64, i64)| {
                         let (a, b) = (a.max(1) as f64, b.max(1) as f64);
                         !(0.8..=1.25).contains(&(a / b)) && (a - b).abs() > 1000.0
                     };
-                    let floor_changed = k.floors().into_iter().zip(n.floors()).any(is_significant);
-                    let sizes_changed = k.sizes.is_some() != n.sizes.is_some();
+                    let floor_changed =
+                        old.floors().into_iter().zip(new.floors()).any(is_significant);
+                    let sizes_changed = old.sizes.is_some() != new.sizes.is_some();
                     floor_changed
                         || delay_changed
                         || sizes_changed
-                        || k.max_new_work.is_some() != n.max_new_work.is_some()
+                        || old.max_new_work.is_some() != new.max_new_work.is_some()
                 })
             })
     }
--- a/crates/cleatfold-fault-attribution/src/job.rs
+++ b/crates/cleatfold-fault-attribution/src/job.rs
@@ -78,7 +78,7 @@
         |(attempt, at_ms): (Attempt, u64)| at_ms.saturating_add(retry_backoff_ms(attempt));
     if done == 0 && failed_machines.len() >= MIN_SUSPECT_MACHINES {
         // The delay follows the task with the most attempts and starts at the last failure of any task: the
-        // first tasks of a broken array keep failing while the first of them is already delayed.
+        // tasks of a broken array that started together keep failing while its first task is already delayed.
         let max_attempt = failed_tasks.values().map(|t| t.0).max().unwrap_or_default();
         let last_failure = failed_tasks.values().map(|t| t.1).max().unwrap_or_default();
         return JobHealth::Suspect { retry_at_ms: retry_at((max_attempt, last_failure)) };
