--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -13,10 +13,11 @@
 use crate::store::cache::{CachedJob, Versioned};
 use crate::store::records::OVERLOAD_QUOTA_KEY;
 use cleatfold_admission::long_work_limit::LongWorkLimit;
-use cleatfold_admission::meter::{Largest, Spread};
+use cleatfold_admission::meter::{LargestJobs, SizeDistribution};
 use cleatfold_admission::size_classes;
 use cleatfold_admission::{
-    decide, Bounds, Demand, Entry, Group, OverloadQuota, Rules, SizeClass, Small, View,
+    decide, AdmissionRules, Demand, DemandSnapshot, Group, OverloadQuota, QuotaEntry, SizeBounds,
+    SizeClass, SizeDemand,
 };
 use cleatfold_roles::Role;
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
@@ -32,25 +33,29 @@
 
 /// An entry for the log: team, class, the floor of the small size class, and of the middle and the
 /// large size class with whether capacity is short, in processors.
-fn loggable_entry(entry: &Entry) -> (&TeamId, &ClassId, i64, Option<(i64, i64, bool)>) {
-    let upper_floors = entry.sizes.as_ref().map(|s| (s.middle / 1000, s.large / 1000, s.short));
+fn loggable_entry(entry: &QuotaEntry) -> (&TeamId, &ClassId, i64, Option<(i64, i64, bool)>) {
+    let upper_floors = entry.sizes.as_ref().map(|s| (s.middle_floor / 1000, s.large_floor / 1000, s.capacity_short));
     (&entry.team, &entry.class, entry.floor / 1000, upper_floors)
 }
 
 /// The measured distribution of work over a group's jobs.
 struct Distribution {
     /// The smallest jobs, which must be served.
-    must: Spread,
+    must: SizeDistribution,
     /// The smallest jobs that should be served if there is capacity; includes those of `must`.
-    should: Spread,
+    should: SizeDistribution,
     /// The largest jobs of the class.
-    largest: Largest,
+    largest: LargestJobs,
 }
 
 impl Distribution {
-    fn bounds(&self) -> Bounds {
-        let Largest { work, tasks, .. } = self.largest;
-        Bounds { small: self.must.most, work, tasks }
+    fn bounds(&self) -> SizeBounds {
+        let LargestJobs { min_work: work, min_tasks: tasks, .. } = self.largest;
+        SizeBounds {
+            small_max_work: self.must.max_work,
+            large_min_work: work,
+            large_min_tasks: tasks,
+        }
     }
 }
 
@@ -87,8 +92,8 @@
         let waiting_work = estimated_cpu_s(spec, cached.unclaimed());
         let waiting_up_to = |max_work: f64| if total_work <= max_work { waiting_work } else { 0.0 };
         self.waiting += waiting_work;
-        self.must += waiting_up_to(distribution.must.most);
-        self.should += waiting_up_to(distribution.should.most);
+        self.must += waiting_up_to(distribution.must.max_work);
+        self.should += waiting_up_to(distribution.should.max_work);
         // A job that can no longer begin in time has no claim on the floors of the upper size
         // classes.
         let has_begun = cached.claimed + cached.done > 0;
@@ -108,7 +113,7 @@
 
 impl Controller {
     /// The entry of the job's group in the overload quota, if the group is not served in time.
-    pub(crate) fn overload_entry(&self, cached: &CachedJob) -> Option<&Entry> {
+    pub(crate) fn overload_entry(&self, cached: &CachedJob) -> Option<&QuotaEntry> {
         let overload_quota = &self.cache.overload_quota.value;
         if overload_quota.is_empty() || cached.width().is_some() || self.cfg.admission.is_none() {
             return None;
@@ -121,7 +126,7 @@
     /// answer is the same at every controller and every retry until the quota changes.
     pub(crate) fn overload_retry_after_s(&self, spec: &JobSpec) -> Option<u32> {
         self.cfg.admission.as_ref()?;
-        let max_work = self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.most?;
+        let max_work = self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.max_new_work?;
         let refused =
             spec.kind == Kind::Array && estimated_cpu_s(spec, spec.tasks) > max_work as f64;
         // The quota is usually not revised within MIN_QUOTA_AGE_MS, so an earlier retry would be
@@ -200,17 +205,17 @@
             };
             // The limit is never below the floor that the overload quota guarantees the group.
             let floor = self.overload_entry(cached).map_or(0.0, |e| e.floor as f64 / 1000.0);
-            limit.part = limit.part.max(floor / capacity.max(1.0)).min(1.0);
+            limit.capacity_share = limit.capacity_share.max(floor / capacity.max(1.0)).min(1.0);
             let unfinished_cpus = spec.cpus * f64::from(cached.unfinished());
             let begun = cached.claimed + cached.done > 0;
             let job = (!begun, cached.accepted_revision(), id, unfinished_cpus);
             jobs.entry(&spec.team).or_default().push(job);
             let team_limit = long.limits.entry(spec.team.clone()).or_insert(limit);
-            team_limit.part = team_limit.part.max(limit.part);
+            team_limit.capacity_share = team_limit.capacity_share.max(limit.capacity_share);
         }
         for (team, mut jobs) in jobs {
             jobs.sort_by(|a, b| (a.0, a.1, a.2).cmp(&(b.0, b.1, b.2)));
-            let mut remaining_cpus = long.limits[team].part * capacity;
+            let mut remaining_cpus = long.limits[team].capacity_share * capacity;
             for (i, (is_new, _, id, unfinished_cpus)) in jobs.into_iter().enumerate() {
                 // A new job begins beside others only if all of it fits; otherwise many jobs would
                 // be half done and none finished.
@@ -250,8 +255,8 @@
     }
 
     /// Capacity and the demand of all groups, as input to the decision on the quota.
-    fn demand_view(&self) -> View {
-        let Some(rules) = &self.cfg.admission else { return View::default() };
+    fn demand_view(&self) -> DemandSnapshot {
+        let Some(rules) = &self.cfg.admission else { return DemandSnapshot::default() };
         let history = &self.admission.capacity_history;
         let (oldest_at, oldest_capacity) = history.front().copied().unwrap_or_default();
         let capacity = history.back().map_or(0.0, |h| h.1);
@@ -263,16 +268,16 @@
             let distribution = distributions.get(&group)?;
             Some(self.group_demand(rules, group, demand, distribution))
         });
-        View { capacity, settled, groups: groups.collect() }
+        DemandSnapshot { capacity, capacity_settled: settled, groups: groups.collect() }
     }
 
     /// The distribution of work over the jobs of each group, for groups that have been measured.
-    fn distributions(&self, rules: &Rules) -> BTreeMap<&Group, Distribution> {
+    fn distributions(&self, rules: &AdmissionRules) -> BTreeMap<&Group, Distribution> {
         let meter = &self.admission.meter;
         let measured = meter.groups().filter_map(|group| {
-            let must = meter.spread(group, rules.must)?;
-            let largest = meter.largest(&group.class, rules.largest, must.most)?;
-            let should = meter.spread(group, rules.should)?;
+            let must = meter.size_distribution(group, rules.required_job_share)?;
+            let largest = meter.largest(&group.class, rules.largest_job_share, must.max_work)?;
+            let should = meter.size_distribution(group, rules.desired_job_share)?;
             Some((group, Distribution { must, should, largest }))
         });
         measured.collect()
@@ -281,10 +286,10 @@
     /// Sums up the waiting and the running work of each group.
     fn group_demands(
         &self,
-        rules: &Rules,
+        rules: &AdmissionRules,
         distributions: &BTreeMap<&Group, Distribution>,
     ) -> BTreeMap<Group, GroupDemand> {
-        let begin_ms = (rules.begin_s * 1000.0) as u64;
+        let begin_ms = (rules.start_within_s * 1000.0) as u64;
         let mut demands: BTreeMap<Group, GroupDemand> = BTreeMap::new();
         for cached in self.cache.jobs.values() {
             let spec = &cached.record.spec;
@@ -293,7 +298,7 @@
             }
             let group = Group { team: spec.team.clone(), class: spec.class.clone() };
             let Some(distribution) = distributions.get(&group) else { continue };
-            let is_late = size_classes::late(begin_ms, cached.record.accepted_ms, self.wall_ms);
+            let is_late = size_classes::is_late(begin_ms, cached.record.accepted_ms, self.wall_ms);
             let demand = demands.entry(group).or_default();
             demand.add(cached, distribution, is_late, self.patience_s(spec));
         }
@@ -303,18 +308,22 @@
     /// The demand of one group, as input to the decision on the quota.
     fn group_demand(
         &self,
-        rules: &Rules,
+        rules: &AdmissionRules,
         group: Group,
         demand: GroupDemand,
         distribution: &Distribution,
     ) -> Demand {
         let Distribution { must, should, largest } = distribution;
-        let small = |s: &Spread, waiting| Small { most: s.most, part: s.part, waiting };
+        let small = |s: &SizeDistribution, waiting| SizeDemand {
+            max_work: s.max_work,
+            work_share: s.work_share,
+            waiting,
+        };
         // Of the two upper size classes only the part `of_each` has to be served.
-        let larger = |most, part, waiting| Small {
-            most,
-            part: rules.of_each * part,
-            waiting: rules.of_each * waiting,
+        let larger = |most, part, waiting| SizeDemand {
+            max_work: most,
+            work_share: rules.upper_class_job_share * part,
+            waiting: rules.upper_class_job_share * waiting,
         };
         let team = self.cfg.team(&group.team);
         Demand {
@@ -323,12 +332,12 @@
             running: demand.running,
             rate: self.admission.meter.rate(&group, self.wall_ms as f64 / 1000.0),
             patience_s: demand.patience_s / demand.jobs,
-            must: small(must, demand.must),
-            should: small(should, demand.should),
-            middle: larger(largest.work, largest.between, demand.middle),
-            large: larger(f64::INFINITY, largest.part, demand.large),
+            required: small(must, demand.must),
+            desired: small(should, demand.should),
+            middle: larger(largest.min_work, largest.middle_work_share, demand.middle),
+            large: larger(f64::INFINITY, largest.work_share, demand.large),
             bounds: distribution.bounds(),
-            typical: must.typical,
+            median_work: must.median_work,
             guarantee: team.map_or(0.0, |t| t.cpus),
             limit: team.map_or(0.0, |t| t.cpus_max),
             group,
--- a/crates/cleatfold-control/src/admission/state.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -1,8 +1,8 @@
 //! Demand of each group and capacity of the region, as measured by one controller.
 
 use crate::store::cache::CachedJob;
-use cleatfold_admission::long_work_limit::{Asks, LongWorkLimit};
-use cleatfold_admission::{size_classes, Entry, Group, Judge, Meter};
+use cleatfold_admission::long_work_limit::{LongWorkLimit, TeamDemand};
+use cleatfold_admission::{size_classes, Group, Meter, OverloadTimers, QuotaEntry};
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::{JobId, Ms, TeamId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct AdmissionState {
     pub meter: Meter,
-    pub judge: Judge,
+    pub judge: OverloadTimers,
     /// Jobs that the meter has counted.
     counted_jobs: BTreeSet<JobId>,
     pub last_checked: Ms,
@@ -29,7 +29,7 @@
     /// The urgency of the last job that arrived in each group.
     group_urgencies: BTreeMap<Group, Urgency>,
     /// Demand of each team, one entry for each of its groups.
-    pub team_demands: BTreeMap<TeamId, Vec<Asks<Urgency>>>,
+    pub team_demands: BTreeMap<TeamId, Vec<TeamDemand<Urgency>>>,
 }
 
 impl AdmissionState {
@@ -46,7 +46,7 @@
             let group = Group { team: spec.team.clone(), class: spec.class.clone() };
             let at_s = (cached.record.accepted_ms as f64 / 1000.0).min(wall_s);
             let work = estimated_cpu_s(spec, spec.tasks);
-            self.meter.arrived(&group, at_s, work, spec.tasks, spec.estimate_s);
+            self.meter.record_arrival(&group, at_s, work, spec.tasks, spec.estimate_s);
             self.group_urgencies.insert(group, spec.urgency);
         }
     }
@@ -66,8 +66,8 @@
         self.team_demands.clear();
         for (group, urgency) in &self.group_urgencies {
             let rate = self.meter.rate(group, wall_s);
-            let run_s = self.meter.run_s(group);
-            let demand = Asks { urgency: *urgency, rate, run_s };
+            let run_s = self.meter.mean_run_s(group);
+            let demand = TeamDemand { urgency: *urgency, rate, run_s };
             self.team_demands.entry(group.team.clone()).or_default().push(demand);
         }
     }
@@ -98,26 +98,26 @@
 
 /// The properties of a job in an upper size class that decide how many of its tasks are promoted.
 pub(crate) fn size_class_demand(
-    entry: &Entry,
+    entry: &QuotaEntry,
     id: &JobId,
     cached: &CachedJob,
     begin_ms: u64,
-) -> size_classes::Waiting {
+) -> size_classes::LargerJobDemand {
     let spec = &cached.record.spec;
     let each = cached.task_resources.cpus;
     let within_s = entry.patience_ms.max(begin_ms) as f64 / 1000.0;
-    size_classes::Waiting {
+    size_classes::LargerJobDemand {
         accepted_ms: cached.record.accepted_ms,
-        turn: xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes()),
-        begun: cached.claimed + cached.done > 0,
-        has: cached.task_resources.times(cached.claimed).cpus,
-        needs: cached.task_resources.times(cached.unclaimed()).cpus,
-        each,
+        id_hash: xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes()),
+        started: cached.claimed + cached.done > 0,
+        allocated: cached.task_resources.times(cached.claimed).cpus,
+        claimable: cached.task_resources.times(cached.unclaimed()).cpus,
+        per_task: each,
         work: estimated_cpu_s(spec, spec.tasks) as u64,
         // A gang runs as a whole.
-        width: match spec.kind {
+        target_width: match spec.kind {
             Kind::Gang => cached.task_resources.times(spec.tasks).cpus,
-            _ => size_classes::width(spec.tasks, each, spec.estimate_s, within_s),
+            _ => size_classes::target_width(spec.tasks, each, spec.estimate_s, within_s),
         },
     }
 }
--- a/crates/cleatfold-control/src/config.rs
+++ b/crates/cleatfold-control/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a controller, combined from the platform's and the operator's settings.
 
-use cleatfold_admission::Rules;
+use cleatfold_admission::AdmissionRules;
 use cleatfold_wire::{ClassId, ControllerId, TeamId, ZoneId};
 
 /// A team that submits jobs, with its guaranteed share and its limit.
@@ -92,7 +92,7 @@
     pub guarantee_wait_s: Option<f64>,
     /// Admission rules under sustained overload; none: jobs are ordered by arrival and urgency
     /// alone.
-    pub admission: Option<Rules>,
+    pub admission: Option<AdmissionRules>,
     /// Retention of each team's history.
     pub history: cleatfold_workspace::Keep,
     /// Staged distribution of images that many machines need at once; none: each machine fetches
--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -20,7 +20,7 @@
     /// Whether the job is known to be cancelled, from the cache or from a broadcast.
     pub(crate) fn is_cancelled(&self, job: &JobId) -> bool {
         self.cache.jobs.get(job).is_some_and(|j| j.record.aborted)
-            || self.cancellations.broadcast.knows(job)
+            || self.cancellations.broadcast.is_cancelled(job)
     }
 
     /// A transaction of this controller has cancelled the job: broadcasts it, first to the owners of
@@ -43,7 +43,7 @@
             return;
         }
         let mut broadcast = std::mem::take(&mut self.cancellations.broadcast);
-        read.iter().for_each(|job| broadcast.read(job, self.peers(), self.now));
+        read.iter().for_each(|job| broadcast.read_from_store(job, self.peers(), self.now));
         self.cancellations.broadcast = broadcast;
     }
 
@@ -57,7 +57,8 @@
 
     fn send_due_cancellations(&mut self) {
         let (peers, keep_ms) = (&self.reachability.view.peers, self.cfg.cancel_ms);
-        let due = self.cancellations.broadcast.due(self.now, keep_ms, |n| peers.contact(n));
+        let due =
+            self.cancellations.broadcast.messages_due(self.now, keep_ms, |n| peers.contact(n));
         for (peer, jobs) in due {
             let jobs = jobs.iter().map(|j| j.to_string()).collect();
             self.send_to_peers(Some(peer), Message::Cancelled { jobs });
--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::jobs::state::{EndReason, LocalJobState};
 use crate::store::cache::CachedJob;
-use cleatfold_fault_attribution::{pause_ms, verdict, Evidence, Failure, Verdict};
+use cleatfold_fault_attribution::{job_health, retry_backoff_ms, Evidence, Failure, JobHealth};
 use cleatfold_wire::job::{JobState, Kind};
 use cleatfold_wire::worker::Exit;
 use cleatfold_wire::{Attempt, JobId, MachineId, TaskId, TaskIx};
@@ -36,7 +36,7 @@
         id: &JobId,
         cached: &CachedJob,
         job_state: Option<&LocalJobState>,
-    ) -> Option<Verdict> {
+    ) -> Option<JobHealth> {
         let failures = self.failures(id, job_state);
         (!failures.is_empty()).then(|| self.verdict_on(&failures, cached, job_state))
     }
@@ -47,10 +47,10 @@
         failures: &[Failure],
         cached: &CachedJob,
         job_state: Option<&LocalJobState>,
-    ) -> Verdict {
+    ) -> JobHealth {
         let done =
             cached.done + job_state.map_or(0, |s| s.ends.iter().filter(|e| e.done).count() as u32);
-        verdict(failures, done, |id| self.is_faulty(id), self.wall_ms)
+        job_health(failures, done, |id| self.is_faulty(id), self.wall_ms)
     }
 
     /// How many of `tasks` unclaimed tasks may be planned now, and machines rented for them. Tasks in
@@ -64,9 +64,10 @@
     }
 
     /// How many of `tasks` may be started under this verdict.
-    fn startable_under(&self, verdict: &Verdict, cached: &CachedJob, tasks: u32) -> u32 {
-        let startable = verdict.may_start(tasks, cached.claimed, self.wall_ms);
-        let has_paused_tasks = matches!(verdict, Verdict::Sound { pausing } if !pausing.is_empty());
+    fn startable_under(&self, verdict: &JobHealth, cached: &CachedJob, tasks: u32) -> u32 {
+        let startable = verdict.startable_tasks(tasks, cached.claimed, self.wall_ms);
+        let has_paused_tasks =
+            matches!(verdict, JobHealth::Healthy { backing_off: pausing } if !pausing.is_empty());
         match cached.record.spec.kind {
             // A gang starts as a whole or not at all.
             Kind::Gang if startable > 0 && !has_paused_tasks => tasks,
@@ -87,15 +88,15 @@
         };
         let max_tasks = self.startable_under(&verdict, cached, tasks);
         match verdict {
-            Verdict::Sound { pausing } => (pausing, max_tasks),
-            Verdict::Suspect { .. } => (BTreeSet::new(), max_tasks),
+            JobHealth::Healthy { backing_off: pausing } => (pausing, max_tasks),
+            JobHealth::Suspect { .. } => (BTreeSet::new(), max_tasks),
         }
     }
 
     /// Whether the job fails on every machine according to its recorded failures.
     pub(crate) fn is_suspect(&self, id: &JobId, cached: &CachedJob) -> bool {
         self.cache.jobs_with_losses.contains(id)
-            && matches!(self.verdict(id, cached, None), Some(Verdict::Suspect { .. }))
+            && matches!(self.verdict(id, cached, None), Some(JobHealth::Suspect { .. }))
     }
 
     /// Indices of the machines that the job failed on and should avoid; none if it failed on all of
@@ -130,7 +131,9 @@
             failures.len(),
             machines.len()
         );
-        if let Verdict::Suspect { until_ms } = self.verdict_on(&failures, cached, job_state) {
+        if let JobHealth::Suspect { retry_at_ms: until_ms } =
+            self.verdict_on(&failures, cached, job_state)
+        {
             let next_s = until_ms.saturating_sub(self.wall_ms) / 1000;
             summary += &format!("; it fails wherever it runs, next try in {next_s} s");
         }
@@ -146,10 +149,10 @@
     ) {
         let wall_ms = self.wall_ms;
         self.job_state(&task.job).last_failure_ms = wall_ms;
-        let pause_s = pause_ms(attempt) / 1000;
+        let pause_s = retry_backoff_ms(attempt) / 1000;
         tracing::info!(job = %task.job, task = task.ix.0, attempt = attempt.0, %machine, pause_s, "task failed");
         if let Some(machine) = self.inventory.machines.get_mut(machine) {
-            machine.suspicion.failed(task.job.clone(), task.ix);
+            machine.suspicion.record_failure(task.job.clone(), task.ix);
         }
     }
 
@@ -189,7 +192,7 @@
         if cached.done > 0 || ends.into_iter().any(|e| e.done) {
             return Evidence::WorksElsewhere;
         }
-        Evidence::Open
+        Evidence::Undetermined
     }
 
     fn is_faulty(&self, machine: &MachineId) -> bool {
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -66,15 +66,15 @@
             // A job that has no live record any more is handled at once, like a cancellation.
             let pending_updates = match self.cache.jobs.get(id) {
                 Some(cached) => self.pending_updates(id, job_state, cached),
-                None => PendingUpdates { abort: true, ..PendingUpdates::default() },
+                None => PendingUpdates { cancel_requested: true, ..PendingUpdates::default() },
             };
-            let pressing = pending_updates.presses(waited_ms);
+            let pressing = pending_updates.is_due(waited_ms);
             // Step reports are batched even while change rate is available: no user waits for them.
             let only_steps = pending_updates.member_reports > 0 && job_state.ends.is_empty();
             if !pressing && (!ample || only_steps) {
                 continue;
             }
-            let weight = (pressing, pending_updates.weight(waited_ms));
+            let weight = (pressing, pending_updates.priority(waited_ms));
             if best.as_ref().is_none_or(|b| weight > b.0) {
                 best = Some((weight, id.clone()));
             }
@@ -113,24 +113,27 @@
         PendingUpdates {
             done,
             lost,
-            starts,
+            claims: starts,
             member_reports: job_state.member_reports.len() as u32,
-            idle: job_state.member_reports.iter().filter(|r| r.idle).count() as u32,
-            abort: job_state.abort,
-            over: job_state.completion_pending,
-            finishes,
-            mine_left: claimed_in_owned_pools.saturating_sub(job_state.ends.len() as u32),
+            idle_members: job_state.member_reports.iter().filter(|r| r.idle).count() as u32,
+            cancel_requested: job_state.abort,
+            work_done: job_state.completion_pending,
+            completes_job: finishes,
+            running_here: claimed_in_owned_pools.saturating_sub(job_state.ends.len() as u32),
             unclaimed: cached.unclaimed(),
-            changes,
+            record_writes: changes,
             urgency: match spec.urgency {
                 Urgency::Critical => 4,
                 Urgency::High => 3,
                 Urgency::Normal => 2,
                 Urgency::BestEffort => 1,
             },
-            patience_ms: ((spec.estimate_s * 1000.0) as u64)
+            max_delay_ms: ((spec.estimate_s * 1000.0) as u64)
                 .clamp(MIN_BATCHING_DELAY_MS, max_delay_ms),
-            gathers: crate::jobs::step_reports::can_batch(&job_state.member_reports, self.now),
+            can_batch_reports: crate::jobs::step_reports::can_batch(
+                &job_state.member_reports,
+                self.now,
+            ),
         }
     }
 
@@ -164,13 +167,13 @@
             let (from, to) = cached.record.part_range(*number);
             pending_updates.unclaimed =
                 (to - from).saturating_sub(table.done_count() + claimed(false));
-            pending_updates.mine_left =
+            pending_updates.running_here =
                 claimed(true).saturating_sub(pending_updates.done + pending_updates.lost);
         }
         let waited_ms = job_state.pending_since.map_or(0, |s| self.now.since(s));
         let pending_updates = self.pending_updates(job, job_state, cached);
-        let select_all = pending_updates.is_all()
-            || waited_ms >= pending_updates.patience_ms
+        let select_all = pending_updates.is_final()
+            || waited_ms >= pending_updates.max_delay_ms
             || self.rate_limiter.is_ample();
         Some(Selection::new(&parts, select_all, self.rate_limiter.max_changes()))
     }
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -45,7 +45,7 @@
         let controllers = self.cache.controllers.keys();
         self.leadership
             .roles
-            .see(now, &self.cfg.controller_id, controllers, |role| roles.contains_key(&role));
+            .observe(now, &self.cfg.controller_id, controllers, |role| roles.contains_key(&role));
         if self.has_store_contact() {
             if let (Some(lease), Some(incarnation)) = (self.session.lease, self.session.incarnation)
             {
@@ -53,7 +53,7 @@
                     |role: Role| previous.iter().find(|held| held.0 == role).map(|held| held.1);
                 let was_mine = |role: Role| previous_epoch(role).is_some();
                 if let Some(role) =
-                    self.leadership.roles.take(now, &self.cfg.controller_id, was_mine)
+                    self.leadership.roles.next_to_acquire(now, &self.cfg.controller_id, was_mine)
                 {
                     let holder =
                         HolderRecord { owner: self.cfg.controller_id.clone(), incarnation };
@@ -68,10 +68,11 @@
                 }
             }
             let held: Vec<Role> = Role::ALL.into_iter().filter(|role| self.holds(*role)).collect();
-            if let Some(role) = self
+            if let Some(role) =
+                self
                 .leadership
                 .roles
-                .give(now, &self.cfg.controller_id, |role| held.contains(&role))
+                .next_to_release(now, &self.cfg.controller_id, |role| held.contains(&role))
             {
                 self.release_role(role);
             }
@@ -97,7 +98,7 @@
 
     /// The write of a role was answered; its outcome is read with the next sync.
     pub(crate) fn on_role_written(&mut self, role: Role, reply: StoreReply) {
-        self.leadership.roles.settled(role);
+        self.leadership.roles.request_completed(role);
         self.session.sync_wanted = true;
         if matches!(reply, StoreReply::Committed(_)) {
             self.send_to_peers(None, cleatfold_wire::mesh::Message::Changed);
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -61,7 +61,7 @@
     /// When each task was first seen running.
     pub task_started_at: BTreeMap<(JobId, TaskIx), Ms>,
     /// Tasks that failed on the machine, as evidence of a machine fault.
-    pub suspicion: cleatfold_fault_attribution::Suspicion,
+    pub suspicion: cleatfold_fault_attribution::MachineFailures,
     /// Tasks that succeed on other machines fail on this one.
     pub faulty: bool,
     /// The machine is given no new tasks and is deleted once it runs none.
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -11,8 +11,8 @@
 use crate::scheduling::queue::QueuedTasks;
 use crate::store::cache::{CachedJob, Versioned};
 use crate::store::records::SCALE_OUT_KEY;
-use cleatfold_roles::scale_out::Step;
-use cleatfold_roles::{Answer, Role, ScaleOutIntent, ScaleOutTracker};
+use cleatfold_roles::scale_out::ScaleOutStep;
+use cleatfold_roles::{Role, ScaleOutIntent, ScaleOutOutcome, ScaleOutTracker};
 use cleatfold_wire::cloud::ScaleOutRequest;
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::mesh::Message;
@@ -98,14 +98,14 @@
         let Versioned { version, value: intents } = &self.cache.scale_out_intents;
         let times = (self.now, self.wall_ms);
         let Some(step) =
-            self.scale_out.tracker.next(intents, epoch, new_intents, times, list_lag_ms)
+            self.scale_out.tracker.next_step(intents, epoch, new_intents, times, list_lag_ms)
         else {
             return;
         };
         let mut txn = Txn::default();
         txn.guard(SCALE_OUT_KEY, *version);
         txn.guard(Role::ScaleOut.key(), epoch);
-        txn.put(SCALE_OUT_KEY, &step.book, None);
+        txn.put(SCALE_OUT_KEY, &step.record, None);
         self.scale_out.write_in_flight = true;
         self.call_store(
             CallPriority::Renewal,
@@ -118,7 +118,7 @@
     fn new_scale_out_intents(&mut self) -> Vec<ScaleOutIntent> {
         let Some(incarnation) = self.session.incarnation else { return vec![] };
         // Intents that are answered but not yet removed from the record do not count as open.
-        let pending = self.scale_out.tracker.coming(&self.cache.scale_out_intents.value);
+        let pending = self.scale_out.tracker.pending(&self.cache.scale_out_intents.value);
         let open: Vec<Offer> = pending.map(Offer::of).collect();
         let free_slots = MAX_OPEN_INTENTS.saturating_sub(open.len());
         if free_slots == 0 {
@@ -152,15 +152,15 @@
     }
 
     /// Makes the cloud requests once their intents are durable.
-    pub(crate) fn on_scale_out_written(&mut self, step: Step, reply: StoreReply) {
+    pub(crate) fn on_scale_out_written(&mut self, step: ScaleOutStep, reply: StoreReply) {
         self.scale_out.write_in_flight = false;
         match reply {
             StoreReply::Committed(version) => {
                 if self.cache.scale_out_intents.version < version {
-                    self.cache.scale_out_intents = Versioned::new(version, step.book);
+                    self.cache.scale_out_intents = Versioned::new(version, step.record);
                 }
-                self.scale_out.tracker.called(&step.calls);
-                for intent in step.calls {
+                self.scale_out.tracker.requests_sent(&step.requests);
+                for intent in step.requests {
                     if intent.inherited {
                         tracing::info!(request = %intent.name, "repeating inherited scale-out request");
                     }
@@ -191,20 +191,20 @@
                 self.send_to_peers(None, message);
                 self.add_created_machines(&pool, request.spot, machines);
                 if is_short {
-                    Answer::Short
+                    ScaleOutOutcome::Shortfall
                 } else {
-                    Answer::Given
+                    ScaleOutOutcome::Fulfilled
                 }
             }
-            CloudReply::NoCapacity => Answer::Short,
+            CloudReply::NoCapacity => ScaleOutOutcome::Shortfall,
             // Requests are idempotent by name: a retry creates no further machines.
             _ if tries < 3 => {
                 let pending = Pending::ScaleOut { request: request.clone(), tries: tries + 1 };
                 return self.call_cloud(CloudRequest::ScaleOut(request), pending);
             }
-            _ => Answer::Unknown,
+            _ => ScaleOutOutcome::Unknown,
         };
-        self.scale_out.tracker.answered(&request.request, answer, self.now);
+        self.scale_out.tracker.record_outcome(&request.request, answer, self.now);
     }
 
     /// Adds machines that the cloud has just created for this controller or for the holder of the
@@ -287,7 +287,7 @@
             *supply.entry(offer).or_default() += free.max(0.0);
         }
         // Recorded intents count as supply, whichever controller wrote them.
-        for intent in self.scale_out.tracker.coming(&self.cache.scale_out_intents.value) {
+        for intent in self.scale_out.tracker.pending(&self.cache.scale_out_intents.value) {
             let machine_type = self.inventory.types.get(&intent.machine_type);
             let cpus = machine_type.map_or(0.0, |t| t.cpus) * f64::from(intent.count);
             *supply.entry(Offer::of(intent)).or_default() += cpus;
@@ -365,7 +365,7 @@
                 let offer = Offer { pool: pool.clone(), spot };
                 let intents = &self.cache.scale_out_intents.value;
                 let is_refused = intents.is_refused(&pool, spot, self.wall_ms)
-                    || self.scale_out.tracker.was_short(intents, &pool, spot);
+                    || self.scale_out.tracker.has_shortfall(intents, &pool, spot);
                 if (spot && !cached.record.spec.spot) || is_refused {
                     continue;
                 }
--- a/crates/cleatfold-control/src/namespaces/workspace_state.rs
+++ b/crates/cleatfold-control/src/namespaces/workspace_state.rs
@@ -1,7 +1,7 @@
 //! The workspaces that this controller owns, and the changes to their histories that are in flight.
 
 use crate::store::records::{HistoryGroup, HistoryHead};
-use cleatfold_roles::Vacancies;
+use cleatfold_roles::OwnershipTracker;
 use cleatfold_wire::store::{Item, Txn};
 use cleatfold_wire::{JobId, Ms, TeamId, Version};
 use cleatfold_workspace::{Ended, JobEnd};
@@ -11,7 +11,7 @@
 /// checked.
 #[derive(Default)]
 pub(crate) struct WorkspaceState {
-    pub vacancies: Vacancies<TeamId>,
+    pub vacancies: OwnershipTracker<TeamId>,
     pub owned: BTreeMap<TeamId, OwnedWorkspace>,
     pub ended_jobs: Ended,
     /// The scan of the whole archive, while one is in progress.
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -99,7 +99,7 @@
                     .is_some_and(|c| c.value.incarnation == h.incarnation)
             }) || !self.is_readable(&workspace_key(team))
         };
-        vacancies.see(now, &me, cache.controllers.keys(), teams.iter(), is_held);
+        vacancies.observe(now, &me, cache.controllers.keys(), teams.iter(), is_held);
         let registered = cache.controllers.get(&me).map(|c| c.value.incarnation);
         let last_read = self.session.last_read;
         let is_uncertain = self
@@ -119,14 +119,14 @@
                     && self.is_readable(&workspace_key(team))
             };
             let max_changes = self.cfg.max_txn_changes.min(self.rate_limiter.max_changes());
-            let taken = vacancies.take(now, max_changes, teams.iter(), rank, owned_before_restart);
+            let taken = vacancies.next_to_acquire(now, max_changes, teams.iter(), rank, owned_before_restart);
             if !taken.is_empty() {
                 let holder = HolderRecord { owner: me.clone(), incarnation };
                 self.write_owners(taken, holder);
             }
             let owned = &self.workspaces.owned;
             let idle = owned.iter().filter(|(_, w)| !w.write_inflight).map(|(team, _)| team);
-            if let Some(team) = vacancies.give(now, idle, rank) {
+            if let Some(team) = vacancies.next_to_release(now, idle, rank) {
                 let preferred = owner::first(&team, vacancies.live().iter()).cloned();
                 let preferred = preferred.filter(|controller| *controller != me);
                 let holder = preferred.and_then(|owner| {
@@ -138,7 +138,7 @@
                         tracing::info!(%team, to = %holder.owner, "handing over workspace ownership");
                         self.write_owners(vec![team], holder);
                     }
-                    None => vacancies.settled(&team),
+                    None => vacancies.request_completed(&team),
                 }
             }
         }
@@ -177,7 +177,7 @@
             }
         };
         for team in teams {
-            self.workspaces.vacancies.settled(&team);
+            self.workspaces.vacancies.request_completed(&team);
             let cached = self.cache.workspaces.get(&team).map(|w| w.version).unwrap_or_default();
             if let Some(version) = committed.filter(|v| *v > cached) {
                 self.cache.workspaces.insert(team, Versioned::new(version, holder.clone()));
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -41,7 +41,7 @@
     /// Acquisition or release of a role.
     Role(Role),
     /// The record of scale-out intents, and the requests to send once it is durable.
-    ScaleOutIntents(Box<cleatfold_roles::scale_out::Step>),
+    ScaleOutIntents(Box<cleatfold_roles::scale_out::ScaleOutStep>),
     /// A transaction on pool keys or slices. The next sync shows its outcome.
     PoolAssignment,
     /// A change of a team's quota slices.
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -189,7 +189,7 @@
         }
         for (team, limit) in long_work {
             let mut remaining = Resources { memory: UNLIMITED, gpus: UNLIMITED, ..capacity };
-            remaining.cpus = (capacity.cpus as f64 * limit.part) as i64
+            remaining.cpus = (capacity.cpus as f64 * limit.capacity_share) as i64
                 - self.long_work_usage(team, limit, pool);
             let (team, releases) = (team.clone(), BTreeMap::new());
             binding.push(BindingLimit {
--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -3,7 +3,7 @@
 use crate::admission::state::size_class_demand;
 use crate::controller::Controller;
 use crate::store::cache::CachedJob;
-use cleatfold_admission::{order, size_classes, Entry, SizeClass, Sizes};
+use cleatfold_admission::{order, size_classes, QuotaEntry, SizeClass, SizeClassQuota};
 use cleatfold_backfill::order::{Guarantees, QueueKey};
 use cleatfold_priority::acceptance_times;
 use cleatfold_wire::job::{Kind, Urgency};
@@ -110,7 +110,7 @@
 
 impl<'a> QueueBuilder<'a> {
     /// Adds a job's tasks without its growth. `entry` is its group's entry in the overload quota.
-    fn add_base(&mut self, job: &Arrival<'a>, entry: Option<&'a Entry>) {
+    fn add_base(&mut self, job: &Arrival<'a>, entry: Option<&'a QuotaEntry>) {
         let cached = job.cached;
         let spec = &cached.record.spec;
         let is_small = entry.is_none_or(|entry| self.record_demand(job, entry));
@@ -156,7 +156,7 @@
     }
 
     /// Records what a job of an overloaded group has claimed and needs. True if the job is small.
-    fn record_demand(&mut self, job: &Arrival<'a>, entry: &'a Entry) -> bool {
+    fn record_demand(&mut self, job: &Arrival<'a>, entry: &'a QuotaEntry) -> bool {
         let cached = job.cached;
         let spec = &cached.record.spec;
         let class = self.overloaded.entry(&spec.class).or_default();
@@ -165,8 +165,8 @@
         let size_class =
             entry.sizes.as_ref().map_or(SizeClass::Small, |s| s.size_class(work, spec.tasks));
         if let (Some(sizes), Some(larger)) = (&entry.sizes, class.larger_mut(size_class)) {
-            let mut demand = size_class_demand(entry, job.id, cached, sizes.begin_ms);
-            demand.needs = demand.needs.min(cached.task_resources.times(job.tasks).cpus);
+            let mut demand = size_class_demand(entry, job.id, cached, sizes.start_within_ms);
+            demand.claimable = demand.claimable.min(cached.task_resources.times(job.tasks).cpus);
             let candidate = (job.tasks > 0).then_some(self.candidates.len());
             larger.push(LargerJob { demand, candidate });
             return false;
@@ -180,24 +180,24 @@
     fn arrival_under_overload(
         &mut self,
         job: &Arrival<'a>,
-        entry: &Entry,
+        entry: &QuotaEntry,
         is_small: bool,
     ) -> (u64, bool) {
         let cached = job.cached;
         let spec = &cached.record.spec;
-        let waiting = order::Waiting {
+        let waiting = order::QueuedJob {
             accepted_ms: job.accepted_ms,
-            rest: f64::from(cached.unclaimed()) * spec.cpus * spec.estimate_s,
-            begun: cached.claimed + cached.done > 0,
+            remaining_work: f64::from(cached.unclaimed()) * spec.cpus * spec.estimate_s,
+            started: cached.claimed + cached.done > 0,
         };
-        let order_ms = order::place(entry, waiting, self.wall_ms);
+        let order_ms = order::sort_time_ms(entry, waiting, self.wall_ms);
         if is_small {
             let needed_cpus = cached.task_resources.times(cached.unclaimed()).cpus;
             let candidate = self.candidates.len();
             let class = self.overloaded.entry(&spec.class).or_default();
             class.small.push(SmallJob { order_ms, candidate, needed_cpus });
         }
-        (order_ms, order::past_use(entry, waiting, self.wall_ms))
+        (order_ms, order::is_past_patience(entry, waiting, self.wall_ms))
     }
 
     /// Promotes, in each class that is not served in time, the jobs that fill its guaranteed
@@ -207,7 +207,7 @@
             let floor = class.floors.values().map(|f| f.0).sum();
             class.small.sort_unstable();
             let needs = class.small.iter().map(|job| job.needed_cpus);
-            let promoted = order::promote(floor, class.claimed_cpus, needs);
+            let promoted = order::promote_small(floor, class.claimed_cpus, needs);
             for job in &class.small[..promoted] {
                 self.candidates[job.candidate].place.beyond_floor = false;
             }
@@ -225,19 +225,20 @@
         is_divisible: impl Fn(&JobId) -> bool,
     ) {
         let sizes = || class.floors.values().filter_map(|f| f.1);
-        let terms = size_classes::Terms {
+        let terms = size_classes::SizeClassTerms {
             floor: sizes().map(|s| s.floor(size_class)).sum(),
-            begin_ms: sizes().map(|s| s.begin_ms).min().unwrap_or_default(),
-            short: sizes().any(|s| s.short),
+            start_within_ms: sizes().map(|s| s.start_within_ms).min().unwrap_or_default(),
+            capacity_short: sizes().any(|s| s.capacity_short),
         };
-        let demands: Vec<size_classes::Waiting> = jobs.iter().map(|job| job.demand).collect();
-        let promoted = size_classes::promote(terms, self.wall_ms, &demands);
+        let demands: Vec<size_classes::LargerJobDemand> =
+            jobs.iter().map(|job| job.demand).collect();
+        let promoted = size_classes::promote_larger(terms, self.wall_ms, &demands);
         for (job, promoted) in jobs.iter().zip(promoted) {
             let Some(index) = job.candidate.filter(|_| promoted > 0) else { continue };
             let candidate = &mut self.candidates[index];
             let promoted_place =
                 QueueKey { beyond_floor: false, past_use: false, ..candidate.place.clone() };
-            let tasks = (promoted / job.demand.each.max(1)).max(1) as u32;
+            let tasks = (promoted / job.demand.per_task.max(1)).max(1) as u32;
             if !is_divisible(&promoted_place.id) || tasks >= candidate.tasks {
                 candidate.place = promoted_place;
             } else {
@@ -272,7 +273,7 @@
 
 /// A job of an overloaded class in one of the two upper size classes.
 struct LargerJob {
-    demand: size_classes::Waiting,
+    demand: size_classes::LargerJobDemand,
     /// Index of its candidate, if any of its tasks wait.
     candidate: Option<usize>,
 }
@@ -282,7 +283,7 @@
 struct OverloadedClass<'a> {
     /// By team: the guaranteed minimum of its small jobs, and the bounds and minimums of its size
     /// classes.
-    floors: BTreeMap<&'a TeamId, (i64, Option<&'a Sizes>)>,
+    floors: BTreeMap<&'a TeamId, (i64, Option<&'a SizeClassQuota>)>,
     /// Processors that its small jobs have claimed, in thousandths.
     claimed_cpus: i64,
     small: Vec<SmallJob>,
