--- a/crates/cleatfold-clients/src/cloud.rs
+++ b/crates/cleatfold-clients/src/cloud.rs
@@ -1,8 +1,8 @@
-//! The cloud's client: one call at a time, spaced so that the controllers together keep the rate.
-//! What rents or returns machines goes before what only looks: the list of a large deployment takes
-//! several calls.
+//! Client of the cloud API: makes one call at a time, spaced so that all controllers together stay
+//! within the API's rate limit. Calls that create or delete machines take precedence over reads,
+//! because listing the machines of a large deployment takes several calls.
 
-use crate::http::Http;
+use crate::http::HttpClient;
 use cleatfold_control::{CloudReply, CloudRequest};
 use cleatfold_wire::cloud::{MachineList, MachineTypes, Machines};
 use hyper::Method;
@@ -11,55 +11,55 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// One call.
+/// A request to the cloud API and the minimum spacing to the next one.
 pub struct CloudCall {
-    /// Its number; the answer carries it.
+    /// Operation number, passed back with the reply.
     pub op: u64,
-    /// What is asked for.
+    /// The request.
     pub request: CloudRequest,
-    /// The least time from the start of one call to the next.
+    /// Minimum time between the starts of consecutive calls.
     pub spacing: Duration,
 }
 
-/// Runs until the queue's senders are gone. `answer` gets every reply.
+/// Runs until all senders of `calls` are dropped. Passes every reply to `on_reply`.
 pub async fn run(
     endpoint: String,
-    mut queue: mpsc::UnboundedReceiver<CloudCall>,
-    answer: impl Fn(u64, CloudReply),
+    mut calls: mpsc::UnboundedReceiver<CloudCall>,
+    on_reply: impl Fn(u64, CloudReply),
 ) {
-    let http = Http::new(&endpoint);
-    let mut waiting: VecDeque<CloudCall> = VecDeque::new();
+    let http = HttpClient::new(&endpoint);
+    let mut pending: VecDeque<CloudCall> = VecDeque::new();
     loop {
-        if waiting.is_empty() {
-            let Some(call) = queue.recv().await else { return };
-            waiting.push_back(call);
+        if pending.is_empty() {
+            let Some(call) = calls.recv().await else { return };
+            pending.push_back(call);
         }
-        while let Ok(call) = queue.try_recv() {
-            waiting.push_back(call);
+        while let Ok(call) = calls.try_recv() {
+            pending.push_back(call);
         }
-        let acts = |j: &CloudCall| {
-            matches!(j.request, CloudRequest::ScaleOut(_) | CloudRequest::Delete(_))
+        let changes_machines = |c: &CloudCall| {
+            matches!(c.request, CloudRequest::ScaleOut(_) | CloudRequest::Delete(_))
         };
-        let next = waiting.iter().position(acts).unwrap_or(0);
-        let Some(call) = waiting.remove(next) else { continue };
-        let started = Instant::now();
+        let next = pending.iter().position(changes_machines).unwrap_or(0);
+        let Some(call) = pending.remove(next) else { continue };
+        let started_at = Instant::now();
         let reply = execute(&http, &call.request).await;
         let failed = matches!(reply, CloudReply::Failed);
-        answer(call.op, reply);
+        on_reply(call.op, reply);
         let spacing = if failed { call.spacing * 4 } else { call.spacing };
-        tokio::time::sleep_until(started + spacing).await;
+        tokio::time::sleep_until(started_at + spacing).await;
     }
 }
 
-async fn execute(http: &Http, request: &CloudRequest) -> CloudReply {
+async fn execute(http: &HttpClient, request: &CloudRequest) -> CloudReply {
     let (method, path, body) = match request {
         CloudRequest::Types => (Method::GET, "/machine_types".to_string(), None),
         CloudRequest::List { from } => {
             let from = from.as_ref().map(|f| format!("from={f}&")).unwrap_or_default();
             (Method::GET, format!("/machines?{from}page=500"), None)
         }
-        CloudRequest::ScaleOut(rent) => {
-            (Method::POST, "/machines".to_string(), serde_json::to_vec(rent).ok())
+        CloudRequest::ScaleOut(scale_out) => {
+            (Method::POST, "/machines".to_string(), serde_json::to_vec(scale_out).ok())
         }
         CloudRequest::Delete(machines) => (
             Method::POST,
@@ -87,7 +87,7 @@
         _ => Ok(CloudReply::Failed),
     };
     parsed.unwrap_or_else(|error| {
-        tracing::error!(%error, "unreadable answer of the cloud");
+        tracing::error!(%error, "cannot parse cloud response");
         CloudReply::Failed
     })
 }
--- a/crates/cleatfold-clients/src/http.rs
+++ b/crates/cleatfold-clients/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that both services are called with.
+//! HTTP client for JSON requests to the state service, the cloud API and the workers.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -7,20 +7,20 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use std::time::Duration;
 
-/// A client with its own pool of connections.
+/// HTTP client with its own connection pool.
 #[derive(Clone)]
-pub struct Http {
+pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
-    base: String,
+    base_url: String,
 }
 
-/// Why there is no answer.
+/// Why a call returned no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoAnswer {
-    /// The request never left.
+pub enum CallError {
+    /// The request was never sent.
     NotSent,
-    /// It may have been executed, or be executed later.
-    Unknown,
+    /// The request may have been executed, or may still be executed.
+    OutcomeUnknown,
 }
 
 fn connector() -> HttpConnector {
@@ -30,55 +30,60 @@
     connector
 }
 
-impl Http {
-    /// A client of one endpoint.
+impl HttpClient {
+    /// Creates a client for a single endpoint.
     pub fn new(endpoint: &str) -> Self {
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(Duration::from_secs(20))
             .pool_max_idle_per_host(8)
             .build(connector());
-        Self { client, base: format!("http://{endpoint}") }
+        Self { client, base_url: format!("http://{endpoint}") }
     }
 
-    /// A client of many hosts: paths are whole addresses.
+    /// Creates a client for many hosts; paths must be absolute URLs.
     pub fn without_endpoint() -> Self {
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(Duration::from_secs(2))
             .pool_max_idle_per_host(1)
             .build(connector());
-        Self { client, base: String::new() }
+        Self { client, base_url: String::new() }
     }
 
-    /// Makes one call. Returns the status and the body, or why there is none.
+    /// Sends one request and returns the status and body of the response.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the request could not be sent, or if no complete response arrived within `timeout`.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
         timeout: Duration,
-    ) -> Result<(u16, Bytes), NoAnswer> {
+    ) -> Result<(u16, Bytes), CallError> {
         let request = Request::builder()
             .method(method)
-            .uri(format!("{}{path}", self.base))
+            .uri(format!("{}{path}", self.base_url))
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body.unwrap_or_default())));
         let Ok(request) = request else {
-            return Err(NoAnswer::NotSent);
+            return Err(CallError::NotSent);
         };
         let exchange = async {
             let response = self.client.request(request).await.map_err(|e| {
                 if e.is_connect() {
-                    NoAnswer::NotSent
+                    CallError::NotSent
                 } else {
-                    NoAnswer::Unknown
+                    CallError::OutcomeUnknown
                 }
             })?;
             let status = response.status().as_u16();
-            let body = response.into_body().collect().await.map_err(|_| NoAnswer::Unknown)?;
+            let body =
+                response.into_body().collect().await.map_err(|_| CallError::OutcomeUnknown)?;
             Ok((status, body.to_bytes()))
         };
-        tokio::time::timeout(timeout, exchange).await.unwrap_or(Err(NoAnswer::Unknown))
+        tokio::time::timeout(timeout, exchange).await.unwrap_or(Err(CallError::OutcomeUnknown))
     }
 }
--- a/crates/cleatfold-clients/src/lib.rs
+++ b/crates/cleatfold-clients/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients of the state service and the cloud, and the mesh between controllers.
+//! Clients of the state service, the cloud API and the workers, and the controller mesh.
 
 #![warn(
     missing_docs,
--- a/crates/cleatfold-clients/src/mesh.rs
+++ b/crates/cleatfold-clients/src/mesh.rs
@@ -1,5 +1,6 @@
-//! The mesh: one connection from each controller to each other one, length-prefixed bitcode.
-//! Everything on it is a hint, so what cannot be sent now is dropped rather than kept.
+//! Controller mesh: one connection from each controller to each of its peers, carrying
+//! length-prefixed bitcode messages. Messages are only hints, so those that cannot be sent at once
+//! are dropped.
 
 use bytes::Bytes;
 use cleatfold_wire::mesh::Message;
@@ -11,9 +12,9 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// The longest message between controllers. The longest ones grow with the deployment: the images
-/// on all machines of a pool, and the pools of all waiting jobs. A message above it would end the
-/// connection, and with it whatever else was on its way.
+/// Maximum size of a message between controllers. The largest messages grow with the deployment:
+/// the images on all machines of a pool, and the pools of all waiting jobs. A larger message would
+/// close the connection and lose all other messages in flight.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 fn framed(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
@@ -22,14 +23,19 @@
     Framed::new(stream, codec)
 }
 
-/// Sends to one peer for ever.
-pub async fn dial(me: ControllerId, endpoint: String, mut queue: mpsc::Receiver<Bytes>) {
+/// Connects to one peer, reconnecting on failure, and sends it the messages from `queue`. Messages
+/// queued while disconnected are dropped. Returns once all senders of `queue` are dropped.
+pub async fn send_to_peer(
+    own_id: ControllerId,
+    endpoint: String,
+    mut queue: mpsc::Receiver<Bytes>,
+) {
     loop {
         let connected = timeout(Duration::from_secs(1), TcpStream::connect(&endpoint)).await;
         if let Ok(Ok(stream)) = connected {
             while queue.try_recv().is_ok() {}
             let mut framed = framed(stream);
-            let hello = Bytes::copy_from_slice(me.as_str().as_bytes());
+            let hello = Bytes::copy_from_slice(own_id.as_str().as_bytes());
             let mut next = Some(hello);
             while let Some(frame) = next {
                 let sent = timeout(Duration::from_secs(2), framed.send(frame)).await;
@@ -46,19 +52,22 @@
     }
 }
 
-/// A message as the payload of one frame.
+/// Encodes a message as the payload of one frame.
 pub fn encode(message: &Message) -> Bytes {
     Bytes::from(bitcode::encode(message))
 }
 
-/// Receives from all peers.
-pub async fn listen(listener: TcpListener, hear: impl Fn(ControllerId, Message) + Clone + 'static) {
+/// Accepts connections from all peers and passes every received message to `on_message`.
+pub async fn listen(
+    listener: TcpListener,
+    on_message: impl Fn(ControllerId, Message) + Clone + 'static,
+) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(100)).await;
             continue;
         };
-        let hear = hear.clone();
+        let on_message = on_message.clone();
         tokio::task::spawn_local(async move {
             let mut framed = framed(stream);
             let Some(Ok(hello)) = framed.next().await else {
@@ -70,8 +79,8 @@
             let from = ControllerId::new(from);
             while let Some(Ok(frame)) = framed.next().await {
                 match bitcode::decode::<Message>(&frame) {
-                    Ok(message) => hear(from.clone(), message),
-                    Err(error) => tracing::debug!(%from, %error, "unreadable message"),
+                    Ok(message) => on_message(from.clone(), message),
+                    Err(error) => tracing::debug!(%from, %error, "cannot decode mesh message"),
                 }
             }
         });
--- a/crates/cleatfold-clients/src/store.rs
+++ b/crates/cleatfold-clients/src/store.rs
@@ -1,11 +1,12 @@
-//! The state service's client: one actor per process, with a rate budget and urgencies.
+//! Client of the state service: one actor per process, with a rate limit and priorities.
 //!
-//! Requests beyond the budget wait here, in the order of their urgencies, instead of being
-//! refused there. What is refused all the same is tried again within a budget of retries, and
-//! while the service does not answer only readings and renewals, which see when it is back, go
-//! out: the rest would be refused there, and all of it at once when it returns.
+//! Calls beyond the rate limit are queued here in order of priority, so that the service does not
+//! refuse them. Calls that the service still refuses are retried within a retry budget. While the
+//! service is unavailable only lease renewals and the calls that the circuit breaker admits are
+//! sent; they detect its recovery. All other calls fail at once, because they would be refused
+//! anyway and would reach the service all at the same time when it recovers.
 
-use crate::http::{Http, NoAnswer};
+use crate::http::{CallError, HttpClient};
 use cleatfold_control::{CallPriority, StoreReply, StoreRequest};
 use cleatfold_ingress::{Backoff, Breaker, OutgoingQueue, RetryBudget};
 use cleatfold_wire::store::{Events, Grant, Granted, Item, Page, Revision};
@@ -15,98 +16,99 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// One call.
+/// A request to the state service and its priority.
 pub struct StoreCall {
-    /// Its number; the answer carries it.
+    /// Operation number, passed back with the reply.
     pub op: u64,
-    /// Which calls go first when the rate is short.
+    /// Order in which calls are sent when the rate limit delays them.
     pub priority: CallPriority,
-    /// What is asked for.
+    /// The request.
     pub request: StoreRequest,
 }
 
-/// What this process may use of the service's limits.
+/// Share of the state service's rate limits that this process may use.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    /// Calls a second.
+    /// Calls per second.
     pub requests_per_s: f64,
-    /// Changes a second.
+    /// Changed keys per second.
     pub writes_per_s: f64,
 }
 
-struct Bucket {
-    level: f64,
+struct TokenBucket {
+    tokens: f64,
     rate: f64,
 }
 
-impl Bucket {
-    fn fill(&mut self, seconds: f64) {
-        self.level = (self.level + self.rate * seconds).min((self.rate * 0.5).max(2.0));
+impl TokenBucket {
+    fn refill(&mut self, elapsed_s: f64) {
+        self.tokens = (self.tokens + self.rate * elapsed_s).min((self.rate * 0.5).max(2.0));
     }
 }
 
-/// A call that waits for its turn, with how often it was tried.
-struct Waiting {
+/// A queued call and the number of attempts made so far.
+struct QueuedCall {
     call: StoreCall,
-    tries: u32,
+    attempts: u32,
 }
 
-/// What became of a call.
-struct Outcome {
-    answered: bool,
-    /// It was refused for the rate.
-    again: Option<Waiting>,
+/// Report on a finished attempt, for the circuit breaker and retries.
+struct AttemptReport {
+    service_available: bool,
+    /// The call to retry, if the service refused it for its rate limit.
+    retry: Option<QueuedCall>,
 }
 
-/// Failures in a row after which the service is taken to be unavailable.
-const MAX_FAILURES: u32 = 4;
+/// Consecutive failures after which the service is considered unavailable.
+const MAX_CONSECUTIVE_FAILURES: u32 = 4;
 const UNAVAILABLE_BACKOFF: Backoff = Backoff { first_ms: 200, most_ms: 1000 };
-/// Retries that each call adds to the budget, and how many may be saved up.
+/// Reattempts that each call adds to the retry budget, and the maximum that can accumulate.
 const RETRIES_PER_CALL: f64 = 0.1;
-const MAX_RETRIES_SAVED: f64 = 10.0;
-/// Tries of a call that the rate refuses.
-const MAX_TRIES: u32 = 3;
+const MAX_SAVED_RETRIES: f64 = 10.0;
+/// Maximum retries of a call that the service refuses for its rate limit.
+const MAX_RETRIES_PER_CALL: u32 = 3;
 const RATE_LIMIT_BACKOFF: Backoff = Backoff { first_ms: 150, most_ms: 600 };
 
-fn writes(request: &StoreRequest) -> f64 {
+/// Number of keys that a request changes.
+fn change_count(request: &StoreRequest) -> f64 {
     match request {
         StoreRequest::Txn(txn) => txn.changes.len() as f64,
         _ => 0.0,
     }
 }
 
-/// Runs until the queue's senders are gone. `answer` gets every reply.
+/// Runs until all senders of `calls` are dropped. Passes every reply to `on_reply`.
 pub async fn run(
     endpoint: String,
     budget: Budget,
-    mut queue: mpsc::UnboundedReceiver<StoreCall>,
-    answer: impl Fn(u64, StoreReply) + Clone + 'static,
+    mut calls: mpsc::UnboundedReceiver<StoreCall>,
+    on_reply: impl Fn(u64, StoreReply) + Clone + 'static,
 ) {
-    let (outcomes_out, mut outcomes_in) = mpsc::unbounded_channel::<Outcome>();
-    let mut client = StoreClient::new(Http::new(&endpoint), budget, answer, outcomes_out);
+    let (report_sender, mut report_receiver) = mpsc::unbounded_channel::<AttemptReport>();
+    let mut client = StoreClient::new(HttpClient::new(&endpoint), budget, on_reply, report_sender);
     loop {
-        if client.waiting.is_empty() {
+        if client.queued.is_empty() {
             tokio::select! {
-                call = queue.recv() => match call {
+                call = calls.recv() => match call {
                     Some(call) => client.enqueue(call),
                     None => return,
                 },
-                Some(outcome) = outcomes_in.recv() => client.note(outcome),
+                Some(report) = report_receiver.recv() => client.record_attempt(report),
             }
         }
-        while let Ok(outcome) = outcomes_in.try_recv() {
-            client.note(outcome);
+        while let Ok(report) = report_receiver.try_recv() {
+            client.record_attempt(report);
         }
-        while let Ok(call) = queue.try_recv() {
+        while let Ok(call) = calls.try_recv() {
             client.enqueue(call);
         }
-        client.refill();
-        if client.send_next() || client.waiting.is_empty() {
+        client.refill_buckets();
+        if client.send_next() || client.queued.is_empty() {
             continue;
         }
         tokio::select! {
-            _ = tokio::time::sleep(client.pause()) => {}
-            call = queue.recv() => match call {
+            _ = tokio::time::sleep(client.time_until_next_call()) => {}
+            call = calls.recv() => match call {
                 Some(call) => client.enqueue(call),
                 None => return,
             },
@@ -114,15 +116,15 @@
     }
 }
 
-/// The state of the client: calls that wait, and what of the rates is left.
+/// State of the client: the queued calls, the rate limits, the retry budget and the circuit breaker.
 struct StoreClient<A> {
-    http: Http,
-    answer: A,
-    outcomes: mpsc::UnboundedSender<Outcome>,
-    waiting: OutgoingQueue<Waiting>,
-    requests: Bucket,
-    changes: Bucket,
-    filled: Instant,
+    http: HttpClient,
+    on_reply: A,
+    reports: mpsc::UnboundedSender<AttemptReport>,
+    queued: OutgoingQueue<QueuedCall>,
+    request_bucket: TokenBucket,
+    change_bucket: TokenBucket,
+    refilled_at: Instant,
     retries: RetryBudget,
     breaker: Breaker,
     start: Instant,
@@ -130,22 +132,22 @@
 
 impl<A: Fn(u64, StoreReply) + Clone + 'static> StoreClient<A> {
     fn new(
-        http: Http,
+        http: HttpClient,
         budget: Budget,
-        answer: A,
-        outcomes: mpsc::UnboundedSender<Outcome>,
+        on_reply: A,
+        reports: mpsc::UnboundedSender<AttemptReport>,
     ) -> Self {
-        let bucket = |rate: f64| Bucket { level: rate * 0.5, rate };
+        let bucket = |rate: f64| TokenBucket { tokens: rate * 0.5, rate };
         Self {
             http,
-            answer,
-            outcomes,
-            waiting: OutgoingQueue::new(CallPriority::Poll as usize + 1),
-            requests: bucket(budget.requests_per_s),
-            changes: bucket(budget.writes_per_s),
-            filled: Instant::now(),
-            retries: RetryBudget::new(RETRIES_PER_CALL, MAX_RETRIES_SAVED),
-            breaker: Breaker::new(MAX_FAILURES, UNAVAILABLE_BACKOFF),
+            on_reply,
+            reports,
+            queued: OutgoingQueue::new(CallPriority::Poll as usize + 1),
+            request_bucket: bucket(budget.requests_per_s),
+            change_bucket: bucket(budget.writes_per_s),
+            refilled_at: Instant::now(),
+            retries: RetryBudget::new(RETRIES_PER_CALL, MAX_SAVED_RETRIES),
+            breaker: Breaker::new(MAX_CONSECUTIVE_FAILURES, UNAVAILABLE_BACKOFF),
             start: Instant::now(),
         }
     }
@@ -155,109 +157,116 @@
     }
 
     fn enqueue(&mut self, call: StoreCall) {
-        self.wait(Waiting { call, tries: 0 });
+        self.push(QueuedCall { call, attempts: 0 });
     }
 
-    fn wait(&mut self, waiting: Waiting) {
-        let changes = writes(&waiting.call.request);
-        self.waiting.push(waiting.call.priority as usize, self.now_ms(), changes, waiting);
+    fn push(&mut self, queued: QueuedCall) {
+        let changes = change_count(&queued.call.request);
+        self.queued.push(queued.call.priority as usize, self.now_ms(), changes, queued);
     }
 
-    /// Notes what became of a call; one that the rate refused is tried again within the budget.
-    fn note(&mut self, outcome: Outcome) {
-        self.breaker.note(self.now_ms(), outcome.answered, &mut rand::rng());
-        match outcome.again {
-            Some(waiting) if waiting.tries <= MAX_TRIES && self.retries.take() => {
-                self.wait(waiting)
+    /// Records a finished attempt. Retries a rate-limited call within the retry budget.
+    fn record_attempt(&mut self, report: AttemptReport) {
+        self.breaker.note(self.now_ms(), report.service_available, &mut rand::rng());
+        match report.retry {
+            Some(queued) if queued.attempts <= MAX_RETRIES_PER_CALL && self.retries.take() => {
+                self.push(queued)
             }
-            Some(waiting) => (self.answer)(waiting.call.op, StoreReply::Refused),
+            Some(queued) => (self.on_reply)(queued.call.op, StoreReply::Refused),
             None => {}
         }
     }
 
-    fn refill(&mut self) {
+    fn refill_buckets(&mut self) {
         let now = Instant::now();
-        let passed = now.duration_since(self.filled).as_secs_f64();
-        self.filled = now;
-        self.requests.fill(passed);
-        self.changes.fill(passed);
+        let elapsed_s = now.duration_since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        self.request_bucket.refill(elapsed_s);
+        self.change_bucket.refill(elapsed_s);
     }
 
-    /// Sends the next call that the rates allow, if there is one.
+    /// Sends or rejects the next call that the rate limits allow. Returns `false` if there is none.
     fn send_next(&mut self) -> bool {
-        if self.requests.level < 1.0 {
+        if self.request_bucket.tokens < 1.0 {
             return false;
         }
-        // A large transaction may overdraw the budget; it is paid back before the next one.
+        // A large transaction may overdraw the bucket, which then delays the next one.
         let now_ms = self.now_ms();
-        let Some((changes, waiting)) = self.waiting.pop(now_ms, self.changes.level >= 1.0) else {
+        let Some((changes, queued)) = self.queued.pop(now_ms, self.change_bucket.tokens >= 1.0)
+        else {
             return false;
         };
-        let is_renewal = waiting.call.priority == CallPriority::Renewal;
+        let is_renewal = queued.call.priority == CallPriority::Renewal;
         if !is_renewal && self.breaker.is_open() && !self.breaker.admits(now_ms) {
-            // Certainly not executed; whoever asked knows when to come back.
-            (self.answer)(waiting.call.op, StoreReply::Refused);
+            // The request was not sent, so it is certain that it was not executed. The caller
+            // decides when to retry.
+            (self.on_reply)(queued.call.op, StoreReply::Refused);
             return true;
         }
-        self.requests.level -= 1.0;
-        self.changes.level -= changes;
+        self.request_bucket.tokens -= 1.0;
+        self.change_bucket.tokens -= changes;
         self.retries.note_call();
-        let (http, answer, outcomes) =
-            (self.http.clone(), self.answer.clone(), self.outcomes.clone());
-        tokio::task::spawn_local(make_call(http, waiting, answer, outcomes));
+        let (http, on_reply, reports) =
+            (self.http.clone(), self.on_reply.clone(), self.reports.clone());
+        tokio::task::spawn_local(make_call(http, queued, on_reply, reports));
         true
     }
 
-    /// How long it takes until the next call may go.
-    fn pause(&self) -> Duration {
-        let short = match self.requests.level >= 1.0 {
-            true => (1.0 - self.changes.level) / self.changes.rate,
-            false => (1.0 - self.requests.level) / self.requests.rate,
+    /// Estimated time until the rate limits allow the next call.
+    fn time_until_next_call(&self) -> Duration {
+        let wait_s = match self.request_bucket.tokens >= 1.0 {
+            true => (1.0 - self.change_bucket.tokens) / self.change_bucket.rate,
+            false => (1.0 - self.request_bucket.tokens) / self.request_bucket.rate,
         };
-        Duration::from_secs_f64(short.clamp(0.005, 0.1))
+        Duration::from_secs_f64(wait_s.clamp(0.005, 0.1))
     }
 }
 
-/// Makes one call, and reports what became of it.
+/// Makes one attempt of a call and reports its result.
 async fn make_call(
-    http: Http,
-    waiting: Waiting,
-    answer: impl Fn(u64, StoreReply),
-    outcomes: mpsc::UnboundedSender<Outcome>,
+    http: HttpClient,
+    queued: QueuedCall,
+    on_reply: impl Fn(u64, StoreReply),
+    reports: mpsc::UnboundedSender<AttemptReport>,
 ) {
-    let Waiting { call, tries } = waiting;
-    let called = execute(&http, &call.request).await;
-    if matches!(called, Called::Busy) {
-        let pause_ms = RATE_LIMIT_BACKOFF.pause_ms(tries, &mut rand::rng());
+    let QueuedCall { call, attempts } = queued;
+    let result = execute(&http, &call.request).await;
+    if matches!(result, AttemptResult::RateLimited) {
+        let pause_ms = RATE_LIMIT_BACKOFF.pause_ms(attempts, &mut rand::rng());
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-        let again = Some(Waiting { call, tries: tries + 1 });
-        let _ = outcomes.send(Outcome { answered: true, again });
+        let retry = Some(QueuedCall { call, attempts: attempts + 1 });
+        let _ = reports.send(AttemptReport { service_available: true, retry });
         return;
     }
-    let answered = !matches!(called, Called::Away | Called::Unknown);
-    let _ = outcomes.send(Outcome { answered, again: None });
+    let service_available =
+        !matches!(result, AttemptResult::NotExecuted | AttemptResult::OutcomeUnknown);
+    let _ = reports.send(AttemptReport { service_available, retry: None });
     let is_transaction = matches!(call.request, StoreRequest::Txn(_));
-    let reply = match called {
-        Called::Answered(reply) => reply,
-        Called::Unknown if is_transaction => StoreReply::Unknown,
-        Called::Busy | Called::Away | Called::Unknown => StoreReply::Refused,
+    let reply = match result {
+        AttemptResult::Replied(reply) => reply,
+        AttemptResult::OutcomeUnknown if is_transaction => StoreReply::Unknown,
+        AttemptResult::RateLimited | AttemptResult::NotExecuted | AttemptResult::OutcomeUnknown => {
+            StoreReply::Refused
+        }
     };
-    answer(call.op, reply);
+    on_reply(call.op, reply);
 }
 
-enum Called {
-    Answered(StoreReply),
-    /// Refused for the rate.
-    Busy,
-    /// Refused, or never sent: certainly not executed.
-    Away,
-    /// Perhaps executed, perhaps later.
-    Unknown,
+/// Result of one attempt of a call.
+enum AttemptResult {
+    Replied(StoreReply),
+    /// Refused because of the service's rate limit.
+    RateLimited,
+    /// Refused or never sent, so certainly not executed.
+    NotExecuted,
+    /// The request may have been executed, or may still be executed.
+    OutcomeUnknown,
 }
 
-const TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time limit for one attempt of a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-async fn execute(http: &Http, request: &StoreRequest) -> Called {
+async fn execute(http: &HttpClient, request: &StoreRequest) -> AttemptResult {
     let (method, path, body) = match request {
         StoreRequest::Get(key) => (Method::GET, format!("/store/{key}"), None),
         StoreRequest::List { prefix, from, limit } => {
@@ -276,28 +285,31 @@
             (Method::GET, format!("/follow?prefix={prefix}&from={from}&holdMs=0"), None)
         }
     };
-    let reply = match http.call(method, &path, body, TIMEOUT).await {
-        Ok((200, body)) => read(request, &body),
+    let reply = match http.call(method, &path, body, CALL_TIMEOUT).await {
+        Ok((200, body)) => parse_reply(request, &body),
         Ok((404, _)) => StoreReply::Missing,
         Ok((409, body)) => match serde_json::from_slice::<Revision>(&body) {
             Ok(revision) => StoreReply::Conflict(revision.failed),
-            Err(_) => return Called::Unknown,
+            Err(_) => return AttemptResult::OutcomeUnknown,
         },
         Ok((410, _)) => StoreReply::TooOld,
         Ok((400, body)) => StoreReply::Invalid(String::from_utf8_lossy(&body).into_owned()),
-        Ok((429, _)) => return Called::Busy,
-        Ok((503, _)) | Err(NoAnswer::NotSent) => return Called::Away,
-        Ok(_) | Err(NoAnswer::Unknown) => return Called::Unknown,
+        Ok((429, _)) => return AttemptResult::RateLimited,
+        Ok((503, _)) | Err(CallError::NotSent) => return AttemptResult::NotExecuted,
+        Ok(_) | Err(CallError::OutcomeUnknown) => return AttemptResult::OutcomeUnknown,
     };
-    Called::Answered(reply)
+    AttemptResult::Replied(reply)
 }
 
-fn read(request: &StoreRequest, body: &[u8]) -> StoreReply {
-    fn parse<T: DeserializeOwned>(body: &[u8], make: impl FnOnce(T) -> StoreReply) -> StoreReply {
+fn parse_reply(request: &StoreRequest, body: &[u8]) -> StoreReply {
+    fn parse<T: DeserializeOwned>(
+        body: &[u8],
+        into_reply: impl FnOnce(T) -> StoreReply,
+    ) -> StoreReply {
         match serde_json::from_slice(body) {
-            Ok(value) => make(value),
+            Ok(value) => into_reply(value),
             Err(error) => {
-                tracing::error!(%error, "unreadable answer of the state service");
+                tracing::error!(%error, "cannot parse state service response");
                 StoreReply::Unknown
             }
         }
--- a/crates/cleatfold-clients/src/workers.rs
+++ b/crates/cleatfold-clients/src/workers.rs
@@ -1,47 +1,49 @@
-//! Direct orders and questions to workers. Each is sent once: whoever gave an order repeats it in
-//! the answer to the worker's next report, and whoever asks goes on to ask another worker.
+//! Client for direct requests to workers. Each request is sent only once: unacknowledged commands
+//! are repeated in the response to the worker's next heartbeat, and an unanswered probe is followed
+//! by a probe of another worker.
 
-use crate::http::Http;
+use crate::http::HttpClient;
 use cleatfold_wire::worker::{Heartbeat, Orders, RawHeartbeat};
 use cleatfold_wire::{AgentEpoch, MachineId, Seq};
 use hyper::Method;
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// One call to a worker.
+/// A request to a worker.
 pub struct WorkerCall {
     /// The worker's machine.
     pub machine: MachineId,
-    /// Where the worker takes it.
+    /// Address at which the worker accepts direct requests.
     pub endpoint: String,
-    /// What it is asked or told.
+    /// The request.
     pub request: WorkerRequest,
 }
 
-/// What a worker is asked or told.
+/// Direct request to a worker.
 pub enum WorkerRequest {
     /// Commands to be executed.
     Orders(Orders),
-    /// Is it reached at all?
-    Inspect,
+    /// Checks whether the worker is reachable.
+    Probe,
 }
 
-/// What came of a call.
+/// Result of a direct request.
 pub enum WorkerReply {
-    /// The worker's report after the orders; none where they were not executed or nothing is known of it.
-    Ordered(Option<Heartbeat>),
-    /// The number of its newest message; none: no answer.
-    Inspected(Option<(AgentEpoch, Seq)>),
+    /// The worker's heartbeat after it executed the commands; `None` if they were refused or the
+    /// outcome is unknown.
+    OrderResult(Option<Heartbeat>),
+    /// Session and sequence number of the worker's newest heartbeat; `None` if it did not respond.
+    ProbeResult(Option<(AgentEpoch, Seq)>),
 }
 
-/// Runs until the queue's senders are gone.
+/// Runs until all senders of `calls` are dropped. Passes every result to `on_reply`.
 pub async fn run(
-    mut queue: mpsc::UnboundedReceiver<WorkerCall>,
-    answer: impl Fn(MachineId, WorkerReply) + Clone + 'static,
+    mut calls: mpsc::UnboundedReceiver<WorkerCall>,
+    on_reply: impl Fn(MachineId, WorkerReply) + Clone + 'static,
 ) {
-    let http = Http::without_endpoint();
-    while let Some(call) = queue.recv().await {
-        let (http, answer) = (http.clone(), answer.clone());
+    let http = HttpClient::without_endpoint();
+    while let Some(call) = calls.recv().await {
+        let (http, on_reply) = (http.clone(), on_reply.clone());
         tokio::task::spawn_local(async move {
             let send = async |method, path, body| {
                 let url = format!("http://{}{path}", call.endpoint);
@@ -50,14 +52,14 @@
             let reply = match &call.request {
                 WorkerRequest::Orders(orders) => {
                     let body = serde_json::to_vec(orders).ok();
-                    WorkerReply::Ordered(match send(Method::POST, "/orders", body).await {
+                    WorkerReply::OrderResult(match send(Method::POST, "/orders", body).await {
                         Ok((200, body)) => serde_json::from_slice(&body).ok(),
                         _ => None,
                     })
                 }
-                WorkerRequest::Inspect => {
-                    WorkerReply::Inspected(match send(Method::GET, "/inspect", None).await {
-                        // Whatever it answers, it is reached.
+                WorkerRequest::Probe => {
+                    WorkerReply::ProbeResult(match send(Method::GET, "/inspect", None).await {
+                        // Any response shows that the worker is reachable.
                         Ok((_, body)) => Some(
                             serde_json::from_slice::<RawHeartbeat>(&body)
                                 .map_or_else(|_| Default::default(), |r| (r.agent_epoch, r.seq)),
@@ -66,7 +68,7 @@
                     })
                 }
             };
-            answer(call.machine, reply);
+            on_reply(call.machine, reply);
         });
     }
 }
--- a/crates/cleatfold-testbed/src/capacity/measure.rs
+++ b/crates/cleatfold-testbed/src/capacity/measure.rs
@@ -7,7 +7,7 @@
 use super::watch::{histogram, record, Recovery, Watch};
 use super::{usage, Plan, SizeRow};
 use crate::controllers::{counting_line, Controllers, Layout, OPERATOR_FILE};
-use cleatfold_clients::http::Http;
+use cleatfold_clients::http::HttpClient;
 use hdrhistogram::Histogram;
 use hyper::Method;
 use rand::rngs::SmallRng;
@@ -59,7 +59,7 @@
     events: mpsc::UnboundedReceiver<TaskEvent>,
     told: mpsc::UnboundedReceiver<UserEvent>,
     tell: mpsc::UnboundedSender<UserEvent>,
-    http: Http,
+    http: HttpClient,
     rng: SmallRng,
     next_job: u64,
     next_arrival: Instant,
@@ -179,7 +179,7 @@
             events,
             told,
             tell,
-            http: Http::without_endpoint(),
+            http: HttpClient::without_endpoint(),
             rng: SmallRng::seed_from_u64(plan.seed),
             next_job: 1,
             next_arrival: Instant::now(),
--- a/crates/cleatfold-testbed/src/capacity/users.rs
+++ b/crates/cleatfold-testbed/src/capacity/users.rs
@@ -1,7 +1,7 @@
 //! The users of a capacity run: each submits a job, as often as it takes, and polls it until
 //! it is done.
 
-use cleatfold_clients::http::Http;
+use cleatfold_clients::http::HttpClient;
 use cleatfold_wire::job::{JobSpec, JobState, JobStatus};
 use cleatfold_wire::JobId;
 use hyper::Method;
@@ -32,7 +32,7 @@
 
 /// One user with one job.
 pub struct User {
-    pub http: Http,
+    pub http: HttpClient,
     pub controllers: Vec<String>,
     pub spec: JobSpec,
     pub tell: mpsc::UnboundedSender<UserEvent>,
--- a/crates/cleatfold-testbed/src/elastic.rs
+++ b/crates/cleatfold-testbed/src/elastic.rs
@@ -2,7 +2,7 @@
 
 use crate::controllers::{holding_line, Controllers, ZONES};
 use crate::region::{self, Seen, ToRegion};
-use cleatfold_clients::http::Http;
+use cleatfold_clients::http::HttpClient;
 use cleatfold_wire::cloud::MachineType;
 use cleatfold_wire::job::{Elastic, JobSpec, JobState, JobStatus, Kind, Urgency};
 use cleatfold_wire::{ClassId, ImageId, JobId, Ms, TeamId, TypeId, ZoneId};
@@ -105,7 +105,7 @@
 pub struct Up {
     pub controllers: Controllers,
     pub region: mpsc::UnboundedSender<ToRegion>,
-    pub http: Http,
+    pub http: HttpClient,
     pub entries: Vec<String>,
 }
 
@@ -128,7 +128,7 @@
         for i in 0..count {
             controllers.start(i)?;
         }
-        let up = Up { controllers, region, http: Http::without_endpoint(), entries };
+        let up = Up { controllers, region, http: HttpClient::without_endpoint(), entries };
         let since = Instant::now();
         while up.call(Method::GET, "/ready", None).await.is_none_or(|a| a.0 != 200) {
             if since.elapsed() > Duration::from_secs(30) {
--- a/crates/cleatfold-testbed/src/region.rs
+++ b/crates/cleatfold-testbed/src/region.rs
@@ -2,7 +2,7 @@
 
 use crate::history::StepWatch;
 use bytes::Bytes;
-use cleatfold_clients::http::Http;
+use cleatfold_clients::http::HttpClient;
 use cleatfold_fakes::cloud::Cloud;
 use cleatfold_fakes::store::{Refusal, Store};
 use cleatfold_fakes::worker::{Worker, WorkerEvent};
@@ -89,7 +89,7 @@
     /// What is left of this second's changes.
     budget: f64,
     changes_per_s: f64,
-    http: Http,
+    http: HttpClient,
     me: mpsc::UnboundedSender<ToRegion>,
     own: String,
 }
@@ -129,7 +129,7 @@
         changes: 0,
         budget: 0.0,
         changes_per_s,
-        http: Http::without_endpoint(),
+        http: HttpClient::without_endpoint(),
         me: me.clone(),
         own,
     };
--- a/crates/cleatfold-testbed/src/team.rs
+++ b/crates/cleatfold-testbed/src/team.rs
@@ -1,6 +1,6 @@
 //! A team's jobs, queue or history as a table, asked of a running controller.
 
-use cleatfold_clients::http::Http;
+use cleatfold_clients::http::HttpClient;
 use cleatfold_wire::team::{EndedJob, LiveJob, TeamHistory, TeamJobs, TeamQueue, WaitingJob};
 use serde::de::DeserializeOwned;
 use std::io::{Error, Result};
@@ -29,7 +29,7 @@
 type Rows = (Vec<Vec<String>>, u64, bool);
 
 pub async fn run(question: &Question) -> Result<()> {
-    let http = Http::new(&question.address);
+    let http = HttpClient::new(&question.address);
     let mut since = question.since;
     let (what, heads): (_, &[&str]) = match question.what {
         What::Jobs => (
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-async fn ask<T: DeserializeOwned>(http: &Http, path: &str) -> Result<T> {
+async fn ask<T: DeserializeOwned>(http: &HttpClient, path: &str) -> Result<T> {
     let timeout = Duration::from_secs(10);
     let answer = http.call(hyper::Method::GET, path, None, timeout).await;
     let (status, body) = answer.map_err(|e| Error::other(format!("no answer: {e:?}")))?;
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -97,7 +97,7 @@
                 let _ = self.workers.send(workers::WorkerCall { machine, endpoint, request });
             }
             Effect::Probe { machine, endpoint } => {
-                let request = workers::WorkerRequest::Inspect;
+                let request = workers::WorkerRequest::Probe;
                 let _ = self.workers.send(workers::WorkerCall { machine, endpoint, request });
             }
             Effect::Mesh { to, message } => self.send(to, &message),
@@ -179,8 +179,10 @@
     let to_core = events.clone();
     tokio::task::spawn_local(workers::run(worker_calls, move |machine, reply| {
         let _ = to_core.send(match reply {
-            workers::WorkerReply::Ordered(heartbeat) => Event::OrderResult { machine, heartbeat },
-            workers::WorkerReply::Inspected(answer) => Event::ProbeResult { machine, answer },
+            workers::WorkerReply::OrderResult(heartbeat) => {
+                Event::OrderResult { machine, heartbeat }
+            }
+            workers::WorkerReply::ProbeResult(answer) => Event::ProbeResult { machine, answer },
         });
     }));
     let to_core = events.clone();
@@ -202,7 +204,7 @@
     let dial = |peer: &Peer| {
         let (queue, frames) = mpsc::channel(MAX_WAITING_FRAMES);
         let me = settings.controller.clone();
-        tokio::task::spawn_local(mesh::dial(me, peer.endpoint.to_string(), frames));
+        tokio::task::spawn_local(mesh::send_to_peer(me, peer.endpoint.to_string(), frames));
         (peer.controller.clone(), queue)
     };
     settings.peers.iter().map(dial).collect()
