--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -1,7 +1,7 @@
-//! The actors of a process and what they say to one another.
+//! The actors of a process and the messages between them.
 //!
-//! `core` owns the controller's state. The state service's and the cloud's clients, the mesh and
-//! the HTTP server each run beside it and speak to it by messages.
+//! The core actor owns the controller's state. The clients of the state service, the cloud and the
+//! workers, the mesh and the HTTP server run concurrently and exchange messages with it.
 
 use crate::operator_settings::OperatorSettings;
 use crate::settings::{Peer, Settings};
@@ -18,19 +18,21 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-/// Messages that wait for one peer; what comes on top is dropped, for all of them are hints.
-const MAX_WAITING_FRAMES: usize = 64;
+/// Maximum number of messages queued for one peer. Further ones are dropped, as all of them are
+/// only hints.
+const MAX_QUEUED_FRAMES: usize = 64;
 
-const TICK: Duration = Duration::from_millis(50);
+/// Interval between the controller's periodic events.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Requests that are processed before other tasks have a turn to send or receive.
-const MAX_BATCH: u32 = 32;
+/// Number of requests processed before yielding, so that other tasks can send and receive.
+const MAX_REQUEST_BATCH: u32 = 32;
 
-/// A request that the HTTP server hands to the core.
+/// A request passed from the HTTP server to the core.
 pub(crate) struct IncomingRequest {
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     pub payload: RequestPayload,
-    pub answer: oneshot::Sender<Response>,
+    pub response_sender: oneshot::Sender<Response>,
 }
 
 pub(crate) enum RequestPayload {
@@ -51,38 +53,39 @@
     }
 }
 
-/// What the core last said of itself: enough for the HTTP server to answer some requests alone.
+/// Status published by the core, which lets the HTTP server answer some requests on its own.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct CoreStatus {
     pub ready: bool,
-    /// Under pressure polls are turned away unread when it is not their job's turn.
+    /// Load level. Under load, polls outside their job's time slot are rejected unread.
     pub level: Level,
 }
 
-/// The HTTP server's way to the core.
+/// Connects the HTTP server to the core.
 #[derive(Clone)]
 pub(crate) struct CoreHandle {
     pub requests: mpsc::UnboundedSender<IncomingRequest>,
     pub status: watch::Receiver<CoreStatus>,
 }
 
+/// Channels to the other actors, and the requests that await a response.
 struct OutgoingChannels {
     store: mpsc::UnboundedSender<store::StoreCall>,
     cloud: mpsc::UnboundedSender<cloud::CloudCall>,
     workers: mpsc::UnboundedSender<workers::WorkerCall>,
     mesh: HashMap<ControllerId, mpsc::Sender<Bytes>>,
-    answers: HashMap<u64, oneshot::Sender<Response>>,
-    /// Why this process has to end.
-    refused: Option<String>,
+    response_senders: HashMap<u64, oneshot::Sender<Response>>,
+    /// Why the process has to exit, if it has to.
+    exit_reason: Option<String>,
 }
 
 impl OutgoingChannels {
     fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Reply { rid, response } => {
-                if let Some(answer) = self.answers.remove(&rid) {
-                    // The asker may have hung up; then nobody misses the answer.
-                    let _ = answer.send(response);
+                if let Some(response_sender) = self.response_senders.remove(&rid) {
+                    // Fails if the client has disconnected, and then no response is needed.
+                    let _ = response_sender.send(response);
                 }
             }
             Effect::Store { op, priority, request } => {
@@ -100,37 +103,39 @@
                 let request = workers::WorkerRequest::Probe;
                 let _ = self.workers.send(workers::WorkerCall { machine, endpoint, request });
             }
-            Effect::Mesh { to, message } => self.send(to, &message),
-            Effect::Exit { reason } => self.refused = Some(reason),
+            Effect::Mesh { to, message } => self.send_to_peers(to, &message),
+            Effect::Exit { reason } => self.exit_reason = Some(reason),
         }
     }
 
-    fn send(&self, to: Option<ControllerId>, message: &Message) {
+    /// Sends a message to one peer, or to all if `to` is `None`.
+    fn send_to_peers(&self, to: Option<ControllerId>, message: &Message) {
         let frame = mesh::encode(message);
-        for (peer, queue) in &self.mesh {
+        for (peer, frames) in &self.mesh {
             if to.as_ref().is_none_or(|t| t == peer) {
-                let _ = queue.try_send(frame.clone());
+                let _ = frames.try_send(frame.clone());
             }
         }
     }
 }
 
+/// Starts all actors and runs the core until it exits.
 pub(crate) async fn serve(settings: Settings, operator: OperatorSettings) -> std::io::Result<()> {
-    // Replies of the services and messages of peers have a channel of their own: a controller with more
-    // requests than it can answer must still learn that its own lease was renewed.
-    let (events, inner) = mpsc::unbounded_channel::<Event>();
-    let (requests, incoming) = mpsc::unbounded_channel::<IncomingRequest>();
+    // Replies of the services and messages of peers have their own channel: an overloaded controller
+    // must still learn that its own lease was renewed.
+    let (events, event_receiver) = mpsc::unbounded_channel::<Event>();
+    let (requests, request_receiver) = mpsc::unbounded_channel::<IncomingRequest>();
     let (status_sender, status) = watch::channel(CoreStatus { ready: false, level: Level::Calm });
     let listener = TcpListener::bind(settings.listen).await?;
     let mesh_listener = TcpListener::bind(settings.mesh_listen).await?;
     let outgoing = spawn_clients(&settings, &events, mesh_listener);
     let limits = crate::serve::ServerLimits {
-        sockets: settings.sockets(),
-        idle: settings.idle_connection(),
+        max_connections: settings.max_sockets(),
+        idle_timeout: settings.idle_connection_timeout(),
     };
     tokio::task::spawn_local(crate::serve::run(listener, CoreHandle { requests, status }, limits));
 
-    let mut config = settings.control();
+    let mut config = settings.controller_config();
     operator.apply(&mut config);
     tracing::info!(controller = %settings.controller, zone = %settings.zone, "serving");
     CoreActor {
@@ -140,25 +145,26 @@
         request_queue: RequestQueue::default(),
         pressure: Pressure::default(),
         poll_schedule: PollSchedule::default(),
-        polls: HashMap::new(),
+        pending_polls: HashMap::new(),
         announced_level: Level::Calm,
         status_sender,
         next_rid: 0,
     }
-    .run(inner, incoming)
+    .run(event_receiver, request_receiver)
     .await
 }
 
-/// Starts the clients of the state service, the cloud, the workers and the peers. What they hear goes
-/// to the core as events; what the core wants goes to them through the channels that are returned.
+/// Starts the clients of the state service, the cloud, the workers and the peers. They send their
+/// replies and messages to the core through `events`, and receive requests through the returned
+/// channels.
 fn spawn_clients(
     settings: &Settings,
     events: &mpsc::UnboundedSender<Event>,
     mesh_listener: TcpListener,
 ) -> OutgoingChannels {
-    let (store_queue, store_calls) = mpsc::unbounded_channel();
-    let (cloud_queue, cloud_calls) = mpsc::unbounded_channel();
-    let (worker_queue, worker_calls) = mpsc::unbounded_channel();
+    let (store_sender, store_calls) = mpsc::unbounded_channel();
+    let (cloud_sender, cloud_calls) = mpsc::unbounded_channel();
+    let (worker_sender, worker_calls) = mpsc::unbounded_channel();
     let to_core = events.clone();
     tokio::task::spawn_local(store::run(
         settings.endpoints.state.to_string(),
@@ -190,32 +196,32 @@
         let _ = to_core.send(Event::Mesh { from, message });
     }));
     OutgoingChannels {
-        store: store_queue,
-        cloud: cloud_queue,
-        workers: worker_queue,
-        mesh: dial_peers(settings),
-        answers: HashMap::new(),
-        refused: None,
+        store: store_sender,
+        cloud: cloud_sender,
+        workers: worker_sender,
+        mesh: connect_to_peers(settings),
+        response_senders: HashMap::new(),
+        exit_reason: None,
     }
 }
 
-/// Connects to every peer; what is sent to the channels goes out.
-fn dial_peers(settings: &Settings) -> HashMap<ControllerId, mpsc::Sender<Bytes>> {
-    let dial = |peer: &Peer| {
-        let (queue, frames) = mpsc::channel(MAX_WAITING_FRAMES);
-        let me = settings.controller.clone();
-        tokio::task::spawn_local(mesh::send_to_peer(me, peer.endpoint.to_string(), frames));
-        (peer.controller.clone(), queue)
+/// Starts a connection to every peer and returns the channels to them.
+fn connect_to_peers(settings: &Settings) -> HashMap<ControllerId, mpsc::Sender<Bytes>> {
+    let connect = |peer: &Peer| {
+        let (frame_sender, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let own_id = settings.controller.clone();
+        tokio::task::spawn_local(mesh::send_to_peer(own_id, peer.endpoint.to_string(), frames));
+        (peer.controller.clone(), frame_sender)
     };
-    settings.peers.iter().map(dial).collect()
+    settings.peers.iter().map(connect).collect()
 }
 
-/// The time of day.
-pub(crate) fn wall_ms() -> u64 {
+/// Milliseconds since the Unix epoch.
+pub(crate) fn wall_clock_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-/// Owns the controller's state; everything else speaks to it by messages.
+/// Owns the controller's state. Other actors access it only by messages.
 struct CoreActor {
     controller: Controller,
     outgoing: OutgoingChannels,
@@ -223,8 +229,8 @@
     request_queue: RequestQueue<IncomingRequest>,
     pressure: Pressure,
     poll_schedule: PollSchedule,
-    /// Questions that are being answered.
-    polls: HashMap<u64, JobId>,
+    /// The polls being answered, by request id, and the job that each asks for.
+    pending_polls: HashMap<u64, JobId>,
     announced_level: Level,
     status_sender: watch::Sender<CoreStatus>,
     next_rid: u64,
@@ -233,41 +239,41 @@
 impl CoreActor {
     async fn run(
         mut self,
-        mut inner: mpsc::UnboundedReceiver<Event>,
-        mut incoming: mpsc::UnboundedReceiver<IncomingRequest>,
+        mut events: mpsc::UnboundedReceiver<Event>,
+        mut requests: mpsc::UnboundedReceiver<IncomingRequest>,
     ) -> std::io::Result<()> {
         let mut next_tick = Instant::now();
-        let mut handled = 0;
+        let mut processed = 0;
         loop {
-            if let Some(why) = self.outgoing.refused.take() {
-                return Err(std::io::Error::other(why));
+            if let Some(reason) = self.outgoing.exit_reason.take() {
+                return Err(std::io::Error::other(reason));
             }
-            while let Ok(event) = inner.try_recv() {
+            while let Ok(event) = events.try_recv() {
                 self.handle(event);
             }
-            while let Ok(request) = incoming.try_recv() {
+            while let Ok(request) = requests.try_recv() {
                 self.enqueue(request);
             }
             let now = Instant::now();
             if now >= next_tick {
                 self.tick(now - next_tick);
-                next_tick = now + TICK;
+                next_tick = now + TICK_INTERVAL;
             }
-            if let Some(request) = self.request_queue.pop(self.millis(now)) {
+            if let Some(request) = self.request_queue.pop(self.monotonic_ms(now)) {
                 self.process(request);
-                handled += 1;
-                if handled % MAX_BATCH == 0 {
+                processed += 1;
+                if processed % MAX_REQUEST_BATCH == 0 {
                     tokio::task::yield_now().await;
                 }
                 continue;
             }
             tokio::select! {
                 biased;
-                event = inner.recv() => match event {
+                event = events.recv() => match event {
                     Some(event) => self.handle(event),
                     None => return Ok(()),
                 },
-                request = incoming.recv() => match request {
+                request = requests.recv() => match request {
                     Some(request) => self.enqueue(request),
                     None => return Ok(()),
                 },
@@ -276,17 +282,17 @@
         }
     }
 
-    /// Steady time. Starts at 1 s so that 0 can stand for "never".
-    fn millis(&self, at: Instant) -> u64 {
+    /// Monotonic time in milliseconds. Starts at 1 s so that 0 can mean "never".
+    fn monotonic_ms(&self, at: Instant) -> u64 {
         1000 + at.saturating_duration_since(self.start).as_millis() as u64
     }
 
     fn handle(&mut self, event: Event) {
-        let wall_ms = wall_ms();
-        let steady = Ms(self.millis(Instant::now()));
-        for effect in self.controller.handle(steady, wall_ms, event) {
+        let wall_clock_ms = wall_clock_ms();
+        let monotonic = Ms(self.monotonic_ms(Instant::now()));
+        for effect in self.controller.handle(monotonic, wall_clock_ms, event) {
             if let Effect::Reply { rid, response } = &effect {
-                let job = self.polls.remove(rid);
+                let job = self.pending_polls.remove(rid);
                 if let (Some(job), Response::Refusal { code: 503, .. }) = (job, response) {
                     self.poll_schedule.give_back(job.as_str());
                 }
@@ -295,14 +301,14 @@
         }
     }
 
-    fn tick(&mut self, late: Duration) {
-        let now = self.millis(Instant::now());
+    fn tick(&mut self, delay: Duration) {
+        let now = self.monotonic_ms(Instant::now());
         for (class, request) in self.request_queue.expired(now) {
-            // Its asker has left, or will have before an answer could be there.
+            // The client has disconnected, or will have before a response is ready.
             tracing::debug!(?class, "request expired");
             self.shed(request);
         }
-        self.pressure.note(now, late.as_millis() as u64, self.request_queue.oldest_ms(now));
+        self.pressure.note(now, delay.as_millis() as u64, self.request_queue.oldest_ms(now));
         if self.pressure.level() != self.announced_level {
             self.announced_level = self.pressure.level();
             tracing::info!(level = ?self.announced_level, waiting = self.request_queue.len(), "pressure level changed");
@@ -310,40 +316,46 @@
         }
         self.handle(Event::Tick);
         let status = CoreStatus { ready: self.controller.is_ready(), level: self.pressure.level() };
-        self.status_sender.send_if_modified(|known| std::mem::replace(known, status) != status);
+        self.status_sender
+            .send_if_modified(|previous| std::mem::replace(previous, status) != status);
     }
 
     fn enqueue(&mut self, request: IncomingRequest) {
-        let arrived = self.millis(request.arrived);
+        let arrived_ms = self.monotonic_ms(request.arrived_at);
         let class = request.payload.class();
-        if let Some(displaced) = self.request_queue.push(class, arrived, request) {
+        if let Some(displaced) = self.request_queue.push(class, arrived_ms, request) {
             self.shed(displaced);
         }
     }
 
+    /// Rejects a request because of overload.
     fn shed(&self, request: IncomingRequest) {
-        let retry = self.pressure.retry_after_s(&mut rand::rng());
+        let retry_after_s = self.pressure.retry_after_s(&mut rand::rng());
         let why = "more is asked than can be answered".to_string();
-        let _ =
-            request.answer.send(Response::Refusal { code: 503, why, retry_after_s: Some(retry) });
+        let _ = request.response_sender.send(Response::Refusal {
+            code: 503,
+            why,
+            retry_after_s: Some(retry_after_s),
+        });
     }
 
+    /// Passes a request to the controller, or rejects a repeated poll of the same job under load.
     fn process(&mut self, request: IncomingRequest) {
-        // The asker has hung up.
-        if request.answer.is_closed() {
+        // The client has disconnected.
+        if request.response_sender.is_closed() {
             return;
         }
         if let RequestPayload::Request(Request::Poll(job)) = &request.payload {
-            if !self.poll_schedule.take(job.as_str(), self.pressure.level(), wall_ms()) {
+            if !self.poll_schedule.take(job.as_str(), self.pressure.level(), wall_clock_ms()) {
                 return self.shed(request);
             }
         }
         self.next_rid += 1;
         let rid = self.next_rid;
         if let RequestPayload::Request(Request::Poll(job)) = &request.payload {
-            self.polls.insert(rid, job.clone());
+            self.pending_polls.insert(rid, job.clone());
         }
-        self.outgoing.answers.insert(rid, request.answer);
+        self.outgoing.response_senders.insert(rid, request.response_sender);
         self.handle(match request.payload {
             RequestPayload::Request(request) => Event::Request { rid, request },
             RequestPayload::Heartbeat(heartbeat) => Event::Heartbeat { rid, heartbeat },
--- a/crates/cleatfold/src/main.rs
+++ b/crates/cleatfold/src/main.rs
@@ -1,4 +1,4 @@
-//! The controller's program.
+//! Command line of the controller.
 
 #![warn(
     missing_docs,
@@ -70,14 +70,14 @@
         println!("{}: ok", path.display());
         return ExitCode::SUCCESS;
     }
-    // Connections that break off are everyday; the server's own lines on them would drown ours.
+    // Clients often drop connections; warp's own log lines about that would bury the controller's.
     let filter = Targets::new().with_default(level).with_target("warp", LevelFilter::OFF);
-    let lines = tracing_subscriber::fmt::layer()
+    let log_output = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_target(false)
         .without_time();
-    tracing_subscriber::registry().with(lines.with_filter(filter)).init();
+    tracing_subscriber::registry().with(log_output.with_filter(filter)).init();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = match runtime {
         Ok(runtime) => runtime,
@@ -89,6 +89,7 @@
     }
 }
 
+/// Prints an error and returns the exit code for failure.
 fn fail(error: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("cleatfold: {error}");
     ExitCode::FAILURE
--- a/crates/cleatfold/src/operator_settings.rs
+++ b/crates/cleatfold/src/operator_settings.rs
@@ -1,4 +1,4 @@
-//! The operators' own settings: an optional HCL file, checked, with a default for everything.
+//! The operators' settings: an optional HCL file in which every setting has a default.
 
 use crate::settings::{one_line, SettingsError};
 use cleatfold_control::Config;
@@ -7,55 +7,56 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// Why the operators' file cannot be used.
+/// Why the operators' file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum OperatorSettingsError {
     #[error("{}", one_line(.0))]
     Syntax(#[from] Box<hcl::Error>),
-    #[error("{field}: must be between {least} and {most}")]
-    OutOfRange { field: &'static str, least: f64, most: f64 },
+    #[error("{field}: must be between {min} and {max}")]
+    OutOfRange { field: &'static str, min: f64, max: f64 },
     #[error("refuse_after: needs admission")]
     RefuseAfterWithoutAdmission,
     #[error(transparent)]
     ImageDistribution(#[from] OutOfRange),
 }
 
-/// The contents of the operators' file.
+/// Contents of the operators' file. Omitted settings keep their defaults.
 #[derive(Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct OperatorSettings {
-    /// Pools that a job is sent to; 1 to 16.
+    /// Number of pools that a job is sent to; 1 to 16.
     pub pools_per_job: Option<u32>,
-    /// Milliseconds between readings of the state service; 100 to 2000.
+    /// Milliseconds between reads of the state service; 100 to 2000.
     pub reading_ms: Option<u64>,
-    /// Milliseconds after which a silent controller's pools are assigned on; 1000 to 60000.
+    /// Milliseconds after which the pools of an unresponsive controller are reassigned; 1000 to 60000.
     pub node_lease_ms: Option<u64>,
-    /// Seconds after which an idle machine that no waiting job may use is returned; 0 to 86400.
+    /// Seconds after which an idle machine that no waiting job can use is deleted; 0 to 86400.
     pub idle_return_s: Option<f64>,
-    /// Seconds a job of a class without an objective may wait; 1 to 86400.
+    /// Target wait in seconds for a job whose class has no objective; 1 to 86400.
     pub usual_wait_s: Option<f64>,
-    /// Whether a running task may be evicted for a job that goes before it, where that meets an
-    /// objective. Without it: if some objective limits the wait for a start.
+    /// Whether a running task may be evicted for a job of higher rank if that meets an objective.
+    /// By default, only if some objective limits the wait for a start.
     pub preempt: Option<bool>,
-    /// Whether anything is done about overload that lasts, so that no class and no team starves.
+    /// Whether admission control handles sustained overload, so that no class or team starves.
     pub admission: Option<bool>,
-    /// New large jobs of a group are refused while its jobs would wait this many times as long as
-    /// their objectives allow; 1 to 100.
-    /// Without it nothing is refused for its size.
+    /// New large jobs of a group are refused while the group's jobs would wait more than this many
+    /// times as long as their objectives allow; 1 to 100. By default no job is refused for its size.
     pub refuse_after: Option<f64>,
-    /// How much of each team's history is kept.
+    /// Retention of each team's history.
     pub history: Option<Keep>,
-    /// Large images are fetched in stages and handed on. Without it each machine fetches for itself.
+    /// Distribution of large images, which are fetched in stages and passed between machines. By
+    /// default every machine fetches them from the origin.
     #[serde(rename = "weights")]
     pub image_distribution: Option<cleatfold_image_distribution::Settings>,
 }
 
 impl OperatorSettings {
+    /// Reads and checks the file.
     pub(crate) fn read(path: &Path) -> Result<Self, SettingsError> {
-        let shown = path.display().to_string();
+        let display_path = path.display().to_string();
         let text = std::fs::read_to_string(path)
-            .map_err(|error| SettingsError::Read { path: shown.clone(), error })?;
-        Self::parse(&text).map_err(|error| SettingsError::Operator { path: shown, error })
+            .map_err(|error| SettingsError::Read { path: display_path.clone(), error })?;
+        Self::parse(&text).map_err(|error| SettingsError::Operator { path: display_path, error })
     }
 
     fn parse(text: &str) -> Result<Self, OperatorSettingsError> {
@@ -75,9 +76,9 @@
             ("history.jobs", self.history.map(|h| h.jobs as f64), 1000.0, 10_000_000.0),
             ("history.days", self.history.map(|h| h.days), 0.1, 10_000.0),
         ];
-        for (field, value, least, most) in ranges {
-            if value.is_some_and(|v| !(least..=most).contains(&v)) {
-                return Err(OperatorSettingsError::OutOfRange { field, least, most });
+        for (field, value, min, max) in ranges {
+            if value.is_some_and(|v| !(min..=max).contains(&v)) {
+                return Err(OperatorSettingsError::OutOfRange { field, min, max });
             }
         }
         if self.admission == Some(false) && self.refuse_after.is_some() {
@@ -89,9 +90,10 @@
         Ok(())
     }
 
+    /// Overrides the defaults of a configuration.
     pub(crate) fn apply(&self, config: &mut Config) {
-        if let Some(k) = self.pools_per_job {
-            config.pools_per_job = k as usize;
+        if let Some(count) = self.pools_per_job {
+            config.pools_per_job = count as usize;
         }
         if let Some(ms) = self.reading_ms {
             config.read_interval_ms = ms;
@@ -111,12 +113,12 @@
         if self.admission == Some(false) {
             config.admission = None;
         }
-        if let Some(keep) = self.history {
-            config.history = keep;
+        if let Some(retention) = self.history {
+            config.history = retention;
         }
         config.image_distribution.clone_from(&self.image_distribution);
-        if let Some(rules) = &mut config.admission {
-            rules.refuse = self.refuse_after;
+        if let Some(admission) = &mut config.admission {
+            admission.refuse = self.refuse_after;
         }
     }
 }
--- a/crates/cleatfold/src/settings.rs
+++ b/crates/cleatfold/src/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file.
+//! The platform's settings file (TOML), in which some fields have other names than in the code.
 
 use crate::operator_settings::OperatorSettingsError;
 use cleatfold_clients::store::Budget;
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Why the service cannot start with the settings that it was given.
+/// Why the controller cannot start with its settings.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SettingsError {
     #[error("{path}: {error}")]
@@ -24,6 +24,7 @@
     LogLevel(String),
 }
 
+/// Contents of the settings file.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Settings {
     #[serde(rename = "host_name")]
@@ -40,6 +41,7 @@
     pub cluster: Cluster,
 }
 
+/// Another controller of the cluster.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Peer {
     #[serde(rename = "host_name")]
@@ -49,12 +51,14 @@
     pub endpoint: SocketAddr,
 }
 
+/// Addresses of the external services.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Endpoints {
     pub cloud: SocketAddr,
     pub state: SocketAddr,
 }
 
+/// Settings that all controllers share.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Cluster {
     #[serde(rename = "nodes")]
@@ -71,23 +75,25 @@
     pub limits: Limits,
 }
 
-/// What the machine allows; 0: not said.
+/// Limits of the host; 0 means unspecified.
 #[derive(Debug, Default, Deserialize)]
 pub(crate) struct Limits {
     #[serde(default)]
     pub max_sockets: u32,
 }
 
-/// Where the settings do not say how many sockets the process may have: enough for a connection
-/// from each of 4,000 workers and as many users.
+/// Default limit on the sockets of the process: enough for a connection from each of 4,000 workers
+/// and as many users.
 pub(crate) const DEFAULT_MAX_SOCKETS: usize = 8_192;
 
 impl TeamSettings {
-    fn accounted(&self) -> bool {
+    /// Whether the team has a guarantee or a limit.
+    fn has_quota(&self) -> bool {
         self.cpus + self.cpus_max + self.gpus + self.gpus_max > 0.0
     }
 }
 
+/// A team's guaranteed capacity and its limits.
 #[derive(Debug, Deserialize)]
 pub(crate) struct TeamSettings {
     pub name: TeamId,
@@ -101,7 +107,7 @@
     pub gpus_max: f64,
 }
 
-/// Kinds and fields that we do not know are left alone.
+/// A service level objective. Unknown kinds and fields are ignored.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Objective {
     pub kind: String,
@@ -122,6 +128,7 @@
     }
 }
 
+/// Timing of the worker protocol.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Workers {
     pub report_s: f64,
@@ -129,6 +136,7 @@
     pub cancel_s: f64,
 }
 
+/// Limits of the state service.
 #[derive(Debug, Deserialize)]
 pub(crate) struct State {
     pub rps: f64,
@@ -137,28 +145,30 @@
     pub txn_ops: usize,
 }
 
+/// Limits of the cloud API.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Cloud {
     pub rps: f64,
     pub list_lag_s: f64,
 }
 
-/// A parser's message on one line: where the fault is and what it is.
+/// Joins a parser's multi-line message, with the location and kind of the error, into one line.
 pub(crate) fn one_line(error: &dyn std::error::Error) -> String {
     error.to_string().split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
 /// Reads and checks the platform's settings.
 pub(crate) fn read(path: &Path) -> Result<Settings, SettingsError> {
-    let shown = path.display().to_string();
+    let display_path = path.display().to_string();
     let text = std::fs::read_to_string(path)
-        .map_err(|error| SettingsError::Read { path: shown.clone(), error })?;
+        .map_err(|error| SettingsError::Read { path: display_path.clone(), error })?;
     let settings: Settings = toml::from_str(&text)
-        .map_err(|error| SettingsError::Toml { path: shown, error: Box::new(error) })?;
+        .map_err(|error| SettingsError::Toml { path: display_path, error: Box::new(error) })?;
     settings.check()?;
     Ok(settings)
 }
 
+/// Reads the log level from the environment.
 pub(crate) fn log_level() -> Result<tracing::Level, SettingsError> {
     match std::env::var("LOG_LEVEL").as_deref() {
         Err(_) | Ok("info") => Ok(tracing::Level::INFO),
@@ -170,62 +180,63 @@
 
 impl Settings {
     fn check(&self) -> Result<(), SettingsError> {
-        let wrong =
+        let invalid =
             |field: &str, problem| Err(SettingsError::Field { field: field.into(), problem });
-        let c = &self.cluster;
+        let cluster = &self.cluster;
         for (field, value) in [
-            ("cluster.workers.report_s", c.workers.report_s),
-            ("cluster.workers.lease_s", c.workers.lease_s),
-            ("cluster.workers.cancel_s", c.workers.cancel_s),
-            ("cluster.state.rps", c.state.rps),
-            ("cluster.state.write_rps", c.state.write_rps),
-            ("cluster.state.value_kb", c.state.value_kb),
-            ("cluster.cloud.rps", c.cloud.rps),
+            ("cluster.workers.report_s", cluster.workers.report_s),
+            ("cluster.workers.lease_s", cluster.workers.lease_s),
+            ("cluster.workers.cancel_s", cluster.workers.cancel_s),
+            ("cluster.state.rps", cluster.state.rps),
+            ("cluster.state.write_rps", cluster.state.write_rps),
+            ("cluster.state.value_kb", cluster.state.value_kb),
+            ("cluster.cloud.rps", cluster.cloud.rps),
         ] {
             if !value.is_finite() || value <= 0.0 {
-                return wrong(field, "must be above 0");
+                return invalid(field, "must be above 0");
             }
         }
-        if c.workers.cancel_s <= c.workers.lease_s {
-            return wrong("cluster.workers.cancel_s", "must be above lease_s");
+        if cluster.workers.cancel_s <= cluster.workers.lease_s {
+            return invalid("cluster.workers.cancel_s", "must be above lease_s");
         }
-        if c.state.txn_ops < 4 {
-            return wrong("cluster.state.txn_ops", "must be at least 4");
+        if cluster.state.txn_ops < 4 {
+            return invalid("cluster.state.txn_ops", "must be at least 4");
         }
-        if c.state.value_kb < 8.0 {
-            return wrong("cluster.state.value_kb", "must be at least 8");
+        if cluster.state.value_kb < 8.0 {
+            return invalid("cluster.state.value_kb", "must be at least 8");
         }
-        if c.controllers == 0 || c.controllers as usize != self.peers.len() + 1 {
-            return wrong("cluster.nodes", "does not match members");
+        if cluster.controllers == 0 || cluster.controllers as usize != self.peers.len() + 1 {
+            return invalid("cluster.nodes", "does not match members");
         }
         if self.peers.iter().any(|p| p.controller == self.controller) {
-            return wrong("members", "names this node itself");
+            return invalid("members", "names this node itself");
         }
-        if c.zones.is_empty() {
-            return wrong("cluster.zones", "is empty");
+        if cluster.zones.is_empty() {
+            return invalid("cluster.zones", "is empty");
         }
-        for team in &c.teams {
+        for team in &cluster.teams {
             let field = format!("cluster.teams.{}", team.name);
             for (guaranteed, max) in [(team.cpus, team.cpus_max), (team.gpus, team.gpus_max)] {
                 if guaranteed < 0.0 || max < 0.0 || !guaranteed.is_finite() || !max.is_finite() {
-                    return wrong(&field, "amounts must not be negative");
+                    return invalid(&field, "amounts must not be negative");
                 }
                 if max > 0.0 && guaranteed > max {
-                    return wrong(&field, "guarantees more than its limit");
+                    return invalid(&field, "guarantees more than its limit");
                 }
             }
         }
         Ok(())
     }
 
-    pub(crate) fn control(&self) -> Config {
-        let c = &self.cluster;
+    /// Derives the controller's configuration.
+    pub(crate) fn controller_config(&self) -> Config {
+        let cluster = &self.cluster;
         let ms = |s: f64| (s * 1000.0) as u64;
         Config {
             controller_id: self.controller.clone(),
             zone: self.zone.clone(),
             peers: self.peers.iter().map(|p| (p.controller.clone(), p.zone.clone())).collect(),
-            teams: c
+            teams: cluster
                 .teams
                 .iter()
                 .map(|t| Team {
@@ -236,32 +247,37 @@
                     gpus_max: t.gpus_max,
                 })
                 .collect(),
-            heartbeat_interval_ms: ms(c.workers.report_s),
-            lease_ms: ms(c.workers.lease_s),
-            cancel_ms: ms(c.workers.cancel_s),
-            max_txn_changes: c.state.txn_ops,
-            changes_per_s: c.state.write_rps,
-            max_value_bytes: (c.state.value_kb * 1024.0) as usize,
-            cloud_calls_per_s: c.cloud.rps,
-            list_lag_ms: ms(c.cloud.list_lag_s.max(0.0)),
+            heartbeat_interval_ms: ms(cluster.workers.report_s),
+            lease_ms: ms(cluster.workers.lease_s),
+            cancel_ms: ms(cluster.workers.cancel_s),
+            max_txn_changes: cluster.state.txn_ops,
+            changes_per_s: cluster.state.write_rps,
+            max_value_bytes: (cluster.state.value_kb * 1024.0) as usize,
+            cloud_calls_per_s: cluster.cloud.rps,
+            list_lag_ms: ms(cluster.cloud.list_lag_s.max(0.0)),
             pools_per_job: 3,
             read_interval_ms: 250,
-            // A controller that restarts within its lease keeps its pools. Where workers report seldom
-            // little is lost by waiting a moment longer for it: whoever took its pools over could
-            // start nothing before their next reports.
-            controller_lease_ms: (ms(c.workers.report_s) * 7 / 8).clamp(3000, 7000),
-            objectives: c.objectives.iter().filter_map(Objective::service_level).collect(),
+            // A controller that restarts within its lease keeps its pools. With a long heartbeat
+            // interval, a longer lease costs little: a new owner of the pools could start nothing
+            // before the workers' next heartbeats.
+            controller_lease_ms: (ms(cluster.workers.report_s) * 7 / 8).clamp(3000, 7000),
+            objectives: cluster.objectives.iter().filter_map(Objective::service_level).collect(),
             usual_wait_s: 30.0,
-            // Where no team has a guarantee or a limit, nobody accounts for capacity and speed
-            // counts: machines are kept. Elsewhere money counts too.
-            idle_return_s: if c.teams.iter().any(TeamSettings::accounted) { 20.0 } else { 900.0 },
-            // It is for work that has to start within seconds. Where only ends or guarantees are
-            // aimed at, stops cost changes to the state service and gained nothing on any day.
-            preempt: c.objectives.iter().any(|o| o.kind == "wait"),
+            // If no team has a guarantee or a limit, fast starts matter more than cost, so idle
+            // machines are kept longer. Otherwise cost matters too.
+            idle_return_s: if cluster.teams.iter().any(TeamSettings::has_quota) {
+                20.0
+            } else {
+                900.0
+            },
+            // Preemption is meant for jobs that must start within seconds. If the objectives only
+            // concern completion times or guarantees, evictions cost writes to the state service
+            // and improved no simulated day.
+            preempt: cluster.objectives.iter().any(|o| o.kind == "wait"),
             admission: Some(Default::default()),
             history: Default::default(),
             image_distribution: None,
-            guarantee_wait_s: c
+            guarantee_wait_s: cluster
                 .objectives
                 .iter()
                 .filter(|o| o.kind == "guarantee")
@@ -269,21 +285,21 @@
         }
     }
 
-    /// Sockets that this process may have.
-    pub(crate) fn sockets(&self) -> usize {
+    /// Maximum number of sockets of this process.
+    pub(crate) fn max_sockets(&self) -> usize {
         match self.cluster.limits.max_sockets {
             0 => DEFAULT_MAX_SOCKETS,
-            most => most as usize,
+            max_sockets => max_sockets as usize,
         }
     }
 
-    /// A connection that brings nothing for so long is closed. Workers come every `report_s`.
-    pub(crate) fn idle_connection(&self) -> Duration {
+    /// Idle time after which a connection is closed. Workers send a heartbeat every `report_s`.
+    pub(crate) fn idle_connection_timeout(&self) -> Duration {
         Duration::from_secs_f64((self.cluster.workers.report_s * 3.0).max(30.0))
     }
 
-    /// Our share of the state service's limits. More than an even share, for the load moves
-    /// between controllers; the service's own 429 is the backstop.
+    /// This controller's share of the state service's rate limits. It is larger than an even share
+    /// because the load shifts between controllers; the service rejects any excess with 429.
     pub(crate) fn store_budget(&self) -> Budget {
         let share = if self.peers.is_empty() { 0.9 } else { 0.5 };
         Budget {
