--- a/crates/cleatfold-control/tests/boots.rs
+++ b/crates/cleatfold-control/tests/boots.rs
@@ -15,7 +15,7 @@
     let boot_s = Size::FAST_BOOT_S;
     let size = Size { machines: 30, most_jobs: 0, boot_s, ..Size::SMALL };
     let mut world = World::sized(seed, false, size);
-    world.cloud.lag_ms = 10_000;
+    world.cloud.list_lag_ms = 10_000;
     world.poll_everything();
     world
 }
@@ -111,7 +111,7 @@
     let mut others = 0;
     for seed in 20..32u64 {
         let mut world = region(seed);
-        world.cloud.lag_ms = 0;
+        world.cloud.list_lag_ms = 0;
         run_for(&mut world, 6_000);
         let zone = ZoneId::new(["a", "b", "c"][seed as usize % 3]);
         let mut spec = plain(&mut world, 1, 3.0);
--- a/crates/cleatfold-control/tests/format.rs
+++ b/crates/cleatfold-control/tests/format.rs
@@ -27,7 +27,7 @@
     let before = world.store.revision();
     world.run(Ms(20_000));
     assert_eq!(world.store.revision(), before, "something was changed");
-    assert_eq!(world.store.leases(), 0, "a lease was taken");
+    assert_eq!(world.store.lease_count(), 0, "a lease was taken");
     assert_eq!(world.refused_starts.len(), CONTROLLERS);
     for (_, why) in &world.refused_starts {
         assert!(why.contains(says), "{why}");
--- a/crates/cleatfold-control/tests/late_transactions.rs
+++ b/crates/cleatfold-control/tests/late_transactions.rs
@@ -7,7 +7,7 @@
 
 use cleatfold_control::records::*;
 use cleatfold_control::{Request, StoreRequest};
-use cleatfold_fakes::store::Refusal;
+use cleatfold_fakes::store::TxnError;
 use cleatfold_roles::Role;
 use cleatfold_testbed::world::{
     controller_id, Asked, ImageSettings, Purpose, SimulationEvent, Size, World, CONTROLLERS,
@@ -237,7 +237,7 @@
 }
 
 /// The kept transaction comes now. Which guards refuse it?
-fn comes(world: &mut World, txn: &Txn) -> Result<Version, Refusal> {
+fn comes(world: &mut World, txn: &Txn) -> Result<Version, TxnError> {
     let came = world.store.txn(txn);
     world.audit();
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
@@ -246,7 +246,7 @@
 
 fn refused_by(world: &mut World, txn: &Txn) -> Vec<String> {
     match comes(world, txn) {
-        Err(Refusal::Conflict(keys)) => keys,
+        Err(TxnError::Conflict(keys)) => keys,
         came => panic!("{came:?}"),
     }
 }
@@ -407,7 +407,7 @@
         world.store.txn(&given_back).expect("unguarded");
         let came = comes(&mut world, &txn);
         if gone {
-            assert_eq!(came, Err(Refusal::NoSuchLease));
+            assert_eq!(came, Err(TxnError::NoSuchLease));
         } else {
             let version = came.expect("its lease stands");
             // It holds it again, under a new epoch, and acts on it as ever.
@@ -437,7 +437,7 @@
     let mut txn = Txn::default();
     txn.put(job_key(&job), &record, None);
     world.store.txn(&txn).expect("unguarded");
-    let Err(Refusal::Conflict(keys)) = world.store.txn(&late) else {
+    let Err(TxnError::Conflict(keys)) = world.store.txn(&late) else {
         panic!("it removed the part")
     };
     assert_eq!(keys, [job_key(&job)]);
--- a/crates/cleatfold-control/tests/roles.rs
+++ b/crates/cleatfold-control/tests/roles.rs
@@ -11,7 +11,7 @@
 fn region(seed: u64) -> World {
     let size = Size { machines: 400, most_jobs: 0, ..Size::SMALL };
     let mut world = World::sized(seed, false, size);
-    world.cloud.lag_ms = 10_000;
+    world.cloud.list_lag_ms = 10_000;
     world
 }
 
--- a/crates/cleatfold-fakes/src/explore.rs
+++ b/crates/cleatfold-fakes/src/explore.rs
@@ -1,49 +1,49 @@
-//! Exhaustive search through the states of a small model, in every order of its steps.
+//! Exhaustive state exploration of small models, over all interleavings of their steps.
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// More states than this mean that the model is not bounded.
+/// Maximum number of states. A model with more is assumed to be unbounded.
 const MAX_STATES: usize = 2_000_000;
 
-/// A state of a model.
+/// A state of a model, with the invariants violated so far.
 pub trait ModelState: Clone + Default + Ord {
-    /// The rules that were broken on the way to this state.
+    /// The invariants that were violated on the way to this state.
     fn violations(&self) -> &BTreeSet<&'static str>;
 }
 
-/// What a search has found.
+/// Result of an exploration.
 pub struct Exploration {
-    /// All rules that can be broken.
+    /// All invariants that were found to be violated.
     pub violations: BTreeSet<&'static str>,
-    /// How many states there are.
+    /// Number of distinct states visited.
     pub states: usize,
 }
 
-/// Visits every state that `successors` reaches from the default one, breadth first. Ends early
-/// once `wanted` was found to be broken.
+/// Visits all states reachable from the default state through `successors`, breadth first. Stops
+/// early once a violation of the invariant `target` is found.
 ///
 /// # Panics
 ///
-/// If the model has more than two million states.
+/// Panics if the model has two million states or more.
 pub fn explore<S: ModelState>(
     successors: impl Fn(&S) -> Vec<S>,
-    wanted: Option<&str>,
+    target: Option<&str>,
 ) -> Exploration {
-    let mut seen = BTreeSet::from([S::default()]);
+    let mut visited = BTreeSet::from([S::default()]);
     let mut queue = VecDeque::from([S::default()]);
     let mut violations = BTreeSet::new();
     while let Some(state) = queue.pop_front() {
         for next in successors(&state) {
             violations.extend(next.violations().iter().copied());
-            if wanted.is_some_and(|rule| violations.contains(rule)) {
-                return Exploration { violations, states: seen.len() };
+            if target.is_some_and(|invariant| violations.contains(invariant)) {
+                return Exploration { violations, states: visited.len() };
             }
-            // What follows a broken rule shows nothing more.
-            if next.violations().is_empty() && seen.insert(next.clone()) {
+            // States after a violation are not explored further.
+            if next.violations().is_empty() && visited.insert(next.clone()) {
                 queue.push_back(next);
             }
         }
-        assert!(seen.len() < MAX_STATES, "too many states");
+        assert!(visited.len() < MAX_STATES, "too many states");
     }
-    Exploration { violations, states: seen.len() }
+    Exploration { violations, states: visited.len() }
 }
--- a/crates/cleatfold-fakes/src/lib.rs
+++ b/crates/cleatfold-fakes/src/lib.rs
@@ -1,5 +1,6 @@
-//! Fakes of the systems around a controller, as the protocol describes them: the state service, the
-//! cloud, the workers with their images and elastic members. Pure: they are given the time.
+//! In-memory fakes of the systems that a controller works with, following their protocols: the state
+//! service, the cloud, and workers with their images and members of elastic jobs. They perform no
+//! I/O and take the current time as an argument.
 //!
 //! For tests and experiments only.
 
--- a/crates/cleatfold-fakes/src/store.rs
+++ b/crates/cleatfold-fakes/src/store.rs
@@ -1,10 +1,11 @@
-//! The state service: versions, guarded transactions, leases, changes.
+//! Fake of the state service: versioned keys, guarded transactions, leases and a change log.
 
 use cleatfold_wire::store::{Change, Event, Events, Item, Page, Txn};
 use cleatfold_wire::{LeaseId, Ms, Version};
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 
+/// The value of a key.
 struct Entry {
     value: Box<RawValue>,
     version: Version,
@@ -16,22 +17,23 @@
 pub struct Store {
     entries: BTreeMap<String, Entry>,
     revision: u64,
-    log: Vec<Event>,
+    change_log: Vec<Event>,
+    /// The TTL in milliseconds and the expiry time of each lease.
     leases: BTreeMap<LeaseId, (u64, Ms)>,
-    next_lease: u64,
+    last_lease: u64,
 }
 
 /// Why a transaction was not committed.
 #[derive(Debug, PartialEq)]
-pub enum Refusal {
-    /// The keys whose versions are not as guarded.
+pub enum TxnError {
+    /// The keys whose versions differ from the guards.
     Conflict(Vec<String>),
-    /// A change is under a lease that has ended.
+    /// A change refers to a lease that does not exist or has expired.
     NoSuchLease,
 }
 
 impl Store {
-    /// One key, if it is there.
+    /// Returns a key's value and version, if the key exists.
     pub fn get(&self, key: &str) -> Option<Item> {
         self.entries.get(key).map(|e| Item {
             key: key.to_string(),
@@ -40,17 +42,17 @@
         })
     }
 
-    /// How many leases are held.
-    pub fn leases(&self) -> usize {
+    /// Number of leases that have not expired.
+    pub fn lease_count(&self) -> usize {
         self.leases.len()
     }
 
-    /// The number of the last change.
+    /// The revision of the last transaction or lease expiry.
     pub fn revision(&self) -> Version {
         Version(self.revision)
     }
 
-    /// A page of the keys with this prefix, after `from`.
+    /// Returns a page of up to `limit` keys with this prefix that come after `from`.
     pub fn list(&self, prefix: &str, from: Option<&str>, limit: usize) -> Page {
         let mut items: Vec<Item> = self
             .entries
@@ -65,11 +67,11 @@
         Page { items, more, revision: self.revision() }
     }
 
-    /// The changes with this prefix after `from`.
+    /// Returns the changes after revision `from` to keys with this prefix.
     pub fn changes(&self, prefix: &str, from: Version) -> Events {
-        // The log is in the order of its revisions.
-        let known = self.log.partition_point(|e| e.version <= from);
-        let events = self.log[known..]
+        // The log is ordered by revision.
+        let first_new = self.change_log.partition_point(|e| e.version <= from);
+        let events = self.change_log[first_new..]
             .iter()
             .filter(|e| e.put.as_ref().or(e.delete.as_ref()).is_some_and(|k| k.starts_with(prefix)))
             .cloned()
@@ -77,15 +79,15 @@
         Events { revision: self.revision(), events }
     }
 
-    /// Commits a transaction, all or nothing.
+    /// Commits a transaction atomically.
     ///
     /// # Errors
     ///
-    /// A guard that does not hold, or a lease that has ended.
-    pub fn txn(&mut self, txn: &Txn) -> Result<Version, Refusal> {
+    /// Fails if a guard does not match or a lease has expired.
+    pub fn txn(&mut self, txn: &Txn) -> Result<Version, TxnError> {
         let leases: Vec<LeaseId> = txn.changes.iter().filter_map(|c| c.lease).collect();
         if leases.iter().any(|l| !self.leases.contains_key(l)) {
-            return Err(Refusal::NoSuchLease);
+            return Err(TxnError::NoSuchLease);
         }
         let failed: Vec<String> = txn
             .guards
@@ -96,23 +98,24 @@
             .map(|g| g.key.clone())
             .collect();
         if !failed.is_empty() {
-            return Err(Refusal::Conflict(failed));
+            return Err(TxnError::Conflict(failed));
         }
         if !txn.changes.is_empty() {
             self.revision += 1;
             for change in &txn.changes {
-                self.change(change);
+                self.apply_change(change);
             }
         }
         Ok(self.revision())
     }
 
-    fn change(&mut self, change: &Change) {
+    /// Applies one change at the current revision and logs it.
+    fn apply_change(&mut self, change: &Change) {
         let version = self.revision();
         if let (Some(key), Some(value)) = (&change.put, &change.value) {
             let entry = Entry { value: value.clone(), version, lease: change.lease };
             self.entries.insert(key.clone(), entry);
-            self.log.push(Event {
+            self.change_log.push(Event {
                 put: Some(key.clone()),
                 delete: None,
                 value: Some(value.clone()),
@@ -120,49 +123,54 @@
             });
         } else if let Some(key) = &change.delete {
             if self.entries.remove(key).is_some() {
-                self.log.push(Event { put: None, delete: Some(key.clone()), value: None, version });
+                self.change_log.push(Event {
+                    put: None,
+                    delete: Some(key.clone()),
+                    value: None,
+                    version,
+                });
             }
         }
     }
 
-    /// Keys whose lease has ended.
-    pub fn keys_of_ended_leases(&self) -> impl Iterator<Item = &str> {
-        let ended = |e: &Entry| e.lease.is_some_and(|l| !self.leases.contains_key(&l));
-        self.entries.iter().filter(move |(_, e)| ended(e)).map(|(k, _)| k.as_str())
+    /// Keys that refer to an expired lease. There must be none.
+    pub fn keys_of_expired_leases(&self) -> impl Iterator<Item = &str> {
+        let is_expired = |e: &Entry| e.lease.is_some_and(|l| !self.leases.contains_key(&l));
+        self.entries.iter().filter(move |(_, e)| is_expired(e)).map(|(k, _)| k.as_str())
     }
 
-    /// Grants a lease.
+    /// Grants a new lease.
     pub fn grant(&mut self, now: Ms, ttl_ms: u64) -> LeaseId {
-        self.next_lease += 1;
-        let lease = LeaseId(self.next_lease);
+        self.last_lease += 1;
+        let lease = LeaseId(self.last_lease);
         self.leases.insert(lease, (ttl_ms, now.plus(ttl_ms)));
         lease
     }
 
-    /// Renews a lease; `false` if it has ended.
+    /// Renews a lease. Returns `false` if it has expired.
     pub fn extend(&mut self, now: Ms, lease: LeaseId) -> bool {
         self.expire(now);
         match self.leases.get_mut(&lease) {
-            Some((ttl, until)) => {
-                *until = now.plus(*ttl);
+            Some((ttl_ms, expires_at)) => {
+                *expires_at = now.plus(*ttl_ms);
                 true
             }
             None => false,
         }
     }
 
-    /// After an outage every lease has its full time again.
+    /// Renews all leases, as the service does after an outage.
     pub fn renew_all_leases(&mut self, now: Ms) {
-        for (ttl, until) in self.leases.values_mut() {
-            *until = now.plus(*ttl);
+        for (ttl_ms, expires_at) in self.leases.values_mut() {
+            *expires_at = now.plus(*ttl_ms);
         }
     }
 
-    /// Ends leases whose time is over, and deletes their keys.
+    /// Removes expired leases and deletes their keys.
     pub fn expire(&mut self, now: Ms) {
-        let over: Vec<LeaseId> =
+        let expired: Vec<LeaseId> =
             self.leases.iter().filter(|(_, l)| l.1 < now).map(|(id, _)| *id).collect();
-        for lease in over {
+        for lease in expired {
             self.leases.remove(&lease);
             let keys: Vec<String> = self
                 .entries
@@ -172,7 +180,12 @@
                 .collect();
             self.revision += 1;
             for key in keys {
-                self.change(&Change { put: None, value: None, lease: None, delete: Some(key) });
+                self.apply_change(&Change {
+                    put: None,
+                    value: None,
+                    lease: None,
+                    delete: Some(key),
+                });
             }
         }
     }
--- a/crates/cleatfold-testbed/src/capacity/state_service.rs
+++ b/crates/cleatfold-testbed/src/capacity/state_service.rs
@@ -6,7 +6,7 @@
 use crate::region::{json, problem, read, Answer};
 use bytes::Bytes;
 use cleatfold_fakes::cloud::Cloud;
-use cleatfold_fakes::store::{Refusal, Store};
+use cleatfold_fakes::store::{Store, TxnError};
 use cleatfold_wire::cloud::{MachineList, MachineType, MachineTypes, Machines, ScaleOutRequest};
 use cleatfold_wire::store::{Grant, Granted, Revision, Txn};
 use cleatfold_wire::{LeaseId, Ms, TypeId, Version, ZoneId};
@@ -297,11 +297,11 @@
                 }
                 json(200, &Revision { revision, failed: vec![] })
             }
-            Err(Refusal::Conflict(failed)) => {
+            Err(TxnError::Conflict(failed)) => {
                 self.seen.conflicts += 1;
                 json(409, &Revision { revision: self.store.revision(), failed })
             }
-            Err(Refusal::NoSuchLease) => problem(400, "no such lease"),
+            Err(TxnError::NoSuchLease) => problem(400, "no such lease"),
         }
     }
 
--- a/crates/cleatfold-testbed/src/region.rs
+++ b/crates/cleatfold-testbed/src/region.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use cleatfold_clients::http::HttpClient;
 use cleatfold_fakes::cloud::Cloud;
-use cleatfold_fakes::store::{Refusal, Store};
+use cleatfold_fakes::store::{Store, TxnError};
 use cleatfold_fakes::worker::{Worker, WorkerEvent};
 use cleatfold_wire::cloud::{MachineList, MachineType, MachineTypes, Machines, ScaleOutRequest};
 use cleatfold_wire::job::{JobSpec, Problem};
@@ -449,10 +449,10 @@
                 self.steps.note(judged);
                 json(200, &Revision { revision, failed: vec![] })
             }
-            Err(Refusal::Conflict(failed)) => {
+            Err(TxnError::Conflict(failed)) => {
                 json(409, &Revision { revision: self.store.revision(), failed })
             }
-            Err(Refusal::NoSuchLease) => problem(400, "no such lease"),
+            Err(TxnError::NoSuchLease) => problem(400, "no such lease"),
         }
     }
 
--- a/crates/cleatfold-testbed/src/world.rs
+++ b/crates/cleatfold-testbed/src/world.rs
@@ -46,7 +46,7 @@
     StoreReply, StoreRequest, Team,
 };
 use cleatfold_fakes::cloud::Cloud;
-use cleatfold_fakes::store::{Refusal, Store};
+use cleatfold_fakes::store::{Store, TxnError};
 use cleatfold_fakes::worker::{Worker, WorkerEvent};
 use cleatfold_wire::cloud::MachineType;
 use cleatfold_wire::job::{JobSpec, JobState, Kind, Urgency};
--- a/crates/cleatfold-testbed/src/world/late.rs
+++ b/crates/cleatfold-testbed/src/world/late.rs
@@ -178,7 +178,7 @@
                 audit.wrong.push(format!("{key} without its job since {since:?}"));
             }
         }
-        let over = self.store.keys_of_ended_leases().map(|key| format!("{key} beyond its lease"));
+        let over = self.store.keys_of_expired_leases().map(|key| format!("{key} beyond its lease"));
         audit.wrong.extend(over);
         let wrong = std::mem::take(&mut audit.wrong);
         self.broken.extend(wrong.into_iter().map(|what| format!("{now:?} {what}")));
--- a/crates/cleatfold-testbed/src/world/services.rs
+++ b/crates/cleatfold-testbed/src/world/services.rs
@@ -1,7 +1,7 @@
 //! The state service and the cloud of the region.
 
 use super::{
-    written, CloudReply, CloudRequest, Ms, Refusal, SimulationEvent, StoreReply, StoreRequest,
+    written, CloudReply, CloudRequest, Ms, SimulationEvent, StoreReply, StoreRequest, TxnError,
     World,
 };
 use cleatfold_wire::cloud::ScaleOutRequest;
@@ -39,12 +39,12 @@
                         self.absences += absences;
                         StoreReply::Committed(version)
                     }
-                    Err(Refusal::Conflict(failed)) => {
+                    Err(TxnError::Conflict(failed)) => {
                         self.conflicts += 1;
                         self.written.add_conflict(&txn);
                         StoreReply::Conflict(failed)
                     }
-                    Err(Refusal::NoSuchLease) => StoreReply::Invalid("no such lease".into()),
+                    Err(TxnError::NoSuchLease) => StoreReply::Invalid("no such lease".into()),
                 }
             }
             StoreRequest::Grant { ttl_ms } => StoreReply::Granted(self.store.grant(now, ttl_ms)),
