--- a/crates/cleatfold-control/tests/commands.rs
+++ b/crates/cleatfold-control/tests/commands.rs
@@ -201,7 +201,7 @@
     let owning = owner(&world, &machine).expect("held");
     let worker = world.workers.get_mut(&machine).expect("it is there");
     let (token, agent_epoch, renewed) =
-        (worker.token, AgentEpoch(worker.agent_epoch), worker.renewed);
+        (worker.token, AgentEpoch(worker.agent_epoch), worker.renewed_at);
     let commands = vec![Command::Stop { task: task.clone(), attempt, grace_s: 0.0 }];
     let orders = Orders { token, agent_epoch, commands };
     let life = world.lives[owning];
--- a/crates/cleatfold-control/tests/image_distribution.rs
+++ b/crates/cleatfold-control/tests/image_distribution.rs
@@ -32,7 +32,7 @@
 fn having(world: &World, image: &str) -> usize {
     let image = ImageId::new(image);
     let net = world.net.as_ref().expect("weights");
-    net.holders.keys().filter(|id| net.has(id, &image)).count()
+    net.holders.keys().filter(|id| net.has_complete(id, &image)).count()
 }
 
 fn run_until(world: &mut World, most_s: u64, over: impl Fn(&World) -> bool) -> f64 {
@@ -128,16 +128,16 @@
         let holder = net.holders.get_mut(&source).expect("holds");
         match case {
             0 => world.at(0, SimulationEvent::Die(source.clone())),
-            1 => holder.black_hole = true,
-            2 => holder.speed = 0.05,
-            3 => holder.lies = true,
-            _ => net.leave(now, &source),
+            1 => holder.sends_nothing = true,
+            2 => holder.upload_fraction = 0.05,
+            3 => holder.sends_corrupt_pieces = true,
+            _ => net.request_exit(now, &source),
         }
         let owner = (0..CONTROLLERS).find(|n| world.controllers[*n].is_some()).expect("up");
         world.at(1000, SimulationEvent::Crash(owner));
         run_until(&mut world, 150, |w| having(w, "m1") >= 29);
         if case == 3 {
-            assert!(world.net.as_ref().unwrap().wrong > 0, "a wrong piece was sent");
+            assert!(world.net.as_ref().unwrap().corrupt_pieces > 0, "a wrong piece was sent");
         }
         assert!(origin_gb(&world) <= 4.0 * GB, "case {case}: {} GB", origin_gb(&world));
     }
@@ -187,7 +187,7 @@
         let holder = world.net.as_mut().unwrap().holders.get_mut(&id).expect("holds");
         if !full {
             holder.images.clear();
-            holder.rest();
+            holder.stop_fetch();
         }
         let before = origin_gb(&world);
         run_until(&mut world, 90, |w| having(w, "m1") == 12 && w.running.len() == 12);
--- a/crates/cleatfold-control/tests/seen_token.rs
+++ b/crates/cleatfold-control/tests/seen_token.rs
@@ -81,7 +81,7 @@
         // up in its turn; the machine hangs until its lease is just over.
         let worker = world.workers.get_mut(&machine).expect("it is there");
         let (token, agent_epoch, renewed) =
-            (worker.token, AgentEpoch(worker.agent_epoch), worker.renewed);
+            (worker.token, AgentEpoch(worker.agent_epoch), worker.renewed_at);
         let commands = vec![Command::Stop { task: task.clone(), attempt, grace_s: 0.0 }];
         let orders = Orders { token, agent_epoch, commands };
         world.handle_event(SimulationEvent::Orders {
--- a/crates/cleatfold-fakes/src/images.rs
+++ b/crates/cleatfold-fakes/src/images.rs
@@ -1,4 +1,4 @@
-//! Images that workers fetch from their origin and from one another, in pieces.
+//! Fake of image distribution: workers fetch images in pieces from the origin and from each other.
 
 use crate::worker::Worker;
 use cleatfold_image_distribution::{digest, Fetch, Next, Pieces};
@@ -7,28 +7,29 @@
 use cleatfold_wire::{Attempt, ImageId, MachineId, Ms, TaskId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A time that never comes.
+/// A time later than any other, for events that are not scheduled.
 pub const NEVER: Ms = Ms(u64::MAX / 4);
 
-type Key = (TaskId, Attempt);
+type TaskKey = (TaskId, Attempt);
 
-/// The worker's side: which of its tasks wait for a large image, and what it was told to fetch.
+/// A worker's large images: the tasks that wait for them and the requested fetches.
 #[derive(Default)]
-pub struct Images {
-    /// Smaller images take the time of `Worker::fetch_ms`. 0: all do.
+pub struct WorkerImages {
+    /// Minimum size of a large image. Smaller ones take `Worker::fetch_ms` to fetch. 0 means that no
+    /// image is large.
     pub min_gb: f64,
-    /// It knows of sources and lists what it holds.
+    /// Whether the worker can fetch from other machines and reports its images.
     pub supports_peer_fetch: bool,
-    /// The images that it holds, whole or in part.
+    /// The images that it holds, completely or in part.
     pub held: Vec<HeldImage>,
-    /// By task: the image, and how long it runs once that is there.
-    pub waiting: BTreeMap<Key, (ImageId, u64)>,
-    /// What it was told to fetch, how large it is and from where, since this was last taken.
+    /// Tasks that wait for an image, with the image and the run time in milliseconds.
+    pub waiting: BTreeMap<TaskKey, (ImageId, u64)>,
+    /// Images to fetch, with their size in GB and their sources, since this list was last taken.
     pub fetch_requests: Vec<(ImageId, f64, Vec<String>)>,
 }
 
-impl Images {
-    /// What its heartbeat says of its images.
+impl WorkerImages {
+    /// The images to list in the heartbeat.
     pub fn reported(&self) -> Option<Vec<HeldImage>> {
         self.supports_peer_fetch.then(|| self.held.clone())
     }
@@ -37,113 +38,120 @@
         self.min_gb > 0.0 && gb >= self.min_gb
     }
 
-    /// A task's image is to be fetched from these sources.
-    pub fn take_sources(&mut self, image: Option<(ImageId, f64)>, sources: &[String]) {
+    /// Handles a command to launch a task, with the sources of its image. Requests a fetch if the
+    /// image is large and no fetch of it from these sources is in progress.
+    pub fn request_fetch(&mut self, image: Option<(ImageId, f64)>, sources: &[String]) {
         let Some((image, gb)) = image.filter(|i| self.is_large(i.1)) else { return };
-        // The protocol's workers do not read the field.
+        // Workers without peer fetching ignore the field.
         let sources = if self.supports_peer_fetch { sources.to_vec() } else { vec![] };
-        let stuck = self.held.iter().any(|h| h.image == image && h.stuck);
-        let begun = self.waiting.values().any(|w| w.0 == image);
-        // A further task of the same image waits for the fetch that is under way; other sources than
-        // it has are taken, but it leaves them for the origin only when it is stuck.
-        let others = |h: &HeldImage| h.source.is_some() && h.source.as_ref() != sources.first();
-        let moved = !sources.is_empty() && self.held.iter().any(|h| h.image == image && others(h));
-        if stuck || !begun || moved {
+        let is_stuck = self.held.iter().any(|h| h.image == image && h.stuck);
+        let is_started = self.waiting.values().any(|w| w.0 == image);
+        // Another task with the same image waits for the fetch in progress. The fetch switches to new
+        // sources, but from a source to the origin only if it is stuck.
+        let uses_other_source =
+            |h: &HeldImage| h.source.is_some() && h.source.as_ref() != sources.first();
+        let has_new_source = !sources.is_empty()
+            && self.held.iter().any(|h| h.image == image && uses_other_source(h));
+        if is_stuck || !is_started || has_new_source {
             self.fetch_requests.push((image, gb, sources));
         }
     }
 
-    /// Whether a task waits for a large image; if so it is noted.
-    pub fn waits(&mut self, key: &Key, spec: &JobSpec, run_ms: u64) -> bool {
-        let large = self.is_large(spec.image_gb);
-        if large {
+    /// Records a task with a large image as waiting for it. Returns `false` if the image is not large.
+    pub fn defer_launch(&mut self, key: &TaskKey, spec: &JobSpec, run_ms: u64) -> bool {
+        let is_large = self.is_large(spec.image_gb);
+        if is_large {
             self.waiting.insert(key.clone(), (spec.image.clone(), run_ms));
         }
-        large
+        is_large
     }
 }
 
-/// What a machine holds, and how it serves others.
+/// A machine's images, its transfers and its faults.
 pub struct ImageHolder {
-    /// Where it is.
+    /// The machine's zone.
     pub zone: ZoneId,
-    /// What it can receive, and send, a second.
+    /// Rate at which it can receive, and at which it can send.
     pub gb_per_s: f64,
-    /// What it has space for.
+    /// Size of its image cache.
     pub cache_gb: f64,
-    /// The images it holds, with their sizes.
+    /// The images that it holds, completely or in part, with their sizes in GB.
     pub images: BTreeMap<ImageId, (f64, Fetch)>,
+    /// The image that it is fetching.
     active: Option<ImageId>,
-    credit: f64,
-    /// Since when the present source is looked at, and what was there then.
-    window: (Ms, u32),
-    /// It reports, but sends nothing.
-    pub black_hole: bool,
-    /// Part of its rate at which it serves.
-    pub speed: f64,
-    /// It sends bytes that are not the image's.
-    pub lies: bool,
-    /// Asked to exit: takes nobody new, and serves no longer than until then.
-    pub leaves: Option<Ms>,
+    /// GB received of the pieces that are not complete.
+    partial_piece_gb: f64,
+    /// Start of the window in which the source's rate is measured, and the number of pieces then.
+    rate_window: (Ms, u32),
+    /// Fault: it sends nothing although it reports its images.
+    pub sends_nothing: bool,
+    /// Fraction of its rate at which it sends.
+    pub upload_fraction: f64,
+    /// Fault: it sends corrupt pieces.
+    pub sends_corrupt_pieces: bool,
+    /// Set when it is asked to exit: it accepts no new receivers, and stops sending at this time.
+    pub exits_at: Option<Ms>,
 }
 
-/// All machines' images and the origin.
+/// The image transfers between all machines and the origin.
 pub struct ImageNetwork {
-    /// All machines.
+    /// The machines.
     pub holders: BTreeMap<MachineId, ImageHolder>,
-    /// What the origin sends a second.
+    /// Rate at which the origin can send.
     pub origin_gb_per_s: f64,
     /// The size of a piece.
     pub piece_gb: f64,
-    /// How many machines one machine sends to at a time.
-    pub uploads: usize,
+    /// Maximum number of machines that a machine sends to concurrently.
+    pub max_uploads: usize,
+    /// The receivers of each sending machine.
     serving: BTreeMap<MachineId, BTreeSet<MachineId>>,
-    /// What the origin has sent.
+    /// Volume of intact pieces sent by the origin.
     pub origin_gb: f64,
-    /// What machines have received, from wherever, that was what it should be.
-    pub moved_gb: f64,
-    /// The most that was asked of the origin at a time.
-    pub asked_gb_per_s: f64,
-    /// Pieces that were not what they should be.
-    pub wrong: u32,
+    /// Volume of intact pieces received from any source.
+    pub received_gb: f64,
+    /// Peak of the total rate requested from the origin.
+    pub peak_origin_demand_gb_per_s: f64,
+    /// Number of corrupt pieces received.
+    pub corrupt_pieces: u32,
 }
 
-/// A machine that leaves serves for so long.
-pub const LEAVE_MS: u64 = 30_000;
-const WINDOW_MS: u64 = 8000;
-/// A source that has not begun itself is waited for.
-const BEGIN_MS: u64 = 25_000;
+/// Time between a request to exit and the end of uploads.
+pub const EXIT_DELAY_MS: u64 = 30_000;
+/// Length of the window in which a source's rate is measured.
+const RATE_WINDOW_MS: u64 = 8000;
+/// How long to wait for a source that has not started its own fetch.
+const SOURCE_START_TIMEOUT_MS: u64 = 25_000;
 
 impl ImageNetwork {
-    /// A network without machines.
-    pub fn new(origin_gb_per_s: f64, uploads: usize) -> Self {
+    /// Creates a network without machines.
+    pub fn new(origin_gb_per_s: f64, max_uploads: usize) -> Self {
         Self {
             holders: BTreeMap::new(),
             origin_gb_per_s,
             piece_gb: 0.25,
-            uploads,
+            max_uploads,
             serving: BTreeMap::new(),
             origin_gb: 0.0,
-            moved_gb: 0.0,
-            asked_gb_per_s: 0.0,
-            wrong: 0,
+            received_gb: 0.0,
+            peak_origin_demand_gb_per_s: 0.0,
+            corrupt_pieces: 0,
         }
     }
 
-    /// A machine that comes up.
-    pub fn add(&mut self, id: MachineId, zone: ZoneId, gb_per_s: f64, cache_gb: f64) {
+    /// Adds a machine with an empty cache.
+    pub fn add_machine(&mut self, id: MachineId, zone: ZoneId, gb_per_s: f64, cache_gb: f64) {
         let holder = ImageHolder {
             zone,
             gb_per_s,
             cache_gb,
             images: BTreeMap::new(),
             active: None,
-            credit: 0.0,
-            window: (Ms(0), 0),
-            black_hole: false,
-            speed: 1.0,
-            lies: false,
-            leaves: None,
+            partial_piece_gb: 0.0,
+            rate_window: (Ms(0), 0),
+            sends_nothing: false,
+            upload_fraction: 1.0,
+            sends_corrupt_pieces: false,
+            exits_at: None,
         };
         self.holders.insert(id, holder);
     }
@@ -154,151 +162,158 @@
         Pieces { image: image.clone(), digests }
     }
 
-    /// A machine is told to fetch an image.
+    /// Starts a machine's fetch of an image, or updates the sources of one in progress.
     pub fn fetch(&mut self, now: Ms, id: &MachineId, image: &ImageId, gb: f64, sources: &[String]) {
         let pieces = self.pieces(image, gb);
         let Some(holder) = self.holders.get_mut(id) else { return };
         match holder.images.get_mut(image) {
             Some((_, fetch)) => fetch.take_sources(sources),
             None => {
-                // What was used least is given up; names stand for ages here.
-                let room =
+                // Evicts images to make space, in the order of their names instead of least recent use.
+                let free_gb =
                     |h: &ImageHolder| h.cache_gb - gb - h.images.values().map(|i| i.0).sum::<f64>();
-                while room(holder) < 0.0 && holder.images.pop_first().is_some() {}
+                while free_gb(holder) < 0.0 && holder.images.pop_first().is_some() {}
                 holder.images.insert(image.clone(), (gb, Fetch::new(pieces, sources)));
             }
         }
-        (holder.active, holder.window) = (Some(image.clone()), (now, holder.have(image)));
+        (holder.active, holder.rate_window) =
+            (Some(image.clone()), (now, holder.piece_count(image)));
     }
 
-    /// Nobody on the machine waits for it any more.
-    pub fn give_up(&mut self, id: &MachineId) {
+    /// Cancels a machine's fetch, because none of its tasks waits for the image.
+    pub fn cancel_fetch(&mut self, id: &MachineId) {
         if let Some(holder) = self.holders.get_mut(id) {
             holder.active = None;
         }
     }
 
-    /// A machine is asked to exit.
-    pub fn leave(&mut self, now: Ms, id: &MachineId) {
+    /// Asks a machine to exit.
+    pub fn request_exit(&mut self, now: Ms, id: &MachineId) {
         if let Some(holder) = self.holders.get_mut(id) {
-            holder.leaves = Some(now.plus(LEAVE_MS));
+            holder.exits_at = Some(now.plus(EXIT_DELAY_MS));
         }
     }
 
-    /// Whether a machine holds an image whole.
-    pub fn has(&self, id: &MachineId, image: &ImageId) -> bool {
-        self.holders.get(id).is_some_and(|h| h.whole(image))
+    /// Whether a machine holds a complete image.
+    pub fn has_complete(&self, id: &MachineId, image: &ImageId) -> bool {
+        self.holders.get(id).is_some_and(|h| h.has_complete(image))
     }
 
-    /// Machines that fetch from the origin.
-    pub fn at_origin(&self, now: Ms) -> Vec<&MachineId> {
+    /// Machines that are fetching from the origin.
+    pub fn fetching_from_origin(&self, now: Ms) -> Vec<&MachineId> {
         let next = |h: &ImageHolder| Some(h.images.get(h.active.as_ref()?)?.1.next(now));
-        let at = |h: &ImageHolder| matches!(next(h), Some(Next::Origin(_)));
-        self.holders.iter().filter(|(_, h)| at(h)).map(|h| h.0).collect()
+        let fetches_from_origin = |h: &ImageHolder| matches!(next(h), Some(Next::Origin(_)));
+        self.holders.iter().filter(|(_, h)| fetches_from_origin(h)).map(|h| h.0).collect()
     }
 
-    /// Lets time pass: pieces move.
+    /// Advances by `ms` to `now`: machines transfer pieces.
     pub fn advance(&mut self, now: Ms, ms: u64) {
         let seconds = ms as f64 / 1000.0;
-        let mut flows: Vec<(MachineId, ImageId, Option<MachineId>)> = Vec::new();
+        let mut transfers: Vec<(MachineId, ImageId, Option<MachineId>)> = Vec::new();
         let mut serving: BTreeMap<MachineId, BTreeSet<MachineId>> = BTreeMap::new();
         let ids: Vec<MachineId> = self.holders.keys().cloned().collect();
         for id in &ids {
             let holder = &self.holders[id];
             let Some(image) = holder.active.clone() else { continue };
             match holder.images[&image].1.next(now) {
-                Next::Origin(_) => flows.push((id.clone(), image, None)),
+                Next::Origin(_) => transfers.push((id.clone(), image, None)),
                 Next::Ask(source, _) => {
                     let from = MachineId::new(source.split(':').next().unwrap_or_default());
-                    // It may only be about to begin itself.
-                    let begins = self.holders.get(&from).is_some_and(|s| !s.shares(&image));
-                    let late = now.since(holder.window.0) >= BEGIN_MS;
-                    if self.refuses(now, &from, id, &serving) || (begins && late) {
-                        self.failed(now, id, &image, &source);
+                    // The source may not have started its own fetch yet.
+                    let source_not_started =
+                        self.holders.get(&from).is_some_and(|s| !s.can_serve(&image));
+                    let timed_out = now.since(holder.rate_window.0) >= SOURCE_START_TIMEOUT_MS;
+                    if self.refuses(now, &from, id, &serving) || (source_not_started && timed_out) {
+                        self.fail_source(now, id, &image, &source);
                         continue;
                     }
-                    if begins {
+                    if source_not_started {
                         continue;
                     }
                     serving.entry(from.clone()).or_default().insert(id.clone());
-                    flows.push((id.clone(), image, Some(from)));
+                    transfers.push((id.clone(), image, Some(from)));
                 }
                 Next::Stuck | Next::Whole => {}
             }
         }
-        let at_origin = flows.iter().filter(|f| f.2.is_none());
-        let asked: f64 = at_origin.map(|f| self.holders[&f.0].gb_per_s).sum();
-        self.asked_gb_per_s = self.asked_gb_per_s.max(asked);
-        // What is there when the step begins: a piece passes one machine a step.
-        let there: BTreeMap<(MachineId, ImageId), u32> = flows
+        let from_origin = transfers.iter().filter(|f| f.2.is_none());
+        let demand_gb_per_s: f64 = from_origin.map(|f| self.holders[&f.0].gb_per_s).sum();
+        self.peak_origin_demand_gb_per_s = self.peak_origin_demand_gb_per_s.max(demand_gb_per_s);
+        // Pieces available at the start of the step: a piece moves by one machine per step.
+        let available_at_start: BTreeMap<(MachineId, ImageId), u32> = transfers
             .iter()
             .filter_map(|(_, image, from)| Some((from.clone()?, image.clone())))
             .map(|(from, image)| {
-                let have = self.holders[&from].have(&image);
-                ((from, image), have)
+                let pieces = self.holders[&from].piece_count(&image);
+                ((from, image), pieces)
             })
             .collect();
-        for (id, image, from) in flows {
-            let rate = self.holders[&id].gb_per_s;
-            let (given, there) = match &from {
-                None => (rate * (self.origin_gb_per_s / asked).min(1.0), u32::MAX),
+        for (id, image, from) in transfers {
+            let max_gb_per_s = self.holders[&id].gb_per_s;
+            let (rate_gb_per_s, available) = match &from {
+                None => {
+                    (max_gb_per_s * (self.origin_gb_per_s / demand_gb_per_s).min(1.0), u32::MAX)
+                }
                 Some(from) => {
-                    let sinks = serving[from].len() as f64;
+                    let receivers = serving[from].len() as f64;
                     let source = &self.holders[from];
-                    let speed = if source.black_hole { 0.0 } else { source.speed };
-                    let have = there[&(from.clone(), image.clone())];
-                    ((source.gb_per_s * speed / sinks).min(rate), have)
+                    let fraction = if source.sends_nothing { 0.0 } else { source.upload_fraction };
+                    let pieces = available_at_start[&(from.clone(), image.clone())];
+                    ((source.gb_per_s * fraction / receivers).min(max_gb_per_s), pieces)
                 }
             };
-            self.flow(now, (&id, &image, from.as_ref()), given * seconds, there);
+            self.transfer(now, (&id, &image, from.as_ref()), rate_gb_per_s * seconds, available);
         }
         self.serving = serving;
     }
 
-    fn flow(
+    /// Moves up to `gb` of an image over one transfer. `available` is the source's number of pieces.
+    fn transfer(
         &mut self,
         now: Ms,
-        flow: (&MachineId, &ImageId, Option<&MachineId>),
+        transfer: (&MachineId, &ImageId, Option<&MachineId>),
         gb: f64,
-        there: u32,
+        available: u32,
     ) {
-        let (id, image, from) = flow;
-        let lies = from.is_some_and(|f| self.holders[f].lies);
+        let (id, image, from) = transfer;
+        let is_corrupt = from.is_some_and(|f| self.holders[f].sends_corrupt_pieces);
         let Some(holder) = self.holders.get_mut(id) else { return };
-        let (window, rate) = (holder.window, holder.gb_per_s);
+        let (window, max_gb_per_s) = (holder.rate_window, holder.gb_per_s);
         let Some((_, fetch)) = holder.images.get_mut(image) else { return };
-        // Nothing moves while the source has nothing more.
-        holder.credit = if fetch.have < there { holder.credit + gb } else { 0.0 };
+        // Nothing is transferred while the source has no further pieces.
+        holder.partial_piece_gb =
+            if fetch.have < available { holder.partial_piece_gb + gb } else { 0.0 };
         let source = match fetch.next(now) {
             Next::Ask(source, _) => Some(source),
             _ => None,
         };
-        while holder.credit >= self.piece_gb && fetch.have < there {
+        while holder.partial_piece_gb >= self.piece_gb && fetch.have < available {
             let number = fetch.have;
             if number as usize >= fetch.pieces.digests.len() {
                 break;
             }
-            holder.credit -= self.piece_gb;
-            let bytes = if lies { [0xff; 4] } else { number.to_le_bytes() };
+            holder.partial_piece_gb -= self.piece_gb;
+            let bytes = if is_corrupt { [0xff; 4] } else { number.to_le_bytes() };
             if !fetch.came(now, source.as_deref(), number, &bytes) {
-                self.wrong += 1;
+                self.corrupt_pieces += 1;
                 break;
             }
-            self.moved_gb += self.piece_gb;
+            self.received_gb += self.piece_gb;
             self.origin_gb += if from.is_none() { self.piece_gb } else { 0.0 };
         }
-        // A source that had more and gave less than a fifth of the rate is too slow.
-        let least = window.1 + (rate * WINDOW_MS as f64 / 5000.0 / self.piece_gb) as u32;
-        if now.since(window.0) >= WINDOW_MS {
-            holder.window = (now, fetch.have);
-            let held_back = there > fetch.have + 1 && fetch.have < least;
-            if held_back && source.is_some() {
+        // A source that had more pieces but sent at less than a fifth of the rate is too slow.
+        let min_pieces =
+            window.1 + (max_gb_per_s * RATE_WINDOW_MS as f64 / 5000.0 / self.piece_gb) as u32;
+        if now.since(window.0) >= RATE_WINDOW_MS {
+            holder.rate_window = (now, fetch.have);
+            let is_too_slow = available > fetch.have + 1 && fetch.have < min_pieces;
+            if is_too_slow && source.is_some() {
                 fetch.fails(now, source.as_deref());
             }
         }
     }
 
-    /// Gone, full, or leaving.
+    /// Whether a source refuses a receiver because it does not exist, is at its limit or is exiting.
     fn refuses(
         &self,
         now: Ms,
@@ -307,40 +322,43 @@
         serving: &BTreeMap<MachineId, BTreeSet<MachineId>>,
     ) -> bool {
         let Some(source) = self.holders.get(from) else { return true };
-        let known = self.serving.get(from).is_some_and(|s| s.contains(to));
-        let full = serving.get(from).map_or(0, |s| s.len()) >= self.uploads;
-        let over = source.leaves.is_some_and(|until| !known || until <= now);
-        // Those that it serves keep their places.
-        let kept = self.serving.get(from).map_or(0, |s| s.len()) >= self.uploads && !known;
-        full || over || kept
+        let is_served = self.serving.get(from).is_some_and(|s| s.contains(to));
+        let is_full = serving.get(from).map_or(0, |s| s.len()) >= self.max_uploads;
+        let is_exiting = source.exits_at.is_some_and(|until| !is_served || until <= now);
+        // Receivers that it already serves keep their upload slots.
+        let is_reserved =
+            self.serving.get(from).map_or(0, |s| s.len()) >= self.max_uploads && !is_served;
+        is_full || is_exiting || is_reserved
     }
 
-    fn failed(&mut self, now: Ms, id: &MachineId, image: &ImageId, source: &str) {
+    /// Marks a source as failed, so that the fetch uses the next one.
+    fn fail_source(&mut self, now: Ms, id: &MachineId, image: &ImageId, source: &str) {
         let Some(holder) = self.holders.get_mut(id) else { return };
-        holder.window = (now, holder.have(image));
+        holder.rate_window = (now, holder.piece_count(image));
         if let Some((_, fetch)) = holder.images.get_mut(image) {
             fetch.fails(now, Some(source));
         }
     }
 
-    /// Tells the worker what has come, and takes what it was told to fetch. Whether tasks begin.
-    pub fn serve(&mut self, now: Ms, worker: &mut Worker) -> bool {
+    /// Synchronizes with a worker: takes its fetch requests, updates the images that it reports and
+    /// starts tasks whose image is complete. Returns whether any task was started.
+    pub fn sync_worker(&mut self, now: Ms, worker: &mut Worker) -> bool {
         for (image, gb, sources) in std::mem::take(&mut worker.images.fetch_requests) {
-            if !self.has(&worker.id, &image) {
+            if !self.has_complete(&worker.id, &image) {
                 self.fetch(now, &worker.id, &image, gb, &sources);
             }
         }
         let Some(holder) = self.holders.get(&worker.id) else { return false };
         let tasks = &worker.tasks;
-        let waits = |key: &Key| tasks.get(key).is_some_and(|t| t.exit.is_none());
-        worker.images.waiting.retain(|key, _| waits(key));
-        let mut came = false;
+        let is_waiting = |key: &TaskKey| tasks.get(key).is_some_and(|t| t.exit.is_none());
+        worker.images.waiting.retain(|key, _| is_waiting(key));
+        let mut tasks_started = false;
         for (key, (image, run_ms)) in std::mem::take(&mut worker.images.waiting) {
-            if !holder.whole(&image) {
+            if !holder.has_complete(&image) {
                 worker.images.waiting.insert(key, (image, run_ms));
             } else if let Some(task) = worker.tasks.get_mut(&key) {
-                (task.ready, task.ends) = (worker.renewed, now.plus(run_ms));
-                came = true;
+                (task.ready_at, task.ends_at) = (worker.renewed_at, now.plus(run_ms));
+                tasks_started = true;
             }
         }
         let serves = self.serving.get(&worker.id).map_or(0, |s| s.len() as u32);
@@ -355,32 +373,32 @@
             },
         });
         worker.images.held = held.collect();
-        let waited = |i: &ImageId| worker.images.waiting.values().any(|w| w.0 == *i);
-        if holder.active.as_ref().is_some_and(|i| !waited(i)) {
-            self.give_up(&worker.id);
+        let is_awaited = |i: &ImageId| worker.images.waiting.values().any(|w| w.0 == *i);
+        if holder.active.as_ref().is_some_and(|i| !is_awaited(i)) {
+            self.cancel_fetch(&worker.id);
         }
-        came
+        tasks_started
     }
 }
 
 impl ImageHolder {
-    /// Fetches nothing.
-    pub fn rest(&mut self) {
+    /// Stops the current fetch.
+    pub fn stop_fetch(&mut self) {
         self.active = None;
     }
 
-    /// How many pieces of an image it has.
-    pub fn have(&self, image: &ImageId) -> u32 {
+    /// Number of pieces of an image that it holds.
+    pub fn piece_count(&self, image: &ImageId) -> u32 {
         self.images.get(image).map_or(0, |i| i.1.have)
     }
 
-    /// Hands it on, in so far as it is there.
-    fn shares(&self, image: &ImageId) -> bool {
-        self.whole(image) || self.active.as_ref() == Some(image)
+    /// Whether it can serve an image, as far as it holds the pieces.
+    fn can_serve(&self, image: &ImageId) -> bool {
+        self.has_complete(image) || self.active.as_ref() == Some(image)
     }
 
-    /// Whether it holds an image whole.
-    pub fn whole(&self, image: &ImageId) -> bool {
+    /// Whether it holds a complete image.
+    pub fn has_complete(&self, image: &ImageId) -> bool {
         self.images.get(image).is_some_and(|i| i.1.part() >= 1.0)
     }
 }
--- a/crates/cleatfold-fakes/src/member.rs
+++ b/crates/cleatfold-fakes/src/member.rs
@@ -1,84 +1,88 @@
-//! A member of an elastic job: works through the steps it holds and reports them.
+//! Fake member of an elastic job: processes the steps assigned to it and reports the finished ones.
 
 use cleatfold_wire::steps::{NextAction, StepReply, StepReport};
 use cleatfold_wire::{Attempt, Ms, TaskId};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Without news a member still asks so often whether it is wanted.
-const ASK_MS: u64 = 4000;
-const AGAIN_MS: u64 = 800;
+/// Interval between reports of a member that has no finished steps to report.
+const REPORT_INTERVAL_MS: u64 = 4000;
+/// Delay before the next report of an idle member or after an unanswered report.
+const RETRY_DELAY_MS: u64 = 800;
 
-/// Why a member is gone.
+/// Why a member has exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberExit {
-    /// It was told to stop, or there is nothing more to do.
+    /// It was stopped, or has no more work.
     Ended,
-    /// Its place belongs to another.
+    /// Its claim is no longer valid.
     Lost,
 }
 
-/// A fake of one member of an elastic job.
+/// Fake of one member of an elastic job.
 pub struct Member {
-    /// Its task.
+    /// The member's task.
     pub task: TaskId,
-    /// The attempt of its task.
+    /// The attempt of the task.
     pub attempt: Attempt,
     step_ms: u64,
-    todo: VecDeque<u32>,
-    at: Option<(u32, Ms)>,
-    /// Complete, and not known to be finished.
-    unsaid: BTreeSet<u32>,
-    /// What the report on its way says.
-    saying: Option<BTreeSet<u32>>,
-    not_before: Ms,
-    /// It is to be gone then.
+    /// Assigned steps that are not started.
+    pending_steps: VecDeque<u32>,
+    /// The step in progress and when it ends.
+    current_step: Option<(u32, Ms)>,
+    /// Finished steps whose report is not acknowledged.
+    unacknowledged_steps: BTreeSet<u32>,
+    /// Finished steps in the report that awaits a reply, if there is one.
+    reported_steps: Option<BTreeSet<u32>>,
+    next_report_at: Ms,
+    /// When it exits at the latest, once it is stopped.
     stop_at: Option<Ms>,
-    resting: u32,
-    /// Its controller did not answer.
-    pub on_no_reply: bool,
-    /// Set once it is gone.
+    /// Consecutive replies that left it without work.
+    idle_replies: u32,
+    /// Whether its controller did not reply to the last report.
+    pub last_report_unanswered: bool,
+    /// Set once it has exited.
     pub exit: Option<MemberExit>,
-    /// Steps worked through since this was last looked at.
+    /// Steps finished since the caller last drained this list.
     pub finished_steps: Vec<u32>,
-    /// Steps that it was told are finished by its work, likewise.
+    /// Steps acknowledged as finished by this member since the caller last drained this list.
     pub accepted_steps: Vec<u32>,
 }
 
 impl Member {
-    /// A member that begins now and needs `step_ms` for a step.
+    /// Creates a member that starts at `now` and needs `step_ms` for each step.
     pub fn new(task: TaskId, attempt: Attempt, step_ms: u64, now: Ms) -> Self {
         Self {
             task,
             attempt,
             step_ms,
-            todo: VecDeque::new(),
-            at: None,
-            unsaid: BTreeSet::new(),
-            saying: None,
-            not_before: now,
+            pending_steps: VecDeque::new(),
+            current_step: None,
+            unacknowledged_steps: BTreeSet::new(),
+            reported_steps: None,
+            next_report_at: now,
             stop_at: None,
-            resting: 0,
-            on_no_reply: false,
+            idle_replies: 0,
+            last_report_unanswered: false,
             exit: None,
             finished_steps: Vec::new(),
             accepted_steps: Vec::new(),
         }
     }
 
-    /// Lets time pass.
+    /// Advances to `now`: steps finish and start, and the stop deadline may pass.
     pub fn advance(&mut self, now: Ms) {
-        if let Some((step, end)) = self.at {
+        if let Some((step, end)) = self.current_step {
             if end <= now {
-                self.at = None;
-                self.unsaid.insert(step);
+                self.current_step = None;
+                self.unacknowledged_steps.insert(step);
                 self.finished_steps.push(step);
-                self.not_before = self.not_before.min(now);
+                self.next_report_at = self.next_report_at.min(now);
             }
         }
-        let stopping = self.stop_at.is_some();
-        if self.at.is_none() && !stopping && self.exit.is_none() {
-            if let Some(step) = self.todo.pop_front() {
-                self.at = Some((step, now.plus(self.step_ms)));
+        let is_stopping = self.stop_at.is_some();
+        if self.current_step.is_none() && !is_stopping && self.exit.is_none() {
+            if let Some(step) = self.pending_steps.pop_front() {
+                self.current_step = Some((step, now.plus(self.step_ms)));
             }
         }
         if self.stop_at.is_some_and(|at| at <= now) {
@@ -86,96 +90,99 @@
         }
     }
 
-    /// When it next has something to do by itself.
+    /// When `advance` or `report` next has an effect without an external event.
     pub fn next_wakeup(&self) -> Ms {
-        let asks = self.saying.is_none().then_some(self.not_before);
-        let ends = self.at.map(|a| a.1);
-        [asks, ends, self.stop_at].into_iter().flatten().min().unwrap_or(Ms(u64::MAX / 4))
+        let report_at = self.reported_steps.is_none().then_some(self.next_report_at);
+        let step_end = self.current_step.map(|a| a.1);
+        [report_at, step_end, self.stop_at].into_iter().flatten().min().unwrap_or(Ms(u64::MAX / 4))
     }
 
-    /// Told to stop: it ends its step if that is soon enough.
+    /// Stops the member. It completes its current step only if that ends within the grace period.
     pub fn stop(&mut self, now: Ms, grace_s: f64) {
-        let by = now.plus_s(grace_s);
-        self.stop_at = Some(self.stop_at.map_or(by, |at| at.min(by)));
-        self.todo.clear();
-        if self.at.is_some_and(|(_, end)| end > by) || grace_s <= 0.0 {
-            self.at = None;
+        let deadline = now.plus_s(grace_s);
+        self.stop_at = Some(self.stop_at.map_or(deadline, |at| at.min(deadline)));
+        self.pending_steps.clear();
+        if self.current_step.is_some_and(|(_, end)| end > deadline) || grace_s <= 0.0 {
+            self.current_step = None;
         }
-        if self.at.is_none() && self.unsaid.is_empty() {
+        if self.current_step.is_none() && self.unacknowledged_steps.is_empty() {
             self.exit = Some(MemberExit::Ended);
         }
     }
 
-    /// What it has to report now, if anything. It waits for the answer then.
+    /// Returns the report that is due, if any. No other report is due until it is answered.
     pub fn report(&mut self, now: Ms) -> Option<StepReport> {
-        if self.saying.is_some() || self.exit.is_some() || now < self.not_before {
+        if self.reported_steps.is_some() || self.exit.is_some() || now < self.next_report_at {
             return None;
         }
-        let leaves = self.stop_at.is_some() && self.at.is_none();
-        self.saying = Some(self.unsaid.clone());
+        let is_leaving = self.stop_at.is_some() && self.current_step.is_none();
+        self.reported_steps = Some(self.unacknowledged_steps.clone());
         Some(StepReport {
             member: self.task.clone(),
             attempt: self.attempt,
-            finished: self.unsaid.iter().map(|s| (*s, s + 1)).collect(),
-            wants: if leaves { 0 } else { 2 },
-            generate_load: self.on_no_reply,
+            finished: self.unacknowledged_steps.iter().map(|s| (*s, s + 1)).collect(),
+            wants: if is_leaving { 0 } else { 2 },
+            generate_load: self.last_report_unanswered,
         })
     }
 
-    /// The answer to its report.
+    /// Handles the reply to its report.
     pub fn on_reply(&mut self, now: Ms, reply: &StepReply) {
-        self.on_no_reply = false;
-        let refused = |s: &u32| reply.refused.iter().any(|r| r.0 <= *s && s < &r.1);
-        for step in self.saying.take().unwrap_or_default() {
-            self.unsaid.remove(&step);
-            if !refused(&step) {
+        self.last_report_unanswered = false;
+        let is_refused = |s: &u32| reply.refused.iter().any(|r| r.0 <= *s && s < &r.1);
+        for step in self.reported_steps.take().unwrap_or_default() {
+            self.unacknowledged_steps.remove(&step);
+            if !is_refused(&step) {
                 self.accepted_steps.push(step);
             }
         }
-        let holds: BTreeSet<u32> = reply.holds.iter().flat_map(|r| r.0..r.1).collect();
-        if self.at.is_some_and(|(step, _)| !holds.contains(&step)) {
-            self.at = None;
+        let assigned: BTreeSet<u32> = reply.holds.iter().flat_map(|r| r.0..r.1).collect();
+        if self.current_step.is_some_and(|(step, _)| !assigned.contains(&step)) {
+            self.current_step = None;
         }
-        let busy = self.at.map(|a| a.0);
+        let current = self.current_step.map(|a| a.0);
         if self.stop_at.is_none() {
-            let new = |s: &&u32| Some(**s) != busy && !self.unsaid.contains(*s);
-            self.todo = holds.iter().filter(new).copied().collect();
+            let is_new = |s: &&u32| Some(**s) != current && !self.unacknowledged_steps.contains(*s);
+            self.pending_steps = assigned.iter().filter(is_new).copied().collect();
         }
-        self.not_before = now.plus(if self.unsaid.is_empty() { ASK_MS } else { 0 });
-        let idle = self.at.is_none() && self.todo.is_empty() && self.unsaid.is_empty();
-        self.resting = if idle { self.resting + 1 } else { 0 };
-        if idle {
-            self.not_before = now.plus(AGAIN_MS);
+        self.next_report_at =
+            now.plus(if self.unacknowledged_steps.is_empty() { REPORT_INTERVAL_MS } else { 0 });
+        let is_idle = self.current_step.is_none()
+            && self.pending_steps.is_empty()
+            && self.unacknowledged_steps.is_empty();
+        self.idle_replies = if is_idle { self.idle_replies + 1 } else { 0 };
+        if is_idle {
+            self.next_report_at = now.plus(RETRY_DELAY_MS);
         }
-        let stopped = self.stop_at.is_some() && idle;
-        if reply.next_action == NextAction::Over || stopped || self.resting > 3 {
+        let is_stopped = self.stop_at.is_some() && is_idle;
+        if reply.next_action == NextAction::Over || is_stopped || self.idle_replies > 3 {
             self.exit = Some(MemberExit::Ended);
         }
         self.advance(now);
     }
 
-    /// The claim does not stand any more.
+    /// Handles a reply that rejects its claim.
     pub fn on_claim_lost(&mut self) {
-        self.saying = None;
+        self.reported_steps = None;
         self.exit = Some(MemberExit::Lost);
     }
 
-    /// No answer, or one that says to come back.
+    /// Handles a missing reply, or one that asks to retry later.
     pub fn on_no_reply(&mut self, now: Ms) {
-        self.saying = None;
-        self.on_no_reply = true;
-        self.not_before = now.plus(AGAIN_MS);
+        self.reported_steps = None;
+        self.last_report_unanswered = true;
+        self.next_report_at = now.plus(RETRY_DELAY_MS);
     }
 
-    /// Sent to another controller.
+    /// Handles a redirect to another controller.
     pub fn on_redirect(&mut self, now: Ms) {
-        self.saying = None;
-        self.on_no_reply = false;
-        self.not_before = now.plus(50);
+        self.reported_steps = None;
+        self.last_report_unanswered = false;
+        self.next_report_at = now.plus(50);
     }
 
-    /// Whether a report of its own is unanswered.
-    pub fn waits_for_answer(&self) -> bool {
-        self.saying.is_some()
+    /// Whether a report awaits its reply.
+    pub fn awaits_reply(&self) -> bool {
+        self.reported_steps.is_some()
     }
 }
--- a/crates/cleatfold-fakes/src/worker.rs
+++ b/crates/cleatfold-fakes/src/worker.rs
@@ -1,6 +1,6 @@
-//! A worker: runs what it is told under the token and lease rules of the protocol.
+//! Fake worker: executes commands under the fencing token and lease rules of the protocol.
 
-use crate::images::{Images, NEVER};
+use crate::images::{WorkerImages, NEVER};
 use crate::member::Member;
 use cleatfold_wire::job::JobSpec;
 use cleatfold_wire::worker::{
@@ -14,67 +14,67 @@
 /// A task that was launched on the worker.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Which attempt of the task it is.
+    /// The attempt of the task.
     pub attempt: Attempt,
-    /// Fetching until then.
-    pub ready: Ms,
-    /// Running until then.
-    pub ends: Ms,
-    /// How it ended, once it has.
+    /// When its image is fetched and it starts to run.
+    pub ready_at: Ms,
+    /// When it finishes by itself.
+    pub ends_at: Ms,
+    /// How it exited, once it has.
     pub exit: Option<Exit>,
-    /// The processors and GB of memory it takes.
+    /// The CPUs and GB of memory that it uses.
     pub resources: (f64, f64),
 }
 
-/// A fake of one worker, the agent on a machine.
+/// Fake of one worker, the agent on a machine.
 pub struct Worker {
-    /// Its machine.
+    /// The worker's machine.
     pub id: MachineId,
     /// The machine's type.
     pub machine_type: TypeId,
     /// The machine's zone.
     pub zone: ZoneId,
-    /// Whether the machine may be reclaimed.
+    /// Whether the cloud may reclaim the machine at any time.
     pub spot: bool,
-    /// Its processors.
+    /// CPUs of the machine.
     pub cpus: f64,
-    /// Its memory.
+    /// Memory of the machine.
     pub memory_gb: f64,
-    /// How long its tasks run on without an answer.
+    /// How long its tasks keep running without a heartbeat response.
     pub lease_ms: u64,
-    /// How long it fetches an image.
+    /// How long it takes to fetch an image.
     pub fetch_ms: u64,
-    /// The number of its restarts and expired leases.
+    /// Session number, incremented on each restart and expired lease.
     pub agent_epoch: u64,
-    /// The number of its last heartbeat.
+    /// Sequence number of the last heartbeat.
     pub seq: u64,
-    /// The highest fencing token it has seen.
+    /// The highest fencing token seen so far.
     pub token: FencingToken,
-    /// Its tasks, until it is told to forget them.
+    /// Its tasks, including exited ones until a command to forget them.
     pub tasks: BTreeMap<(TaskId, Attempt), Task>,
-    /// Those of its tasks that are members of elastic jobs and run.
+    /// The running tasks that are members of elastic jobs.
     pub members: BTreeMap<(TaskId, Attempt), Member>,
-    /// Where it takes direct orders.
+    /// Address at which it accepts direct orders.
     pub endpoint: Option<String>,
-    /// When the last answered report of this session was sent.
-    pub renewed: Ms,
-    /// Images that are large enough to be handed on.
-    pub images: Images,
+    /// When the last answered heartbeat of this session was sent, which renewed the lease.
+    pub renewed_at: Ms,
+    /// Large images, which are distributed between machines.
+    pub images: WorkerImages,
 }
 
-/// Something a watcher of the rules wants to know.
+/// Task event, for checks of invariants.
 #[derive(Debug, PartialEq)]
 pub enum WorkerEvent {
-    /// A task has begun to run or to fetch.
+    /// A task was launched and fetches its image or runs.
     Started(TaskId),
     /// A task has exited.
     Exited(TaskId, Exit),
-    /// Killed with the lease.
+    /// A task was killed because the lease expired or the worker restarted.
     LeaseExpired(TaskId),
 }
 
 impl Worker {
-    /// A worker on a machine that has just booted.
+    /// Creates a worker on a machine that has just booted.
     pub fn new(id: MachineId, machine_type: TypeId, zone: ZoneId, spot: bool, now: Ms) -> Self {
         Self {
             id,
@@ -91,12 +91,12 @@
             tasks: BTreeMap::new(),
             members: BTreeMap::new(),
             endpoint: None,
-            renewed: now,
-            images: Images::default(),
+            renewed_at: now,
+            images: WorkerImages::default(),
         }
     }
 
-    /// Its next heartbeat.
+    /// Returns the next heartbeat.
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.seq += 1;
         Heartbeat {
@@ -118,7 +118,7 @@
                     attempt: *attempt,
                     state: match t.exit {
                         Some(_) => TaskState::Exited,
-                        None if t.ready > self.renewed => TaskState::Fetching,
+                        None if t.ready_at > self.renewed_at => TaskState::Fetching,
                         None => TaskState::Running,
                     },
                     why: t.exit,
@@ -128,36 +128,36 @@
         }
     }
 
-    /// The answer to the report sent at `sent` in `agent_epoch`, executed at `now`. `job` finds a
-    /// submitted job and how long its task runs.
+    /// Handles at `now` the response to the heartbeat sent at `sent` in session `agent_epoch`. `job`
+    /// returns a task's job description, its run time in milliseconds, and whether it fails.
     pub fn on_response(
         &mut self,
         now: Ms,
         sent: Ms,
         agent_epoch: u64,
-        reply: &HeartbeatResponse,
+        response: &HeartbeatResponse,
         job: impl Fn(&TaskId) -> Option<(JobSpec, u64, bool)>,
     ) -> Vec<WorkerEvent> {
-        if agent_epoch != self.agent_epoch || reply.token < self.token {
+        if agent_epoch != self.agent_epoch || response.token < self.token {
             return Vec::new();
         }
-        self.token = reply.token;
-        self.renewed = self.renewed.max(sent);
-        self.execute(now, &reply.commands, job)
+        self.token = response.token;
+        self.renewed_at = self.renewed_at.max(sent);
+        self.execute(now, &response.commands, job)
     }
 
-    /// Direct orders: executed under the same token and session only.
+    /// Executes direct orders. Returns `None` if their fencing token or session is outdated.
     pub fn on_orders(
         &mut self,
         now: Ms,
-        on_orders: &Orders,
+        orders: &Orders,
         job: impl Fn(&TaskId) -> Option<(JobSpec, u64, bool)>,
     ) -> Option<Vec<WorkerEvent>> {
-        if on_orders.token < self.token || on_orders.agent_epoch.0 != self.agent_epoch {
+        if orders.token < self.token || orders.agent_epoch.0 != self.agent_epoch {
             return None;
         }
-        self.token = on_orders.token;
-        Some(self.execute(now, &on_orders.commands, job))
+        self.token = orders.token;
+        Some(self.execute(now, &orders.commands, job))
     }
 
     fn execute(
@@ -166,14 +166,14 @@
         commands: &[Command],
         job: impl Fn(&TaskId) -> Option<(JobSpec, u64, bool)>,
     ) -> Vec<WorkerEvent> {
-        let mut out = Vec::new();
+        let mut events = Vec::new();
         for command in commands {
             match command {
                 Command::Start { task, attempt, sources } => {
                     let image = job(task).map(|j| (j.0.image, j.0.image_gb));
-                    self.images.take_sources(image, sources);
-                    if let Some(h) = self.launch(now, task, *attempt, &job) {
-                        out.push(h);
+                    self.images.request_fetch(image, sources);
+                    if let Some(event) = self.launch(now, task, *attempt, &job) {
+                        events.push(event);
                     }
                 }
                 Command::Stop { task, attempt, grace_s } => {
@@ -188,7 +188,7 @@
                     if let Some(t) = self.tasks.get_mut(&(task.clone(), *attempt)) {
                         if t.exit.is_none() {
                             t.exit = Some(Exit::Stopped);
-                            out.push(WorkerEvent::Exited(task.clone(), Exit::Stopped));
+                            events.push(WorkerEvent::Exited(task.clone(), Exit::Stopped));
                         }
                     }
                 }
@@ -200,9 +200,10 @@
                 }
             }
         }
-        out
+        events
     }
 
+    /// Launches a task unless it is known. Returns `None` if it was not started.
     fn launch(
         &mut self,
         now: Ms,
@@ -214,84 +215,89 @@
         if self.tasks.contains_key(&key) {
             return None;
         }
-        let mut new = Task { attempt, ready: now, ends: now, exit: None, resources: (0.0, 0.0) };
-        let busy = self.tasks.iter().any(|((t, _), s)| t == task && s.exit.is_none());
+        let mut launched =
+            Task { attempt, ready_at: now, ends_at: now, exit: None, resources: (0.0, 0.0) };
+        let already_running = self.tasks.iter().any(|((t, _), s)| t == task && s.exit.is_none());
         let used = self
             .tasks
             .values()
             .filter(|t| t.exit.is_none())
             .fold((0.0, 0.0), |a, t| (a.0 + t.resources.0, a.1 + t.resources.1));
         match job(task) {
-            None => new.exit = Some(Exit::Unknown),
-            Some(_) if busy => new.exit = Some(Exit::Busy),
+            None => launched.exit = Some(Exit::Unknown),
+            Some(_) if already_running => launched.exit = Some(Exit::Busy),
             Some((spec, _, _))
                 if used.0 + spec.cpus > self.cpus + 1e-6
                     || used.1 + spec.memory_gb > self.memory_gb + 1e-6 =>
             {
-                new.exit = Some(Exit::InsufficientResources)
+                launched.exit = Some(Exit::InsufficientResources)
             }
             Some((spec, run_ms, fails)) => {
-                new.resources = (spec.cpus, spec.memory_gb);
-                new.ready = now.plus(self.fetch_ms);
-                new.ends = new.ready.plus(run_ms);
-                if self.images.waits(&key, &spec, run_ms) {
-                    (new.ready, new.ends) = (NEVER, NEVER);
+                launched.resources = (spec.cpus, spec.memory_gb);
+                launched.ready_at = now.plus(self.fetch_ms);
+                launched.ends_at = launched.ready_at.plus(run_ms);
+                if self.images.defer_launch(&key, &spec, run_ms) {
+                    (launched.ready_at, launched.ends_at) = (NEVER, NEVER);
                 }
                 if let Some(elastic) = &spec.elastic {
-                    new.ends = Ms(u64::MAX / 4);
+                    launched.ends_at = Ms(u64::MAX / 4);
                     let step_ms = ((elastic.step_s * 1000.0) as u64).max(1);
-                    let member = Member::new(task.clone(), attempt, step_ms, new.ready);
+                    let member = Member::new(task.clone(), attempt, step_ms, launched.ready_at);
                     self.members.insert(key.clone(), member);
                 }
                 if fails {
-                    new.exit = Some(Exit::Error);
+                    launched.exit = Some(Exit::Error);
                 }
             }
         }
-        let started = new.exit.is_none();
-        self.tasks.insert(key, new);
+        let started = launched.exit.is_none();
+        self.tasks.insert(key, launched);
         started.then(|| WorkerEvent::Started(task.clone()))
     }
 
-    /// When it next has something to do by itself.
+    /// When `advance` next has an effect without an external event.
     pub fn next_wakeup(&self) -> Ms {
-        let ends = self.tasks.values().filter(|t| t.exit.is_none()).map(|t| t.ends);
+        let ends_at = self.tasks.values().filter(|t| t.exit.is_none()).map(|t| t.ends_at);
         let members = self.members.values().map(Member::next_wakeup);
-        ends.chain(members).chain([self.renewed.plus(self.lease_ms + 1)]).min().unwrap_or_default()
+        ends_at
+            .chain(members)
+            .chain([self.renewed_at.plus(self.lease_ms + 1)])
+            .min()
+            .unwrap_or_default()
     }
 
-    /// All its tasks are gone, and it goes on with the next session.
+    /// Kills all running tasks, forgets the others and starts the next session.
     pub fn restart(&mut self, now: Ms) -> Vec<WorkerEvent> {
         self.members.clear();
         self.images.waiting.clear();
         let tasks = std::mem::take(&mut self.tasks).into_iter().filter(|(_, t)| t.exit.is_none());
-        let lost = tasks.map(|((task, _), _)| WorkerEvent::LeaseExpired(task)).collect();
+        let killed = tasks.map(|((task, _), _)| WorkerEvent::LeaseExpired(task)).collect();
         self.agent_epoch += 1;
-        self.renewed = now;
-        lost
+        self.renewed_at = now;
+        killed
     }
 
-    /// Lets time pass: tasks end, and so may the lease.
+    /// Advances to `now`: tasks finish, and the lease may expire.
     pub fn advance(&mut self, now: Ms) -> Vec<WorkerEvent> {
-        let mut out = Vec::new();
-        if now.since(self.renewed) > self.lease_ms {
-            out = self.restart(now);
+        let mut events = Vec::new();
+        if now.since(self.renewed_at) > self.lease_ms {
+            events = self.restart(now);
         }
         for (key, member) in &mut self.members {
             member.advance(now);
             if let (Some(_), Some(t)) = (member.exit, self.tasks.get_mut(key)) {
                 if t.exit.is_none() {
                     t.exit = Some(Exit::Stopped);
-                    out.push(WorkerEvent::Exited(key.0.clone(), Exit::Stopped));
+                    events.push(WorkerEvent::Exited(key.0.clone(), Exit::Stopped));
                 }
             }
         }
         for ((task, _), t) in &mut self.tasks {
-            if t.exit.is_none() && t.ends <= now {
+            if t.exit.is_none() && t.ends_at <= now {
                 t.exit = Some(Exit::Done);
-                out.push(WorkerEvent::Exited(task.clone(), Exit::Done));
+                events.push(WorkerEvent::Exited(task.clone(), Exit::Done));
             }
         }
-        out
+        events
     }
 }
--- a/crates/cleatfold-testbed/src/capacity/hollow.rs
+++ b/crates/cleatfold-testbed/src/capacity/hollow.rs
@@ -238,7 +238,7 @@
         // Machines do not come up at one moment.
         let spread = rand::rng().random_range(0.0..self.setup.report_s);
         tokio::time::sleep(Duration::from_secs_f64(boot_s + spread)).await;
-        self.worker.renewed = self.now();
+        self.worker.renewed_at = self.now();
         self.due = Instant::now();
         loop {
             let timer = self.start + Duration::from_millis(self.worker.next_wakeup().0);
--- a/crates/cleatfold-testbed/src/images.rs
+++ b/crates/cleatfold-testbed/src/images.rs
@@ -112,7 +112,7 @@
             return failed(format!("after {passed} s: {:?}", world.broken));
         }
         let Some(net) = &world.net else { return failed("no images".into()) };
-        let have = net.holders.keys().filter(|id| net.has(id, &image)).count();
+        let have = net.holders.keys().filter(|id| net.has_complete(id, &image)).count();
         if have * 2 >= plan.machines {
             half_s.get_or_insert(passed);
         }
@@ -129,14 +129,17 @@
     let checks = vec![
         (format!("all have it within {within} times the lower bound"), all_s <= bound_s * within),
         ("at most three copies a zone came from the origin".into(), net.origin_gb <= copies),
-        ("seats never exceeded what the origin gives".into(), net.asked_gb_per_s <= plan.origin),
-        ("nothing was fetched twice".into(), net.moved_gb <= whole),
+        (
+            "seats never exceeded what the origin gives".into(),
+            net.peak_origin_demand_gb_per_s <= plan.origin,
+        ),
+        ("nothing was fetched twice".into(), net.received_gb <= whole),
     ];
     Ok(Results {
         all_s,
         half_s,
         origin_gb: net.origin_gb,
-        repeated_gb: (net.moved_gb - whole).max(0.0),
+        repeated_gb: (net.received_gb - whole).max(0.0),
         changes: world.changes.len() - changes,
         bound_s,
         each_for_itself_s: (plan.machines as f64 * plan.gb / plan.origin).max(bound_s),
--- a/crates/cleatfold-testbed/src/world/arrivals.rs
+++ b/crates/cleatfold-testbed/src/world/arrivals.rs
@@ -49,7 +49,7 @@
                 && delay < 1000;
             // Before it is up it answers nobody.
             let reached = reached && !cut;
-            let there = reached && !hangs && w.renewed <= now;
+            let there = reached && !hangs && w.renewed_at <= now;
             there.then(|| w.heartbeat()).map(|r| (r.agent_epoch, r.seq))
         });
         let event = Event::ProbeResult { machine: machine.clone(), answer: said };
--- a/crates/cleatfold-testbed/src/world/commands.rs
+++ b/crates/cleatfold-testbed/src/world/commands.rs
@@ -119,7 +119,7 @@
         let runs_on = |task: &TaskId, machine: &MachineId| {
             let worker = self.workers.get(machine);
             let tasks = worker.into_iter().flat_map(|w| &w.tasks);
-            tasks.into_iter().any(|((t, _), state)| t == task && state.ends > long)
+            tasks.into_iter().any(|((t, _), state)| t == task && state.ends_at > long)
         };
         let open = |job: &JobId| {
             self.jobs.get(job).is_some_and(|w| {
--- a/crates/cleatfold-testbed/src/world/images.rs
+++ b/crates/cleatfold-testbed/src/world/images.rs
@@ -42,7 +42,7 @@
         worker.images.min_gb = images.settings().min_gb;
         worker.images.supports_peer_fetch = self.booted * 37 % 100 < images.hear;
         let (rate, cache) = (images.fetch_gb_per_s, images.cache_gb);
-        net.add(worker.id.clone(), worker.zone.clone(), rate, cache);
+        net.add_machine(worker.id.clone(), worker.zone.clone(), rate, cache);
     }
 
     pub(super) fn move_images(&mut self) {
@@ -55,7 +55,7 @@
         net.advance(now, ms);
         let mut come = Vec::new();
         for (id, worker) in &mut self.workers {
-            if net.serve(now, worker) {
+            if net.sync_worker(now, worker) {
                 come.push(id.clone());
             }
         }
@@ -78,7 +78,7 @@
         if record.used() > bound {
             self.broken.push(format!("{:?} seats {} of {bound}", self.now, record.used()));
         }
-        for id in net.at_origin(self.now) {
+        for id in net.fetching_from_origin(self.now) {
             if !record.slots.contains_key(id) {
                 self.broken.push(format!("{:?} {id} fetches without a seat", self.now));
             }
--- a/crates/cleatfold-testbed/src/world/workers.rs
+++ b/crates/cleatfold-testbed/src/world/workers.rs
@@ -41,7 +41,7 @@
         };
         let mut next = until;
         if let Some(worker) = self.workers.get_mut(id) {
-            let over = |w: &Worker| w.renewed.plus(w.lease_ms + 1);
+            let over = |w: &Worker| w.renewed_at.plus(w.lease_ms + 1);
             let lost = match over(worker) <= now {
                 true => worker.restart(now),
                 false => Vec::new(),
@@ -84,7 +84,7 @@
         let partitioned = self.faults.is_partitioned(worker, now);
         let Some(member) = worker.members.get_mut(&key) else { return };
         let Some(link) = self.member_links.get_mut(&key) else { return };
-        if link.1 != number || !member.waits_for_answer() {
+        if link.1 != number || !member.awaits_reply() {
             return;
         }
         if response.is_some() && partitioned {
--- a/crates/cleatfold-testbed/tests/pairs.rs
+++ b/crates/cleatfold-testbed/tests/pairs.rs
@@ -238,7 +238,7 @@
     let mut world = busy();
     let machine = world.running.values().next().expect("a busy machine").clone();
     let on = |w: &World| w.running.values().filter(|m| **m == machine).count();
-    let renewed = world.workers[&machine].renewed;
+    let renewed = world.workers[&machine].renewed_at;
     world.hang(&machine, 20_000);
     let lease = world.size.times().lease_ms;
     world.run(renewed.plus(lease));
