--- a/crates/cleatfold-fakes/src/cloud.rs
+++ b/crates/cleatfold-fakes/src/cloud.rs
@@ -23,7 +23,7 @@
 pub struct Cloud {
     /// Available machine types.
     pub types: Vec<MachineType>,
-    /// Existing machines, including those that boot.
+    /// Existing machines, including those that are still booting.
     pub machines: BTreeMap<MachineId, FakeMachine>,
     /// Maximum number of machines.
     pub capacity: usize,
@@ -32,7 +32,7 @@
     /// Scale-out requests in order of arrival, with the number of machines that each created. A
     /// repeated request creates none.
     pub scale_out_log: Vec<(Ms, ScaleOutRequest, usize)>,
-    created: BTreeMap<String, Vec<MachineId>>,
+    created_by_request: BTreeMap<String, Vec<MachineId>>,
     next_id: u64,
 }
 
@@ -40,7 +40,7 @@
     /// Creates machines, or returns those of the same earlier request. `None` if there is no capacity
     /// or no such machine type.
     pub fn scale_out(&mut self, now: Ms, request: &ScaleOutRequest) -> Option<Vec<MachineId>> {
-        if let Some(ids) = self.created.get(&request.request) {
+        if let Some(ids) = self.created_by_request.get(&request.request) {
             self.scale_out_log.push((now, request.clone(), 0));
             return Some(ids.clone());
         }
@@ -69,7 +69,7 @@
         if ids.is_empty() {
             return None;
         }
-        self.created.insert(request.request.clone(), ids.clone());
+        self.created_by_request.insert(request.request.clone(), ids.clone());
         Some(ids)
     }
 
--- a/crates/cleatfold/src/operator_settings.rs
+++ b/crates/cleatfold/src/operator_settings.rs
@@ -39,7 +39,7 @@
     pub preempt: Option<bool>,
     /// Whether admission control handles sustained overload, so that no class or team starves.
     pub admission: Option<bool>,
-    /// New large jobs of a group are refused while the group's jobs would wait more than this many
+    /// New large jobs of a group are refused while the group's jobs would wait this many
     /// times as long as their objectives allow; 1 to 100. By default no job is refused for its size.
     pub refuse_after: Option<f64>,
     /// Retention of each team's history.
