--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -34,7 +34,10 @@
 /// An entry for the log: team, class, the floor of the small size class, and of the middle and the
 /// large size class with whether capacity is short, in processors.
 fn loggable_entry(entry: &QuotaEntry) -> (&TeamId, &ClassId, i64, Option<(i64, i64, bool)>) {
-    let upper_floors = entry.sizes.as_ref().map(|s| (s.middle_floor / 1000, s.large_floor / 1000, s.capacity_short));
+    let upper_floors = entry
+        .sizes
+        .as_ref()
+        .map(|s| (s.middle_floor / 1000, s.large_floor / 1000, s.capacity_short));
     (&entry.team, &entry.class, entry.floor / 1000, upper_floors)
 }
 
@@ -126,7 +129,8 @@
     /// answer is the same at every controller and every retry until the quota changes.
     pub(crate) fn overload_retry_after_s(&self, spec: &JobSpec) -> Option<u32> {
         self.cfg.admission.as_ref()?;
-        let max_work = self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.max_new_work?;
+        let max_work =
+            self.cache.overload_quota.value.entry(&spec.team, &spec.class)?.max_new_work?;
         let refused =
             spec.kind == Kind::Array && estimated_cpu_s(spec, spec.tasks) > max_work as f64;
         // The quota is usually not revised within MIN_QUOTA_AGE_MS, so an earlier retry would be
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -69,10 +69,9 @@
             }
             let held: Vec<Role> = Role::ALL.into_iter().filter(|role| self.holds(*role)).collect();
             if let Some(role) =
-                self
-                .leadership
-                .roles
-                .next_to_release(now, &self.cfg.controller_id, |role| held.contains(&role))
+                self.leadership
+                    .roles
+                    .next_to_release(now, &self.cfg.controller_id, |role| held.contains(&role))
             {
                 self.release_role(role);
             }
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -119,7 +119,13 @@
                     && self.is_readable(&workspace_key(team))
             };
             let max_changes = self.cfg.max_txn_changes.min(self.rate_limiter.max_changes());
-            let taken = vacancies.next_to_acquire(now, max_changes, teams.iter(), rank, owned_before_restart);
+            let taken = vacancies.next_to_acquire(
+                now,
+                max_changes,
+                teams.iter(),
+                rank,
+                owned_before_restart,
+            );
             if !taken.is_empty() {
                 let holder = HolderRecord { owner: me.clone(), incarnation };
                 self.write_owners(taken, holder);
