--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -230,9 +230,9 @@
             tracing::info!(gap_ms, "event loop stalled");
             for machine in self.inventory.machines.values_mut() {
                 machine.observed_since = machine.observed_since.max(self.now);
-                machine.partition_detector.excuse();
+                machine.partition_detector.discard_last_answer();
             }
-            self.reachability.view.stood_still(self.now);
+            self.reachability.view.reset_after_pause(self.now);
         }
         self.last_tick = self.now;
     }
@@ -270,12 +270,14 @@
         }
         // A released worker was served by another controller, so other controllers reach the state
         // service.
-        if !self.has_store_contact() && self.reachability.view.worker_release.others_serve() {
+        if !self.has_store_contact()
+            && self.reachability.view.worker_release.any_pool_served_elsewhere()
+        {
             return false;
         }
         // In an outage that affects every controller, becoming unready would only cut the users'
         // connections. If a peer still reads the state service, users are served better there.
-        self.has_store_contact() || !self.reachability.view.peers.someone_reads(self.now)
+        self.has_store_contact() || !self.reachability.view.peers.any_peer_reads_store(self.now)
     }
 
     /// Whether the machine gets no new tasks from this controller because it is to be returned to
--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -57,7 +57,7 @@
 
     fn send_due_cancellations(&mut self) {
         let (peers, keep_ms) = (&self.reachability.view.peers, self.cfg.cancel_ms);
-        let due = self.cancellations.broadcast.due(self.now, keep_ms, |n| peers.contact(n));
+        let due = self.cancellations.broadcast.due(self.now, keep_ms, |n| peers.last_store_read(n));
         for (peer, jobs) in due {
             let jobs = jobs.iter().map(|j| j.to_string()).collect();
             self.send_to_peers(Some(peer), Message::Cancelled { jobs });
--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -336,7 +336,7 @@
             return;
         }
         let me = self.cfg.controller_id.clone();
-        self.reachability.view.left(owner, &pool.zone, self.now);
+        self.reachability.view.record_workers_left(owner, &pool.zone, self.now);
         tracing::info!(%pool, %owner, "taking pool over: its workers do not reach its owner");
         self.write_assignments(vec![PoolMove { pool, to: me }]);
     }
--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -8,11 +8,11 @@
 impl Controller {
     /// Handles a message from a peer.
     pub(crate) fn on_mesh(&mut self, from: ControllerId, message: Message) {
-        self.reachability.view.peers.note_message(&from, self.now);
+        self.reachability.view.peers.record_message(&from, self.now);
         match message {
             Message::Alive { contact_age_ms } => {
                 let read_at = Ms(self.now.0.saturating_sub(contact_age_ms));
-                self.reachability.view.peers.read(&from, read_at);
+                self.reachability.view.peers.record_store_read(&from, read_at);
             }
             Message::Changed => {
                 self.session.sync_wanted = true;
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -4,7 +4,7 @@
 
 use crate::controller::Controller;
 use crate::effects::{Effect, Response};
-use cleatfold_reachability::{Answer, Came, ZoneContact};
+use cleatfold_reachability::{ReleaseDecision, TakeoverDecision, ZoneContact};
 use cleatfold_wire::cloud::MachineState;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::worker::RawHeartbeat;
@@ -41,7 +41,7 @@
         let zones = zones
             .iter()
             .map(|(zone, (machines, reporting))| (*zone, machines.as_slice(), *reporting));
-        for probe in self.reachability.view.probe(self.now, zones) {
+        for probe in self.reachability.view.due_probes(self.now, zones) {
             let endpoint =
                 self.inventory.machines.get(&probe.machine).and_then(|m| m.endpoint.clone());
             if let Some(endpoint) = endpoint {
@@ -82,24 +82,29 @@
         let zones = zones
             .into_iter()
             .map(|(zone, age_ms, lost)| (ZoneId::new(zone), zone_contact(age_ms, lost)));
-        self.reachability.view.peers.note_zone_contacts(from, zones.collect(), now);
+        self.reachability.view.peers.record_zone_contacts(from, zones.collect(), now);
     }
 
     /// Handles the result of a probe; may take over the pool of a misdirected worker.
     pub(crate) fn on_probed(&mut self, machine: MachineId, answer: Option<(AgentEpoch, Seq)>) {
         if let Some(m) = self.inventory.machines.get(&machine) {
-            self.reachability.view.probed(&m.pool.zone, &machine, answer.is_some(), self.now);
+            self.reachability.view.record_probe_result(
+                &m.pool.zone,
+                &machine,
+                answer.is_some(),
+                self.now,
+            );
         }
         let (view, now) = (&mut self.reachability.view, self.now);
         let max_contact_age_ms = self.cfg.heartbeat_interval_ms * 5 / 4 + 1000;
         let (peers, misdirected_workers) = (&view.peers, &mut view.misdirected_workers);
         let owner_has_contact = |pool: &PoolId, owner: &ControllerId| {
-            let contact = peers.of_zone(owner, &pool.zone, now);
+            let contact = peers.zone_contact(owner, &pool.zone, now);
             contact
                 .is_some_and(|contact| !contact.lost && now.since(contact.at) <= max_contact_age_ms)
         };
         if let Some((pool, owner)) =
-            misdirected_workers.answered(&machine, answer, owner_has_contact, now)
+            misdirected_workers.on_probe_result(&machine, answer, owner_has_contact, now)
         {
             let is_still_owner =
                 self.cache.pools.get(&pool).is_some_and(|ownership| ownership.owner == owner);
@@ -122,7 +127,7 @@
         let lease_ms = self.cfg.controller_lease_ms;
         let sender = (&heartbeat.machine, (heartbeat.agent_epoch, heartbeat.seq));
         let misdirected_workers = &mut self.reachability.view.misdirected_workers;
-        let came = misdirected_workers.came(
+        let decision = misdirected_workers.on_report(
             sender,
             pool,
             machines,
@@ -130,7 +135,7 @@
             lease_ms,
             self.now,
         );
-        let endpoint = heartbeat.endpoint.clone().filter(|_| came == Came::Ask);
+        let endpoint = heartbeat.endpoint.clone().filter(|_| decision == TakeoverDecision::Probe);
         if let Some(endpoint) = endpoint {
             self.effects.push(Effect::Probe { machine: heartbeat.machine.clone(), endpoint });
         }
@@ -152,7 +157,7 @@
         let no_peer_heard =
             !self.reachability.view.peers.receives_from_any_peer(self.now, PEER_TIMEOUT_MS);
         if !lease_expired
-            || !(no_peer_heard || self.reachability.view.worker_release.others_serve())
+            || !(no_peer_heard || self.reachability.view.worker_release.any_pool_served_elsewhere())
         {
             return None;
         }
@@ -160,9 +165,9 @@
             self.cfg.peers.iter().map(|(peer, _)| peer.clone()).collect();
         let is_idle = !heartbeat.lists_tasks();
         let worker_release = &mut self.reachability.view.worker_release;
-        match worker_release.reports(pool, &heartbeat.machine, is_idle, &peers, self.now) {
-            Answer::Keep => None,
-            Answer::Release(to) => Some(Response::Redirect(to)),
+        match worker_release.on_heartbeat(pool, &heartbeat.machine, is_idle, &peers, self.now) {
+            ReleaseDecision::Keep => None,
+            ReleaseDecision::Release(to) => Some(Response::Redirect(to)),
         }
     }
 
@@ -170,7 +175,11 @@
     /// controller and this controller did not assign it, its workers could not reach that owner.
     pub(crate) fn compare_pool_owners(&mut self) {
         for (pool, ownership) in &self.cache.pools {
-            self.reachability.view.misdirected_workers.see_token(pool, ownership.token, self.now);
+            self.reachability.view.misdirected_workers.record_token(
+                pool,
+                ownership.token,
+                self.now,
+            );
             let before = self.reachability.pool_owners.get(pool);
             if before == Some(&ownership.owner) {
                 continue;
@@ -179,7 +188,7 @@
                 let is_own_assignment =
                     self.reachability.own_assignments.get(pool) == Some(&ownership.owner);
                 if !is_own_assignment && self.cache.controllers.contains_key(before) {
-                    self.reachability.view.left(before, &pool.zone, self.now);
+                    self.reachability.view.record_workers_left(before, &pool.zone, self.now);
                     // The move counts as recent for the minimum time between assignments.
                     self.leadership.pool_assigned_at.insert(pool.clone(), self.now);
                 }
@@ -190,7 +199,7 @@
 
     /// Whether the controller may own pools in a zone: no evidence shows that it does not reach the zone's workers.
     pub(crate) fn may_hold(&self, controller: &ControllerId, zone: &ZoneId) -> bool {
-        self.reachability.view.may_hold(&self.cfg.controller_id, controller, zone, self.now)
+        self.reachability.view.may_own_pools(&self.cfg.controller_id, controller, zone, self.now)
     }
 
     /// Controllers that reach the pool's workers while its live owner does not.
@@ -200,8 +209,9 @@
         pool: &PoolId,
     ) -> BTreeSet<ControllerId> {
         let (view, me) = (&self.reachability.view, &self.cfg.controller_id);
-        let reaches =
-            |other: &&ControllerId| view.reaches_instead(me, other, owner, &pool.zone, self.now);
+        let reaches = |other: &&ControllerId| {
+            view.is_alternative_owner(me, other, owner, &pool.zone, self.now)
+        };
         self.cache.controllers.keys().filter(reaches).cloned().collect()
     }
 }
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -90,7 +90,7 @@
         if heartbeat.token > token {
             // Another controller was assigned the pool, and the assignment has not been read yet.
             self.session.sync_wanted = true;
-            self.reachability.view.worker_release.is_served(&pool, self.now);
+            self.reachability.view.worker_release.record_served_elsewhere(&pool, self.now);
             return self.reply(rid, Response::Redirect(None));
         }
         let worker_authority = match self.worker_authority(&pool) {
@@ -131,7 +131,7 @@
             }
         };
         if let Some(machine) = self.inventory.machines.get_mut(&id) {
-            machine.partition_detector.answered(self.now, new_token, &commands);
+            machine.partition_detector.record_answer(self.now, new_token, &commands);
         }
         let hold_ms = if commands.is_empty() { self.long_poll_ms(&id) } else { 0 };
         if hold_ms > 0 {
@@ -184,18 +184,18 @@
 
     /// Records an unchanged heartbeat as the machine's latest without parsing its tasks.
     fn record_unchanged_heartbeat(&mut self, heartbeat: &RawHeartbeat, token: FencingToken) {
-        self.reachability.view.misdirected_workers.arrived(&heartbeat.machine);
+        self.reachability.view.misdirected_workers.record_owner_contact(&heartbeat.machine);
         self.abandon_long_poll(&heartbeat.machine);
-        self.reachability.view.note_contact(&heartbeat.zone, self.now);
+        self.reachability.view.record_contact(&heartbeat.zone, self.now);
         let (now, detection_applies) =
             (self.now, self.backpressure <= MAX_BACKPRESSURE_FOR_DETECTION);
         let Some(machine) = self.inventory.machines.get_mut(&heartbeat.machine) else { return };
         machine.last_heartbeat_at = Some(now);
         if !detection_applies {
-            machine.partition_detector.excuse();
+            machine.partition_detector.discard_last_answer();
         }
         let tasks = machine.heartbeat.as_ref().map_or(&[][..], |last| &last.tasks);
-        self.replan_needed |= machine.partition_detector.next_heartbeat(
+        self.replan_needed |= machine.partition_detector.on_heartbeat(
             now,
             self.cfg.heartbeat_interval_ms,
             true,
@@ -269,9 +269,9 @@
         machine.endpoint.clone_from(&heartbeat.endpoint);
         machine.last_answer = Some((now, token));
         if self.backpressure > MAX_BACKPRESSURE_FOR_DETECTION {
-            machine.partition_detector.excuse();
+            machine.partition_detector.discard_last_answer();
         }
-        let partition_changed = machine.partition_detector.next_heartbeat(
+        let partition_changed = machine.partition_detector.on_heartbeat(
             now,
             self.cfg.heartbeat_interval_ms,
             has_current_token,
@@ -288,9 +288,9 @@
             machine.lease_expired = false;
             machine.reclaim_at = heartbeat.notice_s.map(|s| now.plus_s(s));
             machine.state = Some(MachineState::Running);
-            self.reachability.view.misdirected_workers.arrived(id);
+            self.reachability.view.misdirected_workers.record_owner_contact(id);
             if !is_partitioned {
-                self.reachability.view.note_contact(&pool.zone, now);
+                self.reachability.view.record_contact(&pool.zone, now);
             }
         }
         let last = machine.heartbeat.as_ref();
--- a/crates/cleatfold-control/src/pools/long_polls.rs
+++ b/crates/cleatfold-control/src/pools/long_polls.rs
@@ -64,7 +64,7 @@
                     let commands = self.start_commands(&id, poll.token);
                     self.record_fetch_commands(&id, &commands);
                     if let Some(machine) = self.inventory.machines.get_mut(&id) {
-                        machine.partition_detector.answered_late(self.now, &commands);
+                        machine.partition_detector.record_delayed_answer(self.now, &commands);
                     }
                     authority.answer(commands)
                 }
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -216,8 +216,8 @@
             stands: known.is_some_and(|n| n.value.incarnation == ownership.incarnation)
                 && *owner_id != self.cfg.controller_id,
             silence_ms: peers.last_message(owner_id).map(|at| now.since(at)),
-            read_ms: peers.contact(owner_id).map(|at| now.since(at)),
-            lost_workers: peers.of_zone(owner_id, &pool.zone, now).is_some_and(|h| h.lost),
+            read_ms: peers.last_store_read(owner_id).map(|at| now.since(at)),
+            lost_workers: peers.zone_contact(owner_id, &pool.zone, now).is_some_and(|h| h.lost),
         };
         // A pool announced over the mesh under a token that is not read yet belongs to the sender.
         self.pools.superseded_by.contains_key(pool) || lives(owner, listener_health)
--- a/crates/cleatfold-reachability/src/lib.rs
+++ b/crates/cleatfold-reachability/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reachability: which zones' workers each controller reaches, since when not, by what evidence,
-//! and which controller may therefore be given a share of a zone's machines.
+//! Reachability: which zones' workers each controller reaches, since when, on what evidence, and
+//! which controllers may therefore own pools in a zone.
 //!
-//! Hints, all of it: who owns a pool is decided in the state service, under tokens. What is decided
-//! here is only whom it is worth asking. `docs/reachability.md` weighs and argues.
+//! All results are hints: the state service decides who owns a pool, guarded by fencing tokens.
+//! This crate only decides which ownership changes to attempt. See `docs/reachability.md`.
 
 #![warn(
     missing_docs,
@@ -12,97 +12,111 @@
     clippy::unwrap_used
 )]
 
-mod contact;
+mod excluded_controllers;
 mod misdirected_workers;
 mod one_way_partition;
 mod peers;
-mod shunned;
 mod worker_release;
+mod zone_monitor;
 
-pub use contact::{Contact, Probe, Timing};
-pub use misdirected_workers::{Came, MisdirectedWorkers};
+pub use excluded_controllers::ExcludedControllers;
+pub use misdirected_workers::{MisdirectedWorkers, TakeoverDecision};
 pub use one_way_partition::OneWayPartitionDetector;
 pub use peers::{Peers, ZoneContact};
-pub use shunned::ShunnedControllers;
-pub use worker_release::{Answer, WorkerRelease};
+pub use worker_release::{ReleaseDecision, WorkerRelease};
+pub use zone_monitor::{Probe, Timing, ZoneMonitor};
 
 use cleatfold_wire::{ControllerId, MachineId, Ms, ZoneId};
 use std::collections::BTreeMap;
 
-/// Who has heard of a zone so much later than its owner reaches what that does not. Covers the way
-/// of what they tell, and clocks.
-const SINCE_MS: u64 = 1_500;
+/// How much later than the owner's last contact another controller's contact with a zone must be
+/// for it to count as newer. Covers message delay and clock differences.
+const MIN_CONTACT_LEAD_MS: u64 = 1_500;
 
-/// One controller's view of who reaches whom.
+/// One controller's view of which controllers reach which zones.
 #[derive(Clone, Debug, Default)]
 pub struct Reachability {
     timing: Timing,
-    zones: BTreeMap<ZoneId, Contact>,
-    /// What is heard of the other controllers.
+    zones: BTreeMap<ZoneId, ZoneMonitor>,
+    /// State reported by the other controllers.
     pub peers: Peers,
-    /// Workers that come here in vain.
+    /// Workers that report to this controller although another one owns their pool.
     pub misdirected_workers: MisdirectedWorkers,
-    /// Which workers to let go while nothing is heard of anybody else.
+    /// Decides which workers to release while neither the state service nor a peer can be reached.
     pub worker_release: WorkerRelease,
-    shunned: ShunnedControllers,
+    excluded: ExcludedControllers,
 }
 
 impl Reachability {
-    /// A view in which nothing is known yet.
+    /// Creates a view without any evidence.
     pub fn new(timing: Timing) -> Self {
         Self { timing, ..Self::default() }
     }
 
-    /// A worker of the zone has just spoken to us, by evidence: a report newer than all before under our
-    /// token from a worker that hears us, or its answer to a question. (Copies of old reports once made
-    /// a lost zone look reached.)
-    pub fn note_contact(&mut self, zone: &ZoneId, now: Ms) {
-        self.zones.entry(zone.clone()).or_default().note_contact(now);
+    /// Records contact with a worker of the zone. Valid evidence is a heartbeat newer than all
+    /// earlier ones, under this controller's token, from a worker that receives answers; or an
+    /// answer to a probe. (Delayed copies of old heartbeats would make a lost zone look reachable.)
+    pub fn record_contact(&mut self, zone: &ZoneId, now: Ms) {
+        self.zones.entry(zone.clone()).or_default().record_contact(now);
     }
 
-    /// A question to a machine of the zone was answered, or was not.
-    pub fn probed(&mut self, zone: &ZoneId, machine: &MachineId, answered: bool, now: Ms) {
-        let contact = self.zones.entry(zone.clone()).or_default();
+    /// Records whether a machine of the zone answered a probe.
+    pub fn record_probe_result(
+        &mut self,
+        zone: &ZoneId,
+        machine: &MachineId,
+        answered: bool,
+        now: Ms,
+    ) {
+        let zone_monitor = self.zones.entry(zone.clone()).or_default();
         if answered {
-            contact.note_contact(now);
+            zone_monitor.record_contact(now);
         } else {
-            contact.unanswered(machine);
+            zone_monitor.record_unanswered(machine);
         }
     }
 
-    /// Which machine should be asked now, if any: of zones that have not been heard of for a while.
-    /// `machines` are a zone's, in any order that stays; `own` says in which zones workers report to us.
-    pub fn probe<'a>(
+    /// The probes to send now, to zones without recent contact. Each zone comes with its machines,
+    /// in a stable order, and the number of them that report to this controller.
+    pub fn due_probes<'a>(
         &mut self,
         now: Ms,
         zones: impl IntoIterator<Item = (&'a ZoneId, &'a [MachineId], usize)>,
     ) -> Vec<Probe> {
         let mut probes = Vec::new();
-        for (zone, machines, own) in zones {
-            let doubted = self.peers.someone_lost(zone, now);
-            let contact = self.zones.entry(zone.clone()).or_default();
-            probes.extend(contact.probe(&self.timing, now, zone, machines, own, doubted));
+        for (zone, machines, reporting) in zones {
+            let peer_lost_zone = self.peers.any_peer_lost_zone(zone, now);
+            let zone_monitor = self.zones.entry(zone.clone()).or_default();
+            probes.extend(zone_monitor.next_probe(
+                &self.timing,
+                now,
+                zone,
+                machines,
+                reporting,
+                peer_lost_zone,
+            ));
         }
         probes
     }
 
-    /// What we hear of each zone's workers.
+    /// This controller's contact with each zone's workers.
     pub fn zone_contacts(&self) -> impl Iterator<Item = (&ZoneId, ZoneContact)> {
-        self.zones.iter().map(|(z, c)| (z, ZoneContact { at: c.last_contact(), lost: c.is_lost() }))
+        self.zones.iter().map(|(z, m)| (z, ZoneContact { at: m.last_contact(), lost: m.is_lost() }))
     }
 
-    /// We stood still for so long: our silence says nothing about anybody else.
-    pub fn stood_still(&mut self, now: Ms) {
-        self.zones.values_mut().for_each(|c| c.begin_anew(now));
-        self.peers.forget();
+    /// Discards the evidence after this process was paused: missing messages during the pause do
+    /// not show that anything else failed.
+    pub fn reset_after_pause(&mut self, now: Ms) {
+        self.zones.values_mut().for_each(|m| m.reset(now));
+        self.peers.reset();
     }
 
-    /// A zone's workers left a controller that was alive, and another took them over.
-    pub fn left(&mut self, controller: &ControllerId, zone: &ZoneId, now: Ms) {
-        self.shunned.left(controller, zone, now);
+    /// Records that a zone's workers left a live controller and another one took over their pool.
+    pub fn record_workers_left(&mut self, controller: &ControllerId, zone: &ZoneId, now: Ms) {
+        self.excluded.record_workers_left(controller, zone, now);
     }
 
-    fn of_zone(
+    fn zone_contact(
         &self,
         me: &ControllerId,
         controller: &ControllerId,
@@ -110,41 +124,43 @@
         now: Ms,
     ) -> Option<ZoneContact> {
         if controller == me {
-            let contact = self.zones.get(zone);
-            return contact.map(|c| ZoneContact { at: c.last_contact(), lost: c.is_lost() });
+            let zone_monitor = self.zones.get(zone);
+            return zone_monitor.map(|m| ZoneContact { at: m.last_contact(), lost: m.is_lost() });
         }
-        self.peers.of_zone(controller, zone, now)
+        self.peers.zone_contact(controller, zone, now)
     }
 
-    /// Whether a share of the zone's machines may be given to the controller.
-    pub fn may_hold(
+    /// Whether the controller may own pools in the zone.
+    pub fn may_own_pools(
         &self,
         me: &ControllerId,
         controller: &ControllerId,
         zone: &ZoneId,
         now: Ms,
     ) -> bool {
-        let lost = self.of_zone(me, controller, zone, now).is_some_and(|h| h.lost);
-        !lost && !self.shunned.is_shunned(controller, zone, now)
+        let lost = self.zone_contact(me, controller, zone, now).is_some_and(|c| c.lost);
+        !lost && !self.excluded.is_excluded(controller, zone, now)
     }
 
-    /// Whether `other` reaches the zone's workers where `owner`, a live controller, does not: it has heard of
-    /// them since the owner last did. (Machines that have died are lost for everybody, first for
-    /// their owner, who asks first: their pools went round, and each new owner waited anew before it
-    /// gave them up.)
-    pub fn reaches_instead(
+    /// Whether `candidate` reaches the zone's workers while `owner`, a live controller, does not:
+    /// `candidate` had contact with them after `owner` last did. (When machines fail, every
+    /// controller loses them, and the owner first because it probes first. Without the comparison
+    /// of times such a pool moved from owner to owner, and each new owner waited for the full
+    /// timeout before it gave the machines up.)
+    pub fn is_alternative_owner(
         &self,
         me: &ControllerId,
-        other: &ControllerId,
+        candidate: &ControllerId,
         owner: &ControllerId,
         zone: &ZoneId,
         now: Ms,
     ) -> bool {
-        let Some(lost) = self.of_zone(me, owner, zone, now).filter(|h| h.lost) else {
+        let Some(owner_contact) = self.zone_contact(me, owner, zone, now).filter(|c| c.lost) else {
             return false;
         };
-        let contact = self.of_zone(me, other, zone, now);
-        let since = contact.is_some_and(|h| !h.lost && h.at > lost.at.plus(SINCE_MS));
-        since && other != owner && self.may_hold(me, other, zone, now)
+        let contact = self.zone_contact(me, candidate, zone, now);
+        let has_newer_contact =
+            contact.is_some_and(|c| !c.lost && c.at > owner_contact.at.plus(MIN_CONTACT_LEAD_MS));
+        has_newer_contact && candidate != owner && self.may_own_pools(me, candidate, zone, now)
     }
 }
--- a/crates/cleatfold-reachability/src/one_way_partition.rs
+++ b/crates/cleatfold-reachability/src/one_way_partition.rs
@@ -1,25 +1,27 @@
-//! Whether a machine hears what it is answer.
+//! Detects one-way network partitions: a machine's heartbeats arrive, but it receives no answers.
 //!
-//! A machine may be heard and hear nothing: its reports come, to each controller in turn, and neither
-//! answers nor commands arrive. It looks alive, is given tasks again after each lapse of its lease, and what is
-//! given to it waits a lease each time. So what was answered has to show in what is reported.
+//! Such a machine sends its heartbeats to each controller in turn, and neither answers nor commands
+//! reach it. It looks healthy and is given tasks after each expiry of its lease, and every task
+//! placed on it is delayed by a lease. So the effects of an answer must be visible in later
+//! heartbeats.
 
 use cleatfold_wire::worker::{Command, TaskReport, TaskState};
 use cleatfold_wire::{Attempt, Ms, TaskId};
 
-/// After so long without an answer a worker turns to the next controller (PROTOCOL). A report that comes
-/// sooner after our answer was sent by a worker that got some answer.
-const GIVES_UP_MS: u64 = 4_000;
-/// Reports in a row that show no effect.
-const IN_VAIN: u32 = 2;
-/// A machine that stops hearing again so soon after it was taken back has to go on hearing for a while
-/// before it is believed: 15 s, twice as long each time.
-const AGAIN_MS: u64 = 240_000;
-const FIRST_PAUSE_MS: u64 = 15_000;
+/// Time without an answer after which a worker turns to the next controller (PROTOCOL). If a
+/// heartbeat arrives sooner after an answer, the worker received some answer.
+const WORKER_ANSWER_TIMEOUT_MS: u64 = 4_000;
+/// Consecutive heartbeats without a visible effect after which a machine counts as partitioned.
+const PARTITIONED_AFTER_HEARTBEATS: u32 = 2;
+/// A machine that becomes partitioned again within `RELAPSE_WINDOW_MS` after a recovery must
+/// receive answers for some time before it counts as recovered: 15 s, doubled with each relapse up to
+/// `RELAPSE_WINDOW_MS`.
+const RELAPSE_WINDOW_MS: u64 = 240_000;
+const FIRST_RECOVERY_MS: u64 = 15_000;
 
-/// What shows that an order was heard.
+/// Evidence in a heartbeat that a command was received.
 #[derive(Clone, Debug, PartialEq)]
-enum Sign {
+enum ExpectedEffect {
     Listed(TaskId, Attempt),
     NotRunning(TaskId, Attempt),
     NotListed(TaskId, Attempt),
@@ -28,49 +30,54 @@
 #[derive(Clone, Debug)]
 struct SentAnswer {
     at: Ms,
-    /// Our token was news to it.
-    token: bool,
-    signs: Vec<Sign>,
+    /// Whether the answer carried a token that the worker had not seen.
+    is_new_token: bool,
+    expected_effects: Vec<ExpectedEffect>,
 }
 
-/// One machine's hearing, as its pool's owner sees it.
+/// The evidence about one machine, kept by its pool's owner.
 #[derive(Clone, Debug, Default)]
 pub struct OneWayPartitionDetector {
     last_answer: Option<SentAnswer>,
-    in_vain: u32,
+    heartbeats_without_effect: u32,
     partitioned_since: Option<Ms>,
-    /// When it was last taken back, and how often it has been partitioned before.
-    back: Option<Ms>,
-    times: u32,
-    /// While partitioned: since when it has heard again.
+    /// Time of the last recovery, and the number of relapses.
+    last_recovery: Option<Ms>,
+    relapses: u32,
+    /// While partitioned: since when answers have been received again.
     delivering_since: Option<Ms>,
 }
 
 impl OneWayPartitionDetector {
-    /// A report was answered: with a token it had not seen, if so, and with these orders.
-    pub fn answered(&mut self, now: Ms, new_token: bool, commands: &[Command]) {
-        let sign = |c: &Command| match c {
-            Command::Start { task, attempt, .. } => Sign::Listed(task.clone(), *attempt),
-            Command::Stop { task, attempt, .. } => Sign::NotRunning(task.clone(), *attempt),
-            Command::Forget { task, attempt } => Sign::NotListed(task.clone(), *attempt),
+    /// Records the answer to a heartbeat: whether its token was new to the worker, and its
+    /// commands.
+    pub fn record_answer(&mut self, now: Ms, new_token: bool, commands: &[Command]) {
+        let expected_effect = |c: &Command| match c {
+            Command::Start { task, attempt, .. } => ExpectedEffect::Listed(task.clone(), *attempt),
+            Command::Stop { task, attempt, .. } => {
+                ExpectedEffect::NotRunning(task.clone(), *attempt)
+            }
+            Command::Forget { task, attempt } => ExpectedEffect::NotListed(task.clone(), *attempt),
         };
-        let signs = commands.iter().take(8).map(sign).collect();
-        self.last_answer = Some(SentAnswer { at: now, token: new_token, signs });
+        let expected_effects = commands.iter().take(8).map(expected_effect).collect();
+        self.last_answer = Some(SentAnswer { at: now, is_new_token: new_token, expected_effects });
     }
 
-    /// The answer waited for orders and goes only now.
-    pub fn answered_late(&mut self, now: Ms, commands: &[Command]) {
-        let token = self.last_answer.as_ref().is_some_and(|t| t.token);
-        self.answered(now, token, commands);
+    /// Records an answer that was held back until there were commands to send.
+    pub fn record_delayed_answer(&mut self, now: Ms, commands: &[Command]) {
+        let new_token = self.last_answer.as_ref().is_some_and(|a| a.is_new_token);
+        self.record_answer(now, new_token, commands);
     }
 
-    /// We were late ourselves: what shows or does not says nothing.
-    pub fn excuse(&mut self) {
+    /// Discards the last answer because this controller was delayed: the next heartbeat proves
+    /// nothing.
+    pub fn discard_last_answer(&mut self) {
         self.last_answer = None;
     }
 
-    /// A newer report came. `has_token`: it carries our token. True if whether it is partitioned has changed.
-    pub fn next_heartbeat(
+    /// Evaluates a newer heartbeat. `has_token`: it carries this controller's token. Returns
+    /// whether the machine became partitioned or recovered.
+    pub fn on_heartbeat(
         &mut self,
         now: Ms,
         heartbeat_interval_ms: u64,
@@ -78,60 +85,66 @@
         tasks: &[TaskReport],
     ) -> bool {
         let Some(answer) = self.last_answer.take() else { return false };
-        let passed = now.since(answer.at);
-        let expected = answer.token || !answer.signs.is_empty();
+        let passed_ms = now.since(answer.at);
+        let expects_effect = answer.is_new_token || !answer.expected_effects.is_empty();
         let find = |task: &TaskId, attempt: Attempt| {
             tasks.iter().find(|t| t.task == *task && t.attempt == attempt)
         };
-        let shows = |sign: &Sign| match sign {
-            Sign::Listed(task, attempt) => find(task, *attempt).is_some(),
-            Sign::NotRunning(task, attempt) => find(task, *attempt)
+        let is_visible = |effect: &ExpectedEffect| match effect {
+            ExpectedEffect::Listed(task, attempt) => find(task, *attempt).is_some(),
+            ExpectedEffect::NotRunning(task, attempt) => find(task, *attempt)
                 .is_none_or(|t| matches!(t.state, TaskState::Exited | TaskState::Saving)),
-            Sign::NotListed(task, attempt) => find(task, *attempt).is_none(),
+            ExpectedEffect::NotListed(task, attempt) => find(task, *attempt).is_none(),
         };
-        let shown = (answer.token && has_token) || answer.signs.iter().any(shows);
-        // It reports within its interval of an answer, and sooner when something changes.
-        let interval_kept = passed <= heartbeat_interval_ms * 5 / 4 + 1500;
-        if shown || (!expected && (passed < GIVES_UP_MS || interval_kept)) {
+        let effect_seen =
+            (answer.is_new_token && has_token) || answer.expected_effects.iter().any(is_visible);
+        // After an answer a worker sends the next heartbeat within its interval, or sooner on a
+        // change.
+        let within_interval = passed_ms <= heartbeat_interval_ms * 5 / 4 + 1500;
+        if effect_seen
+            || (!expects_effect && (passed_ms < WORKER_ANSWER_TIMEOUT_MS || within_interval))
+        {
             self.confirm_delivery(now)
-        } else if passed < GIVES_UP_MS {
-            // An answer that was lost on the way: the next one will tell.
+        } else if passed_ms < WORKER_ANSWER_TIMEOUT_MS {
+            // A single answer may have been lost; the next heartbeat decides.
             false
         } else {
             self.delivering_since = None;
-            self.in_vain += 1;
-            let newly = self.in_vain >= IN_VAIN && self.partitioned_since.is_none();
-            if newly {
-                let again = self.back.is_some_and(|at| now.since(at) < AGAIN_MS);
-                self.times = if again { self.times + 1 } else { 0 };
+            self.heartbeats_without_effect += 1;
+            let newly_partitioned = self.heartbeats_without_effect >= PARTITIONED_AFTER_HEARTBEATS
+                && self.partitioned_since.is_none();
+            if newly_partitioned {
+                let is_relapse =
+                    self.last_recovery.is_some_and(|at| now.since(at) < RELAPSE_WINDOW_MS);
+                self.relapses = if is_relapse { self.relapses + 1 } else { 0 };
                 self.partitioned_since = Some(now);
             }
-            newly
+            newly_partitioned
         }
     }
 
     fn confirm_delivery(&mut self, now: Ms) -> bool {
-        self.in_vain = 0;
+        self.heartbeats_without_effect = 0;
         let since = *self.delivering_since.get_or_insert(now);
-        let pause = match self.times {
+        let recovery_ms = match self.relapses {
             0 => 0,
-            n => (FIRST_PAUSE_MS << (n - 1).min(8)).min(AGAIN_MS),
+            n => (FIRST_RECOVERY_MS << (n - 1).min(8)).min(RELAPSE_WINDOW_MS),
         };
-        if self.partitioned_since.is_none() || now.since(since) < pause {
+        if self.partitioned_since.is_none() || now.since(since) < recovery_ms {
             return false;
         }
         self.partitioned_since = None;
         self.delivering_since = None;
-        self.back = Some(now);
+        self.last_recovery = Some(now);
         true
     }
 
-    /// Whether the machine reports and receives nothing.
+    /// Whether the machine sends heartbeats but receives no answers.
     pub fn is_partitioned(&self) -> bool {
         self.partitioned_since.is_some()
     }
 
-    /// For how long it has been.
+    /// How long the machine has been partitioned; 0 if it is not.
     pub fn partitioned_ms(&self, now: Ms) -> u64 {
         self.partitioned_since.map_or(0, |since| now.since(since))
     }
--- a/crates/cleatfold-reachability/src/peers.rs
+++ b/crates/cleatfold-reachability/src/peers.rs
@@ -1,33 +1,33 @@
-//! What is heard of the other controllers, and what they say of themselves.
+//! State that the other controllers report about themselves.
 
 use cleatfold_wire::{ControllerId, Ms, ZoneId};
 use std::collections::BTreeMap;
 
-/// What a peer says of itself is forgotten after so long.
+/// Zone contacts reported by a peer expire after this time.
 const PEER_STATE_TTL_MS: u64 = 6_000;
-/// A peer that read the state service so lately can serve users that we can't.
-const READS_MS: u64 = 4_000;
+/// A peer that read the state service within this time can serve users when this controller cannot.
+const STORE_READ_TTL_MS: u64 = 4_000;
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    /// When it last said that it had read the state service.
-    contact: Option<Ms>,
-    /// When anything last came from it.
+    /// When it last read the state service, as it reports.
+    last_store_read: Option<Ms>,
+    /// When the last message from it arrived.
     last_message: Option<Ms>,
-    /// What it says of the zones, and when it said so.
-    zones: Option<(Ms, BTreeMap<ZoneId, ZoneContact>)>,
+    /// The zone contacts that it reported, and when the report arrived.
+    zone_contacts: Option<(Ms, BTreeMap<ZoneId, ZoneContact>)>,
 }
 
-/// What a controller hears of one zone's workers.
+/// A controller's contact with one zone's workers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneContact {
-    /// When it last heard of any, on the steady clock of whoever keeps this.
+    /// Time of the last contact, on the monotonic clock of the controller that keeps this value.
     pub at: Ms,
-    /// It has asked them in vain since.
+    /// Whether probes since then went unanswered, so that the zone counts as lost.
     pub lost: bool,
 }
 
-/// The other controllers, by name.
+/// The state of the other controllers, by id.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
     peers: BTreeMap<ControllerId, Peer>,
@@ -38,64 +38,66 @@
         self.peers.entry(controller.clone()).or_default()
     }
 
-    /// Something came from the peer.
-    pub fn note_message(&mut self, controller: &ControllerId, now: Ms) {
+    /// Records that a message from the peer arrived.
+    pub fn record_message(&mut self, controller: &ControllerId, now: Ms) {
         self.peer(controller).last_message = Some(now);
     }
 
-    /// It read the state service at that moment.
-    pub fn read(&mut self, controller: &ControllerId, at: Ms) {
-        self.peer(controller).contact = Some(at);
+    /// Records that the peer read the state service at `at`.
+    pub fn record_store_read(&mut self, controller: &ControllerId, at: Ms) {
+        self.peer(controller).last_store_read = Some(at);
     }
 
-    /// The peer says which zones' workers it hears.
-    pub fn note_zone_contacts(
+    /// Records the zone contacts that the peer reported.
+    pub fn record_zone_contacts(
         &mut self,
         controller: &ControllerId,
         zones: BTreeMap<ZoneId, ZoneContact>,
         now: Ms,
     ) {
-        self.peer(controller).zones = Some((now, zones));
+        self.peer(controller).zone_contacts = Some((now, zones));
     }
 
-    /// When anything last came from the peer.
+    /// When the last message from the peer arrived.
     pub fn last_message(&self, controller: &ControllerId) -> Option<Ms> {
         self.peers.get(controller).and_then(|p| p.last_message)
     }
 
-    /// When it last read the state service, by its own word.
-    pub fn contact(&self, controller: &ControllerId) -> Option<Ms> {
-        self.peers.get(controller).and_then(|p| p.contact)
+    /// When the peer last read the state service, as it reports.
+    pub fn last_store_read(&self, controller: &ControllerId) -> Option<Ms> {
+        self.peers.get(controller).and_then(|p| p.last_store_read)
     }
 
-    /// Some peer was heard of within the last `ms`.
-    pub fn receives_from_any_peer(&self, now: Ms, ms: u64) -> bool {
-        self.peers.values().any(|p| p.last_message.is_some_and(|at| now.since(at) <= ms))
+    /// Whether a message from any peer arrived within the last `window_ms`.
+    pub fn receives_from_any_peer(&self, now: Ms, window_ms: u64) -> bool {
+        self.peers.values().any(|p| p.last_message.is_some_and(|at| now.since(at) <= window_ms))
     }
 
-    /// Some peer reads the state service.
-    pub fn someone_reads(&self, now: Ms) -> bool {
-        self.peers.values().any(|p| p.contact.is_some_and(|c| now.since(c) < READS_MS))
+    /// Whether any peer has read the state service recently.
+    pub fn any_peer_reads_store(&self, now: Ms) -> bool {
+        self.peers
+            .values()
+            .any(|p| p.last_store_read.is_some_and(|at| now.since(at) < STORE_READ_TTL_MS))
     }
 
-    /// What it has said lately of the zone's workers.
-    pub fn of_zone(
+    /// The peer's contact with the zone's workers, if it was reported recently.
+    pub fn zone_contact(
         &self,
         controller: &ControllerId,
         zone: &ZoneId,
         now: Ms,
     ) -> Option<ZoneContact> {
-        let (at, zones) = self.peers.get(controller)?.zones.as_ref()?;
+        let (at, zones) = self.peers.get(controller)?.zone_contacts.as_ref()?;
         zones.get(zone).filter(|_| now.since(*at) <= PEER_STATE_TTL_MS).copied()
     }
 
-    /// Some peer has lost the zone's workers.
-    pub fn someone_lost(&self, zone: &ZoneId, now: Ms) -> bool {
-        self.peers.keys().any(|n| self.of_zone(n, zone, now).is_some_and(|h| h.lost))
+    /// Whether any peer reports the zone as lost.
+    pub fn any_peer_lost_zone(&self, zone: &ZoneId, now: Ms) -> bool {
+        self.peers.keys().any(|id| self.zone_contact(id, zone, now).is_some_and(|c| c.lost))
     }
 
-    /// We stood still: what they said before that is old.
-    pub fn forget(&mut self) {
+    /// Discards all state after this process was paused: it is outdated.
+    pub fn reset(&mut self) {
         for peer in self.peers.values_mut() {
             *peer = Peer::default();
         }
--- a/crates/cleatfold-reachability/src/worker_release.rs
+++ b/crates/cleatfold-reachability/src/worker_release.rs
@@ -1,111 +1,122 @@
-//! Lets workers go when nothing is heard of the state service nor of the other controllers.
+//! Releases workers while neither the state service nor the other controllers can be reached.
 //!
-//! A controller that has lost both, but not its workers, can't tell whether all have lost the state service
-//! (then letting its workers go would cost their leases) or it alone (then others own its pools by now, and as
-//! long as it answers its workers nothing starts there). So it lets one worker of each pool go and sees what
-//! becomes of it: sent away by the others it is back in a moment and still unserved; served, it does not come
-//! back, or with a higher token.
+//! A controller that has lost both, but not its workers, cannot tell whether all controllers have
+//! lost the state service (then releasing its workers would cost them their leases) or only itself
+//! (then other controllers own its pools by now, and no task starts on its workers while it answers
+//! them). So it releases one worker of each pool as a canary. If the other controllers turn the
+//! canary away, it soon returns without a new owner; if its pool is served elsewhere, it does not
+//! return, or returns with a higher token.
 
 use cleatfold_wire::{ControllerId, MachineId, Ms, PoolId};
 use std::collections::BTreeMap;
 
-/// The way to another controller and back (PROTOCOL: half a second to go where it is sent), and a moment
-/// for an answer. Whoever is not back after that is served.
-const ROUND_MS: u64 = 3_500;
-/// After somebody came back unserved nobody is let go for so long.
-const PAUSE_MS: u64 = 10_000;
-/// Workers with nothing to lose are let go first; where all are busy, one of them after so long.
-const BUSY_MS: u64 = 1_500;
+/// Time for a canary to reach another controller and return (PROTOCOL: half a second to follow a
+/// redirect), including the time for an answer. A canary that is not back by then is served
+/// elsewhere.
+const RETURN_TIMEOUT_MS: u64 = 3_500;
+/// Minimum time between the return of a canary that was turned away and the next release.
+const RELEASE_INTERVAL_MS: u64 = 10_000;
+/// Idle workers are preferred as canaries because they have no tasks to lose; if all are busy, a
+/// busy one is released after this time.
+const BUSY_CANARY_DELAY_MS: u64 = 1_500;
 
 #[derive(Clone, Debug)]
-struct Scout {
+struct Canary {
     machine: MachineId,
-    left: Ms,
+    released_at: Ms,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Search {
-    since: Ms,
-    scout: Option<Scout>,
-    /// It came back unserved then.
-    back: Option<Ms>,
-    /// Others serve this pool.
-    served: bool,
+struct PoolState {
+    waiting_since: Ms,
+    canary: Option<Canary>,
+    /// When the last canary returned after it was turned away.
+    last_return: Option<Ms>,
+    /// Whether another controller serves this pool.
+    served_elsewhere: bool,
 }
 
-/// The pools of a controller whose own lease is over.
+/// Release state by pool, for a controller whose own lease has expired.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerRelease {
-    pools: BTreeMap<PoolId, Search>,
-    /// Whom the next scout is sent to.
-    turn: usize,
+    pools: BTreeMap<PoolId, PoolState>,
+    /// Selects the peer to which the next canary is redirected.
+    next_peer: usize,
 }
 
-/// What to do with a worker that reports.
+/// How to answer a worker's heartbeat.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
-    /// Answer it as ever.
+pub enum ReleaseDecision {
+    /// Answer it normally.
     Keep,
-    /// To this controller, or to whichever it finds.
+    /// Redirect it to this controller, or to any other if `None`.
     Release(Option<ControllerId>),
 }
 
 impl WorkerRelease {
-    /// We are in contact again, or know better who owns what.
+    /// Discards all state: there is contact with the state service again, or newer information
+    /// about the owners of pools.
     pub fn reset(&mut self) {
         self.pools.clear();
     }
 
-    /// A worker of the pool came with a token above ours.
-    pub fn is_served(&mut self, pool: &PoolId, now: Ms) {
-        let search = self.pools.entry(pool.clone()).or_default();
-        search.since = now;
-        search.served = true;
+    /// Records that a worker of the pool reported a token above this controller's.
+    pub fn record_served_elsewhere(&mut self, pool: &PoolId, now: Ms) {
+        let pool_state = self.pools.entry(pool.clone()).or_default();
+        pool_state.waiting_since = now;
+        pool_state.served_elsewhere = true;
     }
 
-    /// Others are known to serve what was ours.
-    pub fn others_serve(&self) -> bool {
-        self.pools.values().any(|s| s.served)
+    /// Whether another controller is known to serve any of the pools.
+    pub fn any_pool_served_elsewhere(&self) -> bool {
+        self.pools.values().any(|p| p.served_elsewhere)
     }
 
-    /// A worker of one of our pools reports, under our token. `idle`: it has no tasks.
-    pub fn reports(
+    /// Decides how to answer a heartbeat, under this controller's token, of a worker of one of its
+    /// pools. `is_idle`: the worker has no tasks.
+    pub fn on_heartbeat(
         &mut self,
         pool: &PoolId,
         machine: &MachineId,
-        idle: bool,
+        is_idle: bool,
         peers: &[ControllerId],
         now: Ms,
-    ) -> Answer {
+    ) -> ReleaseDecision {
         if peers.is_empty() {
-            return Answer::Keep;
+            return ReleaseDecision::Keep;
         }
-        let search =
-            self.pools.entry(pool.clone()).or_insert(Search { since: now, ..Search::default() });
-        if search.served {
-            return Answer::Release(None);
+        let pool_state = self
+            .pools
+            .entry(pool.clone())
+            .or_insert(PoolState { waiting_since: now, ..PoolState::default() });
+        if pool_state.served_elsewhere {
+            return ReleaseDecision::Release(None);
         }
-        match &search.scout {
-            Some(scout) if scout.machine == *machine => {
-                // Back under the same token: nobody else serves here, as far as it has found.
-                search.scout = None;
-                search.back = Some(now);
-                search.since = now;
-                Answer::Keep
+        match &pool_state.canary {
+            Some(canary) if canary.machine == *machine => {
+                // The canary is back with the same token: it found no other controller that serves
+                // the pool.
+                pool_state.canary = None;
+                pool_state.last_return = Some(now);
+                pool_state.waiting_since = now;
+                ReleaseDecision::Keep
             }
-            Some(scout) if now.since(scout.left) >= ROUND_MS => {
-                search.served = true;
-                Answer::Release(None)
+            Some(canary) if now.since(canary.released_at) >= RETURN_TIMEOUT_MS => {
+                pool_state.served_elsewhere = true;
+                ReleaseDecision::Release(None)
             }
-            Some(_) => Answer::Keep,
+            Some(_) => ReleaseDecision::Keep,
             None => {
-                let rested = search.back.is_none_or(|at| now.since(at) >= PAUSE_MS);
-                if !rested || !(idle || now.since(search.since) >= BUSY_MS) {
-                    return Answer::Keep;
+                let interval_elapsed =
+                    pool_state.last_return.is_none_or(|at| now.since(at) >= RELEASE_INTERVAL_MS);
+                if !interval_elapsed
+                    || !(is_idle || now.since(pool_state.waiting_since) >= BUSY_CANARY_DELAY_MS)
+                {
+                    return ReleaseDecision::Keep;
                 }
-                search.scout = Some(Scout { machine: machine.clone(), left: now });
-                self.turn += 1;
-                Answer::Release(Some(peers[self.turn % peers.len()].clone()))
+                pool_state.canary = Some(Canary { machine: machine.clone(), released_at: now });
+                self.next_peer += 1;
+                ReleaseDecision::Release(Some(peers[self.next_peer % peers.len()].clone()))
             }
         }
     }
--- a/crates/cleatfold-reachability/tests/one_way_partition.rs
+++ b/crates/cleatfold-reachability/tests/one_way_partition.rs
@@ -1,6 +1,7 @@
-//! Machines that hear nothing, and a controller that hears nobody but its workers.
+//! One-way partitions of machines, and worker release by a controller that reaches only its
+//! workers.
 
-use cleatfold_reachability::{Answer, OneWayPartitionDetector, WorkerRelease};
+use cleatfold_reachability::{OneWayPartitionDetector, ReleaseDecision, WorkerRelease};
 use cleatfold_wire::worker::{Command, TaskReport, TaskState};
 use cleatfold_wire::*;
 use proptest::prelude::*;
@@ -9,46 +10,47 @@
     TaskId { job: JobId::new("run-1"), ix: TaskIx(n) }
 }
 
-fn listed(n: u32) -> TaskReport {
+fn running_task(n: u32) -> TaskReport {
     let state = TaskState::Running;
     TaskReport { task: task(n), attempt: Attempt(1), state, why: None, saved: None }
 }
 
-fn start(n: u32) -> Command {
+fn start_command(n: u32) -> Command {
     Command::Start { task: task(n), attempt: Attempt(1), sources: vec![] }
 }
 
-/// Its reports come all along, each some seconds after our answer, for it waits for that in vain and asks the others.
+/// Heartbeats keep arriving, each some seconds after an answer: the worker waits for the answer in
+/// vain and tries the other controllers first.
 #[test]
-fn two_reports_without_effect_are_enough_and_one_effect_brings_it_back() {
-    for (heartbeat_interval_ms, round_ms) in [(1000, 15_000), (8000, 15_000), (3000, 25_000)] {
+fn two_heartbeats_without_effect_detect_partition_and_one_effect_ends_it() {
+    for (heartbeat_interval_ms, report_gap_ms) in [(1000, 15_000), (8000, 15_000), (3000, 25_000)] {
         let mut partition_detector = OneWayPartitionDetector::default();
         let mut now = Ms(1000);
-        partition_detector.answered(now, true, &[]);
+        partition_detector.record_answer(now, true, &[]);
         for expected in [false, true] {
-            now = now.plus(round_ms);
-            partition_detector.next_heartbeat(now, heartbeat_interval_ms, false, &[]);
+            now = now.plus(report_gap_ms);
+            partition_detector.on_heartbeat(now, heartbeat_interval_ms, false, &[]);
             assert_eq!(partition_detector.is_partitioned(), expected);
-            partition_detector.answered(now, true, &[start(0)]);
+            partition_detector.record_answer(now, true, &[start_command(0)]);
         }
-        now = now.plus(round_ms);
+        now = now.plus(report_gap_ms);
         assert!(
-            partition_detector.next_heartbeat(now, heartbeat_interval_ms, true, &[]),
-            "the token alone shows it"
+            partition_detector.on_heartbeat(now, heartbeat_interval_ms, true, &[]),
+            "the token alone is evidence"
         );
         assert!(!partition_detector.is_partitioned());
-        // And again within minutes: it has to hear for a while before it is believed.
+        // A relapse within minutes: recovery now takes a longer time of received answers.
         for _ in 0..2 {
-            partition_detector.answered(now, false, &[start(1)]);
-            now = now.plus(round_ms);
-            partition_detector.next_heartbeat(now, heartbeat_interval_ms, true, &[]);
+            partition_detector.record_answer(now, false, &[start_command(1)]);
+            now = now.plus(report_gap_ms);
+            partition_detector.on_heartbeat(now, heartbeat_interval_ms, true, &[]);
         }
         assert!(partition_detector.is_partitioned());
         let from = now;
         while partition_detector.is_partitioned() {
-            partition_detector.answered(now, false, &[]);
+            partition_detector.record_answer(now, false, &[]);
             now = now.plus(1000);
-            partition_detector.next_heartbeat(now, heartbeat_interval_ms, true, &[]);
+            partition_detector.on_heartbeat(now, heartbeat_interval_ms, true, &[]);
             assert!(now.since(from) <= 20_000);
         }
         assert!(now.since(from) >= 15_000);
@@ -56,26 +58,27 @@
 }
 
 proptest! {
-    /// A machine that hears is never taken for partitioned: its reports come at its interval, or as soon as something
-    /// changes, what it was ordered shows, and now and then one answer is lost on the way.
+    /// A machine that receives answers is never taken for partitioned: its heartbeats arrive at its
+    /// interval or on a change, they show the effects of commands, and a single answer is lost now
+    /// and then.
     #[test]
-    fn a_machine_that_receives_answers_is_believed(
+    fn machine_that_receives_answers_is_never_partitioned(
         heartbeat_interval_ms in prop::sample::select(vec![1000u64, 3000, 8000]),
         reports in prop::collection::vec((any::<bool>(), any::<bool>(), any::<bool>(), 75u64..125, 0u8..8), 1..200),
     ) {
         let (mut partition_detector, mut now, mut lost) = (OneWayPartitionDetector::default(), Ms(1000), false);
         let mut running = Vec::new();
-        for (i, (orders, token, soon, part, dice)) in reports.into_iter().enumerate() {
+        for (i, (has_commands, new_token, early, interval_percent, loss_roll)) in reports.into_iter().enumerate() {
             let n = i as u32;
-            // Never two answers in a row.
-            lost = dice == 0 && !lost;
-            let commands = if orders { vec![start(n)] } else { vec![] };
-            partition_detector.answered(now, token, &commands);
-            now = now.plus(if lost { 6000 } else if soon || orders { 500 } else { heartbeat_interval_ms * part / 100 });
+            // Never two lost answers in a row.
+            lost = loss_roll == 0 && !lost;
+            let commands = if has_commands { vec![start_command(n)] } else { vec![] };
+            partition_detector.record_answer(now, new_token, &commands);
+            now = now.plus(if lost { 6000 } else if early || has_commands { 500 } else { heartbeat_interval_ms * interval_percent / 100 });
             if !lost {
-                running.extend(orders.then(|| listed(n)));
+                running.extend(has_commands.then(|| running_task(n)));
             }
-            partition_detector.next_heartbeat(now, heartbeat_interval_ms, !lost, &running);
+            partition_detector.on_heartbeat(now, heartbeat_interval_ms, !lost, &running);
             prop_assert!(!partition_detector.is_partitioned());
         }
     }
@@ -89,62 +92,64 @@
     vec![ControllerId::new("n1"), ControllerId::new("n2")]
 }
 
-/// Alone cut off, others serve its pools: all workers are let go some seconds later.
+/// Only this controller is cut off and others serve its pools: some seconds later all workers are
+/// released.
 #[test]
-fn workers_are_let_go_when_the_one_that_went_is_served() {
+fn all_workers_are_released_when_canary_does_not_return() {
     let mut worker_release = WorkerRelease::default();
     let worker = |i: u64| MachineId::new(format!("vm-{i}"));
-    let (mut release_worker, mut scout) = (0, None);
+    let (mut released, mut canary) = (0, None);
     for ms in (0..8000u64).step_by(100) {
-        // Twenty busy workers, each once in 2 s; the scout has gone and does not come again.
+        // Twenty busy workers, each reporting once in 2 s; the released canary does not return.
         let i = ms / 100 % 20;
-        if scout == Some(i) {
+        if canary == Some(i) {
             continue;
         }
-        match worker_release.reports(&pool(), &worker(i), false, &peers(), Ms(10_000 + ms)) {
-            Answer::Release(Some(_)) => {
-                assert_eq!(scout.replace(i), None, "one is enough");
-                assert!(ms >= 1500, "an idle one would have been better");
+        match worker_release.on_heartbeat(&pool(), &worker(i), false, &peers(), Ms(10_000 + ms)) {
+            ReleaseDecision::Release(Some(_)) => {
+                assert_eq!(canary.replace(i), None, "only one canary is released");
+                assert!(ms >= 1500, "busy workers are released only after a delay");
             }
-            Answer::Release(None) => release_worker += 1,
-            Answer::Keep => assert!(release_worker == 0),
+            ReleaseDecision::Release(None) => released += 1,
+            ReleaseDecision::Keep => assert!(released == 0),
         }
     }
-    assert!(release_worker > 20 && worker_release.others_serve());
+    assert!(released > 20 && worker_release.any_pool_served_elsewhere());
 }
 
-/// In an outage for all whoever went is back in a moment, unserved: nobody else goes for a while.
+/// In an outage of the state service for all controllers the canary soon returns unserved, and no
+/// other worker is released for some time.
 #[test]
-fn workers_stay_when_the_one_that_went_is_back_unserved() {
+fn workers_are_kept_when_canary_returns_unserved() {
     let mut worker_release = WorkerRelease::default();
     let worker = |i: u64| MachineId::new(format!("vm-{i}"));
-    let mut away: Option<(u64, u64)> = None;
-    let mut went = 0;
+    let mut canary: Option<(u64, u64)> = None;
+    let mut releases = 0;
     for ms in (0..60_000u64).step_by(100) {
         let i = ms / 100 % 20;
-        let back = away.filter(|a| ms >= a.1 + 1200).map(|a| a.0);
-        let i = back.unwrap_or(i);
-        if away.is_some_and(|a| a.0 == i) && back.is_none() {
+        let returned = canary.filter(|c| ms >= c.1 + 1200).map(|c| c.0);
+        let i = returned.unwrap_or(i);
+        if canary.is_some_and(|c| c.0 == i) && returned.is_none() {
             continue;
         }
-        if back.is_some() {
-            away = None;
+        if returned.is_some() {
+            canary = None;
         }
-        match worker_release.reports(
+        match worker_release.on_heartbeat(
             &pool(),
             &worker(i),
             i.is_multiple_of(2),
             &peers(),
             Ms(10_000 + ms),
         ) {
-            Answer::Release(to) => {
-                assert!(to.is_some(), "never all");
-                away = Some((i, ms));
-                went += 1;
+            ReleaseDecision::Release(to) => {
+                assert!(to.is_some(), "all workers were released");
+                canary = Some((i, ms));
+                releases += 1;
             }
-            Answer::Keep => {}
+            ReleaseDecision::Keep => {}
         }
     }
-    assert!((1..=6).contains(&went), "{went}");
-    assert!(!worker_release.others_serve());
+    assert!((1..=6).contains(&releases), "{releases}");
+    assert!(!worker_release.any_pool_served_elsewhere());
 }
