--- a/crates/cleatfold-reachability/src/one_way_partition.rs
+++ b/crates/cleatfold-reachability/src/one_way_partition.rs
@@ -13,8 +13,8 @@
 const WORKER_ANSWER_TIMEOUT_MS: u64 = 4_000;
 /// Consecutive heartbeats without a visible effect after which a machine counts as partitioned.
 const PARTITIONED_AFTER_HEARTBEATS: u32 = 2;
-/// A machine that becomes partitioned again within `RELAPSE_WINDOW_MS` after a recovery must
-/// receive answers for some time before it counts as recovered: 15 s, doubled with each relapse up to
+/// A machine that becomes partitioned again within `RELAPSE_WINDOW_MS` after a recovery must receive
+/// answers for some time before it counts as recovered: 15 s, doubled with each relapse up to
 /// `RELAPSE_WINDOW_MS`.
 const RELAPSE_WINDOW_MS: u64 = 240_000;
 const FIRST_RECOVERY_MS: u64 = 15_000;
