--- a/crates/cleatfold-clients/src/store.rs
+++ b/crates/cleatfold-clients/src/store.rs
@@ -7,7 +7,7 @@
 
 use crate::http::{Http, NoAnswer};
 use cleatfold_control::{CallPriority, StoreReply, StoreRequest};
-use cleatfold_ingress::{Backoff, Breaker, OutgoingQueue, RetryBudget};
+use cleatfold_ingress::{Backoff, CircuitBreaker, OutgoingQueue, RetryBudget};
 use cleatfold_wire::store::{Events, Grant, Granted, Item, Page, Revision};
 use hyper::Method;
 use serde::de::DeserializeOwned;
@@ -60,13 +60,13 @@
 
 /// Failures in a row after which the service is taken to be unavailable.
 const MAX_FAILURES: u32 = 4;
-const UNAVAILABLE_BACKOFF: Backoff = Backoff { first_ms: 200, most_ms: 1000 };
+const UNAVAILABLE_BACKOFF: Backoff = Backoff { first_ms: 200, max_ms: 1000 };
 /// Retries that each call adds to the budget, and how many may be saved up.
 const RETRIES_PER_CALL: f64 = 0.1;
 const MAX_RETRIES_SAVED: f64 = 10.0;
 /// Tries of a call that the rate refuses.
 const MAX_TRIES: u32 = 3;
-const RATE_LIMIT_BACKOFF: Backoff = Backoff { first_ms: 150, most_ms: 600 };
+const RATE_LIMIT_BACKOFF: Backoff = Backoff { first_ms: 150, max_ms: 600 };
 
 fn writes(request: &StoreRequest) -> f64 {
     match request {
@@ -124,7 +124,7 @@
     changes: Bucket,
     filled: Instant,
     retries: RetryBudget,
-    breaker: Breaker,
+    breaker: CircuitBreaker,
     start: Instant,
 }
 
@@ -145,7 +145,7 @@
             changes: bucket(budget.writes_per_s),
             filled: Instant::now(),
             retries: RetryBudget::new(RETRIES_PER_CALL, MAX_RETRIES_SAVED),
-            breaker: Breaker::new(MAX_FAILURES, UNAVAILABLE_BACKOFF),
+            breaker: CircuitBreaker::new(MAX_FAILURES, UNAVAILABLE_BACKOFF),
             start: Instant::now(),
         }
     }
@@ -165,9 +165,9 @@
 
     /// Notes what became of a call; one that the rate refused is tried again within the budget.
     fn note(&mut self, outcome: Outcome) {
-        self.breaker.note(self.now_ms(), outcome.answered, &mut rand::rng());
+        self.breaker.record_result(self.now_ms(), outcome.answered, &mut rand::rng());
         match outcome.again {
-            Some(waiting) if waiting.tries <= MAX_TRIES && self.retries.take() => {
+            Some(waiting) if waiting.tries <= MAX_TRIES && self.retries.try_take() => {
                 self.wait(waiting)
             }
             Some(waiting) => (self.answer)(waiting.call.op, StoreReply::Refused),
@@ -194,14 +194,14 @@
             return false;
         };
         let is_renewal = waiting.call.priority == CallPriority::Renewal;
-        if !is_renewal && self.breaker.is_open() && !self.breaker.admits(now_ms) {
+        if !is_renewal && self.breaker.is_open() && !self.breaker.allows_call(now_ms) {
             // Certainly not executed; whoever asked knows when to come back.
             (self.answer)(waiting.call.op, StoreReply::Refused);
             return true;
         }
         self.requests.level -= 1.0;
         self.changes.level -= changes;
-        self.retries.note_call();
+        self.retries.record_call();
         let (http, answer, outcomes) =
             (self.http.clone(), self.answer.clone(), self.outcomes.clone());
         tokio::task::spawn_local(make_call(http, waiting, answer, outcomes));
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -123,7 +123,7 @@
         let expired_submissions = self
             .submitting
             .submission_queue
-            .take_late(|at| store_unavailable || now.since(Ms(at)) > SUBMISSION_TIMEOUT_MS);
+            .take_expired(|at| store_unavailable || now.since(Ms(at)) > SUBMISSION_TIMEOUT_MS);
         expired.extend(expired_submissions.into_iter().map(|s| s.rid));
         expired.extend(self.take_expired_step_reports(store_unavailable));
         expired.extend(self.take_expired_team_queries(store_unavailable));
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -44,7 +44,7 @@
     }
 
     pub(crate) fn put_back(&mut self, submission: Submission) {
-        self.submission_queue.put_back(
+        self.submission_queue.requeue(
             submission.spec.team.clone(),
             submission.arrived.0,
             submission,
@@ -78,7 +78,8 @@
         if self.is_store_unavailable() {
             return self.reply(rid, Response::retry_later("the state service does not answer"));
         }
-        let wait_s = self.submitting.submission_queue.wait_s(&spec.team, self.submissions_per_s());
+        let wait_s =
+            self.submitting.submission_queue.estimated_wait_s(&spec.team, self.submissions_per_s());
         if wait_s > MAX_QUEUE_WAIT_S {
             // Jitter by job id, so that refused users do not all retry at once.
             let jitter_s = xxhash_rust::xxh3::xxh3_64(job.as_str().as_bytes()) % 4;
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -23,7 +23,7 @@
         let controllers = if self.has_store_contact() { self.cache.controllers.len() } else { 0 };
         let controllers = if controllers == 0 { self.cfg.peers.len() + 1 } else { controllers };
         self.rate_limiter.refill(self.now.0, self.cfg.changes_per_s, controllers);
-        while self.rate_limiter.is_open() {
+        while self.rate_limiter.has_token() {
             let due = if self.session.is_loaded { self.next_job_to_write() } else { None };
             // Submissions go first, but under load every other change is left to updates of jobs.
             if self.submitting.changes_owed == 0 || due.is_none() {
@@ -47,7 +47,7 @@
     /// so no job starves.
     fn next_job_to_write(&mut self) -> Option<JobId> {
         let now = self.now;
-        let ample = self.rate_limiter.is_ample();
+        let ample = self.rate_limiter.has_spare_changes();
         let mut best: Option<((bool, u64), JobId)> = None;
         let mut unsent = std::mem::take(&mut self.dirty_jobs);
         unsent.retain(|id| {
@@ -171,7 +171,7 @@
         let pending_updates = self.pending_updates(job, job_state, cached);
         let select_all = pending_updates.is_all()
             || waited_ms >= pending_updates.patience_ms
-            || self.rate_limiter.is_ample();
+            || self.rate_limiter.has_spare_changes();
         Some(Selection::new(&parts, select_all, self.rate_limiter.max_changes()))
     }
 
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -79,7 +79,7 @@
 
     /// Writes one group of losses: of the team whose oldest unwritten loss has waited longest.
     fn write_loss_group(&mut self) {
-        if !self.rate_limiter.is_open() {
+        if !self.rate_limiter.has_token() {
             return;
         }
         let now = self.now;
@@ -92,7 +92,9 @@
         });
         let Some((team, log)) = logs.max_by_key(|(_, log)| log.oldest_wait_ms(now)) else { return };
         let is_urgent = log.oldest_wait_ms(now) >= MAX_WRITE_DELAY_MS;
-        if !is_urgent && (!self.rate_limiter.is_ample() || self.loss_logs.scanned_at != now) {
+        if !is_urgent
+            && (!self.rate_limiter.has_spare_changes() || self.loss_logs.scanned_at != now)
+        {
             return;
         }
         let (team, token) = (team.clone(), log.token);
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -109,7 +109,7 @@
         let incarnation =
             self.session.incarnation.filter(|i| registered == Some(*i) && !is_uncertain);
         if let Some(incarnation) =
-            incarnation.filter(|_| self.has_store_contact() && self.rate_limiter.is_open())
+            incarnation.filter(|_| self.has_store_contact() && self.rate_limiter.has_token())
         {
             self.workspaces.ownership_uncertain_at = None;
             let rank = |team: &TeamId, live: &_| owner::rank(team, &me, live);
@@ -364,7 +364,7 @@
     fn write_history(&mut self, team: TeamId, version: Version, head: HistoryHead) {
         let piece = self.workspaces.ended_jobs.piece(&team, &head, self.cfg.max_value_bytes);
         let is_urgent = piece.as_ref().is_some_and(|p| p.pressing);
-        if !self.rate_limiter.is_open() || !(is_urgent || self.rate_limiter.is_ample()) {
+        if !self.rate_limiter.has_token() || !(is_urgent || self.rate_limiter.has_spare_changes()) {
             return;
         }
         let Some(owned) = self.workspaces.owned.get_mut(&team) else { return };
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -11,7 +11,7 @@
 use cleatfold_admission::long_work_limit::LongWorkLimit;
 use cleatfold_backfill::profile::FOREVER;
 use cleatfold_backfill::{AvailabilityProfile, Resources, SliceDemand};
-use cleatfold_ingress::{Backoff, Need, PacerLimits, WritePacer};
+use cleatfold_ingress::{Backoff, PacerLimits, WritePacer, WritePurpose};
 use cleatfold_wire::job::{JobSpec, Kind};
 use cleatfold_wire::store::Txn;
 use cleatfold_wire::{ControllerId, FencingToken, MachineId, Ms, PoolId, TeamId, Version};
@@ -35,15 +35,15 @@
 const PACER: PacerLimits = PacerLimits {
     share: 0.35,
     burst_s: 2.0,
-    least_burst: 4.0,
-    backoff: Backoff { first_ms: 500, most_ms: 4_000 },
+    min_burst: 4.0,
+    backoff: Backoff { first_ms: 500, max_ms: 4_000 },
     return_delay_ms: 3_000,
 };
 
 /// A change of a team's slices that the owned pools need.
 struct SliceResize {
     team: TeamId,
-    need: Need,
+    need: WritePurpose,
     txn: Txn,
     record: SliceRecord,
 }
@@ -330,10 +330,11 @@
             return;
         }
         let resizes = self.needed_slice_resizes();
-        let wanted: Vec<(TeamId, Need)> =
+        let wanted: Vec<(TeamId, WritePurpose)> =
             resizes.iter().map(|m| (m.team.clone(), m.need)).collect();
         self.quota.pacer.refill(self.now.0, self.rate_limiter.rate());
-        let admitted = self.quota.pacer.admit(self.now.0, &wanted, self.rate_limiter.spare());
+        let admitted =
+            self.quota.pacer.admit(self.now.0, &wanted, self.rate_limiter.spare_changes());
         let mut resizes: BTreeMap<TeamId, SliceResize> =
             resizes.into_iter().map(|m| (m.team.clone(), m)).collect();
         for team in admitted {
@@ -402,7 +403,7 @@
             new_record.pools.retain(|_, s| *s != (0, 0));
             txn.guard(slice_key(&team.name), version);
             txn.put(slice_key(&team.name), &new_record, None);
-            let need = if grows { Need::Start } else { Need::Return };
+            let need = if grows { WritePurpose::Start } else { WritePurpose::Return };
             resizes.push(SliceResize { team: team.name.clone(), need, txn, record: new_record });
         }
         resizes
--- a/crates/cleatfold-control/src/store/unknown_outcomes.rs
+++ b/crates/cleatfold-control/src/store/unknown_outcomes.rs
@@ -60,7 +60,7 @@
                     self.session.sync_wanted = true;
                     self.update_sent(op, |sent| sent.queried = true);
                 }
-                UnansweredAction::Resend if self.rate_limiter.is_ample() => {
+                UnansweredAction::Resend if self.rate_limiter.has_spare_changes() => {
                     self.resend_unanswered(op)
                 }
                 UnansweredAction::Resolve => self.resolve_from_cache(op),
--- a/crates/cleatfold-ingress/src/change_rate_limiter.rs
+++ b/crates/cleatfold-ingress/src/change_rate_limiter.rs
@@ -1,69 +1,73 @@
-//! Our part of the changes that the state service takes.
+//! Limits the rate of changes that one controller sends to the state service.
 //!
-//! Changes are what runs short when a deployment grows, so what is to be changed waits in the
-//! controller, where it can still be joined by more of the same job, and a transaction is only built
-//! when it may go. (Built at once and queued behind others, each carried what was known when it
-//! joined the queue: a job of forty tasks needed a change for nearly every one of them.)
+//! The change rate limits how far a deployment can grow. So requested changes wait in the
+//! controller, where more changes of the same job can join them, and a transaction is only built
+//! when it can be sent at once. (When transactions were built first and queued behind others, each
+//! contained only the changes known at that time: a job of forty tasks needed nearly one
+//! transaction per task.)
 
-/// What is kept back of the service's limit, for changes that nobody counted.
-const MARGIN: f64 = 0.92;
+/// The share of the service's limit that controllers use; the rest is kept for changes that are not
+/// counted.
+const USABLE_SHARE: f64 = 0.92;
 
-/// The bucket is never overdrawn by more than so many seconds' worth. What is sent again and again while the state
-/// service is away is charged each time, though it is executed once at the most: without a bound a controller paid
-/// back for minutes what nobody had taken, and its ends and claims stood still meanwhile.
+/// Limit of the bucket's debt, in seconds of refill. Resends while the state service is unavailable
+/// are charged each time although at most one of them is executed. Without a limit a controller
+/// paid for minutes for changes that were never executed, and its task ends and claims were delayed
+/// meanwhile.
 pub const MAX_DEBT_S: f64 = 5.0;
 
 /// A token bucket for changes to the state service.
 #[derive(Debug, Default)]
 pub struct ChangeRateLimiter {
-    level: f64,
+    tokens: f64,
     rate: f64,
-    filled_ms: u64,
+    refilled_ms: u64,
 }
 
 impl ChangeRateLimiter {
-    /// `limit` is the whole service's, `controllers` how many live on it.
+    /// Adds the tokens since the last refill. `limit` is the whole service's change rate, shared by
+    /// `controllers` controllers.
     pub fn refill(&mut self, now_ms: u64, limit: f64, controllers: usize) {
-        let rate = limit * MARGIN / controllers.max(1) as f64;
+        let rate = limit * USABLE_SHARE / controllers.max(1) as f64;
         self.rate = rate;
-        let passed = now_ms.saturating_sub(self.filled_ms) as f64 / 1000.0;
-        self.filled_ms = now_ms;
-        self.level = (self.level + rate * passed).min(rate.max(2.0));
+        let passed_s = now_ms.saturating_sub(self.refilled_ms) as f64 / 1000.0;
+        self.refilled_ms = now_ms;
+        self.tokens = (self.tokens + rate * passed_s).min(rate.max(2.0));
     }
 
-    /// A change may go. One that turns out larger overdraws; it is paid back before the next.
-    pub fn is_open(&self) -> bool {
-        self.level >= 1.0
+    /// Whether a change may be sent. A larger one overdraws the bucket, which delays the next.
+    pub fn has_token(&self) -> bool {
+        self.tokens >= 1.0
     }
 
-    /// Changes a second that are ours.
+    /// This controller's share of the change rate, per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// How long one change takes to come, in milliseconds.
+    /// The mean time between two changes at the full rate, in milliseconds.
     pub fn ms_per_change(&self) -> u64 {
         (1000.0 / self.rate.max(0.1)) as u64
     }
 
-    /// There is more than starts and submissions may need in the next moment, so that what can
-    /// wait need not. Without this every start queued behind ends.
-    pub fn is_ample(&self) -> bool {
-        self.level >= (self.rate / 2.0).max(1.0)
+    /// Whether there are more tokens than starts and submissions may need soon, so that less urgent
+    /// changes can be sent too. Without this reserve, starts queued behind task ends.
+    pub fn has_spare_changes(&self) -> bool {
+        self.tokens >= (self.rate / 2.0).max(1.0)
     }
 
-    /// Changes that starts and submissions may do without in the next moment.
-    pub fn spare(&self) -> usize {
-        (self.level - (self.rate / 2.0).max(1.0)).max(0.0) as usize
+    /// The number of changes that starts and submissions are not expected to need soon.
+    pub fn spare_changes(&self) -> usize {
+        (self.tokens - (self.rate / 2.0).max(1.0)).max(0.0) as usize
     }
 
-    /// So many records at most in one transaction: what overdraws keeps everybody else waiting.
+    /// The maximum number of records in one transaction: a large overdraft delays all later ones.
     pub fn max_changes(&self) -> usize {
-        (self.level.max(0.0) as usize).max(2)
+        (self.tokens.max(0.0) as usize).max(2)
     }
 
-    /// Takes changes out of the bucket, which they may overdraw.
+    /// Takes tokens for changes out of the bucket, which may be overdrawn.
     pub fn spend(&mut self, changes: usize) {
-        self.level = (self.level - changes as f64).max(-self.rate * MAX_DEBT_S);
+        self.tokens = (self.tokens - changes as f64).max(-self.rate * MAX_DEBT_S);
     }
 }
--- a/crates/cleatfold-ingress/src/connections.rs
+++ b/crates/cleatfold-ingress/src/connections.rs
@@ -1,87 +1,97 @@
-//! Connections: a bounded number, and who leaves for whom.
+//! Bounds the number of HTTP connections and selects the ones to close.
 
 use std::collections::BTreeMap;
 
-/// The number of a connection.
+/// Identifies a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What is known of a connection.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Connection {
     /// When a request last began or ended on it.
-    pub active: u64,
-    /// A request is being worked on.
-    pub busy: bool,
-    /// It has brought a worker's report.
-    pub worker: bool,
+    pub last_active_ms: u64,
+    /// Whether a request is being processed.
+    pub is_busy: bool,
+    /// Whether it has carried a worker's heartbeat.
+    pub is_worker: bool,
 }
 
-/// The connections of the HTTP server. What is above `most` is made room for by those that are
-/// idle longest, users' before workers': a worker's connection is used again within a report's
-/// interval, and a new one costs more than the report.
+/// The connections of the HTTP server. Above `max_connections` the connection that is idle longest
+/// is closed, users' before workers': a worker's connection is used again within a heartbeat
+/// interval, and opening a new one costs more than the heartbeat.
 #[derive(Debug)]
 pub struct ConnectionTable {
-    most: usize,
-    idle_ms: u64,
-    next: u64,
-    taken: BTreeMap<ConnectionId, Connection>,
+    max_connections: usize,
+    idle_timeout_ms: u64,
+    last_id: u64,
+    connections: BTreeMap<ConnectionId, Connection>,
 }
 
-/// An abandoned request (its asker is behind a cut and will never say so) holds its connection
-/// no longer than this.
-const ABANDONED_MS: u64 = 20_000;
+/// A request may occupy its connection for at most this time. A client behind a network partition
+/// cannot close its abandoned request.
+const REQUEST_TIMEOUT_MS: u64 = 20_000;
 
 impl ConnectionTable {
-    /// `sockets`: all that the process may have. `idle_ms`: a connection without a request for
-    /// so long is closed.
-    pub fn new(sockets: usize, idle_ms: u64) -> Self {
-        // The state service, the cloud, the mesh and orders to workers have theirs in any case:
-        // a controller full of users must still be able to renew its lease.
-        let kept = (sockets / 8).clamp(16, 512);
-        Self { most: sockets.saturating_sub(kept).max(8), idle_ms, next: 0, taken: BTreeMap::new() }
+    /// Creates a table. `max_sockets`: all sockets of the process. `idle_timeout_ms`: a connection
+    /// without a request for this time is closed.
+    pub fn new(max_sockets: usize, idle_timeout_ms: u64) -> Self {
+        // Reserved for the state service, the cloud, the mesh and commands to workers: a controller
+        // with many user connections must still be able to renew its lease.
+        let reserved = (max_sockets / 8).clamp(16, 512);
+        Self {
+            max_connections: max_sockets.saturating_sub(reserved).max(8),
+            idle_timeout_ms,
+            last_id: 0,
+            connections: BTreeMap::new(),
+        }
     }
 
-    /// A new connection; the one that has to be closed for it, which may be the new one itself.
+    /// Adds a connection. Also returns the one to close for it, if any, which may be the new one.
     pub fn open(&mut self, now: u64) -> (ConnectionId, Option<ConnectionId>) {
-        self.next += 1;
-        let id = ConnectionId(self.next);
-        self.taken.insert(id, Connection { active: now, busy: false, worker: false });
-        if self.taken.len() <= self.most {
+        self.last_id += 1;
+        let id = ConnectionId(self.last_id);
+        self.connections
+            .insert(id, Connection { last_active_ms: now, is_busy: false, is_worker: false });
+        if self.connections.len() <= self.max_connections {
             return (id, None);
         }
-        let idle = self.taken.iter().filter(|(other, s)| **other != id && !s.busy);
-        let leaves = idle.min_by_key(|(_, s)| (s.worker, s.active)).map(|(id, _)| *id);
-        (id, Some(leaves.unwrap_or(id)))
+        let idle = self.connections.iter().filter(|(other, c)| **other != id && !c.is_busy);
+        let evicted = idle.min_by_key(|(_, c)| (c.is_worker, c.last_active_ms)).map(|(id, _)| *id);
+        (id, Some(evicted.unwrap_or(id)))
     }
 
-    /// The connection is closed.
+    /// Removes a closed connection.
     pub fn close(&mut self, id: ConnectionId) {
-        self.taken.remove(&id);
+        self.connections.remove(&id);
     }
 
-    /// A request has begun (`busy`) or ended on the connection.
-    pub fn note(&mut self, id: ConnectionId, now: u64, busy: bool, worker: bool) {
-        if let Some(connection) = self.taken.get_mut(&id) {
-            (connection.active, connection.busy) = (now, busy);
-            connection.worker |= worker;
+    /// Records that a request began (`is_busy`) or ended on the connection.
+    pub fn record_request(&mut self, id: ConnectionId, now: u64, is_busy: bool, is_worker: bool) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            (connection.last_active_ms, connection.is_busy) = (now, is_busy);
+            connection.is_worker |= is_worker;
         }
     }
 
-    /// Connections that nobody uses any more.
-    pub fn unused(&self, now: u64) -> Vec<ConnectionId> {
-        let over = |s: &Connection| if s.busy { ABANDONED_MS } else { self.idle_ms };
-        let unused = self.taken.iter().filter(|(_, s)| now.saturating_sub(s.active) > over(s));
-        unused.map(|(id, _)| *id).collect()
+    /// Connections whose idle or request timeout has expired.
+    pub fn expired(&self, now: u64) -> Vec<ConnectionId> {
+        let timeout_ms =
+            |c: &Connection| if c.is_busy { REQUEST_TIMEOUT_MS } else { self.idle_timeout_ms };
+        let expired = self
+            .connections
+            .iter()
+            .filter(|(_, c)| now.saturating_sub(c.last_active_ms) > timeout_ms(c));
+        expired.map(|(id, _)| *id).collect()
     }
 
-    /// How many connections there are.
+    /// The number of connections.
     pub fn len(&self) -> usize {
-        self.taken.len()
+        self.connections.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
-        self.taken.is_empty()
+        self.connections.is_empty()
     }
 }
--- a/crates/cleatfold-ingress/src/pressure.rs
+++ b/crates/cleatfold-ingress/src/pressure.rs
@@ -1,65 +1,68 @@
-//! How far a process is behind.
+//! Measures how far a process is behind its schedule.
 
 use rand::Rng;
 
-/// Ordered: a higher level is worse.
+/// Levels of pressure; a higher level is worse.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// In time.
+    /// All work is done in time.
     #[default]
     Calm,
-    /// Behind now and then: what costs much and is not urgent is done less often.
+    /// Some work is late: expensive work that is not urgent is done less often.
     Busy,
-    /// Behind all the time: polls are thinned out.
+    /// Work is late all the time: only a part of the polls is answered.
     Strained,
-    /// Hardly anything is in time: only workers, cancellations and submissions.
+    /// Hardly any work is done in time: only workers, cancellations and submissions are served.
     Drowning,
 }
 
-/// Measured, not guessed: how late the clock's ticks come is what every timer and every answer
-/// of the process is late by, whatever the reason.
+/// Pressure measured by the lateness of timer ticks, by which every timer and every answer of the
+/// process is late, whatever the cause.
 #[derive(Debug, Default)]
 pub struct Pressure {
-    /// Lateness in milliseconds, smoothed: it rises at once and falls within seconds.
-    late: f64,
-    at: u64,
+    /// Smoothed lateness: rises at once and falls within seconds.
+    lateness_ms: f64,
+    updated_at: u64,
     level: Level,
 }
 
-/// Milliseconds of lateness at which a level begins.
-const BEGINS: [(Level, f64); 3] =
+/// Lateness in milliseconds at which a level begins.
+const LEVEL_THRESHOLDS_MS: [(Level, f64); 3] =
     [(Level::Drowning, 1500.0), (Level::Strained, 500.0), (Level::Busy, 150.0)];
-/// A level is left again below this part of what began it, so that it does not flutter.
-const LEFT: f64 = 0.6;
-/// Lateness is forgotten by half in so many milliseconds.
-const HALF_MS: f64 = 1000.0;
-/// A tick that is later than this is no load: the process was frozen, and goes on. (It passed for
-/// drowning once, and refused nearly every poll for a second.)
-const FROZEN_MS: u64 = 4000;
+/// A level ends below this fraction of its threshold, so that it does not oscillate.
+const EXIT_FACTOR: f64 = 0.6;
+/// Half-life of the smoothed lateness.
+const LATENESS_HALF_LIFE_MS: f64 = 1000.0;
+/// A tick later than this shows a paused process instead of load. (Counted as load, a pause led to
+/// `Drowning` and to the rejection of nearly all polls for a second.)
+const PROCESS_PAUSE_MS: u64 = 4000;
 
 impl Pressure {
-    /// A tick came `late_ms` after its time; the oldest request has waited `oldest_ms`.
-    pub fn note(&mut self, now: u64, late_ms: u64, oldest_ms: u64) {
-        let passed = now.saturating_sub(self.at) as f64;
-        self.at = now;
-        self.late *= 0.5f64.powf(passed / HALF_MS);
-        let late_ms = if late_ms > FROZEN_MS { 0 } else { late_ms };
-        let seen = late_ms.max(oldest_ms / 2).min(FROZEN_MS) as f64;
-        // A single late tick is a hiccup; it counts in full only if it goes on.
-        self.late = self.late.max(seen * 0.5 + self.late * 0.5);
+    /// Records a tick that came `late_ms` late, while the oldest request had waited
+    /// `oldest_request_ms`.
+    pub fn record_tick(&mut self, now: u64, late_ms: u64, oldest_request_ms: u64) {
+        let passed_ms = now.saturating_sub(self.updated_at) as f64;
+        self.updated_at = now;
+        self.lateness_ms *= 0.5f64.powf(passed_ms / LATENESS_HALF_LIFE_MS);
+        let late_ms = if late_ms > PROCESS_PAUSE_MS { 0 } else { late_ms };
+        let observed_ms = late_ms.max(oldest_request_ms / 2).min(PROCESS_PAUSE_MS) as f64;
+        // A single late tick counts half; lateness counts in full only if it persists.
+        self.lateness_ms = self.lateness_ms.max(observed_ms * 0.5 + self.lateness_ms * 0.5);
         let reached = |factor: f64| {
-            let found = BEGINS.iter().find(|(_, begins)| self.late >= begins * factor);
-            found.map_or(Level::Calm, |(level, _)| *level)
+            let level = LEVEL_THRESHOLDS_MS
+                .iter()
+                .find(|(_, threshold_ms)| self.lateness_ms >= threshold_ms * factor);
+            level.map_or(Level::Calm, |(level, _)| *level)
         };
-        self.level = reached(1.0).max(self.level.min(reached(LEFT)));
+        self.level = reached(1.0).max(self.level.min(reached(EXIT_FACTOR)));
     }
 
-    /// The level of pressure.
+    /// The current level.
     pub fn level(&self) -> Level {
         self.level
     }
 
-    /// How many times as long the pauses between costly things should be.
+    /// The factor by which pauses between expensive operations are extended.
     pub fn backpressure(&self) -> u64 {
         match self.level {
             Level::Calm => 1,
@@ -69,10 +72,10 @@
         }
     }
 
-    /// When whoever is turned away should come back: later under more pressure, and spread, or
-    /// all would come back together.
+    /// When a rejected client should retry: later at a higher level, and randomized so that clients
+    /// do not retry together.
     pub fn retry_after_s(&self, rng: &mut impl Rng) -> u32 {
-        let most = 1 + self.backpressure() as u32;
-        rng.random_range(1..=most)
+        let max_s = 1 + self.backpressure() as u32;
+        rng.random_range(1..=max_s)
     }
 }
--- a/crates/cleatfold-ingress/src/request_class.rs
+++ b/crates/cleatfold-ingress/src/request_class.rs
@@ -1,20 +1,21 @@
-//! Classes of requests, and how long their askers wait.
+//! Classes of requests, with their timeouts and queue limits.
 
-/// In the order in which they are served when not all can be.
+/// Request classes in the order in which they are served under overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestClass {
-    /// A worker that holds tasks: without an answer its lease runs out and they are lost.
+    /// A heartbeat of a worker that holds tasks: without an answer its lease expires and the tasks
+    /// are lost.
     BusyHeartbeat,
-    /// Submissions, cancellations, members' steps.
+    /// Submissions, cancellations, step reports of members.
     UserRequest,
-    /// A worker that holds nothing.
+    /// A heartbeat of a worker without tasks.
     IdleHeartbeat,
-    /// A question about a job or a team.
+    /// A query about a job or a team.
     Poll,
 }
 
-/// Heartbeats that may wait at one time. All workers of a large deployment (4,000 machines and more)
-/// may come to one controller at the same moment, when the others have just ended.
+/// Maximum number of waiting heartbeats. All workers of a large deployment (4,000 machines and
+/// more) may turn to one controller at the same moment, after the other controllers have stopped.
 const MAX_WAITING_HEARTBEATS: usize = 8_192;
 
 impl RequestClass {
@@ -26,8 +27,8 @@
         RequestClass::Poll,
     ];
 
-    /// How long a request is worth an answer: after this time the asker has left (PROTOCOL: a worker after 4 s, a user's request after
-    /// 5 s, a poll after 2 s), less a moment for the answer's way back.
+    /// How long an answer is useful: the client's timeout (PROTOCOL: a worker's 4 s, a user
+    /// request's 5 s, a poll's 2 s) less the time for sending the answer.
     pub fn timeout_ms(self) -> u64 {
         match self {
             RequestClass::BusyHeartbeat | RequestClass::IdleHeartbeat => 3800,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// How many requests may wait. What is above could not be answered before its asker has left.
+    /// Maximum number of waiting requests. Any more could not be answered within the timeout.
     pub fn queue_limit(self) -> usize {
         match self {
             RequestClass::BusyHeartbeat | RequestClass::IdleHeartbeat => MAX_WAITING_HEARTBEATS,
--- a/crates/cleatfold-ingress/src/retry.rs
+++ b/crates/cleatfold-ingress/src/retry.rs
@@ -1,101 +1,110 @@
-//! Retries towards the services we use, so that ours do not keep one down that is late.
+//! Limits retries, so that they do not keep a slow service overloaded.
 
 use rand::Rng;
 
-/// Lets a retry through for every so many calls, and a few more at the start.
+/// A budget that allows retries in proportion to calls, and some at the start.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    level: f64,
-    per_call: f64,
-    most: f64,
+    tokens: f64,
+    tokens_per_call: f64,
+    max_tokens: f64,
 }
 
 impl RetryBudget {
-    /// With the given limits.
-    pub fn new(per_call: f64, most: f64) -> Self {
-        Self { level: most, per_call, most }
+    /// Creates a full budget: each call adds `tokens_per_call`, up to `max_tokens`.
+    pub fn new(tokens_per_call: f64, max_tokens: f64) -> Self {
+        Self { tokens: max_tokens, tokens_per_call, max_tokens }
     }
 
-    /// A call was made.
-    pub fn note_call(&mut self) {
-        self.level = (self.level + self.per_call).min(self.most);
+    /// Records a call.
+    pub fn record_call(&mut self) {
+        self.tokens = (self.tokens + self.tokens_per_call).min(self.max_tokens);
     }
 
-    /// Whether a retry may be made; then it is counted.
-    pub fn take(&mut self) -> bool {
-        let any = self.level >= 1.0;
-        if any {
-            self.level -= 1.0;
+    /// Takes a token for a retry; returns whether there was one.
+    pub fn try_take(&mut self) -> bool {
+        let has_token = self.tokens >= 1.0;
+        if has_token {
+            self.tokens -= 1.0;
         }
-        any
+        has_token
     }
 }
 
-/// Pauses between tries: doubled each time, and drawn, so that two who failed together do not
-/// come back together.
+/// Exponential backoff with random jitter, so that clients that failed together do not retry
+/// together.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    /// The pause after the first failure.
+    /// The upper bound of the pause after the first failure.
     pub first_ms: u64,
-    /// The longest pause.
-    pub most_ms: u64,
+    /// The upper bound of all pauses.
+    pub max_ms: u64,
 }
 
 impl Backoff {
-    /// The pause after so many failures in a row, spread at random.
+    /// The pause after `failures` failures in a row: a random value between half of the bound and
+    /// the bound.
     pub fn pause_ms(&self, failures: u32, rng: &mut impl Rng) -> u64 {
-        let full = self.first_ms.saturating_mul(1 << failures.min(16)).min(self.most_ms).max(2);
-        rng.random_range(full / 2..=full)
+        let pause_ms = self.first_ms.saturating_mul(1 << failures.min(16)).min(self.max_ms).max(2);
+        rng.random_range(pause_ms / 2..=pause_ms)
     }
 }
 
-/// Stops calls to a service that does not answer, and lets a single one try now and then.
+/// Stops calls to a service that does not answer, and allows a single trial call now and then.
 #[derive(Clone, Debug)]
-pub struct Breaker {
-    opens_after: u32,
+pub struct CircuitBreaker {
+    max_failures: u32,
     backoff: Backoff,
     failures: u32,
-    opened: u32,
-    /// Closed to calls until then.
-    until: Option<u64>,
-    /// A try is under way.
-    trying: bool,
+    open_count: u32,
+    /// While open: when the next trial call is allowed.
+    open_until: Option<u64>,
+    /// Whether a trial call is in flight.
+    trial_in_flight: bool,
 }
 
-impl Breaker {
-    /// With the given limits.
-    pub fn new(opens_after: u32, backoff: Backoff) -> Self {
-        Self { opens_after, backoff, failures: 0, opened: 0, until: None, trying: false }
+impl CircuitBreaker {
+    /// Creates a closed circuit breaker that opens after `max_failures` failures in a row.
+    pub fn new(max_failures: u32, backoff: Backoff) -> Self {
+        Self {
+            max_failures,
+            backoff,
+            failures: 0,
+            open_count: 0,
+            open_until: None,
+            trial_in_flight: false,
+        }
     }
 
-    /// Whether a call may go now.
-    pub fn admits(&mut self, now: u64) -> bool {
-        match self.until {
+    /// Whether a call may be made now.
+    pub fn allows_call(&mut self, now: u64) -> bool {
+        match self.open_until {
             None => true,
-            Some(until) if now >= until && !self.trying => {
-                self.trying = true;
+            Some(until) if now >= until && !self.trial_in_flight => {
+                self.trial_in_flight = true;
                 true
             }
             Some(_) => false,
         }
     }
 
-    /// Whether the service is taken to be down.
+    /// Whether the service counts as unavailable.
     pub fn is_open(&self) -> bool {
-        self.until.is_some()
+        self.open_until.is_some()
     }
 
-    /// What came of a call.
-    pub fn note(&mut self, now: u64, answered: bool, rng: &mut impl Rng) {
+    /// Records the result of a call.
+    pub fn record_result(&mut self, now: u64, answered: bool, rng: &mut impl Rng) {
         if answered {
-            (self.failures, self.opened, self.until, self.trying) = (0, 0, None, false);
+            (self.failures, self.open_count, self.open_until, self.trial_in_flight) =
+                (0, 0, None, false);
             return;
         }
         self.failures += 1;
-        let tried = std::mem::take(&mut self.trying);
-        if tried || (self.until.is_none() && self.failures >= self.opens_after) {
-            self.until = Some(now + self.backoff.pause_ms(self.opened, rng));
-            self.opened += 1;
+        let was_trial = std::mem::take(&mut self.trial_in_flight);
+        if was_trial || (self.open_until.is_none() && self.failures >= self.max_failures) {
+            self.open_until = Some(now + self.backoff.pause_ms(self.open_count, rng));
+            self.open_count += 1;
         }
     }
 }
--- a/crates/cleatfold-ingress/src/submission_queue.rs
+++ b/crates/cleatfold-ingress/src/submission_queue.rs
@@ -1,89 +1,90 @@
-//! What is submitted and waits to be made durable, team by team.
+//! Submissions that wait to be stored, with round-robin between teams.
 
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Debug)]
 struct Waiting<T> {
-    arrived: u64,
+    arrived_at: u64,
     item: T,
 }
 
-/// Submissions by team, each team's turn coming round as long as it has any. (In one queue for all,
-/// one team's many single jobs had every team's submissions refused: three of four, for
-/// a minute.)
+/// Submissions by team; teams are served round-robin. (With one queue for all, many single jobs of
+/// one team caused the rejection of three in four submissions of every team for a minute.)
 ///
-/// While a team's are served in time, its oldest goes first. When its oldest is past half of its
-/// asker's patience, its newest does: the oldest would be too late in any case.
+/// A team's oldest submission is served first. Once it has waited for half of the timeout, the
+/// newest is served first: the oldest would be late in any case.
 #[derive(Debug)]
 pub struct SubmissionQueue<K, T> {
     teams: BTreeMap<K, VecDeque<Waiting<T>>>,
-    /// Whose turn was last.
-    last: Option<K>,
-    patience_ms: u64,
+    /// The team that was served last.
+    last_team: Option<K>,
+    timeout_ms: u64,
 }
 
 impl<K: Ord + Clone, T> SubmissionQueue<K, T> {
-    /// Submissions of users who wait for so long.
-    pub fn new(patience_ms: u64) -> Self {
-        Self { teams: BTreeMap::new(), last: None, patience_ms }
+    /// Creates a queue for submissions whose clients time out after `timeout_ms`.
+    pub fn new(timeout_ms: u64) -> Self {
+        Self { teams: BTreeMap::new(), last_team: None, timeout_ms }
     }
 
     /// Adds a submission of a team.
-    pub fn push(&mut self, team: K, arrived: u64, item: T) {
-        self.teams.entry(team).or_default().push_back(Waiting { arrived, item });
+    pub fn push(&mut self, team: K, arrived_at: u64, item: T) {
+        self.teams.entry(team).or_default().push_back(Waiting { arrived_at, item });
     }
 
-    /// What could not go after all comes back as the next of its team.
-    pub fn put_back(&mut self, team: K, arrived: u64, item: T) {
-        self.teams.entry(team).or_default().push_front(Waiting { arrived, item });
+    /// Returns a submission that could not be processed to the front of its team's queue.
+    pub fn requeue(&mut self, team: K, arrived_at: u64, item: T) {
+        self.teams.entry(team).or_default().push_front(Waiting { arrived_at, item });
     }
 
-    /// How many submissions wait.
+    /// The number of waiting submissions.
     pub fn len(&self) -> usize {
         self.teams.values().map(VecDeque::len).sum()
     }
 
-    /// Whether none waits.
+    /// Whether no submission waits.
     pub fn is_empty(&self) -> bool {
         self.teams.is_empty()
     }
 
-    /// The next team's next, with when it arrived.
+    /// Removes the next submission of the next team, and returns it with its time of arrival.
     pub fn pop(&mut self, now: u64) -> Option<(u64, T)> {
         use std::ops::Bound::{Excluded, Unbounded};
-        let after = self.last.as_ref().and_then(|last| {
+        let after = self.last_team.as_ref().and_then(|last| {
             self.teams.range((Excluded(last), Unbounded)).next().map(|(k, _)| k.clone())
         });
         let team = after.or_else(|| self.teams.keys().next().cloned())?;
         let queue = self.teams.get_mut(&team)?;
-        let oldest = queue.front().map_or(0, |w| now.saturating_sub(w.arrived));
-        let next = if oldest > self.patience_ms / 2 { queue.pop_back() } else { queue.pop_front() };
+        let oldest_ms = queue.front().map_or(0, |w| now.saturating_sub(w.arrived_at));
+        let next =
+            if oldest_ms > self.timeout_ms / 2 { queue.pop_back() } else { queue.pop_front() };
         if queue.is_empty() {
             self.teams.remove(&team);
         }
-        self.last = Some(team);
-        next.map(|w| (w.arrived, w.item))
+        self.last_team = Some(team);
+        next.map(|w| (w.arrived_at, w.item))
     }
 
-    /// How many seconds one more of this team would wait at so many a second in all.
-    pub fn wait_s(&self, team: &K, per_s: f64) -> f64 {
-        let mine = self.teams.get(team).map_or(0, VecDeque::len);
-        // Of every other team as many go before it as it has itself, if they have so many.
-        let others =
-            self.teams.iter().filter(|(k, _)| *k != team).map(|(_, q)| q.len().min(mine + 1));
-        (mine + others.sum::<usize>()) as f64 / per_s.max(1e-9)
+    /// Estimates how many seconds another submission of this team would wait if `accepted_per_s`
+    /// are accepted in all.
+    pub fn estimated_wait_s(&self, team: &K, accepted_per_s: f64) -> f64 {
+        let own = self.teams.get(team).map_or(0, VecDeque::len);
+        // Of every other team at most as many are served first as of this one.
+        let other_teams =
+            self.teams.iter().filter(|(k, _)| *k != team).map(|(_, q)| q.len().min(own + 1));
+        (own + other_teams.sum::<usize>()) as f64 / accepted_per_s.max(1e-9)
     }
 
-    /// Takes out whatever `late` says so of.
-    pub fn take_late(&mut self, mut late: impl FnMut(u64) -> bool) -> Vec<T> {
-        let mut gone = Vec::new();
+    /// Removes the submissions for whose time of arrival `is_expired` returns true.
+    pub fn take_expired(&mut self, mut is_expired: impl FnMut(u64) -> bool) -> Vec<T> {
+        let mut expired = Vec::new();
         for queue in self.teams.values_mut() {
-            let (out, rest): (Vec<_>, Vec<_>) =
-                std::mem::take(queue).into_iter().partition(|w| late(w.arrived));
+            let (removed, rest): (Vec<_>, Vec<_>) =
+                std::mem::take(queue).into_iter().partition(|w| is_expired(w.arrived_at));
             queue.extend(rest);
-            gone.extend(out.into_iter().map(|w| w.item));
+            expired.extend(removed.into_iter().map(|w| w.item));
         }
         self.teams.retain(|_, q| !q.is_empty());
-        gone
+        expired
     }
 }
--- a/crates/cleatfold-ingress/tests/machine_limits.rs
+++ b/crates/cleatfold-ingress/tests/machine_limits.rs
@@ -1,13 +1,13 @@
-//! The HTTP server's bounds, at more machines than are supported.
+//! Limits of the HTTP server with more machines than are supported.
 
 use cleatfold_ingress::{ConnectionTable, RequestClass, RequestQueue};
 
 const MACHINES: u64 = 4_500;
-/// What a controller may have where the settings do not say.
-const DEFAULT_SOCKETS: usize = 8_192;
+/// The default maximum of sockets of a controller.
+const DEFAULT_MAX_SOCKETS: usize = 8_192;
 
 #[test]
-fn reports_of_all_workers_wait_at_one_controller_and_none_is_turned_away() {
+fn heartbeats_of_all_workers_fit_into_one_request_queue() {
     for class in [RequestClass::BusyHeartbeat, RequestClass::IdleHeartbeat] {
         let mut request_queue = RequestQueue::default();
         for worker in 0..MACHINES {
@@ -19,13 +19,13 @@
 }
 
 #[test]
-fn connections_of_all_workers_stand_beside_those_of_users() {
-    let mut connections = ConnectionTable::new(DEFAULT_SOCKETS, 30_000);
+fn connections_of_all_workers_and_users_fit_into_table() {
+    let mut connections = ConnectionTable::new(DEFAULT_MAX_SOCKETS, 30_000);
     for at in 0..MACHINES {
         let (connection, closed) = connections.open(at);
         assert_eq!(closed, None, "at {at} connections");
-        connections.note(connection, at, true, true);
-        connections.note(connection, at, false, true);
+        connections.record_request(connection, at, true, true);
+        connections.record_request(connection, at, false, true);
     }
     for at in MACHINES..MACHINES + 3_000 {
         let (_, closed) = connections.open(at);
--- a/crates/cleatfold-testbed/tests/days.rs
+++ b/crates/cleatfold-testbed/tests/days.rs
@@ -68,7 +68,7 @@
     }
     assert!(all > 0);
     let turns = |id: &JobId, wall_ms: u64| {
-        PollSchedule::wait_ms(id.as_str(), Level::Drowning, wall_ms).is_some()
+        PollSchedule::ms_until_slot(id.as_str(), Level::Drowning, wall_ms).is_some()
     };
     let (forgotten, asked, longest_ms) = day(1, Box::new(turns));
     assert_eq!(forgotten, 0, "of {asked} questions");
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -286,7 +286,7 @@
             if let Effect::Reply { rid, response } = &effect {
                 let job = self.polls.remove(rid);
                 if let (Some(job), Response::Refusal { code: 503, .. }) = (job, response) {
-                    self.poll_schedule.give_back(job.as_str());
+                    self.poll_schedule.release_slot(job.as_str());
                 }
             }
             self.outgoing.perform(effect);
@@ -295,12 +295,12 @@
 
     fn tick(&mut self, late: Duration) {
         let now = self.millis(Instant::now());
-        for (class, request) in self.request_queue.expired(now) {
+        for (class, request) in self.request_queue.take_expired(now) {
             // Its asker has left, or will have before an answer could be there.
             tracing::debug!(?class, "request expired");
             self.shed(request);
         }
-        self.pressure.note(now, late.as_millis() as u64, self.request_queue.oldest_ms(now));
+        self.pressure.record_tick(now, late.as_millis() as u64, self.request_queue.oldest_ms(now));
         if self.pressure.level() != self.announced_level {
             self.announced_level = self.pressure.level();
             tracing::info!(level = ?self.announced_level, waiting = self.request_queue.len(), "pressure level changed");
@@ -332,7 +332,7 @@
             return;
         }
         if let RequestPayload::Request(Request::Poll(job)) = &request.payload {
-            if !self.poll_schedule.take(job.as_str(), self.pressure.level(), wall_ms()) {
+            if !self.poll_schedule.take_slot(job.as_str(), self.pressure.level(), wall_ms()) {
                 return self.shed(request);
             }
         }
--- a/crates/cleatfold/src/serve.rs
+++ b/crates/cleatfold/src/serve.rs
@@ -56,8 +56,8 @@
         tokio::select! {
             biased;
             told = heard.recv() => match told {
-                Some(ConnectionEvent::Began { id, worker }) => connections.note(id, millis(), true, worker),
-                Some(ConnectionEvent::Ended { id }) => connections.note(id, millis(), false, false),
+                Some(ConnectionEvent::Began { id, worker }) => connections.record_request(id, millis(), true, worker),
+                Some(ConnectionEvent::Ended { id }) => connections.record_request(id, millis(), false, false),
                 Some(ConnectionEvent::Closed { id }) => {
                     connections.close(id);
                     leave.remove(&id);
@@ -85,7 +85,7 @@
                 }
             },
             _ = sweep.tick() => {
-                for id in connections.unused(millis()) {
+                for id in connections.expired(millis()) {
                     leave.remove(&id);
                 }
             }
@@ -173,7 +173,7 @@
             });
         }
         let job = path.strip_prefix("/v1/jobs/")?;
-        PollSchedule::wait_ms(job, status.level, crate::actor::wall_ms()).map(|ms| {
+        PollSchedule::ms_until_slot(job, status.level, crate::actor::wall_ms()).map(|ms| {
             let why = "more is asked than can be answered".to_string();
             let retry_after_s = Some(ms.div_ceil(1000) as u32);
             render(Response::Refusal { code: 503, why, retry_after_s })
