--- a/crates/cleatfold-control/src/membership/state.rs
+++ b/crates/cleatfold-control/src/membership/state.rs
@@ -1,7 +1,7 @@
 //! State of the reachability checks.
 
 use crate::config::Config;
-use cleatfold_reachability::{Reachability, Timing};
+use cleatfold_reachability::{ProbeTiming, Reachability};
 use cleatfold_wire::{ControllerId, Ms, PoolId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,9 @@
 impl ReachabilityState {
     pub(crate) fn new(cfg: &Config) -> Self {
         Self {
-            view: Reachability::new(Timing { heartbeat_interval_ms: cfg.heartbeat_interval_ms }),
+            view: Reachability::new(ProbeTiming {
+                heartbeat_interval_ms: cfg.heartbeat_interval_ms,
+            }),
             last_checked: Ms(0),
             contacts_sent_at: Ms(0),
             lost_zones: BTreeSet::new(),
--- a/crates/cleatfold-ingress/src/outgoing_queue.rs
+++ b/crates/cleatfold-ingress/src/outgoing_queue.rs
@@ -49,12 +49,16 @@
         let is_allowed = |w: &Waiting<T>| writes_allowed || w.changes <= 0.0;
         let first = |queue: &VecDeque<Waiting<T>>| queue.iter().position(is_allowed);
         let last = self.queues.len().saturating_sub(1);
-        let is_last_turn = self.popped % LAST_PRIORITY_INTERVAL == LAST_PRIORITY_INTERVAL - 1;
+        let is_last_priority_turn =
+            self.popped % LAST_PRIORITY_INTERVAL == LAST_PRIORITY_INTERVAL - 1;
         let is_starved = |at: usize| {
             self.queues[last].get(at).is_some_and(|w| now >= w.queued_at + STARVATION_MS)
         };
-        let starved =
-            self.queues.last().and_then(first).filter(|&at| is_last_turn && is_starved(at));
+        let starved = self
+            .queues
+            .last()
+            .and_then(first)
+            .filter(|&at| is_last_priority_turn && is_starved(at));
         let (queue, at) = match starved {
             Some(at) => (last, at),
             None => self.queues.iter().enumerate().find_map(|(i, q)| Some((i, first(q)?)))?,
--- a/crates/cleatfold-ingress/src/poll_schedule.rs
+++ b/crates/cleatfold-ingress/src/poll_schedule.rs
@@ -32,7 +32,7 @@
 }
 
 /// Slots until the job's next slot; 0 if the current slot is one.
-fn slots_until_turn(hash: u64, level: Level, slot: u64) -> u64 {
+fn slots_until_next(hash: u64, level: Level, slot: u64) -> u64 {
     let offset = (slot + hash) % SLOTS_PER_ROUND;
     if offset < slots_of_job(level) {
         0
@@ -42,12 +42,12 @@
 }
 
 impl PollSchedule {
-    /// Milliseconds until the job's next slot, or `None` during one. Rejected clients are spread over the
-    /// first half of the slot.
+    /// Milliseconds until the job's next slot, or `None` during one. From the start of a slot the polls
+    /// that happen to arrive are answered; rejected clients are spread over its first half.
     pub fn ms_until_slot(job: &str, level: Level, wall_ms: u64) -> Option<u64> {
         let hash = xxh3_64(job.as_bytes());
         let (slot, elapsed_ms) = (wall_ms / SLOT_MS, wall_ms % SLOT_MS);
-        let slots_ahead = slots_until_turn(hash, level, slot);
+        let slots_ahead = slots_until_next(hash, level, slot);
         (slots_ahead > 0).then(|| slots_ahead * SLOT_MS - elapsed_ms + (hash >> 32) % (SLOT_MS / 2))
     }
 
--- a/crates/cleatfold-reachability/src/lib.rs
+++ b/crates/cleatfold-reachability/src/lib.rs
@@ -24,7 +24,7 @@
 pub use one_way_partition::OneWayPartitionDetector;
 pub use peers::{Peers, ZoneContact};
 pub use worker_release::{ReleaseDecision, WorkerRelease};
-pub use zone_monitor::{Probe, Timing, ZoneMonitor};
+pub use zone_monitor::{Probe, ProbeTiming, ZoneMonitor};
 
 use cleatfold_wire::{ControllerId, MachineId, Ms, ZoneId};
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
 /// One controller's view of which controllers reach which zones.
 #[derive(Clone, Debug, Default)]
 pub struct Reachability {
-    timing: Timing,
+    timing: ProbeTiming,
     zones: BTreeMap<ZoneId, ZoneMonitor>,
     /// State reported by the other controllers.
     pub peers: Peers,
@@ -49,7 +49,7 @@
 
 impl Reachability {
     /// Creates a view without any evidence.
-    pub fn new(timing: Timing) -> Self {
+    pub fn new(timing: ProbeTiming) -> Self {
         Self { timing, ..Self::default() }
     }
 
--- a/crates/cleatfold-reachability/src/misdirected_workers.rs
+++ b/crates/cleatfold-reachability/src/misdirected_workers.rs
@@ -45,7 +45,7 @@
     /// Each pool's last known token, and since when it is known.
     tokens: BTreeMap<PoolId, (FencingToken, Ms)>,
     pending_probes: BTreeMap<PoolId, PendingProbe>,
-    /// The sequence number and time of each machine's last confirmed misdirected report.
+    /// The number of each machine's last probe answer that confirmed it as misdirected, and its time.
     confirmed: BTreeMap<MachineId, (AgentEpoch, Seq, Ms)>,
 }
 
--- a/crates/cleatfold-reachability/src/one_way_partition.rs
+++ b/crates/cleatfold-reachability/src/one_way_partition.rs
@@ -29,7 +29,7 @@
 
 #[derive(Clone, Debug)]
 struct SentAnswer {
-    at: Ms,
+    sent_at: Ms,
     /// Whether the answer carried a token that the worker had not seen.
     is_new_token: bool,
     expected_effects: Vec<ExpectedEffect>,
@@ -60,7 +60,8 @@
             Command::Forget { task, attempt } => ExpectedEffect::NotListed(task.clone(), *attempt),
         };
         let expected_effects = commands.iter().take(8).map(expected_effect).collect();
-        self.last_answer = Some(SentAnswer { at: now, is_new_token: new_token, expected_effects });
+        self.last_answer =
+            Some(SentAnswer { sent_at: now, is_new_token: new_token, expected_effects });
     }
 
     /// Records an answer that was held back until there were commands to send.
@@ -85,7 +86,7 @@
         tasks: &[TaskReport],
     ) -> bool {
         let Some(answer) = self.last_answer.take() else { return false };
-        let passed_ms = now.since(answer.at);
+        let passed_ms = now.since(answer.sent_at);
         let expects_effect = answer.is_new_token || !answer.expected_effects.is_empty();
         let find = |task: &TaskId, attempt: Attempt| {
             tasks.iter().find(|t| t.task == *task && t.attempt == attempt)
--- a/crates/cleatfold-reachability/src/zone_monitor.rs
+++ b/crates/cleatfold-reachability/src/zone_monitor.rs
@@ -5,29 +5,30 @@
 
 /// Time settings for probes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Timing {
+pub struct ProbeTiming {
     /// Time between two heartbeats of a worker.
     pub heartbeat_interval_ms: u64,
 }
 
-impl Default for Timing {
+impl Default for ProbeTiming {
     fn default() -> Self {
         Self { heartbeat_interval_ms: 1000 }
     }
 }
 
-/// Minimum time between two probes of a zone, and the time between probes of a zone without workers
-/// that report to this controller.
+/// Minimum time between two probes of a zone.
 const MIN_PROBE_INTERVAL_MS: u64 = 1_000;
+/// Minimum time between two probes of a zone without workers that report to this controller, unless
+/// there is a sign of lost contact.
 const IDLE_PROBE_INTERVAL_MS: u64 = 5_000;
 /// A zone counts as lost after this many unanswered probes in a row, to as many different machines
 /// if the zone has that many: then the machines are not the cause.
 const LOST_AFTER_UNANSWERED: usize = 3;
 
-impl Timing {
+impl ProbeTiming {
     /// Time without contact after which a zone is probed, if `reporting` of its machines report to
     /// this controller. In that time three heartbeats should have arrived; at least 1.5 s. Zones
-    /// whose machines all report to other controllers are probed at `IDLE_PROBE_INTERVAL_MS`.
+    /// whose machines all report to other controllers are probed every `IDLE_PROBE_INTERVAL_MS`.
     fn probe_after_ms(&self, reporting: usize) -> u64 {
         match reporting {
             0 => IDLE_PROBE_INTERVAL_MS,
@@ -95,7 +96,7 @@
     /// The probe to send now, if one is due.
     pub fn next_probe(
         &mut self,
-        timing: &Timing,
+        timing: &ProbeTiming,
         now: Ms,
         zone: &ZoneId,
         machines: &[MachineId],
--- a/crates/cleatfold-reachability/tests/reachability.rs
+++ b/crates/cleatfold-reachability/tests/reachability.rs
@@ -1,7 +1,8 @@
 //! Reachability compared with a simulation whose partitions and machine failures are known.
 
 use cleatfold_reachability::{
-    ExcludedControllers, MisdirectedWorkers, Reachability, TakeoverDecision, Timing, ZoneContact,
+    ExcludedControllers, MisdirectedWorkers, ProbeTiming, Reachability, TakeoverDecision,
+    ZoneContact,
 };
 use cleatfold_wire::{AgentEpoch, ControllerId, FencingToken, MachineId, Ms, PoolId, Seq, ZoneId};
 use proptest::prelude::*;
@@ -25,7 +26,7 @@
 
 impl Simulation {
     fn new() -> Self {
-        let timing = Timing { heartbeat_interval_ms: 1000 };
+        let timing = ProbeTiming { heartbeat_interval_ms: 1000 };
         Self { views: (0..CONTROLLERS).map(|_| Reachability::new(timing)).collect(), now: Ms(1000) }
     }
 
