--- a/crates/cleatfold-clients/src/store.rs
+++ b/crates/cleatfold-clients/src/store.rs
@@ -8,7 +8,7 @@
 
 use crate::http::{CallError, HttpClient};
 use cleatfold_control::{CallPriority, StoreReply, StoreRequest};
-use cleatfold_ingress::{Backoff, Breaker, OutgoingQueue, RetryBudget};
+use cleatfold_ingress::{Backoff, CircuitBreaker, OutgoingQueue, RetryBudget};
 use cleatfold_wire::store::{Events, Grant, Granted, Item, Page, Revision};
 use hyper::Method;
 use serde::de::DeserializeOwned;
@@ -61,13 +61,13 @@
 
 /// Consecutive failures after which the service is considered unavailable.
 const MAX_CONSECUTIVE_FAILURES: u32 = 4;
-const UNAVAILABLE_BACKOFF: Backoff = Backoff { first_ms: 200, most_ms: 1000 };
+const UNAVAILABLE_BACKOFF: Backoff = Backoff { first_ms: 200, max_ms: 1000 };
 /// Reattempts that each call adds to the retry budget, and the maximum that can accumulate.
 const RETRIES_PER_CALL: f64 = 0.1;
 const MAX_SAVED_RETRIES: f64 = 10.0;
 /// Maximum retries of a call that the service refuses for its rate limit.
 const MAX_RETRIES_PER_CALL: u32 = 3;
-const RATE_LIMIT_BACKOFF: Backoff = Backoff { first_ms: 150, most_ms: 600 };
+const RATE_LIMIT_BACKOFF: Backoff = Backoff { first_ms: 150, max_ms: 600 };
 
 /// Number of keys that a request changes.
 fn change_count(request: &StoreRequest) -> f64 {
@@ -126,7 +126,7 @@
     change_bucket: TokenBucket,
     refilled_at: Instant,
     retries: RetryBudget,
-    breaker: Breaker,
+    breaker: CircuitBreaker,
     start: Instant,
 }
 
@@ -147,7 +147,7 @@
             change_bucket: bucket(budget.writes_per_s),
             refilled_at: Instant::now(),
             retries: RetryBudget::new(RETRIES_PER_CALL, MAX_SAVED_RETRIES),
-            breaker: Breaker::new(MAX_CONSECUTIVE_FAILURES, UNAVAILABLE_BACKOFF),
+            breaker: CircuitBreaker::new(MAX_CONSECUTIVE_FAILURES, UNAVAILABLE_BACKOFF),
             start: Instant::now(),
         }
     }
@@ -167,9 +167,9 @@
 
     /// Records a finished attempt. Retries a rate-limited call within the retry budget.
     fn record_attempt(&mut self, report: AttemptReport) {
-        self.breaker.note(self.now_ms(), report.service_available, &mut rand::rng());
+        self.breaker.record_result(self.now_ms(), report.service_available, &mut rand::rng());
         match report.retry {
-            Some(queued) if queued.attempts <= MAX_RETRIES_PER_CALL && self.retries.take() => {
+            Some(queued) if queued.attempts <= MAX_RETRIES_PER_CALL && self.retries.try_take() => {
                 self.push(queued)
             }
             Some(queued) => (self.on_reply)(queued.call.op, StoreReply::Refused),
@@ -197,7 +197,7 @@
             return false;
         };
         let is_renewal = queued.call.priority == CallPriority::Renewal;
-        if !is_renewal && self.breaker.is_open() && !self.breaker.admits(now_ms) {
+        if !is_renewal && self.breaker.is_open() && !self.breaker.allows_call(now_ms) {
             // The request was not sent, so it is certain that it was not executed. The caller
             // decides when to retry.
             (self.on_reply)(queued.call.op, StoreReply::Refused);
@@ -205,7 +205,7 @@
         }
         self.request_bucket.tokens -= 1.0;
         self.change_bucket.tokens -= changes;
-        self.retries.note_call();
+        self.retries.record_call();
         let (http, on_reply, reports) =
             (self.http.clone(), self.on_reply.clone(), self.reports.clone());
         tokio::task::spawn_local(make_call(http, queued, on_reply, reports));
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -294,7 +294,7 @@
             if let Effect::Reply { rid, response } = &effect {
                 let job = self.pending_polls.remove(rid);
                 if let (Some(job), Response::Refusal { code: 503, .. }) = (job, response) {
-                    self.poll_schedule.give_back(job.as_str());
+                    self.poll_schedule.release_slot(job.as_str());
                 }
             }
             self.outgoing.perform(effect);
@@ -303,12 +303,12 @@
 
     fn tick(&mut self, delay: Duration) {
         let now = self.monotonic_ms(Instant::now());
-        for (class, request) in self.request_queue.expired(now) {
+        for (class, request) in self.request_queue.take_expired(now) {
             // The client has disconnected, or will have before a response is ready.
             tracing::debug!(?class, "request expired");
             self.shed(request);
         }
-        self.pressure.note(now, delay.as_millis() as u64, self.request_queue.oldest_ms(now));
+        self.pressure.record_tick(now, delay.as_millis() as u64, self.request_queue.oldest_ms(now));
         if self.pressure.level() != self.announced_level {
             self.announced_level = self.pressure.level();
             tracing::info!(level = ?self.announced_level, waiting = self.request_queue.len(), "pressure level changed");
@@ -346,7 +346,7 @@
             return;
         }
         if let RequestPayload::Request(Request::Poll(job)) = &request.payload {
-            if !self.poll_schedule.take(job.as_str(), self.pressure.level(), wall_clock_ms()) {
+            if !self.poll_schedule.take_slot(job.as_str(), self.pressure.level(), wall_clock_ms()) {
                 return self.shed(request);
             }
         }
--- a/crates/cleatfold/src/serve.rs
+++ b/crates/cleatfold/src/serve.rs
@@ -58,8 +58,8 @@
         tokio::select! {
             biased;
             event = event_receiver.recv() => match event {
-                Some(ConnectionEvent::RequestStarted { id, is_worker }) => connections.note(id, millis(), true, is_worker),
-                Some(ConnectionEvent::RequestEnded { id }) => connections.note(id, millis(), false, false),
+                Some(ConnectionEvent::RequestStarted { id, is_worker }) => connections.record_request(id, millis(), true, is_worker),
+                Some(ConnectionEvent::RequestEnded { id }) => connections.record_request(id, millis(), false, false),
                 Some(ConnectionEvent::Closed { id }) => {
                     connections.close(id);
                     close_senders.remove(&id);
@@ -87,7 +87,7 @@
                 }
             },
             _ = idle_check.tick() => {
-                for id in connections.unused(millis()) {
+                for id in connections.expired(millis()) {
                     close_senders.remove(&id);
                 }
             }
@@ -177,7 +177,7 @@
             });
         }
         let job = path.strip_prefix("/v1/jobs/")?;
-        PollSchedule::wait_ms(job, status.level, crate::actor::wall_clock_ms()).map(|ms| {
+        PollSchedule::ms_until_slot(job, status.level, crate::actor::wall_clock_ms()).map(|ms| {
             let why = "more is asked than can be answered".to_string();
             let retry_after_s = Some(ms.div_ceil(1000) as u32);
             into_http(Response::Refusal { code: 503, why, retry_after_s })
