--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -57,8 +57,10 @@
 
     fn send_due_cancellations(&mut self) {
         let (peers, keep_ms) = (&self.reachability.view.peers, self.cfg.cancel_ms);
-        let due =
-            self.cancellations.broadcast.messages_due(self.now, keep_ms, |n| peers.last_store_read(n));
+        let due = self
+            .cancellations
+            .broadcast
+            .messages_due(self.now, keep_ms, |n| peers.last_store_read(n));
         for (peer, jobs) in due {
             let jobs = jobs.iter().map(|j| j.to_string()).collect();
             self.send_to_peers(Some(peer), Message::Cancelled { jobs });
