--- a/crates/cleatfold-control/src/config.rs
+++ b/crates/cleatfold-control/src/config.rs
@@ -94,7 +94,7 @@
     /// alone.
     pub admission: Option<Rules>,
     /// Retention of each team's history.
-    pub history: cleatfold_workspace::Keep,
+    pub history: cleatfold_workspace::HistoryRetention,
     /// Staged distribution of images that many machines need at once; none: each machine fetches
     /// from the origin.
     pub image_distribution: Option<cleatfold_image_distribution::Settings>,
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -245,7 +245,7 @@
         self.contact_age_sent = self.now;
         if let Some(read) = self.session.last_read {
             let contact_age_ms = self.now.since(read);
-            self.send_to_peers(None, Message::Alive { contact_age_ms });
+            self.send_to_peers(None, Message::Heartbeat { contact_age_ms });
         }
         self.broadcast_image_changes();
     }
--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -5,8 +5,12 @@
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
 use crate::store::cache::Versioned;
-use crate::store::records::{image_holders_key, pool_key, OriginRecord, SpreadRecord, ORIGIN_KEY};
-use cleatfold_image_distribution::{Seen, Settings, Turn, View, Want};
+use crate::store::records::{
+    image_holders_key, pool_key, ImageHoldersRecord, OriginRecord, ORIGIN_KEY,
+};
+use cleatfold_image_distribution::{
+    DistributionInput, FetchRequest, FetchSource, ObservedMachine, Settings,
+};
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::mesh::Message;
 use cleatfold_wire::store::Txn;
@@ -45,22 +49,22 @@
             .filter(|p| self.owned_pool_token(p).is_some())
             .cloned()
             .collect();
-        let spreads: BTreeMap<ImageId, SpreadRecord> =
+        let image_holders: BTreeMap<ImageId, ImageHoldersRecord> =
             self.cache.image_holders.iter().map(|(i, r)| (i.clone(), r.value.clone())).collect();
         let mut distributor = std::mem::take(&mut self.image_distribution.distributor);
-        let (origin, newly_permitted) = distributor.pass(&View {
+        let (origin, newly_permitted) = distributor.update(&DistributionInput {
             now: self.now,
             wall_ms: self.wall_ms,
             value_bytes: self.cfg.max_value_bytes,
             settings: &settings,
             origin: &self.cache.origin.value,
-            spreads: &spreads,
-            wants,
+            image_holders: &image_holders,
+            requests: wants,
             pools: &pools,
-            seen,
+            machines: seen,
             in_use,
-            gone: &|id| self.cannot_be_fetching(id),
-            endpoints: &|id| self.inventory.machines.get(id)?.endpoint.clone(),
+            cannot_be_fetching: &|id| self.cannot_be_fetching(id),
+            peer_endpoint: &|id| self.inventory.machines.get(id)?.endpoint.clone(),
         });
         self.image_distribution.distributor = distributor;
         if let Some(origin) = origin {
@@ -89,8 +93,8 @@
 
     /// The claims on machines for jobs with large images, and the number of machines on which each
     /// such image is in use.
-    fn wants(&self, settings: &Settings) -> (Vec<Want>, BTreeMap<ImageId, usize>) {
-        let mut wants: Vec<Want> = Vec::new();
+    fn wants(&self, settings: &Settings) -> (Vec<FetchRequest>, BTreeMap<ImageId, usize>) {
+        let mut wants: Vec<FetchRequest> = Vec::new();
         // Large images in use on each machine, with their sizes in GB: a machine's cache is
         // limited.
         let mut in_use_by_machine: BTreeMap<&MachineId, BTreeMap<&ImageId, f64>> = BTreeMap::new();
@@ -110,19 +114,20 @@
                 images.insert(&spec.image, spec.image_gb);
                 let machine_type = self.inventory.types.get(&group.pool.machine_type);
                 let reported = machine.and_then(|m| m.heartbeat.as_ref()).map(|h| &h.images);
-                wants.push(Want {
+                wants.push(FetchRequest {
                     machine: group.machine.clone(),
                     pool: group.pool.clone(),
                     image: spec.image.clone(),
                     urgency: spec.urgency as u8,
                     gang: spec.kind == Kind::Gang,
-                    place: cached.accepted_revision(),
-                    mb_per_s: settings.slot(machine_type.map_or(1.0, |t| t.fetch_gb_per_s)),
+                    accepted_revision: cached.accepted_revision(),
+                    mb_per_s: settings
+                        .slot_mb_per_s(machine_type.map_or(1.0, |t| t.fetch_gb_per_s)),
                     // Nothing is known of machines in other controllers' pools; their owner
                     // decides.
                     supports_peer_fetch: reported.is_none_or(|images| images.is_some()),
                     stuck: reported.is_some_and(Controller::has_stuck_fetch),
-                    pushes_out: None,
+                    evicted_image: None,
                 });
             }
         }
@@ -136,13 +141,13 @@
             let is_over_capacity = images.values().sum::<f64>() > cache_gb.unwrap_or(f64::INFINITY);
             let evicted =
                 images.keys().find(|image| ***image != want.image).filter(|_| is_over_capacity);
-            want.pushes_out = evicted.map(|image| (*image).clone());
+            want.evicted_image = evicted.map(|image| (*image).clone());
         }
         (wants, in_use)
     }
 
     /// The machines of this controller's pools, as of heartbeats sent under its own tokens.
-    fn observed_machines(&self, settings: &Settings) -> BTreeMap<MachineId, Seen> {
+    fn observed_machines(&self, settings: &Settings) -> BTreeMap<MachineId, ObservedMachine> {
         let mut seen = BTreeMap::new();
         for (id, machine) in &self.inventory.machines {
             let Some(token) = self.owned_pool_token(&machine.pool) else { continue };
@@ -168,15 +173,15 @@
             }
             seen.insert(
                 id.clone(),
-                Seen {
+                ObservedMachine {
                     pool: machine.pool.clone(),
-                    at: heartbeat.received_at,
+                    received_at: heartbeat.received_at,
                     endpoint: machine.endpoint.clone().filter(|_| heartbeat.images.is_some()),
                     images: self.image_distribution.held_images(id, machine),
                     fetching,
                     stuck: Controller::has_stuck_fetch(&heartbeat.images),
                     source: held().find_map(|i| i.source.clone()),
-                    serves: held().map(|i| i.serves).sum(),
+                    active_uploads: held().map(|i| i.serves).sum(),
                     leaving: !machine.is_schedulable(),
                 },
             );
@@ -208,16 +213,16 @@
         if held.get(&spec.image).is_some_and(|part| *part >= 1.0) {
             return Some(vec![]);
         }
-        match self.image_distribution.distributor.turn(id, &spec.image)? {
+        match self.image_distribution.distributor.fetch_source(id, &spec.image)? {
             // A worker that lists its images has just reported the image as missing: it has
             // returned with an empty cache since the last pass, and would fetch without a slot.
-            Turn::Here => {
+            FetchSource::Present => {
                 let lists_images = machine.heartbeat.as_ref().is_some_and(|h| h.images.is_some());
                 (!lists_images).then(Vec::new)
             }
-            Turn::From(sources) => Some(sources.clone()),
+            FetchSource::Peers(sources) => Some(sources.clone()),
             // Checks the slot in the present record: it may have changed since the last pass.
-            Turn::Origin => {
+            FetchSource::Origin => {
                 let slot = self.cache.origin.value.slots.get(id)?;
                 let is_valid = slot.image == spec.image && slot.pool == machine.pool;
                 let is_releasing = self.image_distribution.releasing_slots.contains(id);
@@ -237,7 +242,7 @@
         // Only sources that were decided on after the machine reported its state. Repeating the
         // earlier ones at each heartbeat sent a stuck machine back to the source that had failed
         // it, and it was never stuck long enough for that to be noticed.
-        if !self.image_distribution.distributor.is_moved(id) {
+        if !self.image_distribution.distributor.needs_new_sources(id) {
             return vec![];
         }
         let fetching = tasks.iter().filter(|t| t.state == TaskState::Fetching);
@@ -265,7 +270,7 @@
             cached.is_some_and(|job| settings.is_large(job.record.spec.image_gb))
         });
         if fetches_large_image {
-            self.image_distribution.distributor.ordered(id, self.now);
+            self.image_distribution.distributor.record_command(id, self.now);
         }
     }
 
@@ -343,7 +348,11 @@
 
     /// Finds the machines of this controller that hold the last copy of an image in use, and writes
     /// the record of one image whose holders among this controller's machines have changed.
-    fn maintain_holders(&mut self, wants: &[Want], seen: &BTreeMap<MachineId, Seen>) {
+    fn maintain_holders(
+        &mut self,
+        wants: &[FetchRequest],
+        seen: &BTreeMap<MachineId, ObservedMachine>,
+    ) {
         let mut wanted: BTreeMap<&ImageId, BTreeSet<&MachineId>> = BTreeMap::new();
         for want in wants {
             wanted.entry(&want.image).or_default().insert(&want.machine);
@@ -384,13 +393,13 @@
                     let mut holders: BTreeSet<MachineId> = hosts.map(|(m, _)| m.clone()).collect();
                     // Machines that have not reported yet but are still in the inventory stay as
                     // recorded.
-                    let recorded = new.holders.get(pool).map(|n| n.read()).unwrap_or_default();
+                    let recorded = new.holders.get(pool).map(|n| n.unpack()).unwrap_or_default();
                     let is_unreported = |m: &MachineId| {
                         !seen.contains_key(m) && self.inventory.machines.contains_key(m)
                     };
                     holders.extend(recorded.iter().filter(|m| is_unreported(m)).cloned());
                     if holders != recorded {
-                        new.set(pool, &holders, self.cfg.max_value_bytes);
+                        new.set_pool_holders(pool, &holders, self.cfg.max_value_bytes);
                         txn.guard(pool_key(pool), Version(token.0));
                     }
                 }
--- a/crates/cleatfold-control/src/images/state.rs
+++ b/crates/cleatfold-control/src/images/state.rs
@@ -29,7 +29,7 @@
     /// Whether the machine must not be returned for idleness: others fetch from it, or it holds the
     /// last copy of an image.
     pub(crate) fn blocks_idle_return(&self, id: &MachineId) -> bool {
-        self.distributor.serves(id) || self.last_copies.contains(id)
+        self.distributor.is_uploading(id) || self.last_copies.contains(id)
     }
 
     /// The images that a machine certainly holds, each with the fraction that is present. A worker
@@ -38,7 +38,7 @@
     pub(crate) fn held_images(&self, id: &MachineId, machine: &Machine) -> BTreeMap<ImageId, f64> {
         let Some(heartbeat) = &machine.heartbeat else { return BTreeMap::new() };
         if let Some(held) = &heartbeat.images {
-            return held.iter().map(|i| (i.image.clone(), i.part)).collect();
+            return held.iter().map(|i| (i.image.clone(), i.fraction)).collect();
         }
         let run_images =
             self.run_images.get(id).filter(|(epoch, _)| *epoch == heartbeat.agent_epoch);
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -38,7 +38,7 @@
     /// Handles a step report of a member.
     pub(crate) fn on_step_report(&mut self, rid: u64, report: Box<StepReport>) {
         let coordinator = self.coordinator(&report.member.job);
-        if coordinator != self.cfg.controller_id && !report.generate_load {
+        if coordinator != self.cfg.controller_id && !report.require_answer {
             return self.reply(rid, Response::Redirect(Some(coordinator)));
         }
         if self.is_store_unavailable() {
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -128,7 +128,7 @@
             return Some("a task fits no allowed machine type".into());
         }
         let min_tasks = match &spec.elastic {
-            Some(elastic) => f64::from(elastic.least.max(1)),
+            Some(elastic) => f64::from(elastic.min_members.max(1)),
             None if spec.kind == Kind::Array => 1.0,
             None => f64::from(spec.tasks),
         };
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -186,8 +186,11 @@
                 tracing::info!(%pool, spot = request.spot, ?machines, "machines created");
                 let is_short = (machines.len() as u32) < request.count;
                 let names = machines.iter().map(|m| m.to_string()).collect();
-                let message =
-                    Message::Rented { pool: pool.to_string(), spot: request.spot, machines: names };
+                let message = Message::MachinesCreated {
+                    pool: pool.to_string(),
+                    spot: request.spot,
+                    machines: names,
+                };
                 self.send_to_peers(None, message);
                 self.add_created_machines(&pool, request.spot, machines);
                 if is_short {
--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -10,7 +10,7 @@
     pub(crate) fn on_mesh(&mut self, from: ControllerId, message: Message) {
         self.reachability.view.peers.note_message(&from, self.now);
         match message {
-            Message::Alive { contact_age_ms } => {
+            Message::Heartbeat { contact_age_ms } => {
                 let read_at = Ms(self.now.0.saturating_sub(contact_age_ms));
                 self.reachability.view.peers.read(&from, read_at);
             }
@@ -30,7 +30,7 @@
                     }
                 }
             }
-            Message::Rented { pool, spot, machines } => {
+            Message::MachinesCreated { pool, spot, machines } => {
                 if let Some(pool) = PoolId::parse(&pool) {
                     let machines = machines.into_iter().map(MachineId::new).collect();
                     self.add_created_machines(&pool, spot, machines);
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -158,7 +158,7 @@
         }
         let peers: Vec<ControllerId> =
             self.cfg.peers.iter().map(|(peer, _)| peer.clone()).collect();
-        let is_idle = !heartbeat.lists_tasks();
+        let is_idle = !heartbeat.has_tasks();
         let worker_release = &mut self.reachability.view.worker_release;
         match worker_release.reports(pool, &heartbeat.machine, is_idle, &peers, self.now) {
             Answer::Keep => None,
--- a/crates/cleatfold-control/src/namespaces/team_queries.rs
+++ b/crates/cleatfold-control/src/namespaces/team_queries.rs
@@ -14,11 +14,11 @@
 use crate::store::cache::CachedJob;
 use crate::store::records::{history_group_key, history_head_key, history_prefix};
 use cleatfold_wire::team::{
-    EndedJob, Holdup, LiveJob, TeamHistory, TeamJobs, TeamQueue, WaitingJob,
+    ActiveJob, EndedJob, TeamHistory, TeamJobs, TeamQueue, WaitCause, WaitingJob,
 };
 use cleatfold_wire::{JobId, PoolId, TeamId};
-use cleatfold_workspace::page::{by_place, AnswerPage};
-use cleatfold_workspace::GROUP_MOST;
+use cleatfold_workspace::page::{page_by_place, AnswerPage};
+use cleatfold_workspace::MAX_GROUP_ENTRIES;
 use std::collections::BTreeSet;
 
 /// The number of history groups in one read.
@@ -71,7 +71,7 @@
             return;
         }
         let applied = self.cache.applied_revision.0;
-        let ended_jobs_revision = self.workspaces.ended_jobs.to();
+        let ended_jobs_revision = self.workspaces.ended_jobs.read_up_to();
         let mut is_archive_behind = false;
         for mut query in std::mem::take(&mut self.team_queries.waiting) {
             let is_covered = sent_event.is_some_and(|sent_event| query.arrival_event <= sent_event);
@@ -119,7 +119,7 @@
         let jobs = self.live_jobs(team, since).filter_map(|(place, id, cached)| {
             let status = self.live_status(id)?;
             let spec = &cached.record.spec;
-            let job = LiveJob {
+            let job = ActiveJob {
                 place,
                 id: id.clone(),
                 class: spec.class.clone(),
@@ -134,7 +134,7 @@
             };
             Some((place, job))
         });
-        let (jobs, next, more) = by_place(since, jobs, |job| job.why = None);
+        let (jobs, next, more) = page_by_place(since, jobs, |job| job.why = None);
         TeamJobs { jobs, next, more }
     }
 
@@ -148,7 +148,7 @@
         let jobs = waiting.map(|(place, id, cached)| {
             let spec = &cached.record.spec;
             let rank = self.team_queries.ranks.get(id);
-            let (holdup, why) = self.holdup(id, cached, rank, limit_exhausted, &pools);
+            let (wait_cause, why) = self.wait_cause(id, cached, rank, limit_exhausted, &pools);
             let job = WaitingJob {
                 place,
                 id: id.clone(),
@@ -156,42 +156,42 @@
                 urgency: spec.urgency,
                 rank,
                 tasks: cached.unclaimed(),
-                holdup,
+                wait_cause,
                 why: Some(why),
             };
             (place, job)
         });
-        let (waiting, next, more) = by_place(since, jobs, |job| job.why = None);
+        let (waiting, next, more) = page_by_place(since, jobs, |job| job.why = None);
         TeamQueue { waiting, next, more }
     }
 
     /// What keeps a job from starting, in terms of its own team only. `pools` are those that have
     /// machines.
-    fn holdup(
+    fn wait_cause(
         &self,
         id: &JobId,
         cached: &CachedJob,
         rank: Option<u32>,
         limit_exhausted: bool,
         pools: &BTreeSet<&PoolId>,
-    ) -> (Holdup, String) {
+    ) -> (WaitCause, String) {
         if self.startable_tasks(id, cached, cached.unclaimed()) == 0 {
             let why =
                 self.failure_summary(id, cached).unwrap_or_else(|| "its failed tasks pause".into());
-            return (Holdup::Pause, why);
+            return (WaitCause::Pause, why);
         }
         if limit_exhausted {
-            return (Holdup::Limit, "its team's limit is used up".into());
+            return (WaitCause::Limit, "its team's limit is used up".into());
         }
         if !pools.iter().any(|pool| self.can_run_in(cached, pool)) {
-            return (Holdup::Machines, "no machine that it may run on is up yet".into());
+            return (WaitCause::Machines, "no machine that it may run on is up yet".into());
         }
         let jobs_before = rank.map_or(0, |rank| rank.saturating_sub(1));
         let why = match jobs_before {
             0 => "what goes before it has the room".into(),
             n => format!("{n} of its team's jobs go before it"),
         };
-        (Holdup::Order, why)
+        (WaitCause::Order, why)
     }
 
     /// Whether what is left of the team's limit is too small for any of its waiting tasks.
@@ -240,9 +240,9 @@
             let history = self.append_ungrouped(&team, since, AnswerPage::default());
             return self.reply(rid, Response::Workspace(WorkspaceContents::History(history)));
         }
-        // A group has at most `GROUP_MOST` entries, so the one that contains `since` begins after
+        // A group has at most `MAX_GROUP_ENTRIES` entries, so the one that contains `since` begins after
         // this.
-        let from = since.checked_sub(GROUP_MOST as u64);
+        let from = since.checked_sub(MAX_GROUP_ENTRIES as u64);
         let from = from.map(|number| history_group_key(&team, number));
         let read = HistoryRead { rid, team, since, grouped_entries: head.entries };
         self.read_history_page(read, from);
@@ -267,7 +267,7 @@
                 if number < next {
                     continue;
                 }
-                if answer_page.fit(vec![entry.to_ended_job(number)]).is_err() {
+                if answer_page.try_extend(vec![entry.to_ended_job(number)]).is_err() {
                     let history = TeamHistory { ended: answer_page.entries, next, more: true };
                     let answer = Response::Workspace(WorkspaceContents::History(history));
                     return self.reply(read.rid, answer);
@@ -302,11 +302,11 @@
         // written are not all known, the client has to ask again.
         let mut more = head.entries > next || !self.workspaces.ended_jobs.covers(team, &head);
         if !more {
-            for (number, entry) in self.workspaces.ended_jobs.beyond(team, &head) {
+            for (number, entry) in self.workspaces.ended_jobs.ungrouped(team, &head) {
                 if number < next {
                     continue;
                 }
-                if answer_page.fit(vec![entry.to_ended_job(number)]).is_err() {
+                if answer_page.try_extend(vec![entry.to_ended_job(number)]).is_err() {
                     more = true;
                     break;
                 }
--- a/crates/cleatfold-control/src/namespaces/workspace_state.rs
+++ b/crates/cleatfold-control/src/namespaces/workspace_state.rs
@@ -4,7 +4,7 @@
 use cleatfold_roles::Vacancies;
 use cleatfold_wire::store::{Item, Txn};
 use cleatfold_wire::{JobId, Ms, TeamId, Version};
-use cleatfold_workspace::{Ended, JobEnd};
+use cleatfold_workspace::{JobEnd, UngroupedHistory};
 use std::collections::BTreeMap;
 
 /// Ownership of workspaces, the ended jobs that no history holds yet, and when each was last
@@ -13,7 +13,7 @@
 pub(crate) struct WorkspaceState {
     pub vacancies: Vacancies<TeamId>,
     pub owned: BTreeMap<TeamId, OwnedWorkspace>,
-    pub ended_jobs: Ended,
+    pub ended_jobs: UngroupedHistory,
     /// The scan of the whole archive, while one is in progress.
     pub archive_scan: Option<ArchiveScan>,
     pub ownership_checked_at: Ms,
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -18,7 +18,7 @@
 };
 use cleatfold_wire::store::{Events, Item, Txn};
 use cleatfold_wire::{JobId, TeamId, Version};
-use cleatfold_workspace::{owner, JobEnd, GROUP};
+use cleatfold_workspace::{owner, JobEnd, MIN_GROUP_ENTRIES};
 use std::collections::BTreeMap;
 
 /// Interval between two checks for workspaces without an owner.
@@ -112,7 +112,7 @@
             incarnation.filter(|_| self.has_store_contact() && self.rate_limiter.is_open())
         {
             self.workspaces.ownership_uncertain_at = None;
-            let rank = |team: &TeamId, live: &_| owner::rank(team, &me, live);
+            let rank = |team: &TeamId, live: &_| owner::owner_rank(team, &me, live);
             let owned_before_restart = |team: &TeamId| {
                 let holder = cache.workspaces.get(team).map(|w| &w.value);
                 holder.is_some_and(|h| h.owner == me && h.incarnation != incarnation)
@@ -127,7 +127,7 @@
             let owned = &self.workspaces.owned;
             let idle = owned.iter().filter(|(_, w)| !w.write_inflight).map(|(team, _)| team);
             if let Some(team) = vacancies.give(now, idle, rank) {
-                let preferred = owner::first(&team, vacancies.live().iter()).cloned();
+                let preferred = owner::preferred_owner(&team, vacancies.live().iter()).cloned();
                 let preferred = preferred.filter(|controller| *controller != me);
                 let holder = preferred.and_then(|owner| {
                     let incarnation = self.cache.controllers.get(&owner)?.value.incarnation;
@@ -228,21 +228,21 @@
         let from = in_reach.min().unwrap_or(applied).min(applied);
         self.archive.read_revision = Version(from);
         self.archive.is_stale = true;
-        self.workspaces.ended_jobs.read(from, from, []);
+        self.workspaces.ended_jobs.add_revisions(from, from, []);
     }
 
     /// Handles a refused read of ended jobs: the state service no longer keeps the changes since
     /// `from`.
     pub(crate) fn on_ended_jobs_too_old(&mut self, from: Version) {
         // These changes had been read before and were only read again: continue after the last one.
-        if let Some(to) = self.workspaces.ended_jobs.to().filter(|to| *to > from.0) {
+        if let Some(to) = self.workspaces.ended_jobs.read_up_to().filter(|to| *to > from.0) {
             self.archive.read_revision = Version(to);
             self.archive.is_stale = true;
             return;
         }
         let applied = self.cache.applied_revision;
         self.archive.read_revision = applied;
-        self.workspaces.ended_jobs.read(applied.0, applied.0, []);
+        self.workspaces.ended_jobs.add_revisions(applied.0, applied.0, []);
     }
 
     /// Adds the ended jobs of a read of the archive's changes since `from`.
@@ -256,15 +256,18 @@
             };
             Some(job_end(&job, &archive, e.version))
         });
-        self.workspaces.ended_jobs.read(from.0, events.revision.0, records);
+        self.workspaces.ended_jobs.add_revisions(from.0, events.revision.0, records);
     }
 
     fn maintain_ended_jobs(&mut self) {
         for (team, head) in &self.cache.histories {
-            self.workspaces.ended_jobs.forget(team, &head.value);
+            self.workspaces.ended_jobs.remove_grouped(team, &head.value);
         }
-        let is_behind =
-            self.workspaces.ended_jobs.to().is_none_or(|to| to < self.cache.applied_revision.0);
+        let is_behind = self
+            .workspaces
+            .ended_jobs
+            .read_up_to()
+            .is_none_or(|to| to < self.cache.applied_revision.0);
         let since_request = self.now.since(self.workspaces.archive_requested_at);
         if is_behind && since_request >= ARCHIVE_READ_INTERVAL_MS {
             self.workspaces.archive_requested_at = self.now;
@@ -322,7 +325,8 @@
         for (team, (from, found)) in scan.teams {
             let jobs = found.len();
             let ends = found.into_values().collect();
-            let is_contiguous = self.workspaces.ended_jobs.listed(&team, from, revision, ends);
+            let is_contiguous =
+                self.workspaces.ended_jobs.add_archive_listing(&team, from, revision, ends);
             tracing::info!(%team, jobs, joins = is_contiguous, "archive scanned");
         }
     }
@@ -362,8 +366,8 @@
     }
 
     fn write_history(&mut self, team: TeamId, version: Version, head: HistoryHead) {
-        let piece = self.workspaces.ended_jobs.piece(&team, &head, self.cfg.max_value_bytes);
-        let is_urgent = piece.as_ref().is_some_and(|p| p.pressing);
+        let piece = self.workspaces.ended_jobs.next_group(&team, &head, self.cfg.max_value_bytes);
+        let is_urgent = piece.as_ref().is_some_and(|p| p.is_urgent);
         if !self.rate_limiter.is_open() || !(is_urgent || self.rate_limiter.is_ample()) {
             return;
         }
@@ -401,7 +405,7 @@
                         team = %write.team, entries = write.head.entries, upto = write.head.upto,
                         "history written"
                     );
-                    self.workspaces.ended_jobs.forget(&write.team, &write.head);
+                    self.workspaces.ended_jobs.remove_grouped(&write.team, &write.head);
                     self.cache
                         .histories
                         .insert(write.team.clone(), Versioned::new(version, write.head));
@@ -429,7 +433,7 @@
     /// Requests the oldest groups of a history if it has too many entries or the last check is long
     /// ago.
     fn apply_retention(&mut self, team: &TeamId, head: &HistoryHead) {
-        let max_entries = self.cfg.history.jobs.saturating_add(GROUP as u64);
+        let max_entries = self.cfg.history.jobs.saturating_add(MIN_GROUP_ENTRIES as u64);
         let Some(owned) = self.workspaces.owned.get_mut(team) else { return };
         let since_check = self.now.since(owned.retention_checked_at);
         let entries = head.entries - head.first.min(head.entries);
@@ -470,6 +474,6 @@
             oldest.push((number, group.entries.len() as u64, last_ended_ms));
         }
         oldest.truncate(self.cfg.max_txn_changes.saturating_sub(2));
-        owned.expired_groups = self.cfg.history.gone(&head, &oldest, self.wall_ms);
+        owned.expired_groups = self.cfg.history.expired_groups(&head, &oldest, self.wall_ms);
     }
 }
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -5,8 +5,8 @@
 //! update cannot revert a key.
 
 use crate::store::records::{
-    parse_key, ControllerRecord, HistoryHead, HolderRecord, JobRecord, Key, LossHead, OriginRecord,
-    PreemptionRecord, SliceRecord, SpreadRecord, Summary, TaskTable,
+    parse_key, ControllerRecord, HistoryHead, HolderRecord, ImageHoldersRecord, JobRecord, Key,
+    LossHead, OriginRecord, PreemptionRecord, SliceRecord, Summary, TaskTable,
 };
 use cleatfold_admission::OverloadQuota;
 use cleatfold_backfill::Resources;
@@ -71,7 +71,7 @@
     pub(crate) fn width(&self) -> Option<Width> {
         let elastic = self.record.spec.elastic.as_ref()?;
         Some(Width {
-            least: elastic.least,
+            least: elastic.min_members,
             most: self.record.spec.tasks,
             left: self.steps_left?,
             step_ms: ((elastic.step_s * 1000.0) as u64).max(1),
@@ -172,7 +172,7 @@
     /// Preemptions in progress, by pool.
     pub preemptions: BTreeMap<PoolId, Versioned<PreemptionRecord>>,
     /// Holders of the images that are being distributed.
-    pub image_holders: BTreeMap<ImageId, Versioned<SpreadRecord>>,
+    pub image_holders: BTreeMap<ImageId, Versioned<ImageHoldersRecord>>,
     /// Each team's jobs that have not ended, by queue position.
     pub by_team: BTreeMap<TeamId, BTreeSet<(u64, JobId)>>,
     /// Keys whose last value cannot be parsed: their previous values are not acted on, and they are
@@ -537,7 +537,7 @@
         let mut members: Vec<TaskIx> = claims.flat_map(|g| g.tasks.iter().map(|t| t.0)).collect();
         members.sort_unstable();
         cached.first_surplus_member =
-            members.get(elastic.least as usize).copied().unwrap_or(TaskIx(u32::MAX));
+            members.get(elastic.min_members as usize).copied().unwrap_or(TaskIx(u32::MAX));
     }
 
     fn index_claims(&mut self, id: &JobId, table: &TaskTable) {
--- a/crates/cleatfold-control/src/store/loss_records.rs
+++ b/crates/cleatfold-control/src/store/loss_records.rs
@@ -135,11 +135,11 @@
     }
 
     /// The losses for a job's status; none if there are none.
-    pub fn to_job_losses(&self, job: &JobId, again: bool) -> Option<JobLosses> {
+    pub fn to_job_losses(&self, job: &JobId, rescheduled: bool) -> Option<JobLosses> {
         (!self.is_empty()).then(|| {
             let mut recent: Vec<Loss> = self.entries(job).collect();
             recent.drain(..recent.len().saturating_sub(Config::MAX_REPORTED_LOSSES));
-            JobLosses { total: self.total, again, recent }
+            JobLosses { total: self.total, rescheduled, recent }
         })
     }
 }
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -9,14 +9,14 @@
 pub use super::loss_records::*;
 
 use cleatfold_backfill::Resources;
-pub use cleatfold_image_distribution::{OriginRecord, SpreadRecord};
+pub use cleatfold_image_distribution::{ImageHoldersRecord, OriginRecord};
 pub use cleatfold_priority::{PreemptionPlan, PreemptionRecord};
 use cleatfold_roles::Role;
 use cleatfold_wire::job::{JobSpec, JobState, JobStatus};
 use cleatfold_wire::{
     Attempt, ControllerId, FencingToken, ImageId, JobId, MachineId, PoolId, TaskIx, TeamId, ZoneId,
 };
-pub use cleatfold_workspace::{Entry, Group as HistoryGroup, HistoryHead, Summary};
+pub use cleatfold_workspace::{HistoryEntry, HistoryGroup, HistoryHead, Summary};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -245,10 +245,10 @@
 
 impl ArchiveRecord {
     /// The job's entry in its team's history.
-    pub fn history_entry(&self, job: &JobId) -> Entry {
+    pub fn history_entry(&self, job: &JobId) -> HistoryEntry {
         let lost = self.losses.entries(job);
         let (done, total) = (self.done, self.losses.total);
-        Entry::new(job.clone(), self.state, done, self.summary.clone(), total, lost)
+        HistoryEntry::new(job.clone(), self.state, done, self.summary.clone(), total, lost)
     }
 }
 
--- a/crates/cleatfold-control/tests/commands.rs
+++ b/crates/cleatfold-control/tests/commands.rs
@@ -334,7 +334,8 @@
         let mut world = region(seed, 9);
         world.run(Ms(4000));
         let mut sweep = plain(&mut world, 40, 0.0);
-        (sweep.cpus, sweep.elastic) = (1.0, Some(Elastic { steps: 900, least: 1, step_s: 1.5 }));
+        (sweep.cpus, sweep.elastic) =
+            (1.0, Some(Elastic { steps: 900, min_members: 1, step_s: 1.5 }));
         world.submit(0, sweep);
         run_for(&mut world, 12_000);
         let until = world.now.plus(60_000);
--- a/crates/cleatfold-control/tests/elastic.rs
+++ b/crates/cleatfold-control/tests/elastic.rs
@@ -12,7 +12,7 @@
     (spec.tasks, spec.cpus, spec.memory_gb) = (most, 1.0, 1.0);
     (spec.team, spec.one_zone, spec.spread, spec.types) = (TeamId::new("free"), false, false, None);
     (spec.spot, spec.urgency) = (true, Urgency::Normal);
-    spec.elastic = Some(Elastic { steps, least, step_s });
+    spec.elastic = Some(Elastic { steps, min_members: least, step_s });
     spec
 }
 
--- a/crates/cleatfold-control/tests/formats.rs
+++ b/crates/cleatfold-control/tests/formats.rs
@@ -57,7 +57,7 @@
         Key::LossHead(_) => rewritten::<LossHead>(fixture),
         Key::History(_) => rewritten::<HistoryHead>(fixture),
         Key::Preemption(_) => rewritten::<PreemptionRecord>(fixture),
-        Key::ImageHolders(_) => rewritten::<SpreadRecord>(fixture),
+        Key::ImageHolders(_) => rewritten::<ImageHoldersRecord>(fixture),
         Key::ScaleOutIntents => rewritten::<ScaleOutIntents>(fixture),
         Key::OverloadQuota => rewritten::<cleatfold_admission::OverloadQuota>(fixture),
         Key::Origin => rewritten::<OriginRecord>(fixture),
@@ -102,7 +102,7 @@
             bitcode::decode(&bytes).unwrap_or_else(|error| panic!("{}: {error}", fixture.name));
         assert_eq!(bitcode::encode(&message), bytes, "{}", fixture.name);
         let same = match fixture.name {
-            "Alive" => matches!(message, Message::Alive { .. }),
+            "Alive" => matches!(message, Message::Heartbeat { .. }),
             "Assign" => matches!(message, Message::Assign { .. }),
             "Cancelled" => matches!(message, Message::Cancelled { .. }),
             "CancelledAck" => matches!(message, Message::CancelledAck { .. }),
@@ -110,7 +110,7 @@
             "Hears" => matches!(message, Message::ZoneContact { .. }),
             "Images" => matches!(message, Message::Images { .. }),
             "Promises" => matches!(message, Message::Promises { .. }),
-            "Rented" => matches!(message, Message::Rented { .. }),
+            "Rented" => matches!(message, Message::MachinesCreated { .. }),
             other => panic!("no such message: {other}"),
         };
         assert!(same, "{} is read as {message:?}", fixture.name);
--- a/crates/cleatfold-control/tests/handovers.rs
+++ b/crates/cleatfold-control/tests/handovers.rs
@@ -162,7 +162,8 @@
         let until = Ms(90_000);
         world.fault_schedule.late_orders = Some((9_000, until, seed % 2 == 0));
         let mut sweep = plain(&mut world, 40, 0.0);
-        (sweep.cpus, sweep.elastic) = (1.0, Some(Elastic { steps: 900, least: 1, step_s: 1.5 }));
+        (sweep.cpus, sweep.elastic) =
+            (1.0, Some(Elastic { steps: 900, min_members: 1, step_s: 1.5 }));
         world.submit(0, sweep);
         run_for(&mut world, 12_000);
         for round in 0..8u64 {
--- a/crates/cleatfold-control/tests/image_distribution.rs
+++ b/crates/cleatfold-control/tests/image_distribution.rs
@@ -54,7 +54,7 @@
 /// Somebody who serves others now, or fetches from the origin.
 fn a_source(world: &World) -> Option<MachineId> {
     let held = |w: &cleatfold_fakes::worker::Worker| {
-        w.images.held.iter().any(|h| h.serves > 0 && h.part < 1.0)
+        w.images.held.iter().any(|h| h.serves > 0 && h.fraction < 1.0)
     };
     world.workers.iter().find(|(_, w)| held(w)).map(|(id, _)| id.clone())
 }
@@ -203,9 +203,9 @@
     let key = "cf/w/m1";
     let named = |w: &World| {
         let item = w.store.get(key)?;
-        let record: cleatfold_image_distribution::SpreadRecord =
+        let record: cleatfold_image_distribution::ImageHoldersRecord =
             serde_json::from_str(item.value.get()).expect("a record");
-        Some(record.holders.values().map(|n| n.read().len()).sum::<usize>())
+        Some(record.holders.values().map(|n| n.unpack().len()).sum::<usize>())
     };
     run_until(&mut world, 90, |w| named(w).unwrap_or(0) >= 15);
     assert!((0..CONTROLLERS)
--- a/crates/cleatfold-control/tests/late_transactions.rs
+++ b/crates/cleatfold-control/tests/late_transactions.rs
@@ -30,7 +30,7 @@
 
 fn sweep(world: &mut World, steps: u32) -> JobSpec {
     let mut spec = plain(world, 6, 1.0, 10.0);
-    spec.elastic = Some(Elastic { steps, least: 1, step_s: 1.0 });
+    spec.elastic = Some(Elastic { steps, min_members: 1, step_s: 1.0 });
     spec
 }
 
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -9,7 +9,7 @@
 };
 use cleatfold_wire::job::{JobSpec, JobState, Urgency};
 use cleatfold_wire::store::Txn;
-use cleatfold_wire::team::{EndedJob, Holdup};
+use cleatfold_wire::team::{EndedJob, WaitCause};
 use cleatfold_wire::{ControllerId, JobId, MachineId, Ms, TeamId, Version};
 use std::collections::BTreeSet;
 
@@ -298,7 +298,7 @@
         assert!(text.len() <= 64 * 1024 && other.iter().all(|id| !text.contains(id.as_str())));
         let ranks: BTreeSet<u32> = queue.waiting.iter().filter_map(|w| w.rank).collect();
         assert!(queue.waiting.len() > 20 && ranks.len() + 1 >= queue.waiting.len());
-        let limited = queue.waiting.iter().any(|w| w.holdup == Holdup::Limit);
+        let limited = queue.waiting.iter().any(|w| w.wait_cause == WaitCause::Limit);
         assert_eq!(limited, team == "tight");
         // Urgent ones first: the order of planning, not of acceptance.
         let mut by_rank: Vec<_> = queue.waiting.iter().filter(|w| w.rank.is_some()).collect();
@@ -432,7 +432,7 @@
             .filter(|i| world.controllers[*i].is_some())
             .map(controller_id)
             .collect();
-        cleatfold_workspace::owner::first(&TeamId::new(team), controllers.iter()).cloned()
+        cleatfold_workspace::owner::preferred_owner(&TeamId::new(team), controllers.iter()).cloned()
     };
     for round in 0..6 {
         let team = TEAMS[round % 2];
--- a/crates/cleatfold-elastic/src/accounting.rs
+++ b/crates/cleatfold-elastic/src/accounting.rs
@@ -99,9 +99,9 @@
         let total = self.progress.steps;
         let finished = self.progress.finished();
         let next_action = if finished >= total {
-            NextAction::Over
+            NextAction::Finish
         } else if holds.is_empty() {
-            NextAction::Rest
+            NextAction::Wait
         } else {
             NextAction::Continue
         };
--- a/crates/cleatfold-elastic/tests/model.rs
+++ b/crates/cleatfold-elastic/tests/model.rs
@@ -11,7 +11,7 @@
 
 fn report(by: By, finished: Vec<(u32, u32)>, wants: u32) -> StepReport {
     let member = TaskId { job: JobId::new("run-1"), ix: by.0 };
-    StepReport { member, attempt: by.1, finished, wants, generate_load: false }
+    StepReport { member, attempt: by.1, finished, wants, require_answer: false }
 }
 
 /// Writes and reads again, as the state service keeps it.
@@ -89,7 +89,7 @@
                             theirs.retain(|s| !now.contains(s));
                         }
                     }
-                    assert_eq!(reply.next_action == NextAction::Over, progress.is_complete());
+                    assert_eq!(reply.next_action == NextAction::Finish, progress.is_complete());
                     holds.insert(by, now);
                 }
             }
--- a/crates/cleatfold-fakes/src/images.rs
+++ b/crates/cleatfold-fakes/src/images.rs
@@ -1,7 +1,7 @@
 //! Images that workers fetch from their origin and from one another, in pieces.
 
 use crate::worker::Worker;
-use cleatfold_image_distribution::{digest, Fetch, Next, Pieces};
+use cleatfold_image_distribution::{piece_digest, Fetch, FetchStep, ImageManifest};
 use cleatfold_wire::job::JobSpec;
 use cleatfold_wire::worker::HeldImage;
 use cleatfold_wire::{Attempt, ImageId, MachineId, Ms, TaskId, ZoneId};
@@ -148,10 +148,10 @@
         self.holders.insert(id, holder);
     }
 
-    fn pieces(&self, image: &ImageId, gb: f64) -> Pieces {
+    fn pieces(&self, image: &ImageId, gb: f64) -> ImageManifest {
         let count = (gb / self.piece_gb).ceil() as u32;
-        let digests = (0..count).map(|n| digest(n, &n.to_le_bytes())).collect();
-        Pieces { image: image.clone(), digests }
+        let digests = (0..count).map(|n| piece_digest(n, &n.to_le_bytes())).collect();
+        ImageManifest { image: image.clone(), digests }
     }
 
     /// A machine is told to fetch an image.
@@ -159,7 +159,7 @@
         let pieces = self.pieces(image, gb);
         let Some(holder) = self.holders.get_mut(id) else { return };
         match holder.images.get_mut(image) {
-            Some((_, fetch)) => fetch.take_sources(sources),
+            Some((_, fetch)) => fetch.set_sources(sources),
             None => {
                 // What was used least is given up; names stand for ages here.
                 let room =
@@ -193,7 +193,7 @@
     /// Machines that fetch from the origin.
     pub fn at_origin(&self, now: Ms) -> Vec<&MachineId> {
         let next = |h: &ImageHolder| Some(h.images.get(h.active.as_ref()?)?.1.next(now));
-        let at = |h: &ImageHolder| matches!(next(h), Some(Next::Origin(_)));
+        let at = |h: &ImageHolder| matches!(next(h), Some(FetchStep::Origin(_)));
         self.holders.iter().filter(|(_, h)| at(h)).map(|h| h.0).collect()
     }
 
@@ -207,8 +207,8 @@
             let holder = &self.holders[id];
             let Some(image) = holder.active.clone() else { continue };
             match holder.images[&image].1.next(now) {
-                Next::Origin(_) => flows.push((id.clone(), image, None)),
-                Next::Ask(source, _) => {
+                FetchStep::Origin(_) => flows.push((id.clone(), image, None)),
+                FetchStep::Peer(source, _) => {
                     let from = MachineId::new(source.split(':').next().unwrap_or_default());
                     // It may only be about to begin itself.
                     let begins = self.holders.get(&from).is_some_and(|s| !s.shares(&image));
@@ -223,7 +223,7 @@
                     serving.entry(from.clone()).or_default().insert(id.clone());
                     flows.push((id.clone(), image, Some(from)));
                 }
-                Next::Stuck | Next::Whole => {}
+                FetchStep::Stuck | FetchStep::Complete => {}
             }
         }
         let at_origin = flows.iter().filter(|f| f.2.is_none());
@@ -268,19 +268,19 @@
         let (window, rate) = (holder.window, holder.gb_per_s);
         let Some((_, fetch)) = holder.images.get_mut(image) else { return };
         // Nothing moves while the source has nothing more.
-        holder.credit = if fetch.have < there { holder.credit + gb } else { 0.0 };
+        holder.credit = if fetch.received < there { holder.credit + gb } else { 0.0 };
         let source = match fetch.next(now) {
-            Next::Ask(source, _) => Some(source),
+            FetchStep::Peer(source, _) => Some(source),
             _ => None,
         };
-        while holder.credit >= self.piece_gb && fetch.have < there {
-            let number = fetch.have;
-            if number as usize >= fetch.pieces.digests.len() {
+        while holder.credit >= self.piece_gb && fetch.received < there {
+            let number = fetch.received;
+            if number as usize >= fetch.manifest.digests.len() {
                 break;
             }
             holder.credit -= self.piece_gb;
             let bytes = if lies { [0xff; 4] } else { number.to_le_bytes() };
-            if !fetch.came(now, source.as_deref(), number, &bytes) {
+            if !fetch.receive_piece(now, source.as_deref(), number, &bytes) {
                 self.wrong += 1;
                 break;
             }
@@ -290,10 +290,10 @@
         // A source that had more and gave less than a fifth of the rate is too slow.
         let least = window.1 + (rate * WINDOW_MS as f64 / 5000.0 / self.piece_gb) as u32;
         if now.since(window.0) >= WINDOW_MS {
-            holder.window = (now, fetch.have);
-            let held_back = there > fetch.have + 1 && fetch.have < least;
+            holder.window = (now, fetch.received);
+            let held_back = there > fetch.received + 1 && fetch.received < least;
             if held_back && source.is_some() {
-                fetch.fails(now, source.as_deref());
+                fetch.mark_failed(now, source.as_deref());
             }
         }
     }
@@ -319,7 +319,7 @@
         let Some(holder) = self.holders.get_mut(id) else { return };
         holder.window = (now, holder.have(image));
         if let Some((_, fetch)) = holder.images.get_mut(image) {
-            fetch.fails(now, Some(source));
+            fetch.mark_failed(now, Some(source));
         }
     }
 
@@ -346,11 +346,11 @@
         let serves = self.serving.get(&worker.id).map_or(0, |s| s.len() as u32);
         let held = holder.images.iter().map(|(image, (_, fetch))| HeldImage {
             image: image.clone(),
-            part: fetch.part(),
+            fraction: fetch.fraction(),
             serves,
-            stuck: holder.active.as_ref() == Some(image) && fetch.next(now) == Next::Stuck,
+            stuck: holder.active.as_ref() == Some(image) && fetch.next(now) == FetchStep::Stuck,
             source: match fetch.next(now) {
-                Next::Ask(source, _) if holder.active.as_ref() == Some(image) => Some(source),
+                FetchStep::Peer(source, _) if holder.active.as_ref() == Some(image) => Some(source),
                 _ => None,
             },
         });
@@ -371,7 +371,7 @@
 
     /// How many pieces of an image it has.
     pub fn have(&self, image: &ImageId) -> u32 {
-        self.images.get(image).map_or(0, |i| i.1.have)
+        self.images.get(image).map_or(0, |i| i.1.received)
     }
 
     /// Hands it on, in so far as it is there.
@@ -381,6 +381,6 @@
 
     /// Whether it holds an image whole.
     pub fn whole(&self, image: &ImageId) -> bool {
-        self.images.get(image).is_some_and(|i| i.1.part() >= 1.0)
+        self.images.get(image).is_some_and(|i| i.1.fraction() >= 1.0)
     }
 }
--- a/crates/cleatfold-fakes/src/member.rs
+++ b/crates/cleatfold-fakes/src/member.rs
@@ -118,7 +118,7 @@
             attempt: self.attempt,
             finished: self.unsaid.iter().map(|s| (*s, s + 1)).collect(),
             wants: if leaves { 0 } else { 2 },
-            generate_load: self.on_no_reply,
+            require_answer: self.on_no_reply,
         })
     }
 
@@ -148,7 +148,7 @@
             self.not_before = now.plus(AGAIN_MS);
         }
         let stopped = self.stop_at.is_some() && idle;
-        if reply.next_action == NextAction::Over || stopped || self.resting > 3 {
+        if reply.next_action == NextAction::Finish || stopped || self.resting > 3 {
             self.exit = Some(MemberExit::Ended);
         }
         self.advance(now);
--- a/crates/cleatfold-image-distribution/src/lib.rs
+++ b/crates/cleatfold-image-distribution/src/lib.rs
@@ -1,7 +1,7 @@
-//! Image distribution: images that many machines want at once. Which machine fetches when, and from the origin
-//! or from which peer.
+//! Image distribution: decides when each machine fetches a large image, and whether it fetches from the origin
+//! or from a peer.
 //!
-//! Pure: no I/O and no clock. `docs/image-distribution.md` argues.
+//! Pure: no I/O and no clock. The design is explained in `docs/image-distribution.md`.
 
 #![warn(
     missing_docs,
@@ -18,9 +18,11 @@
 mod settings;
 mod slot_assignment;
 
-pub use distributor::{ImageDistributor, Seen, Turn, View};
+pub use distributor::{DistributionInput, FetchSource, ImageDistributor, ObservedMachine};
 pub use origin::{OriginRecord, Slot};
-pub use pieces::{digest, Fetch, Next, Pieces};
-pub use record::{Names, SpreadRecord};
+pub use pieces::{piece_digest, Fetch, FetchStep, ImageManifest};
+pub use record::{ImageHoldersRecord, PackedMachineNames};
 pub use settings::{OutOfRange, Settings};
-pub use slot_assignment::{assign_slots, order, Want, COPIES, LINE};
+pub use slot_assignment::{
+    assign_slots, service_order, FetchRequest, MACHINES_PER_COPY, MAX_COPIES_PER_ZONE,
+};
--- a/crates/cleatfold-image-distribution/src/record.rs
+++ b/crates/cleatfold-image-distribution/src/record.rs
@@ -1,4 +1,4 @@
-//! Who holds an image that is being spread, as it stands in the state service.
+//! The stored record of the machines that hold an image under distribution.
 
 use base64::prelude::{Engine, BASE64_STANDARD_NO_PAD};
 use cleatfold_wire::{MachineId, PoolId, ZoneId};
@@ -6,116 +6,124 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines that hold the image whole and hand it on. A hint: a machine that is left out or gone
-/// costs time, never a rule.
+/// Machines that hold the complete image and can upload it. Only a hint: a missing or outdated entry costs
+/// time but never violates an invariant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct SpreadRecord {
-    /// Machines that hold it, by pool.
+pub struct ImageHoldersRecord {
+    /// Holders of the image by pool.
     #[serde(rename = "h", default)]
-    pub holders: BTreeMap<PoolId, Names>,
+    pub holders: BTreeMap<PoolId, PackedMachineNames>,
 }
 
-/// Names of machines. Those that are a common beginning and a number are one bitmap.
+/// A set of machine names. Names that consist of a common prefix and a number are stored as one bitmap.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Names {
+pub struct PackedMachineNames {
     #[serde(rename = "b", default, skip_serializing_if = "String::is_empty")]
-    begin: String,
+    prefix: String,
     #[serde(rename = "w", default)]
-    width: usize,
+    digit_count: usize,
     #[serde(rename = "n", default, skip_serializing_if = "String::is_empty")]
-    numbers: String,
+    encoded_numbers: String,
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
-    others: Vec<MachineId>,
+    unpacked: Vec<MachineId>,
 }
 
-/// `vm-000231` as `vm-`, six figures, 231.
-fn split(name: &str) -> Option<(&str, usize, u32)> {
-    let begin = name.trim_end_matches(|c: char| c.is_ascii_digit());
-    let figures = &name[begin.len()..];
-    (1..=9).contains(&figures.len()).then(|| Some((begin, figures.len(), figures.parse().ok()?)))?
+/// Splits `vm-000231` into the prefix `vm-`, 6 digits and the number 231.
+fn split_numbered_name(name: &str) -> Option<(&str, usize, u32)> {
+    let prefix = name.trim_end_matches(|c: char| c.is_ascii_digit());
+    let digits = &name[prefix.len()..];
+    (1..=9).contains(&digits.len()).then(|| Some((prefix, digits.len(), digits.parse().ok()?)))?
 }
 
-impl Names {
+impl PackedMachineNames {
     /// Packs names.
-    pub fn of<'a>(names: impl IntoIterator<Item = &'a MachineId>) -> Self {
-        let mut all = Names::default();
+    pub fn pack<'a>(names: impl IntoIterator<Item = &'a MachineId>) -> Self {
+        let mut packed = PackedMachineNames::default();
         let mut bits = RoaringBitmap::new();
         for name in names {
-            match split(name.as_str()) {
-                Some((begin, width, n))
-                    if bits.is_empty() || (begin, width) == (all.begin.as_str(), all.width) =>
+            match split_numbered_name(name.as_str()) {
+                Some((prefix, digit_count, n))
+                    if bits.is_empty()
+                        || (prefix, digit_count)
+                            == (packed.prefix.as_str(), packed.digit_count) =>
                 {
-                    (all.begin, all.width) = (begin.to_string(), width);
+                    (packed.prefix, packed.digit_count) = (prefix.to_string(), digit_count);
                     bits.insert(n);
                 }
-                _ => all.others.push(name.clone()),
+                _ => packed.unpacked.push(name.clone()),
             }
         }
         if !bits.is_empty() {
             let mut bytes = Vec::new();
             let _ = bits.serialize_into(&mut bytes);
-            all.numbers = BASE64_STANDARD_NO_PAD.encode(bytes);
+            packed.encoded_numbers = BASE64_STANDARD_NO_PAD.encode(bytes);
         }
-        all
+        packed
     }
 
     /// The same names with runs of consecutive numbers stored as ranges. Machines of one pool are
-    /// mostly rented in runs, so this is far shorter for thousands of them.
-    fn in_ranges(&self) -> Self {
-        let mut bits = self.bits();
+    /// mostly created in runs, so this is far shorter for thousands of them.
+    fn run_length_encoded(&self) -> Self {
+        let mut bits = self.bitmap();
         bits.optimize();
         let mut bytes = Vec::new();
         let _ = bits.serialize_into(&mut bytes);
-        Names { numbers: BASE64_STANDARD_NO_PAD.encode(bytes), ..self.clone() }
+        PackedMachineNames { encoded_numbers: BASE64_STANDARD_NO_PAD.encode(bytes), ..self.clone() }
     }
 
-    fn bits(&self) -> RoaringBitmap {
-        let bytes = BASE64_STANDARD_NO_PAD.decode(&self.numbers).unwrap_or_default();
+    fn bitmap(&self) -> RoaringBitmap {
+        let bytes = BASE64_STANDARD_NO_PAD.decode(&self.encoded_numbers).unwrap_or_default();
         RoaringBitmap::deserialize_from(&bytes[..]).unwrap_or_default()
     }
 
-    /// What can't be read is nobody: it is a hint.
-    pub fn read(&self) -> BTreeSet<MachineId> {
-        let bits = self.bits();
-        let (begin, width) = (&self.begin, self.width);
-        let numbered = bits.iter().map(|n| MachineId::new(format!("{begin}{n:0width$}")));
-        numbered.chain(self.others.iter().cloned()).collect()
+    /// Decodes the names. An unreadable bitmap counts as empty, since the record is only a hint.
+    pub fn unpack(&self) -> BTreeSet<MachineId> {
+        let bits = self.bitmap();
+        let (prefix, digit_count) = (&self.prefix, self.digit_count);
+        let numbered = bits.iter().map(|n| MachineId::new(format!("{prefix}{n:0digit_count$}")));
+        numbered.chain(self.unpacked.iter().cloned()).collect()
     }
 }
 
-impl SpreadRecord {
-    /// Names that a record holds of a pool whose names can't be packed.
+impl ImageHoldersRecord {
+    /// Maximum number of holders recorded for a pool whose full list does not fit.
     const MAX_UNPACKED_NAMES: usize = 16;
 
-    /// Sets a pool's part, cut down where the record would grow beyond `most` bytes: a few holders
-    /// are enough for the others to find the image.
-    pub fn set(&mut self, pool: &PoolId, holders: &BTreeSet<MachineId>, most: usize) {
+    /// Sets the holders of a pool. The list is truncated if the record would exceed `max_bytes`: a few
+    /// holders are enough for other machines to find the image.
+    pub fn set_pool_holders(
+        &mut self,
+        pool: &PoolId,
+        holders: &BTreeSet<MachineId>,
+        max_bytes: usize,
+    ) {
         self.holders.remove(pool);
         if holders.is_empty() {
             return;
         }
-        let names = Names::of(holders);
+        let names = PackedMachineNames::pack(holders);
         self.holders.insert(pool.clone(), names.clone());
-        if self.bytes() > most {
-            self.holders.insert(pool.clone(), names.in_ranges());
+        if self.encoded_len() > max_bytes {
+            self.holders.insert(pool.clone(), names.run_length_encoded());
         }
-        if self.bytes() > most {
-            let few = Names::of(holders.iter().take(Self::MAX_UNPACKED_NAMES));
-            self.holders.insert(pool.clone(), few);
+        if self.encoded_len() > max_bytes {
+            let first_holders =
+                PackedMachineNames::pack(holders.iter().take(Self::MAX_UNPACKED_NAMES));
+            self.holders.insert(pool.clone(), first_holders);
         }
-        if self.bytes() > most {
+        if self.encoded_len() > max_bytes {
             self.holders.remove(pool);
         }
     }
 
-    /// The length of the record as it is stored.
-    pub fn bytes(&self) -> usize {
+    /// Length of the stored record in bytes.
+    pub fn encoded_len(&self) -> usize {
         serde_json::to_vec(self).map_or(usize::MAX, |v| v.len())
     }
 
     /// All holders in a zone.
-    pub fn in_zone(&self, zone: &ZoneId) -> BTreeSet<MachineId> {
-        let here = self.holders.iter().filter(|(p, _)| p.zone == *zone);
-        here.flat_map(|(_, names)| names.read()).collect()
+    pub fn holders_in_zone(&self, zone: &ZoneId) -> BTreeSet<MachineId> {
+        let in_zone = self.holders.iter().filter(|(p, _)| p.zone == *zone);
+        in_zone.flat_map(|(_, names)| names.unpack()).collect()
     }
 }
--- a/crates/cleatfold-image-distribution/src/slot_assignment.rs
+++ b/crates/cleatfold-image-distribution/src/slot_assignment.rs
@@ -1,104 +1,104 @@
-//! Who is given the free slots at the origin.
+//! Assigns the free slots at the origin.
 
 use crate::{OriginRecord, Settings, Slot};
 use cleatfold_wire::{ImageId, MachineId, PoolId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Copies of an image that a zone takes from the origin, at most, where machines hand it on.
-pub const COPIES: usize = 3;
-/// A further copy is worth its way when so many wait for each that there is.
-pub const LINE: usize = 16;
+/// Maximum number of copies of an image that a zone fetches from the origin if peers upload it.
+pub const MAX_COPIES_PER_ZONE: usize = 3;
+/// Number of waiting machines per existing copy that justifies another copy from the origin.
+pub const MACHINES_PER_COPY: usize = 16;
 
-/// A machine with a claim that waits for an image that is not there.
+/// A machine with a claim whose image it does not have yet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Want {
+pub struct FetchRequest {
     /// The machine that waits.
     pub machine: MachineId,
     /// Its pool.
     pub pool: PoolId,
-    /// What it waits for.
+    /// The image that it waits for.
     pub image: ImageId,
-    /// By urgency; the first urgency is 0.
+    /// Numeric urgency; 0 is the highest.
     pub urgency: u8,
-    /// The others of a gang wait for it, by the clock.
+    /// The task belongs to a gang, whose other members wait for it.
     pub gang: bool,
-    /// Its job's place in the queue.
-    pub place: u64,
-    /// What its fetch takes of the origin, in MB per second.
+    /// The revision that accepted its job: the job's place in the queue.
+    pub accepted_revision: u64,
+    /// Origin bandwidth that its fetch needs, in MB per second.
     pub mb_per_s: u32,
-    /// It can be told to fetch from other machines.
+    /// Whether its worker supports fetching from peers.
     pub supports_peer_fetch: bool,
-    /// It began, and its sources are gone: others wait behind it.
+    /// Its fetch began but all its sources failed; other machines may be fetching from it.
     pub stuck: bool,
-    /// An image in use that it can't keep beside this one.
-    pub pushes_out: Option<ImageId>,
+    /// An image in use that has to be evicted to make room for this one.
+    pub evicted_image: Option<ImageId>,
 }
 
-/// The order in which a machine is served, and machines are: one image at a time on a machine, the
-/// urgent one first, for side by side they would share its rate.
-pub fn order(want: &Want) -> (u8, bool, bool, u64, &MachineId) {
-    (want.urgency, !want.stuck, !want.gang, want.place, &want.machine)
+/// Sort key of requests, both across machines and within one. A machine fetches one image at a time, the
+/// most urgent first, because parallel fetches would share its bandwidth.
+pub fn service_order(request: &FetchRequest) -> (u8, bool, bool, u64, &MachineId) {
+    (request.urgency, !request.stuck, !request.gang, request.accepted_revision, &request.machine)
 }
 
-/// Gives out what room there is. `copies` says how many copies a zone has besides the slots
-/// in `origin`, and how many machines stand in line behind them.
+/// Assigns the remaining origin bandwidth. `copies` returns the number of copies that a zone has in addition
+/// to the slots in `origin`, and the number of machines that fetch from them.
 pub fn assign_slots(
     settings: &Settings,
     origin: &OriginRecord,
-    wants: &[Want],
+    requests: &[FetchRequest],
     copies: impl Fn(&ImageId, &ZoneId) -> (usize, usize),
     value_bytes: usize,
     wall_ms: u64,
 ) -> BTreeMap<MachineId, Slot> {
-    let mut given = BTreeMap::new();
+    let mut assigned = BTreeMap::new();
     let mut origin = origin.clone();
-    let mut left: Vec<&Want> = wants.iter().collect();
-    left.retain(|w| !origin.slots.contains_key(&w.machine));
-    left.sort_by_key(|w| order(w));
-    // A machine has one turn at a time.
-    let mut seen = BTreeSet::new();
-    left.retain(|w| seen.insert(&w.machine));
+    let mut pending: Vec<&FetchRequest> = requests.iter().collect();
+    pending.retain(|w| !origin.slots.contains_key(&w.machine));
+    pending.sort_by_key(|w| service_order(w));
+    // One request per machine at a time.
+    let mut machines = BTreeSet::new();
+    pending.retain(|w| machines.insert(&w.machine));
     let mut zones: BTreeMap<(&ImageId, &ZoneId), (usize, usize)> = BTreeMap::new();
-    for want in left.iter().filter(|w| w.supports_peer_fetch) {
-        let zone = (&want.image, &want.pool.zone);
+    for request in pending.iter().filter(|w| w.supports_peer_fetch) {
+        let zone = (&request.image, &request.pool.zone);
         zones.entry(zone).or_insert_with(|| {
-            let slots = origin.in_zone(zone.0, zone.1).count();
-            let (there, in_line) = copies(zone.0, zone.1);
-            (there + slots, in_line)
+            let slots = origin.machines_fetching(zone.0, zone.1).count();
+            let (copies_present, peer_fetches) = copies(zone.0, zone.1);
+            (copies_present + slots, peer_fetches)
         });
         zones.entry(zone).and_modify(|z| z.1 += 1);
     }
     loop {
-        let now = |want: &Want| -> Option<(u8, usize)> {
-            if !origin.has_capacity(settings, want.mb_per_s, value_bytes) {
+        let priority = |request: &FetchRequest| -> Option<(u8, usize)> {
+            if !origin.has_capacity(settings, request.mb_per_s, value_bytes) {
                 return None;
             }
-            if !settings.hand_on || !want.supports_peer_fetch {
-                return Some((want.urgency, 0));
+            if !settings.hand_on || !request.supports_peer_fetch {
+                return Some((request.urgency, 0));
             }
-            let zone = (&want.image, &want.pool.zone);
-            let (there, waiting) = zones.get(&zone).copied().unwrap_or_default();
-            if want.stuck {
-                // One of a zone: the others go on behind it.
-                let first = origin.in_zone(zone.0, zone.1).next().is_none();
-                return first.then_some((want.urgency, 0));
+            let zone = (&request.image, &request.pool.zone);
+            let (copies_present, waiting) = zones.get(&zone).copied().unwrap_or_default();
+            if request.stuck {
+                // One slot per zone is enough: the other stuck machines then fetch from this one.
+                let is_first_in_zone = origin.machines_fetching(zone.0, zone.1).next().is_none();
+                return is_first_in_zone.then_some((request.urgency, 0));
             }
-            let worth = waiting.div_ceil(LINE).clamp(1, COPIES);
-            (there < worth).then_some((want.urgency, there))
+            let needed_copies = waiting.div_ceil(MACHINES_PER_COPY).clamp(1, MAX_COPIES_PER_ZONE);
+            (copies_present < needed_copies).then_some((request.urgency, copies_present))
         };
-        // Urgent first; then the zone with the fewest copies; then by place.
-        let best = left.iter().enumerate().filter_map(|(i, w)| Some((now(w)?, i))).min();
+        // By urgency, then by the number of copies in the zone, then by service order.
+        let best = pending.iter().enumerate().filter_map(|(i, w)| Some((priority(w)?, i))).min();
         let Some((_, i)) = best else { break };
-        let want = left.remove(i);
-        zones.entry((&want.image, &want.pool.zone)).and_modify(|z| z.0 += 1);
+        let request = pending.remove(i);
+        zones.entry((&request.image, &request.pool.zone)).and_modify(|z| z.0 += 1);
         let slot = Slot {
-            pool: want.pool.clone(),
-            image: want.image.clone(),
+            pool: request.pool.clone(),
+            image: request.image.clone(),
             since_ms: wall_ms,
-            mb_per_s: want.mb_per_s,
+            mb_per_s: request.mb_per_s,
         };
-        origin.slots.insert(want.machine.clone(), slot.clone());
-        given.insert(want.machine.clone(), slot);
+        origin.slots.insert(request.machine.clone(), slot.clone());
+        assigned.insert(request.machine.clone(), slot);
     }
-    given
+    assigned
 }
--- a/crates/cleatfold-testbed/src/elastic.rs
+++ b/crates/cleatfold-testbed/src/elastic.rs
@@ -215,7 +215,7 @@
     let mut up = Up::start(dir, 3, 3, plan.held.then_some(plan.seed)).await?;
     let mut sweep = job(1, "sweeps", Urgency::Normal, 4.0, 10.0);
     sweep.tasks = 6;
-    sweep.elastic = Some(Elastic { steps: plan.steps, least: 0, step_s: 3.5 });
+    sweep.elastic = Some(Elastic { steps: plan.steps, min_members: 0, step_s: 3.5 });
     up.submit(&sweep).await?;
     let began = Instant::now();
     let mut reversals = Reversals::default();
--- a/crates/cleatfold-testbed/src/main.rs
+++ b/crates/cleatfold-testbed/src/main.rs
@@ -113,7 +113,7 @@
     let up = elastic::Up::start(dir.clone(), 3, machines, None).await?;
     let mut sweep = elastic::job(1, "sweeps", cleatfold_wire::job::Urgency::Normal, 2.0, 10.0);
     sweep.tasks = 6;
-    sweep.elastic = Some(cleatfold_wire::job::Elastic { steps: 40, least: 1, step_s: 2.0 });
+    sweep.elastic = Some(cleatfold_wire::job::Elastic { steps: 40, min_members: 1, step_s: 2.0 });
     up.submit(&sweep).await?;
     println!(
         "three controllers serve at {}; logs and settings in {}",
--- a/crates/cleatfold-testbed/src/region.rs
+++ b/crates/cleatfold-testbed/src/region.rs
@@ -7,7 +7,7 @@
 use cleatfold_fakes::store::{Refusal, Store};
 use cleatfold_fakes::worker::{Worker, WorkerEvent};
 use cleatfold_wire::cloud::{MachineList, MachineType, MachineTypes, Machines, ScaleOutRequest};
-use cleatfold_wire::job::{JobSpec, Problem};
+use cleatfold_wire::job::{ErrorBody, JobSpec};
 use cleatfold_wire::steps::{StepReply, StepReport};
 use cleatfold_wire::store::{Grant, Granted, Revision, Txn};
 use cleatfold_wire::worker::{Exit, Heartbeat, HeartbeatResponse, Orders, Redirect};
@@ -99,7 +99,7 @@
 }
 
 pub(crate) fn problem(code: u16, why: &str) -> Answer {
-    json(code, &Problem { error: why.into() })
+    json(code, &ErrorBody { error: why.into() })
 }
 
 /// Serves the region at `listener`; returns whom to speak to.
--- a/crates/cleatfold-testbed/src/team.rs
+++ b/crates/cleatfold-testbed/src/team.rs
@@ -1,7 +1,7 @@
 //! A team's jobs, queue or history as a table, asked of a running controller.
 
 use cleatfold_clients::http::Http;
-use cleatfold_wire::team::{EndedJob, LiveJob, TeamHistory, TeamJobs, TeamQueue, WaitingJob};
+use cleatfold_wire::team::{ActiveJob, EndedJob, TeamHistory, TeamJobs, TeamQueue, WaitingJob};
 use serde::de::DeserializeOwned;
 use std::io::{Error, Result};
 use std::time::Duration;
@@ -88,7 +88,7 @@
 }
 
 fn jobs(answer: TeamJobs) -> Rows {
-    let row = |j: LiveJob| {
+    let row = |j: ActiveJob| {
         let (urgency, state) = (word(&j.urgency), word(&j.state));
         let (done, running, tasks) =
             (j.done.to_string(), j.running.to_string(), j.tasks.to_string());
@@ -100,9 +100,9 @@
 
 fn queue(answer: TeamQueue) -> Rows {
     let row = |j: WaitingJob| {
-        let (urgency, holdup) = (word(&j.urgency), word(&j.holdup));
+        let (urgency, wait_cause) = (word(&j.urgency), word(&j.wait_cause));
         let (place, rank, tasks) = (j.place.to_string(), or_dash(j.rank), j.tasks.to_string());
-        vec![place, word(&j.id), word(&j.class), urgency, rank, tasks, holdup, or_dash(j.why)]
+        vec![place, word(&j.id), word(&j.class), urgency, rank, tasks, wait_cause, or_dash(j.why)]
     };
     (answer.waiting.into_iter().map(row).collect(), answer.next, answer.more)
 }
--- a/crates/cleatfold-testbed/src/world/commands.rs
+++ b/crates/cleatfold-testbed/src/world/commands.rs
@@ -156,7 +156,7 @@
         (spec.team, spec.urgency, spec.kind) = (team_id(0), Urgency::BestEffort, Kind::Array);
         (spec.tasks, spec.cpus, spec.estimate_s) = (ELASTIC_TASKS, 1.0, 0.0);
         (spec.one_zone, spec.spread, spec.types) = (false, false, None);
-        spec.elastic = Some(Elastic { steps: ELASTIC_STEPS, least: 1, step_s: 1.5 });
+        spec.elastic = Some(Elastic { steps: ELASTIC_STEPS, min_members: 1, step_s: 1.5 });
         if let Some(controller) = self.users_node() {
             let job = self.submit(controller, spec);
             self.command_faults.elastic = Some(job);
--- a/crates/cleatfold-testbed/src/world/images.rs
+++ b/crates/cleatfold-testbed/src/world/images.rs
@@ -74,9 +74,9 @@
     fn watch_slots(&mut self) {
         let (Some(net), Some(images)) = (&self.net, self.size.images) else { return };
         let record = self.origin_record();
-        let bound = images.settings().bound();
-        if record.used() > bound {
-            self.broken.push(format!("{:?} seats {} of {bound}", self.now, record.used()));
+        let bound = images.settings().origin_mb_per_s();
+        if record.used_mb_per_s() > bound {
+            self.broken.push(format!("{:?} seats {} of {bound}", self.now, record.used_mb_per_s()));
         }
         for id in net.at_origin(self.now) {
             if !record.slots.contains_key(id) {
--- a/crates/cleatfold-wire/src/job.rs
+++ b/crates/cleatfold-wire/src/job.rs
@@ -57,7 +57,7 @@
     /// Members that are kept through everything that does not preempt ordinary work either;
     /// 0: the job may shrink to nothing.
     #[serde(rename = "largeurMin", default)]
-    pub least: u32,
+    pub min_members: u32,
     /// Expected run time of a step in seconds, above 0.
     #[serde(rename = "dureeEtapeS")]
     pub step_s: f64,
@@ -213,7 +213,7 @@
         if elastic.steps == 0 || elastic.steps > MAX_STEPS {
             return wrong("elastique.etapes", "not between 1 and 100000");
         }
-        if elastic.least > self.tasks {
+        if elastic.min_members > self.tasks {
             return wrong("elastique.largeurMin", "more than pieces");
         }
         if !elastic.step_s.is_finite() || elastic.step_s <= 0.0 || elastic.step_s > 86_400.0 {
@@ -291,7 +291,7 @@
 
 /// The body of a refusal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Problem {
+pub struct ErrorBody {
     /// What is wrong.
     pub error: String,
 }
--- a/crates/cleatfold-wire/src/losses.rs
+++ b/crates/cleatfold-wire/src/losses.rs
@@ -51,7 +51,7 @@
     pub total: u32,
     /// The lost tasks run again; of an ended job: they have, or were cancelled with it.
     #[serde(rename = "reprises")]
-    pub again: bool,
+    pub rescheduled: bool,
     /// The latest of them.
     #[serde(rename = "recentes")]
     pub recent: Vec<Loss>,
--- a/crates/cleatfold-wire/src/mesh.rs
+++ b/crates/cleatfold-wire/src/mesh.rs
@@ -39,14 +39,14 @@
         machines: Vec<(String, Vec<(String, f64)>)>,
     },
     /// The sender lives.
-    Alive {
+    Heartbeat {
         /// How long ago it last read the state service, in milliseconds.
         contact_age_ms: u64,
     },
     /// Something was written that the others will want to read now.
     Changed,
     /// The cloud has just rented these: whoever owns their pool need not wait for the list.
-    Rented {
+    MachinesCreated {
         /// The pool's name.
         pool: String,
         /// Spot machines.
--- a/crates/cleatfold-wire/src/steps.rs
+++ b/crates/cleatfold-wire/src/steps.rs
@@ -29,7 +29,7 @@
     pub wants: u32,
     /// The controller that keeps this job did not answer the member: whoever gets this shall decide.
     #[serde(rename = "insiste", default, skip_serializing_if = "std::ops::Not::not")]
-    pub generate_load: bool,
+    pub require_answer: bool,
 }
 
 /// What a member should do after its present step.
@@ -40,10 +40,10 @@
     Continue,
     /// Every step is held or finished by others: leave, or ask again later.
     #[serde(rename = "repos")]
-    Rest,
+    Wait,
     /// Every step of the job is finished: leave.
     #[serde(rename = "fin")]
-    Over,
+    Finish,
 }
 
 /// 200. All of `finished` that is not in `refused` is finished, durably.
@@ -72,7 +72,7 @@
     Json(String),
     /// The member is of another job than the path.
     #[error("piece: is of another job than the path")]
-    OtherJob,
+    JobMismatch,
     /// The ranges of steps make no sense.
     #[error("finies: {0}")]
     Ranges(&'static str),
@@ -84,7 +84,7 @@
         let report: StepReport =
             serde_json::from_slice(body).map_err(|e| StepError::Json(e.to_string()))?;
         if report.member.job != *job {
-            return Err(StepError::OtherJob);
+            return Err(StepError::JobMismatch);
         }
         if report.finished.len() > MAX_RANGES {
             return Err(StepError::Ranges("more than 1000 ranges"));
--- a/crates/cleatfold-wire/src/team.rs
+++ b/crates/cleatfold-wire/src/team.rs
@@ -15,7 +15,7 @@
 pub struct TeamJobs {
     /// In the order of their places.
     #[serde(rename = "travaux")]
-    pub jobs: Vec<LiveJob>,
+    pub jobs: Vec<ActiveJob>,
     /// Where to go on from.
     #[serde(rename = "suite")]
     pub next: u64,
@@ -26,7 +26,7 @@
 
 /// A job that has not ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LiveJob {
+pub struct ActiveJob {
     /// The revision at which it was accepted. Jobs accepted together share it.
     pub place: u64,
     /// The job's id.
@@ -75,7 +75,7 @@
 
 /// What a job waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Holdup {
+pub enum WaitCause {
     /// Its team's limit is used up.
     #[serde(rename = "limite")]
     Limit,
@@ -115,7 +115,7 @@
     pub tasks: u32,
     /// What keeps it from starting.
     #[serde(rename = "attend")]
-    pub holdup: Holdup,
+    pub wait_cause: WaitCause,
     /// Why, in words.
     #[serde(rename = "why", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<String>,
--- a/crates/cleatfold-wire/src/worker.rs
+++ b/crates/cleatfold-wire/src/worker.rs
@@ -75,7 +75,8 @@
     #[serde(rename = "gabarit")]
     pub image: ImageId,
     /// 1: all of it.
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub fraction: f64,
     /// How many machines it hands it on to.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub serves: u32,
@@ -155,7 +156,7 @@
 
 impl RawHeartbeat {
     /// Whether there is anything in the list of tasks.
-    pub fn lists_tasks(&self) -> bool {
+    pub fn has_tasks(&self) -> bool {
         self.tasks.get().contains('{')
     }
 
--- a/crates/cleatfold-workspace/src/entry.rs
+++ b/crates/cleatfold-workspace/src/entry.rs
@@ -9,7 +9,7 @@
 
 /// Short names: values are small in the state service. Its number is its place in its group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct HistoryEntry {
     /// The job.
     #[serde(rename = "j")]
     pub job: JobId,
@@ -37,7 +37,7 @@
     *n == 0
 }
 
-impl Entry {
+impl HistoryEntry {
     /// `lost` are those of its lost starts that are known by name, `total` counts all.
     pub fn new(
         job: JobId,
@@ -85,15 +85,15 @@
     }
 
     /// Its length in a record, nearly.
-    pub fn length(&self) -> usize {
+    pub fn encoded_len(&self) -> usize {
         serde_json::to_string(self).map_or(0, |s| s.len() + 1)
     }
 }
 
 /// Ended jobs that follow one another. Its key says the number of the first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Group {
+pub struct HistoryGroup {
     /// In the order of their numbers.
     #[serde(rename = "e")]
-    pub entries: Vec<Entry>,
+    pub entries: Vec<HistoryEntry>,
 }
--- a/crates/cleatfold-workspace/src/history.rs
+++ b/crates/cleatfold-workspace/src/history.rs
@@ -49,24 +49,24 @@
 
 /// How much of each team's history is kept: `history { ... }` in the operators' file.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Keep {
+#[serde(rename = "Keep", deny_unknown_fields, default)]
+pub struct HistoryRetention {
     /// Ended jobs of each team, at most; the oldest go by groups.
     pub jobs: u64,
     /// Days after which they go in any case.
     pub days: f64,
 }
 
-impl Default for Keep {
+impl Default for HistoryRetention {
     fn default() -> Self {
         Self { jobs: 100_000, days: 400.0 }
     }
 }
 
-impl Keep {
+impl HistoryRetention {
     /// What of the oldest groups goes: each a first number, a length, and when its last job ended, if
     /// that is known. Returns the names of those that go and the number of the first entry that stays.
-    pub fn gone(
+    pub fn expired_groups(
         &self,
         head: &HistoryHead,
         oldest: &[(u64, u64, Option<u64>)],
--- a/crates/cleatfold-workspace/src/lib.rs
+++ b/crates/cleatfold-workspace/src/lib.rs
@@ -15,8 +15,10 @@
 mod history;
 pub mod owner;
 pub mod page;
-mod unwritten;
+mod ungrouped;
 
-pub use entry::{Entry, Group};
-pub use history::{HistoryHead, Keep, Summary};
-pub use unwritten::{Ended, JobEnd, Piece, GROUP, GROUP_MOST, LAG};
+pub use entry::{HistoryEntry, HistoryGroup};
+pub use history::{HistoryHead, HistoryRetention, Summary};
+pub use ungrouped::{
+    GroupWrite, JobEnd, UngroupedHistory, MAX_GROUP_ENTRIES, MAX_HEAD_LAG, MIN_GROUP_ENTRIES,
+};
--- a/crates/cleatfold-workspace/src/owner.rs
+++ b/crates/cleatfold-workspace/src/owner.rs
@@ -13,7 +13,7 @@
 
 /// The live controllers' order for a team (rendezvous hashing): whoever is gone leaves only its own teams
 /// to others, spread over all of them, and gets just those back.
-pub fn first<'a>(
+pub fn preferred_owner<'a>(
     team: &TeamId,
     live: impl Iterator<Item = &'a ControllerId>,
 ) -> Option<&'a ControllerId> {
@@ -21,7 +21,7 @@
 }
 
 /// The place of `me` in that order.
-pub fn rank(team: &TeamId, me: &ControllerId, live: &BTreeSet<ControllerId>) -> usize {
+pub fn owner_rank(team: &TeamId, me: &ControllerId, live: &BTreeSet<ControllerId>) -> usize {
     let mine = (score(team, me), me);
     live.iter().filter(|n| (score(team, n), *n) > mine).count()
 }
--- a/crates/cleatfold-workspace/src/page.rs
+++ b/crates/cleatfold-workspace/src/page.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 /// What the frame of an answer takes.
-const FRAME: usize = 200;
+const ENVELOPE_BYTES: usize = 200;
 
 /// Entries of an answer, as many as it holds.
 #[derive(Debug)]
@@ -16,13 +16,13 @@
 
 impl<T> Default for AnswerPage<T> {
     fn default() -> Self {
-        Self { entries: Vec::new(), length: FRAME }
+        Self { entries: Vec::new(), length: ENVELOPE_BYTES }
     }
 }
 
 impl<T: Serialize> AnswerPage<T> {
     /// Takes some entries, all or none.
-    pub fn fit(&mut self, some: Vec<T>) -> Result<(), Vec<T>> {
+    pub fn try_extend(&mut self, some: Vec<T>) -> Result<(), Vec<T>> {
         let length = |e: &T| serde_json::to_string(e).map_or(MAX_ANSWER, |s| s.len() + 1);
         let more: usize = some.iter().map(length).sum();
         if self.length + more > MAX_ANSWER {
@@ -36,11 +36,11 @@
 
 /// Takes entries in the order of their places until the answer is full. Those that share a place (accepted
 /// in one change) stay together, since the next question starts at a place; where they alone are too long
-/// (`slim` leaves out what is for people). Returns them, what to ask with next, and whether there is more.
-pub fn by_place<T: Serialize>(
+/// (`shorten` leaves out what is for people). Returns them, what to ask with next, and whether there is more.
+pub fn page_by_place<T: Serialize>(
     since: u64,
     entries: impl Iterator<Item = (u64, T)>,
-    slim: impl Fn(&mut T),
+    shorten: impl Fn(&mut T),
 ) -> (Vec<T>, u64, bool) {
     let mut answer_page = AnswerPage::default();
     let mut next = since;
@@ -51,13 +51,13 @@
             together.extend(entries.next().map(|e| e.1));
         }
         let first = answer_page.entries.is_empty();
-        if let Err(mut back) = answer_page.fit(together) {
+        if let Err(mut back) = answer_page.try_extend(together) {
             if !first {
                 return (answer_page.entries, next, true);
             }
-            back.iter_mut().for_each(&slim);
+            back.iter_mut().for_each(&shorten);
             // A change is no longer than an answer, and says more of each job than this does.
-            while answer_page.fit(std::mem::take(&mut back)).map_err(|b| back = b).is_err() {
+            while answer_page.try_extend(std::mem::take(&mut back)).map_err(|b| back = b).is_err() {
                 back.pop();
             }
         }
--- a/crates/cleatfold-workspace/tests/ended.rs
+++ b/crates/cleatfold-workspace/tests/ended.rs
@@ -2,7 +2,10 @@
 
 use cleatfold_wire::job::{JobState, Urgency};
 use cleatfold_wire::{ClassId, JobId, TeamId};
-use cleatfold_workspace::{Ended, Entry, HistoryHead, JobEnd, Keep, Summary, GROUP_MOST, LAG};
+use cleatfold_workspace::{
+    HistoryEntry, HistoryHead, HistoryRetention, JobEnd, Summary, UngroupedHistory,
+    MAX_GROUP_ENTRIES, MAX_HEAD_LAG,
+};
 use proptest::prelude::*;
 
 fn team() -> TeamId {
@@ -20,7 +23,7 @@
         cpu_ms: 3,
     };
     let job = JobId::new(format!("run-{number:06}"));
-    let entry = Entry::new(job, JobState::Done, 1, Some(summary), 0, [].into_iter());
+    let entry = HistoryEntry::new(job, JobState::Done, 1, Some(summary), 0, [].into_iter());
     JobEnd { version, team: team.clone(), entry }
 }
 
@@ -51,7 +54,7 @@
         let last = all.last().map_or(0, |e| e.version);
         let ours: Vec<JobId> =
             all.iter().filter(|e| e.team == team()).map(|e| e.entry.job.clone()).collect();
-        let mut controllers = [Ended::default(), Ended::default()];
+        let mut controllers = [UngroupedHistory::default(), UngroupedHistory::default()];
         let mut heads = [HistoryHead::default(), HistoryHead::default()];
         let mut stands = HistoryHead::default();
         let mut written: Vec<JobId> = Vec::new();
@@ -63,22 +66,22 @@
             match what {
                 // Reads on; or all since the head; or loses what it has read.
                 0 => {
-                    let from = ended.to().unwrap_or(now);
-                    ended.read(from, now, between(&all, from, now));
+                    let from = ended.read_up_to().unwrap_or(now);
+                    ended.add_revisions(from, now, between(&all, from, now));
                 }
-                1 => ended.read(head.upto.min(now), now, between(&all, head.upto.min(now), now)),
-                2 if amount < 400 => ended.read(now, now, []),
+                1 => ended.add_revisions(head.upto.min(now), now, between(&all, head.upto.min(now), now)),
+                2 if amount < 400 => ended.add_revisions(now, now, []),
                 // Goes through the whole archive, from before to now.
-                3 if ended.from().is_some() => {
-                    let at = ended.to().unwrap_or_default();
+                3 if ended.read_since().is_some() => {
+                    let at = ended.read_up_to().unwrap_or_default();
                     let ends = between(&all, head.upto, now);
                     let ends = ends.into_iter().filter(|e| e.team == team()).collect();
-                    ended.listed(&team(), head.upto, at, ends);
+                    ended.add_archive_listing(&team(), head.upto, at, ends);
                 }
                 // Reads the head.
                 4 => {
                     *head = stands.clone();
-                    ended.forget(&team(), head);
+                    ended.remove_grouped(&team(), head);
                 }
                 _ => {}
             }
@@ -87,12 +90,12 @@
             }
             if head.upto == stands.upto {
                 // Every controller numbers alike.
-                for (number, entry) in ended.beyond(&team(), head) {
+                for (number, entry) in ended.ungrouped(&team(), head) {
                     prop_assert_eq!(&entry.job, &ours[number as usize]);
                 }
             }
-            if let Some(piece) = ended.piece(&team(), head, bytes) {
-                prop_assert!(piece.entries.len() <= GROUP_MOST + 40);
+            if let Some(piece) = ended.next_group(&team(), head, bytes) {
+                prop_assert!(piece.entries.len() <= MAX_GROUP_ENTRIES + 40);
                 prop_assert_eq!(piece.head.entries, head.entries + piece.entries.len() as u64);
                 if *head == stands {
                     written.extend(piece.entries.into_iter().map(|e| e.job));
@@ -112,37 +115,37 @@
 
 #[test]
 fn a_head_lags_by_a_bound_even_without_jobs() {
-    let mut ended = Ended::default();
-    ended.read(0, LAG - 1, []);
+    let mut ended = UngroupedHistory::default();
+    ended.add_revisions(0, MAX_HEAD_LAG - 1, []);
     let head = HistoryHead::default();
-    assert_eq!(ended.piece(&team(), &head, 16_384), None);
-    ended.read(LAG - 1, LAG, [end(5, 1, &team())]);
-    let piece = ended.piece(&team(), &head, 16_384).expect("lags");
-    assert!(piece.pressing && piece.entries.len() == 1 && piece.head.upto == LAG);
+    assert_eq!(ended.next_group(&team(), &head, 16_384), None);
+    ended.add_revisions(MAX_HEAD_LAG - 1, MAX_HEAD_LAG, [end(5, 1, &team())]);
+    let piece = ended.next_group(&team(), &head, 16_384).expect("lags");
+    assert!(piece.is_urgent && piece.entries.len() == 1 && piece.head.upto == MAX_HEAD_LAG);
 }
 
 #[test]
 fn what_is_not_joined_is_dropped_rather_than_left_with_a_gap() {
-    let mut ended = Ended::default();
-    ended.read(0, 10, [end(5, 1, &team())]);
-    ended.read(20, 30, [end(25, 2, &team())]);
+    let mut ended = UngroupedHistory::default();
+    ended.add_revisions(0, 10, [end(5, 1, &team())]);
+    ended.add_revisions(20, 30, [end(25, 2, &team())]);
     assert!(!ended.covers(&team(), &HistoryHead { upto: 10, ..HistoryHead::default() }));
     assert!(ended.covers(&team(), &HistoryHead { upto: 20, ..HistoryHead::default() }));
     // A listing begun at 15 has not seen what ended between 15 and 20 and sorted before its place.
-    assert!(!ended.listed(&team(), 0, 15, vec![end(5, 1, &team())]));
-    assert!(ended.listed(&team(), 0, 22, vec![end(5, 1, &team())]));
+    assert!(!ended.add_archive_listing(&team(), 0, 15, vec![end(5, 1, &team())]));
+    assert!(ended.add_archive_listing(&team(), 0, 22, vec![end(5, 1, &team())]));
     assert!(ended.covers(&team(), &HistoryHead::default()));
 }
 
 #[test]
 fn whole_groups_go_and_only_from_the_oldest_on() {
-    let keep = Keep { jobs: 100, days: 1.0 };
+    let retention = HistoryRetention { jobs: 100, days: 1.0 };
     let head = HistoryHead { first: 0, entries: 260, upto: 9 };
     let day = 86_400_000;
     let groups = [(0, 80, Some(10)), (80, 80, Some(20)), (160, 60, Some(day * 3)), (220, 40, None)];
-    assert_eq!(keep.gone(&head, &groups, day), (vec![0, 80], 160));
+    assert_eq!(retention.expired_groups(&head, &groups, day), (vec![0, 80], 160));
     // By age as well, but what is not known to be old stays, and so does all after it.
-    assert_eq!(keep.gone(&head, &groups, day * 5), (vec![0, 80, 160], 220));
+    assert_eq!(retention.expired_groups(&head, &groups, day * 5), (vec![0, 80, 160], 220));
     let few = HistoryHead { entries: 120, ..head };
-    assert_eq!(keep.gone(&few, &groups[..1], day), (vec![], 0));
+    assert_eq!(retention.expired_groups(&few, &groups[..1], day), (vec![], 0));
 }
--- a/crates/cleatfold-workspace/tests/owner.rs
+++ b/crates/cleatfold-workspace/tests/owner.rs
@@ -1,8 +1,8 @@
 //! Who keeps which team.
 
 use cleatfold_wire::{ControllerId, TeamId};
-use cleatfold_workspace::owner::{first, rank};
-use cleatfold_workspace::page::by_place;
+use cleatfold_workspace::owner::{owner_rank, preferred_owner};
+use cleatfold_workspace::page::page_by_place;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn controllers(n: usize) -> BTreeSet<ControllerId> {
@@ -18,14 +18,14 @@
     let mut counts: BTreeMap<&ControllerId, usize> = BTreeMap::new();
     let mut heirs = BTreeSet::new();
     for team in &teams {
-        let owner = first(team, all.iter()).unwrap();
+        let owner = preferred_owner(team, all.iter()).unwrap();
         *counts.entry(owner).or_default() += 1;
-        assert_eq!(rank(team, owner, &all), 0);
-        let ranks: BTreeSet<usize> = all.iter().map(|n| rank(team, n, &all)).collect();
+        assert_eq!(owner_rank(team, owner, &all), 0);
+        let ranks: BTreeSet<usize> = all.iter().map(|n| owner_rank(team, n, &all)).collect();
         assert_eq!(ranks.len(), all.len(), "an order");
-        let next = first(team, rest.iter()).unwrap();
+        let next = preferred_owner(team, rest.iter()).unwrap();
         if *owner == gone {
-            assert_eq!(rank(team, next, &all), 1);
+            assert_eq!(owner_rank(team, next, &all), 1);
             heirs.insert(next);
         } else {
             assert_eq!(owner, next, "stays where it was");
@@ -44,7 +44,7 @@
     let (mut told, mut since) = (Vec::new(), 0);
     loop {
         let from = all.iter().filter(|e| e.0 >= since).cloned();
-        let (page, next, more) = by_place(since, from, |_| {});
+        let (page, next, more) = page_by_place(since, from, |_| {});
         assert!(serde_json::to_string(&page).unwrap().len() < 64 * 1024);
         told.extend(page);
         since = next;
@@ -55,6 +55,6 @@
     assert_eq!(told, all.into_iter().map(|e| e.1).collect::<Vec<_>>());
     // What is for people goes before a job does.
     let long = (0..20).map(|i| (5u64, format!("{i:02}{}", "y".repeat(5000))));
-    let (page, next, more) = by_place(0, long, |text| text.truncate(2));
+    let (page, next, more) = page_by_place(0, long, |text| text.truncate(2));
     assert_eq!((page.len(), next, more), (20, 6, false));
 }
--- a/crates/cleatfold/src/actor.rs
+++ b/crates/cleatfold/src/actor.rs
@@ -41,7 +41,7 @@
 impl RequestPayload {
     fn class(&self) -> RequestClass {
         match self {
-            RequestPayload::Heartbeat(heartbeat) if heartbeat.lists_tasks() => {
+            RequestPayload::Heartbeat(heartbeat) if heartbeat.has_tasks() => {
                 RequestClass::BusyHeartbeat
             }
             RequestPayload::Heartbeat(_) => RequestClass::IdleHeartbeat,
--- a/crates/cleatfold/src/operator_settings.rs
+++ b/crates/cleatfold/src/operator_settings.rs
@@ -3,7 +3,7 @@
 use crate::settings::{one_line, SettingsError};
 use cleatfold_control::Config;
 use cleatfold_image_distribution::OutOfRange;
-use cleatfold_workspace::Keep;
+use cleatfold_workspace::HistoryRetention;
 use serde::Deserialize;
 use std::path::Path;
 
@@ -44,7 +44,7 @@
     /// Without it nothing is refused for its size.
     pub refuse_after: Option<f64>,
     /// How much of each team's history is kept.
-    pub history: Option<Keep>,
+    pub history: Option<HistoryRetention>,
     /// Large images are fetched in stages and handed on. Without it each machine fetches for itself.
     #[serde(rename = "weights")]
     pub image_distribution: Option<cleatfold_image_distribution::Settings>,
@@ -84,7 +84,7 @@
             return Err(OperatorSettingsError::RefuseAfterWithoutAdmission);
         }
         if let Some(image_distribution) = &self.image_distribution {
-            image_distribution.check()?;
+            image_distribution.validate()?;
         }
         Ok(())
     }
--- a/crates/cleatfold/src/operator_settings/tests.rs
+++ b/crates/cleatfold/src/operator_settings/tests.rs
@@ -6,7 +6,7 @@
     let some = OperatorSettings::parse("pools_per_job = 3\nidle_return_s = 12.5\n").unwrap();
     assert_eq!((some.pools_per_job, some.idle_return_s), (Some(3), Some(12.5)));
     let kept = OperatorSettings::parse("history {\n  days = 30\n}\n").unwrap().history;
-    assert_eq!(kept, Some(Keep { days: 30.0, ..Keep::default() }));
+    assert_eq!(kept, Some(HistoryRetention { days: 30.0, ..HistoryRetention::default() }));
     for (text, field) in [
         ("pools_per_job = 0", "pools_per_job"),
         ("reading_ms = 5", "reading_ms"),
--- a/crates/cleatfold/src/serve.rs
+++ b/crates/cleatfold/src/serve.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use cleatfold_control::{Request, Response, WorkspaceView};
 use cleatfold_ingress::{ConnectionId, ConnectionTable, PollSchedule};
-use cleatfold_wire::job::{is_job_id, JobSpec, Problem, SpecError, MAX_BODY};
+use cleatfold_wire::job::{is_job_id, ErrorBody, JobSpec, SpecError, MAX_BODY};
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::worker::{RawHeartbeat, Redirect};
 use cleatfold_wire::{JobId, TeamId};
@@ -294,7 +294,7 @@
 }
 
 fn problem(code: u16, why: &str) -> Reply {
-    json(code, &Problem { error: why.to_string() })
+    json(code, &ErrorBody { error: why.to_string() })
 }
 
 fn json(code: u16, body: &impl Serialize) -> Reply {
