--- a/crates/cleatfold-workspace/src/entry.rs
+++ b/crates/cleatfold-workspace/src/entry.rs
@@ -1,4 +1,4 @@
-//! An ended job as its team's history has it, and many of them as one record.
+//! Entries of a team's job history, and the groups in which they are stored.
 
 use crate::Summary;
 use cleatfold_wire::job::JobState;
@@ -7,7 +7,8 @@
 use cleatfold_wire::JobId;
 use serde::{Deserialize, Serialize};
 
-/// Short names: values are small in the state service. Its number is its place in its group.
+/// An ended job in its team's history. Stored field names are short because values in the state service are
+/// limited in size. The entry's number follows from its position in its group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryEntry {
     /// The job.
@@ -19,16 +20,16 @@
     /// How many of its tasks were done.
     #[serde(rename = "n")]
     pub done: u32,
-    /// Jobs that ended under an earlier version have none.
+    /// `None` for jobs that ended under an earlier version.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     pub summary: Option<Summary>,
-    /// How many starts were lost.
+    /// How many attempts were lost.
     #[serde(rename = "l", default, skip_serializing_if = "is_zero")]
     pub losses: u32,
-    /// Why, and how many of each.
+    /// The causes of the losses, with their counts.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub causes: Vec<(LossCause, u32)>,
-    /// The last failure that is known.
+    /// The last known failure.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub last_failure: Option<LastFailure>,
 }
@@ -38,7 +39,7 @@
 }
 
 impl HistoryEntry {
-    /// `lost` are those of its lost starts that are known by name, `total` counts all.
+    /// Builds an entry. `lost` are the lost attempts whose details are known; `total` counts all lost attempts.
     pub fn new(
         job: JobId,
         state: JobState,
@@ -63,34 +64,34 @@
         Self { job, state, done, summary, losses: total, causes, last_failure }
     }
 
-    /// As its team is shown it, under its number.
+    /// The entry in the form sent to users, with its number.
     pub fn to_ended_job(&self, number: u64) -> EndedJob {
-        let s = self.summary.as_ref();
+        let summary = self.summary.as_ref();
         EndedJob {
             number,
             id: self.job.clone(),
             state: self.state,
             done: self.done,
-            class: s.map(|s| s.class.clone()),
-            urgency: s.map(|s| s.urgency),
-            tasks: s.map(|s| s.tasks),
-            accepted_ms: s.map(|s| s.accepted_ms),
-            begun_ms: s.and_then(|s| s.begun_ms),
-            ended_ms: s.map(|s| s.ended_ms),
-            cpu_s: s.map(|s| s.cpu_ms as f64 / 1000.0),
+            class: summary.map(|s| s.class.clone()),
+            urgency: summary.map(|s| s.urgency),
+            tasks: summary.map(|s| s.tasks),
+            accepted_ms: summary.map(|s| s.accepted_ms),
+            begun_ms: summary.and_then(|s| s.begun_ms),
+            ended_ms: summary.map(|s| s.ended_ms),
+            cpu_s: summary.map(|s| s.cpu_ms as f64 / 1000.0),
             losses: self.losses,
             causes: self.causes.clone(),
             last_failure: self.last_failure.clone(),
         }
     }
 
-    /// Its length in a record, nearly.
+    /// Approximate length in a record, in bytes.
     pub fn encoded_len(&self) -> usize {
         serde_json::to_string(self).map_or(0, |s| s.len() + 1)
     }
 }
 
-/// Ended jobs that follow one another. Its key says the number of the first.
+/// Consecutive entries of a history, stored under a key that contains the number of the first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HistoryGroup {
     /// In the order of their numbers.
--- a/crates/cleatfold-workspace/src/history.rs
+++ b/crates/cleatfold-workspace/src/history.rs
@@ -1,10 +1,10 @@
-//! What is kept of ended jobs.
+//! The stored history of ended jobs and its retention.
 
 use cleatfold_wire::job::Urgency;
 use cleatfold_wire::ClassId;
 use serde::{Deserialize, Serialize};
 
-/// What an ended job's record keeps for its team's history.
+/// The part of an ended job's archive record that its team's history shows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The job's class.
@@ -16,44 +16,44 @@
     /// How many tasks it had.
     #[serde(rename = "t")]
     pub tasks: u32,
-    /// Times of day, in milliseconds.
+    /// Time of day of its acceptance, in milliseconds.
     #[serde(rename = "a")]
     pub accepted_ms: u64,
-    /// When a task of it was first claimed; none: never.
+    /// Time of day when one of its tasks was first claimed, in milliseconds; `None`: never.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub begun_ms: Option<u64>,
     /// Time of day of its end, in milliseconds.
     #[serde(rename = "z")]
     pub ended_ms: u64,
-    /// Processor seconds of all its starts, lost ones too, in thousandths.
+    /// Processor time of all its attempts, including lost ones, in milliseconds.
     #[serde(rename = "r", default)]
     pub cpu_ms: u64,
 }
 
-/// Where a team's history stands: its entries `first..entries` are there, in groups that are named by the
-/// number of their first entry, and every job of the team that ended up to the revision `upto` of the
-/// state service is one of them, or was one that has gone. Ended jobs are in the order of the revisions
-/// that ended them, so whoever knows a head and all that ended since numbers them alike.
+/// The extent of a team's stored history: the entries `first..entries` are stored in groups that are named by
+/// the number of their first entry. They include every job of the team that ended up to the revision `upto` of
+/// the state service and has not expired. Jobs are ordered by the revisions that ended them, so every controller
+/// that knows a head and all jobs that ended since assigns them the same numbers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HistoryHead {
-    /// The number of the oldest entry that is kept.
+    /// The number of the oldest retained entry.
     #[serde(rename = "f", default)]
     pub first: u64,
-    /// The number of the next entry: entries are numbered without gaps.
+    /// The number of the next entry. Entries are numbered without gaps.
     #[serde(rename = "e", default)]
     pub entries: u64,
-    /// Ends up to this revision are in it.
+    /// Jobs that ended up to this revision are included.
     #[serde(rename = "v", default)]
     pub upto: u64,
 }
 
-/// How much of each team's history is kept: `history { ... }` in the operators' file.
+/// How much of each team's history is retained: `history { ... }` in the operators' file.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename = "Keep", deny_unknown_fields, default)]
 pub struct HistoryRetention {
-    /// Ended jobs of each team, at most; the oldest go by groups.
+    /// Number of retained jobs of each team. Older ones are deleted in whole groups.
     pub jobs: u64,
-    /// Days after which they go in any case.
+    /// Age in days after which jobs are deleted in any case.
     pub days: f64,
 }
 
@@ -64,8 +64,9 @@
 }
 
 impl HistoryRetention {
-    /// What of the oldest groups goes: each a first number, a length, and when its last job ended, if
-    /// that is known. Returns the names of those that go and the number of the first entry that stays.
+    /// Selects the groups to delete. `oldest` lists the oldest groups: the number of the first entry, the
+    /// length, and when the last job ended, if known. Returns the names of the expired groups and the number of
+    /// the first entry that is retained.
     pub fn expired_groups(
         &self,
         head: &HistoryHead,
@@ -76,16 +77,16 @@
         let mut first = head.first;
         let age_ms = (self.days * 86_400_000.0) as u64;
         for &(name, length, ended_ms) in oldest {
-            let after = name + length;
-            // A group goes whole, so nothing goes that is to be kept.
-            let beyond = head.entries.saturating_sub(after) >= self.jobs;
-            let old = ended_ms.is_some_and(|e| e.saturating_add(age_ms) < now_ms);
-            // What lies before the first is what an unknown outcome left behind.
-            if !(beyond || old || after <= head.first) {
+            let end = name + length;
+            // Only whole groups are deleted, and only if none of their entries has to be retained.
+            let exceeds_count = head.entries.saturating_sub(end) >= self.jobs;
+            let exceeds_age = ended_ms.is_some_and(|e| e.saturating_add(age_ms) < now_ms);
+            // Groups before the first entry remain from a delete whose outcome was unknown.
+            if !(exceeds_count || exceeds_age || end <= head.first) {
                 break;
             }
             names.push(name);
-            first = first.max(after);
+            first = first.max(end);
         }
         (names, first)
     }
--- a/crates/cleatfold-workspace/src/lib.rs
+++ b/crates/cleatfold-workspace/src/lib.rs
@@ -1,7 +1,7 @@
 //! Workspaces: each team's jobs, queue and history, owned by one controller at a time.
 //!
 //! A workspace's owner is named by a key of the state service; the key's version is the token that
-//! guards everything the owner writes. Pure: no I/O and no clock. `docs/workspaces.md` argues.
+//! guards every write of the owner. Pure: no I/O and no clock. The design is explained in `docs/workspaces.md`.
 
 #![warn(
     missing_docs,
--- a/crates/cleatfold-workspace/src/owner.rs
+++ b/crates/cleatfold-workspace/src/owner.rs
@@ -11,17 +11,17 @@
     )
 }
 
-/// The live controllers' order for a team (rendezvous hashing): whoever is gone leaves only its own teams
-/// to others, spread over all of them, and gets just those back.
+/// The preferred owner of a team among the live controllers, by rendezvous hashing: if a controller fails, only
+/// its own teams move, spread over all the others, and they return to it when it is back.
 pub fn preferred_owner<'a>(
     team: &TeamId,
     live: impl Iterator<Item = &'a ControllerId>,
 ) -> Option<&'a ControllerId> {
-    live.max_by_key(|n| (score(team, n), *n))
+    live.max_by_key(|c| (score(team, c), *c))
 }
 
-/// The place of `me` in that order.
+/// The rank of `me` in the team's order of preference; 0 is the preferred owner.
 pub fn owner_rank(team: &TeamId, me: &ControllerId, live: &BTreeSet<ControllerId>) -> usize {
-    let mine = (score(team, me), me);
-    live.iter().filter(|n| (score(team, n), *n) > mine).count()
+    let own_score = (score(team, me), me);
+    live.iter().filter(|c| (score(team, c), *c) > own_score).count()
 }
--- a/crates/cleatfold-workspace/src/page.rs
+++ b/crates/cleatfold-workspace/src/page.rs
@@ -1,15 +1,15 @@
-//! Answers that stay within their length.
+//! Pages of answers that stay within the maximum length.
 
 use cleatfold_wire::team::MAX_ANSWER;
 use serde::Serialize;
 
-/// What the frame of an answer takes.
+/// Bytes reserved for the JSON around the entries.
 const ENVELOPE_BYTES: usize = 200;
 
-/// Entries of an answer, as many as it holds.
+/// The entries of one answer, limited by their encoded length.
 #[derive(Debug)]
 pub struct AnswerPage<T> {
-    /// What fits so far.
+    /// The entries added so far.
     pub entries: Vec<T>,
     length: usize,
 }
@@ -21,22 +21,22 @@
 }
 
 impl<T: Serialize> AnswerPage<T> {
-    /// Takes some entries, all or none.
-    pub fn try_extend(&mut self, some: Vec<T>) -> Result<(), Vec<T>> {
+    /// Adds all of these entries, or returns them if they do not fit.
+    pub fn try_extend(&mut self, added: Vec<T>) -> Result<(), Vec<T>> {
         let length = |e: &T| serde_json::to_string(e).map_or(MAX_ANSWER, |s| s.len() + 1);
-        let more: usize = some.iter().map(length).sum();
-        if self.length + more > MAX_ANSWER {
-            return Err(some);
+        let added_length: usize = added.iter().map(length).sum();
+        if self.length + added_length > MAX_ANSWER {
+            return Err(added);
         }
-        self.length += more;
-        self.entries.extend(some);
+        self.length += added_length;
+        self.entries.extend(added);
         Ok(())
     }
 }
 
-/// Takes entries in the order of their places until the answer is full. Those that share a place (accepted
-/// in one change) stay together, since the next question starts at a place; where they alone are too long
-/// (`shorten` leaves out what is for people). Returns them, what to ask with next, and whether there is more.
+/// Adds entries in the order of their places until the page is full. Entries that share a place (accepted in
+/// one change) stay on one page, since the next request starts at a place; if they alone are too long, `shorten`
+/// removes their explanatory texts. Returns the entries, the place for the next request, and whether more follow.
 pub fn page_by_place<T: Serialize>(
     since: u64,
     entries: impl Iterator<Item = (u64, T)>,
@@ -46,19 +46,24 @@
     let mut next = since;
     let mut entries = entries.peekable();
     while let Some((place, entry)) = entries.next() {
-        let mut together = vec![entry];
+        let mut same_place = vec![entry];
         while entries.peek().is_some_and(|(p, _)| *p == place) {
-            together.extend(entries.next().map(|e| e.1));
+            same_place.extend(entries.next().map(|e| e.1));
         }
-        let first = answer_page.entries.is_empty();
-        if let Err(mut back) = answer_page.try_extend(together) {
-            if !first {
+        let is_empty = answer_page.entries.is_empty();
+        if let Err(mut rejected) = answer_page.try_extend(same_place) {
+            if !is_empty {
                 return (answer_page.entries, next, true);
             }
-            back.iter_mut().for_each(&shorten);
-            // A change is no longer than an answer, and says more of each job than this does.
-            while answer_page.try_extend(std::mem::take(&mut back)).map_err(|b| back = b).is_err() {
-                back.pop();
+            rejected.iter_mut().for_each(&shorten);
+            // A change of the state service is no longer than an answer and stores more of each job than the
+            // answer contains, so the shortened entries fit.
+            while answer_page
+                .try_extend(std::mem::take(&mut rejected))
+                .map_err(|r| rejected = r)
+                .is_err()
+            {
+                rejected.pop();
             }
         }
         next = place + 1;
--- a/crates/cleatfold-workspace/src/ungrouped.rs
+++ b/crates/cleatfold-workspace/src/ungrouped.rs
@@ -1,28 +1,28 @@
-//! What has ended and is in no group yet, and when it becomes one.
+//! Ended jobs that are not in a stored group yet, and when they are written as one.
 
 use crate::{HistoryEntry, HistoryHead};
 use cleatfold_wire::{JobId, TeamId};
 use std::collections::BTreeMap;
 
-/// So many jobs make a group that may be written as soon as there are changes to spare.
+/// Number of jobs from which a group is written when the change rate permits.
 pub const MIN_GROUP_ENTRIES: usize = 40;
-/// No group has more. Whoever looks for an entry's group looks so far back.
+/// Maximum number of entries of a group; a search for an entry's group starts this far before the entry.
 pub const MAX_GROUP_ENTRIES: usize = 200;
-/// A head that lags so many revisions behind is brought up even for few jobs, or none: whoever keeps the
-/// team next then reads what has ended since, of which the state service keeps 10,000 changes.
+/// Lag in revisions from which a head is updated even for few jobs, or none: the team's next owner has to read
+/// all changes since the head, and the state service retains only 10,000.
 pub const MAX_HEAD_LAG: u64 = 3000;
-/// Of a team that nobody keeps so many are held in memory.
+/// Maximum number of entries in memory for a team that has no owner to write them.
 const MAX_UNOWNED_ENTRIES: usize = 20_000;
 
-/// Ended jobs of one team, in order.
+/// Ended jobs of one team in the order of their revisions, each with its encoded length.
 #[derive(Debug, Default)]
 struct UngroupedEntries {
     entries: BTreeMap<(u64, JobId), (HistoryEntry, usize)>,
-    /// Complete from this revision on; none: from where everything is.
+    /// Complete from this revision on; `None`: from the start of the revisions read for all teams.
     from: Option<u64>,
 }
 
-/// An ended job, as the archive's record has it, and the record's version.
+/// An ended job as read from its archive record.
 #[derive(Clone, Debug)]
 pub struct JobEnd {
     /// The revision that ended the job.
@@ -33,43 +33,43 @@
     pub entry: HistoryEntry,
 }
 
-/// What has ended, of all teams, without gaps between two revisions. What is in a team's groups is let go.
+/// Ended jobs of all teams, without gaps in a range of revisions. Jobs that are in a stored group are dropped.
 #[derive(Debug, Default)]
 pub struct UngroupedHistory {
-    /// Everything that ended after the first and up to the second revision has been read.
-    read: Option<(u64, u64)>,
+    /// All jobs that ended after the first and up to the second revision have been read.
+    read_range: Option<(u64, u64)>,
     ungrouped: BTreeMap<TeamId, UngroupedEntries>,
 }
 
-/// A piece of a tail that becomes a group: the next head, and how many jobs.
+/// The next group to write, with the head that results from it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupWrite {
-    /// What is to be written.
+    /// The entries of the group.
     pub entries: Vec<HistoryEntry>,
-    /// The head as it will be.
+    /// The head after the write.
     pub head: HistoryHead,
-    /// It goes even where changes are short.
+    /// To be written even if the change rate is limited.
     pub is_urgent: bool,
 }
 
 impl UngroupedHistory {
-    /// All that ended after `from`, read at the revision `to`. Where it does not join what was read
-    /// before, all of that is dropped: a gap would be a job without a number.
+    /// Adds all jobs that ended after `from` and up to `to`. If this range does not adjoin the range read
+    /// before, the earlier entries are dropped: a job missing from a gap would shift all later numbers.
     pub fn add_revisions(&mut self, from: u64, to: u64, ends: impl IntoIterator<Item = JobEnd>) {
-        match &mut self.read {
-            Some((least, most)) if from <= *most && to >= *least => {
-                *least = from.min(*least);
-                *most = to.max(*most);
+        match &mut self.read_range {
+            Some((start, end)) if from <= *end && to >= *start => {
+                *start = from.min(*start);
+                *end = to.max(*end);
             }
             _ => {
-                self.read = Some((from, to));
+                self.read_range = Some((from, to));
                 self.ungrouped.clear();
             }
         }
         for end in ends {
             self.ungrouped.entry(end.team.clone()).or_default().insert(end);
         }
-        let to = self.read.map_or(0, |r| r.1);
+        let to = self.read_range.map_or(0, |r| r.1);
         for ungrouped in self
             .ungrouped
             .values_mut()
@@ -80,8 +80,8 @@
         }
     }
 
-    /// All that ended after `from` of one team, found by going through the whole archive from the
-    /// revision `at` on. Only of use where what ended since `at` has been read.
+    /// Adds all jobs of one team that ended after `from`, found by listing the whole archive at or after the
+    /// revision `at`. Returns false and ignores them if changes since `at` have not all been read.
     pub fn add_archive_listing(
         &mut self,
         team: &TeamId,
@@ -89,7 +89,7 @@
         at: u64,
         ends: Vec<JobEnd>,
     ) -> bool {
-        if self.read.is_none_or(|r| r.0 > at) {
+        if self.read_range.is_none_or(|r| r.0 > at) {
             return false;
         }
         let ungrouped = self.ungrouped.entry(team.clone()).or_default();
@@ -98,24 +98,24 @@
         true
     }
 
-    /// Up to where everything has been read.
+    /// The last revision up to which all changes have been read.
     pub fn read_up_to(&self) -> Option<u64> {
-        self.read.map(|r| r.1)
+        self.read_range.map(|r| r.1)
     }
 
-    /// From which revision on ends are known.
+    /// The revision after which all changes have been read.
     pub fn read_since(&self) -> Option<u64> {
-        self.read.map(|r| r.0)
+        self.read_range.map(|r| r.0)
     }
 
-    /// What has ended since this head was written is known to the last job.
+    /// Whether all jobs that ended after this head are known.
     pub fn covers(&self, team: &TeamId, head: &HistoryHead) -> bool {
-        let Some((from, _)) = self.read else { return false };
+        let Some((from, _)) = self.read_range else { return false };
         let from = self.ungrouped.get(team).and_then(|t| t.from).unwrap_or(from);
         from <= head.upto
     }
 
-    /// What is in groups need not be held.
+    /// Drops the entries that are in stored groups.
     pub fn remove_grouped(&mut self, team: &TeamId, head: &HistoryHead) {
         let Some(ungrouped) = self.ungrouped.get_mut(team) else { return };
         while ungrouped.entries.first_key_value().is_some_and(|(at, _)| at.0 <= head.upto) {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Ended jobs that are in no group by this head, with their numbers.
+    /// The entries after this head, with their numbers.
     pub fn ungrouped<'a>(
         &'a self,
         team: &TeamId,
@@ -131,47 +131,48 @@
     ) -> impl Iterator<Item = (u64, &'a HistoryEntry)> + 'a {
         let from = head.upto;
         let entries = self.ungrouped.get(team).into_iter().flat_map(|t| t.entries.iter());
-        let beyond = entries.filter(move |(at, _)| at.0 > from).map(|(_, (e, _))| e);
-        (head.entries..).zip(beyond)
+        let newer = entries.filter(move |(at, _)| at.0 > from).map(|(_, (e, _))| e);
+        (head.entries..).zip(newer)
     }
 
-    /// What is to be written of a team's history now, `bytes` being what a record may have. Only for
-    /// a head that is covered.
+    /// The group of a team's history that is due, if any; a record may have at most `max_bytes` bytes. The head must
+    /// be covered.
     pub fn next_group(
         &self,
         team: &TeamId,
         head: &HistoryHead,
-        bytes: usize,
+        max_bytes: usize,
     ) -> Option<GroupWrite> {
-        let (_, to) = self.read?;
-        let lags = to.saturating_sub(head.upto) >= MAX_HEAD_LAG;
+        let (_, to) = self.read_range?;
+        let is_lagging = to.saturating_sub(head.upto) >= MAX_HEAD_LAG;
         let ungrouped = self.ungrouped.get(team);
-        let beyond = || {
+        let newer = || {
             let entries = ungrouped.into_iter().flat_map(|t| t.entries.iter());
             entries.filter(|(at, _)| at.0 > head.upto)
         };
         let (mut entries, mut next) = (Vec::new(), head.clone());
-        let (mut length, mut full) = (0, false);
-        for ((version, _), (entry, own)) in beyond() {
-            // Never between two that ended in the same change: the head could not say where it stands.
-            let boundary = *version > next.upto;
-            let enough = length + own > bytes / 2 || entries.len() >= MAX_GROUP_ENTRIES;
-            if boundary && enough && !entries.is_empty() {
-                full = true;
+        let (mut length, mut is_full) = (0, false);
+        for ((version, _), (entry, entry_length)) in newer() {
+            // Jobs that ended in the same change stay in one group: the head's revision could not separate them.
+            let is_boundary = *version > next.upto;
+            let is_long_enough =
+                length + entry_length > max_bytes / 2 || entries.len() >= MAX_GROUP_ENTRIES;
+            if is_boundary && is_long_enough && !entries.is_empty() {
+                is_full = true;
                 break;
             }
-            length += own;
+            length += entry_length;
             next.upto = *version;
             next.entries += 1;
             entries.push(entry);
         }
-        if !full {
+        if !is_full {
             next.upto = to.max(head.upto);
         }
-        (full || lags || entries.len() >= MIN_GROUP_ENTRIES).then(|| GroupWrite {
+        (is_full || is_lagging || entries.len() >= MIN_GROUP_ENTRIES).then(|| GroupWrite {
             entries: entries.into_iter().cloned().collect(),
             head: next,
-            is_urgent: lags,
+            is_urgent: is_lagging,
         })
     }
 }
