--- a/crates/cleatfold-wire/src/cloud.rs
+++ b/crates/cleatfold-wire/src/cloud.rs
@@ -1,9 +1,9 @@
-//! The cloud's calls.
+//! Requests and responses of the cloud API.
 
 use crate::ids::{MachineId, TypeId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// A kind of machine that the cloud rents out.
+/// A machine type offered by the cloud.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Its name.
@@ -17,22 +17,22 @@
     /// Memory in GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
-    /// Room for images, in GB.
+    /// Size of the image cache in GB.
     #[serde(rename = "localGb", default)]
     pub cache_gb: f64,
-    /// How fast it fetches images, in GB per second.
+    /// Rate at which it fetches images, in GB per second.
     #[serde(rename = "fetchGbPerS")]
     pub fetch_gb_per_s: f64,
-    /// Per hour, of an ordinary machine.
+    /// Price per hour of an on-demand machine.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// Per hour, of a spot machine, at present.
+    /// Current price per hour of a spot machine.
     #[serde(rename = "spotPrice")]
     pub spot_price: f64,
-    /// How long it usually boots, in seconds.
+    /// Usual boot time in seconds.
     #[serde(rename = "bootS")]
     pub boot_s: f64,
-    /// The zones that have it.
+    /// The zones that offer it.
     #[serde(rename = "sites")]
     pub zones: Vec<ZoneId>,
 }
@@ -48,7 +48,7 @@
 /// `POST /machines`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOutRequest {
-    /// The request's name; used once.
+    /// The unique name of the request.
     #[serde(rename = "demandeLocation")]
     pub request: String,
     /// The machine type.
@@ -57,14 +57,14 @@
     /// The zone.
     #[serde(rename = "site")]
     pub zone: ZoneId,
-    /// A spot machine, which may be taken back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     #[serde(rename = "pretees")]
     pub spot: bool,
-    /// How many machines, 50 at most.
+    /// Number of machines, at most 50.
     pub count: u32,
 }
 
-/// The machines rented, or to be deleted.
+/// Machines that were created, or that are to be deleted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Machines {
     /// Machines by name.
@@ -72,18 +72,18 @@
     pub machines: Vec<MachineId>,
 }
 
-/// How a machine is, as the cloud sees it.
+/// The state of a machine as reported by the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
     /// It is booting.
     #[serde(rename = "starting")]
     Booting,
-    /// It is up.
+    /// It is running.
     Running,
-    /// It stopped by itself.
+    /// It failed.
     Failed,
-    /// Anything that the protocol may add.
+    /// A value added by a later protocol version.
     #[serde(other)]
     Other,
 }
@@ -94,7 +94,7 @@
     /// The machine's name.
     #[serde(rename = "uid")]
     pub id: MachineId,
-    /// Where its worker takes orders.
+    /// Address at which its worker accepts orders.
     #[serde(default)]
     pub endpoint: Option<String>,
     /// The machine type.
@@ -103,7 +103,7 @@
     /// The zone.
     #[serde(rename = "site")]
     pub zone: ZoneId,
-    /// A spot machine, which may be taken back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     #[serde(rename = "pretees")]
     pub spot: bool,
     /// The state.
@@ -120,7 +120,7 @@
     /// Machines by name.
     #[serde(rename = "ruches")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there is more after this.
+    /// Whether more machines follow.
     #[serde(rename = "truncated", default)]
     pub more: bool,
 }
--- a/crates/cleatfold-wire/src/ids.rs
+++ b/crates/cleatfold-wire/src/ids.rs
@@ -13,11 +13,11 @@
         pub struct $name(Name);
 
         impl $name {
-            /// From its text.
+            /// Creates a name from its text.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Name::new(text.as_ref()))
             }
-            /// Its text.
+            /// The text of the name.
             pub fn as_str(&self) -> &str {
                 self.0.as_str()
             }
@@ -45,11 +45,11 @@
     JobId
 );
 name_type!(
-    /// A rented machine's name.
+    /// A machine's name.
     MachineId
 );
 name_type!(
-    /// A controller controller's name.
+    /// A controller's name.
     ControllerId
 );
 name_type!(
@@ -69,7 +69,7 @@
     ImageId
 );
 name_type!(
-    /// A class of jobs that the objectives speak of.
+    /// A class of jobs, for which objectives are set.
     ClassId
 );
 
@@ -83,7 +83,7 @@
 }
 
 impl PoolId {
-    /// From the form that it is displayed in.
+    /// Parses the displayed form `TYPE/ZONE`.
     pub fn parse(text: &str) -> Option<Self> {
         let (machine_type, zone) = text.split_once('/')?;
         Some(Self { machine_type: TypeId::new(machine_type), zone: ZoneId::new(zone) })
@@ -142,15 +142,15 @@
     Version(u64)
 );
 number_type!(
-    /// Who may command a worker; the version of its pool's key.
+    /// Proves the right to command a worker: the version of its pool's key.
     FencingToken(u64)
 );
 number_type!(
-    /// The how-manyeth start of a task. Only ever grows.
+    /// The number of a task's start. Only increases.
     Attempt(u64)
 );
 number_type!(
-    /// A worker's session; grows when its lease expires.
+    /// The number of a worker's session. Increases when its lease expires.
     AgentEpoch(u64)
 );
 number_type!(
@@ -166,20 +166,20 @@
     LeaseId(u64)
 );
 
-/// A point on this process's steady clock, in milliseconds.
+/// A point in time of this process's monotonic clock, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ms(pub u64);
 
 impl Ms {
-    /// So many seconds later.
+    /// The point this many seconds later.
     pub fn plus_s(self, seconds: f64) -> Ms {
         Ms(self.0 + (seconds.max(0.0) * 1000.0) as u64)
     }
-    /// So many milliseconds later.
+    /// The point this many milliseconds later.
     pub fn plus(self, ms: u64) -> Ms {
         Ms(self.0 + ms)
     }
-    /// Milliseconds from `earlier` to this point, 0 when it lies ahead.
+    /// Milliseconds from `earlier` to this point, 0 if `earlier` is later.
     pub fn since(self, earlier: Ms) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/cleatfold-wire/src/job.rs
+++ b/crates/cleatfold-wire/src/job.rs
@@ -1,22 +1,22 @@
-//! What users send and receive.
+//! Job submissions and job status.
 
 use crate::ids::{ClassId, ImageId, JobId, TeamId, TypeId, ZoneId};
 use crate::losses::JobLosses;
 use serde::{Deserialize, Serialize};
 
-/// No duration, in seconds, and no image, in GB, may be larger: thirty years, in milliseconds and times a machine's
-/// processors, are still far from where numbers end.
+/// Maximum duration in seconds and maximum image size in GB. About 30 years, which does not overflow in
+/// milliseconds multiplied by the processors of a machine.
 pub const MAX_AMOUNT: f64 = 1e9;
-/// A job may have no more tasks than this.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// No request body may be longer.
+/// Maximum length of a request body in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
-/// An elastic job may have no more steps than this.
+/// Maximum number of steps of an elastic job.
 pub const MAX_STEPS: u32 = 100_000;
-/// An elastic job may have no more members than this: their claims share one record.
+/// Maximum number of members of an elastic job: their claims share one record.
 pub const MAX_MEMBERS: u32 = 256;
 
-/// What the tasks of a job are.
+/// How the tasks of a job run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// Independent tasks, each of which runs to completion.
@@ -30,16 +30,16 @@
     Service,
 }
 
-/// Ordered: a smaller urgency goes first.
+/// The urgency of a job. The smallest value has the highest priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Urgency {
-    /// Before everything else.
+    /// Scheduled before all other jobs.
     #[serde(rename = "critical")]
     Critical,
-    /// Before ordinary work.
+    /// Scheduled before normal jobs.
     #[serde(rename = "high")]
     High,
-    /// Ordinary work.
+    /// The usual urgency.
     #[serde(rename = "normal")]
     Normal,
     /// Background work.
@@ -47,15 +47,15 @@
     BestEffort,
 }
 
-/// A job whose members come and go while it runs, and pull its steps. Its tasks are the
-/// members, so `pieces` is the most members it may have at a time.
+/// A job whose members join and leave while it runs, and pull its steps. Its tasks are the members, so
+/// `pieces` is the maximum number of concurrent members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Elastic {
     /// Number of steps, 1 to `MAX_STEPS`, numbered from 0.
     #[serde(rename = "etapes")]
     pub steps: u32,
-    /// Members that are kept through everything that does not preempt ordinary work either;
-    /// 0: the job may shrink to nothing.
+    /// Number of members that are only evicted for reasons that preempt ordinary tasks as well;
+    /// 0: the job may lose all members.
     #[serde(rename = "largeurMin", default)]
     pub min_members: u32,
     /// Expected run time of a step in seconds, above 0.
@@ -75,7 +75,7 @@
     /// The team whose guarantee and limit apply.
     #[serde(rename = "equipe")]
     pub team: TeamId,
-    /// What its tasks are.
+    /// How its tasks run.
     #[serde(rename = "genre")]
     pub kind: Kind,
     /// Its urgency.
@@ -99,10 +99,10 @@
     /// The size of the image, in GB.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
-    /// The allowed machine types; none: any.
+    /// The allowed machine types; `None`: any.
     #[serde(rename = "gabaritsMachine", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<TypeId>>,
-    /// The only allowed zone; none: any.
+    /// The only allowed zone; `None`: any.
     #[serde(rename = "site", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<ZoneId>,
     /// All tasks must be in the same zone.
@@ -113,13 +113,13 @@
     /// It may run on spot machines.
     #[serde(rename = "pretees")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time, in seconds.
+    /// The submitter's estimate of a task's run time, in seconds.
     #[serde(rename = "dureePrevueS")]
     pub estimate_s: f64,
-    /// A running task saves a checkpoint after so many seconds of progress; 0: never.
+    /// Interval in seconds of progress at which a running task saves a checkpoint; 0: never.
     #[serde(rename = "intervalleSauvegardeS")]
     pub checkpoint_s: f64,
-    /// Seconds that a task takes to save when it is stopped.
+    /// Time in seconds that a task takes to save when it is stopped.
     #[serde(rename = "dureeSauvegardeS")]
     pub save_s: f64,
     /// When the job should be complete, in seconds from its submission.
@@ -150,7 +150,7 @@
 }
 
 impl JobSpec {
-    /// Reads a submission. Everything this refuses is answered 400.
+    /// Reads a submission. Every error is answered with status 400.
     pub fn from_json(body: &[u8]) -> Result<JobSpec, SpecError> {
         if body.len() > MAX_BODY {
             return Err(SpecError::TooLong);
@@ -174,7 +174,7 @@
             return wrong("pieces", "not between 1 and 100000");
         }
         let amounts = [
-            // However large, these are too much for a machine, and refused for that.
+            // Unlimited here: amounts that exceed every machine are rejected by admission.
             ("cores", self.cpus, f64::MAX),
             ("cards", self.gpus, f64::MAX),
             ("ramGb", self.memory_gb, f64::MAX),
@@ -223,20 +223,20 @@
     }
 }
 
-/// `run-` and digits. Anything else never reaches a key of the state service.
+/// Whether the text is `run-` and digits. No other text is used in a key of the state service.
 pub fn is_job_id(text: &str) -> bool {
     text.strip_prefix("run-").is_some_and(|digits| {
         (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
     })
 }
 
-/// How a job is.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// No task of it runs.
+    /// None of its tasks runs.
     #[serde(rename = "queued")]
     Queued,
-    /// It runs.
+    /// At least one of its tasks runs.
     #[serde(rename = "running")]
     Running,
     /// All of its tasks are done.
@@ -248,48 +248,48 @@
 }
 
 impl JobState {
-    /// Whether the job stays so for ever.
+    /// Whether the state cannot change any more.
     pub fn is_final(self) -> bool {
         matches!(self, JobState::Done | JobState::Aborted)
     }
 }
 
-/// A job's state as its user is told it.
+/// The status of a job as returned to its user.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// The job's id.
     #[serde(rename = "uid")]
     pub id: JobId,
-    /// How it is.
+    /// The state.
     #[serde(rename = "etat")]
     pub state: JobState,
     /// How many tasks are done.
     pub done: u32,
     /// How many tasks run.
     pub running: u32,
-    /// Why it waits, was stopped, or failed. Not part of the protocol; for people.
+    /// Why it waits, was stopped, or failed, as readable text. Not part of the protocol.
     #[serde(rename = "why", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<String>,
     /// Of an elastic job: its steps. Not part of the protocol.
     #[serde(rename = "etapes", default, skip_serializing_if = "Option::is_none")]
     pub steps: Option<StepCount>,
-    /// Starts of its tasks that were lost with their machines. Not part of the protocol.
+    /// Attempts of its tasks that were lost with their machines. Not part of the protocol.
     #[serde(rename = "pertes", default, skip_serializing_if = "Option::is_none")]
     pub losses: Option<JobLosses>,
 }
 
-/// How far an elastic job has come.
+/// The progress of an elastic job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepCount {
-    /// How many of them are finished.
+    /// Number of finished steps.
     #[serde(rename = "finies")]
     pub finished: u32,
-    /// How many steps there are.
+    /// Number of steps.
     #[serde(rename = "total")]
     pub total: u32,
 }
 
-/// The body of a refusal.
+/// The body of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// What is wrong.
--- a/crates/cleatfold-wire/src/lib.rs
+++ b/crates/cleatfold-wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Every format that crosses a socket, and the small types they share.
+//! All message formats that cross a socket, and the identifier types they share.
 //!
-//! This is the only place that knows the spelling of the protocol. The rest of the
-//! workspace uses the field's English terms, and so can a client built on this crate.
+//! Only this crate contains the field names of the protocol. The other crates, and clients built on this
+//! one, use the English names of its types.
 
 #![warn(
     missing_docs,
--- a/crates/cleatfold-wire/src/losses.rs
+++ b/crates/cleatfold-wire/src/losses.rs
@@ -1,30 +1,30 @@
-//! What users are told of tasks whose machine was lost. Not part of the protocol
+//! Reports to users about lost task attempts. Not part of the protocol
 //! (`docs/overload.md`, "Nothing vanishes").
 
 use crate::ids::{Attempt, MachineId, TaskId};
 use serde::{Deserialize, Serialize};
 
-/// Why a start of a task was lost.
+/// Why an attempt of a task was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LossCause {
-    /// The machine stopped, was taken by the cloud or was given up, and is deleted.
+    /// The machine failed, was reclaimed by the cloud or was given up as faulty, and is deleted.
     #[serde(rename = "machine")]
     Machine,
-    /// Nothing was heard of it for longer than its lease: it has killed its tasks.
+    /// No report arrived from the machine for longer than its lease, so it has killed its tasks.
     #[serde(rename = "bail")]
     Lease,
-    /// The machine is there, the task is not: it restarted, or began a new session.
+    /// The machine is running without the task: it restarted or began a new session.
     #[serde(rename = "disparue")]
     Vanished,
     /// The task failed.
     #[serde(rename = "echec")]
     Failed,
-    /// Anything that may be added.
+    /// A value added by a later version.
     #[serde(other, rename = "autre")]
     Other,
 }
 
-/// One start of a task that came to nothing.
+/// A lost attempt of a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Loss {
     /// The task.
@@ -39,20 +39,20 @@
     /// Why it was lost.
     #[serde(rename = "motif")]
     pub cause: LossCause,
-    /// Time of day at which it was proven, in milliseconds.
+    /// Time of day at which the loss was proven, in milliseconds.
     #[serde(rename = "quandMs")]
     pub at_ms: u64,
 }
 
-/// Part of a job's answer.
+/// The losses in a job's status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobLosses {
-    /// How many starts were lost.
+    /// Number of lost attempts.
     pub total: u32,
-    /// The lost tasks run again; of an ended job: they have, or were cancelled with it.
+    /// The lost tasks run again. For an ended job: they ran again or were cancelled with it.
     #[serde(rename = "reprises")]
     pub rescheduled: bool,
-    /// The latest of them.
+    /// The most recent losses.
     #[serde(rename = "recentes")]
     pub recent: Vec<Loss>,
 }
@@ -60,13 +60,13 @@
 /// `GET /v1/teams/{equipe}/losses?since=N`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TeamLosses {
-    /// In the order in which they were logged.
+    /// Losses in the order in which they were logged.
     #[serde(rename = "pertes")]
     pub losses: Vec<Loss>,
-    /// What to ask with next. Told at least once: a start is named by `piece` and `essai`.
+    /// The `since` of the next request. Losses are delivered at least once; `piece` and `essai` identify them.
     #[serde(rename = "suite")]
     pub next: u64,
-    /// Whether there is more after this.
+    /// Whether more losses follow.
     #[serde(rename = "encore")]
     pub more: bool,
 }
--- a/crates/cleatfold-wire/src/mesh.rs
+++ b/crates/cleatfold-wire/src/mesh.rs
@@ -1,8 +1,8 @@
-//! What controllers tell one another. All of it is hints: nothing a rule rests on.
+//! Messages between controllers. They are only hints: no invariant depends on them.
 
 use bitcode::{Decode, Encode};
 
-/// When a pool promises to have finished some of a job's tasks, counted from the sending.
+/// Predicted finish times of a job's tasks in a pool, relative to the time of sending.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Promise {
     /// The job's id.
@@ -11,41 +11,41 @@
     pub finishes: Vec<(u64, u32)>,
 }
 
-/// What controllers tell one another.
+/// A message from one controller to another.
 ///
-/// The encoding goes by position: variants and fields stay in their order, new ones go last.
+/// The encoding is positional: variants and fields keep their order, and new ones are appended.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Message {
-    /// The leader sends jobs to pools. Replaces what an earlier message said.
+    /// The leader assigns jobs to pools. Replaces earlier assignments.
     Assign {
         /// Pools by name.
         pools: Vec<String>,
         /// Jobs, each with its pools by their numbers in `pools`.
         jobs: Vec<(String, Vec<u16>)>,
     },
-    /// The promises of one owner's profile. Also tells who owns the pool under which token.
+    /// The promises of a pool owner. Also announces the owner and its fencing token.
     Promises {
         /// The pool's name.
         pool: String,
         /// The owner's fencing token.
         token: u64,
-        /// When it promises to finish what.
+        /// Predicted finish times by job.
         promises: Vec<Promise>,
     },
-    /// Which images an owner's machines hold, least recently used first. Whoever takes the
-    /// pool over then still knows where a task need not wait for its image.
+    /// The images on a pool owner's machines, least recently used first. After a failover, the next owner
+    /// knows from it on which machines a task does not have to wait for its image.
     Images {
         /// Machines, each with its images and their sizes in GB.
         machines: Vec<(String, Vec<(String, f64)>)>,
     },
-    /// The sender lives.
+    /// The sender is running.
     Heartbeat {
         /// How long ago it last read the state service, in milliseconds.
         contact_age_ms: u64,
     },
-    /// Something was written that the others will want to read now.
+    /// The sender wrote a change that the other controllers should read now.
     Changed,
-    /// The cloud has just rented these: whoever owns their pool need not wait for the list.
+    /// The cloud has just created these machines, so that their pool's owner does not have to wait for the list.
     MachinesCreated {
         /// The pool's name.
         pool: String,
@@ -54,18 +54,18 @@
         /// The machines' names.
         machines: Vec<String>,
     },
-    /// What the sender receives from each zone's workers.
+    /// When the sender last received a report from each zone's workers.
     ZoneContact {
-        /// Zones, each with how long ago any worker was heard of, in milliseconds, and whether the
-        /// sender has asked them in vain since.
+        /// Zones, each with the time since the last report of any worker, in milliseconds, and whether the
+        /// sender's requests to them have failed since.
         zones: Vec<(String, u64, bool)>,
     },
-    /// These jobs are cancelled: durably, and for ever.
+    /// These jobs are cancelled, durably and permanently.
     Cancelled {
         /// The jobs' ids.
         jobs: Vec<String>,
     },
-    /// The sender knows that these are.
+    /// The sender has recorded that these jobs are cancelled.
     CancelledAck {
         /// The jobs' ids.
         jobs: Vec<String>,
--- a/crates/cleatfold-wire/src/name.rs
+++ b/crates/cleatfold-wire/src/name.rs
@@ -1,9 +1,9 @@
-//! Names as everything else is looked up by: short ones compare as numbers.
+//! Names used as lookup keys. Short names are stored inline and compared as numbers.
 //!
-//! A controller looks claims, jobs and machines up by name hundreds of thousands of times a
-//! second, and in a large deployment comparing shared strings byte by byte was a fifth of all its
-//! processor time. Names of up to `SHORT` bytes, which are nearly all, are kept in place: no
-//! allocation, no counter, one comparison of 16 bytes.
+//! A controller looks up claims, jobs and machines by name hundreds of thousands of times a second. In a
+//! large deployment, comparing reference-counted strings byte by byte took a fifth of its processor time.
+//! Names of up to `MAX_INLINE_LEN` bytes, which are nearly all, need no allocation and no reference count, and
+//! are compared as one 16-byte value.
 
 use serde::de::{Deserialize, Deserializer, Visitor};
 use serde::{Serialize, Serializer};
@@ -12,47 +12,49 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// The longest name that is kept in place.
-const SHORT: usize = 15;
-/// In the last byte of `head`: the name is longer, or holds a zero byte.
-const LONG: u8 = SHORT as u8 + 1;
+/// Maximum length in bytes of a name that is stored inline.
+const MAX_INLINE_LEN: usize = 15;
+/// Value of the last byte of `head` for a name that is longer or contains a zero byte.
+const NOT_INLINE: u8 = MAX_INLINE_LEN as u8 + 1;
 
-/// A name. Ordered as its text is.
+/// A name. Ordered like its text.
 #[derive(Clone)]
 pub struct Name {
-    /// The first bytes, filled up with zeros, then the length. Read as a number this orders
-    /// short names as their texts.
-    head: [u8; SHORT + 1],
-    /// The whole text of a long name.
+    /// The first bytes, padded with zeros, and the length. As a big-endian number it orders short names like
+    /// their texts.
+    head: [u8; MAX_INLINE_LEN + 1],
+    /// The complete text of a name that is not stored inline.
     long: Option<Arc<str>>,
 }
 
 impl Name {
-    /// From its text.
+    /// Creates a name from its text.
     pub fn new(text: &str) -> Self {
         let bytes = text.as_bytes();
-        let kept = bytes.len().min(SHORT);
-        let mut head = [0; SHORT + 1];
-        head[..kept].copy_from_slice(&bytes[..kept]);
-        // Filled up with zeros, "a" and "a\0" would be one.
-        if bytes.len() <= SHORT && !bytes.contains(&0) {
-            head[SHORT] = bytes.len() as u8;
+        let copied_len = bytes.len().min(MAX_INLINE_LEN);
+        let mut head = [0; MAX_INLINE_LEN + 1];
+        head[..copied_len].copy_from_slice(&bytes[..copied_len]);
+        // A name with a zero byte is not stored inline, to keep its padded form unambiguous.
+        if bytes.len() <= MAX_INLINE_LEN && !bytes.contains(&0) {
+            head[MAX_INLINE_LEN] = bytes.len() as u8;
             return Self { head, long: None };
         }
-        head[SHORT] = LONG;
+        head[MAX_INLINE_LEN] = NOT_INLINE;
         Self { head, long: Some(Arc::from(text)) }
     }
 
-    /// Its text.
+    /// The text of the name.
     pub fn as_str(&self) -> &str {
         match &self.long {
             Some(text) => text,
-            // Always whole characters: it was copied from a text that fits.
-            None => std::str::from_utf8(&self.head[..self.head[SHORT] as usize]).unwrap_or(""),
+            // Always valid UTF-8: an inline name was copied completely.
+            None => {
+                std::str::from_utf8(&self.head[..self.head[MAX_INLINE_LEN] as usize]).unwrap_or("")
+            }
         }
     }
 
-    fn number(&self) -> u128 {
+    fn head_as_number(&self) -> u128 {
         u128::from_be_bytes(self.head)
     }
 }
@@ -71,13 +73,13 @@
 }
 impl Ord for Name {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.number().cmp(&other.number()).then_with(|| self.long.cmp(&other.long))
+        self.head_as_number().cmp(&other.head_as_number()).then_with(|| self.long.cmp(&other.long))
     }
 }
 
 impl Hash for Name {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        state.write_u128(self.number());
+        state.write_u128(self.head_as_number());
         if let Some(text) = &self.long {
             text.hash(state);
         }
--- a/crates/cleatfold-wire/src/steps.rs
+++ b/crates/cleatfold-wire/src/steps.rs
@@ -1,4 +1,4 @@
-//! What a member of an elastic job tells a controller and is told. Not part of the protocol
+//! Messages between the members of an elastic job and a controller. Not part of the protocol
 //! between controllers and workers: a member is a process that runs as a task.
 
 use crate::ids::{Attempt, JobId, TaskId};
@@ -8,10 +8,10 @@
 /// Steps [from, to).
 pub type StepRange = (u32, u32);
 
-/// A report may name no more ranges than this.
+/// Maximum number of ranges in a report.
 pub const MAX_RANGES: usize = 1000;
 
-/// `POST /v1/jobs/{id}/steps`. May be repeated; whatever is in it counts at most once.
+/// `POST /v1/jobs/{id}/steps`. May be repeated: each step counts at most once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepReport {
     /// The member that reports.
@@ -20,25 +20,26 @@
     /// Its attempt.
     #[serde(rename = "essai")]
     pub attempt: Attempt,
-    /// Steps whose work is complete and which the member has not been told are finished.
+    /// Completed steps whose completion has not been confirmed to the member.
     #[serde(rename = "finies", default)]
     pub finished: Vec<StepRange>,
-    /// How many unfinished steps the member would like to hold. 0: it is about to leave and
-    /// gives back what it holds.
+    /// Number of unfinished steps that the member requests to hold. 0: it is about to leave and releases
+    /// its steps.
     #[serde(rename = "veut", default)]
     pub wants: u32,
-    /// The controller that keeps this job did not answer the member: whoever gets this shall decide.
+    /// The job's coordinator did not answer the member, so the controller that receives this report has to
+    /// answer it instead of redirecting.
     #[serde(rename = "insiste", default, skip_serializing_if = "std::ops::Not::not")]
     pub require_answer: bool,
 }
 
-/// What a member should do after its present step.
+/// What a member should do after its current step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NextAction {
-    /// Go on with what it holds.
+    /// Continue with the steps that it holds.
     #[serde(rename = "continue")]
     Continue,
-    /// Every step is held or finished by others: leave, or ask again later.
+    /// All steps are finished or held by other members: leave, or report again later.
     #[serde(rename = "repos")]
     Wait,
     /// Every step of the job is finished: leave.
@@ -46,17 +47,17 @@
     Finish,
 }
 
-/// 200. All of `finished` that is not in `refused` is finished, durably.
+/// The body of a 200 response. All reported steps that are not in `refused` are durably finished.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepReply {
-    /// The unfinished steps that the member holds; what it held before and is not here belongs
-    /// to another.
+    /// The unfinished steps that the member holds. Steps that it held before and that are missing here
+    /// belong to another member.
     #[serde(rename = "etapes")]
     pub holds: Vec<StepRange>,
-    /// Steps of the report that the member does not hold: their work does not count.
+    /// Reported steps that the member does not hold. They do not count as finished.
     #[serde(rename = "refusees", default, skip_serializing_if = "Vec::is_empty")]
     pub refused: Vec<StepRange>,
-    /// How far the job has come.
+    /// The progress of the job.
     #[serde(rename = "avance")]
     pub progress: StepCount,
     /// What the member should do next.
@@ -70,16 +71,16 @@
     /// Not a JSON object.
     #[error("not a step report: {0}")]
     Json(String),
-    /// The member is of another job than the path.
+    /// The member belongs to another job than the request path.
     #[error("piece: is of another job than the path")]
     JobMismatch,
-    /// The ranges of steps make no sense.
+    /// The ranges of steps are invalid.
     #[error("finies: {0}")]
     Ranges(&'static str),
 }
 
 impl StepReport {
-    /// Reads a report sent to the path of `job`. Everything this refuses is answered 400.
+    /// Reads a report sent to the path of `job`. Every error is answered with status 400.
     pub fn from_json(job: &JobId, body: &[u8]) -> Result<StepReport, StepError> {
         let report: StepReport =
             serde_json::from_slice(body).map_err(|e| StepError::Json(e.to_string()))?;
--- a/crates/cleatfold-wire/src/store.rs
+++ b/crates/cleatfold-wire/src/store.rs
@@ -1,5 +1,5 @@
-//! The state service's calls. Values stay raw JSON here; their shape belongs to whoever
-//! stores them.
+//! Requests and responses of the state service. Values are raw JSON; their formats are defined by the code
+//! that stores them.
 
 use crate::ids::{LeaseId, Version};
 use serde::{Deserialize, Serialize};
@@ -22,9 +22,9 @@
 /// A page of keys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Page {
-    /// In the order of the keys.
+    /// The keys with their values, in key order.
     pub items: Vec<Item>,
-    /// Whether there is more after this.
+    /// Whether more keys follow.
     #[serde(rename = "truncated", default)]
     pub more: bool,
     /// The revision of the state service.
@@ -60,13 +60,13 @@
     pub delete: Option<String>,
 }
 
-/// `POST /multi`: changes that are made all or not at all, if the guards hold.
+/// `POST /multi`: changes that are applied atomically if all guards hold.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Txn {
-    /// What must hold.
+    /// Conditions of the transaction.
     #[serde(rename = "guards")]
     pub guards: Vec<Guard>,
-    /// What is then changed.
+    /// Changes that are applied if all guards hold.
     #[serde(rename = "then")]
     pub changes: Vec<Change>,
 }
@@ -76,10 +76,10 @@
     pub fn guard(&mut self, key: impl Into<String>, version: Version) {
         self.guards.push(Guard { key: key.into(), version });
     }
-    /// Sets a key, under a lease or without one.
+    /// Sets a key, optionally under a lease.
     pub fn put(&mut self, key: impl Into<String>, value: &impl Serialize, lease: Option<LeaseId>) {
         #[expect(clippy::expect_used, reason = "records are plain JSON")]
-        let value = serde_json::value::to_raw_value(value).expect("our records are plain JSON");
+        let value = serde_json::value::to_raw_value(value).expect("records are plain JSON");
         self.changes.push(Change {
             put: Some(key.into()),
             value: Some(value),
@@ -137,7 +137,7 @@
     pub version: Version,
 }
 
-/// What has changed, as `GET /follow` tells it.
+/// The response to `GET /follow`: changes since a revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Events {
     /// The revision of the state service.
--- a/crates/cleatfold-wire/src/team.rs
+++ b/crates/cleatfold-wire/src/team.rs
@@ -1,25 +1,25 @@
-//! What a team is told of its workspace. Not part of the protocol (`docs/workspaces.md`).
+//! Responses about a team's workspace. Not part of the protocol (`docs/workspaces.md`).
 //!
-//! Three lists of one shape: the entries, what to ask with next, and whether there is more now.
+//! Three lists of the same form: the entries, the `since` of the next request, and whether more follow now.
 
 use crate::ids::{ClassId, JobId, MachineId, TaskIx};
 use crate::job::{JobState, Urgency};
 use crate::losses::LossCause;
 use serde::{Deserialize, Serialize};
 
-/// No answer is longer.
+/// Maximum length of a response in bytes.
 pub const MAX_ANSWER: usize = 64 * 1024;
 
 /// `GET /v1/teams/{equipe}/jobs?since=N`: jobs that have not ended, by place.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamJobs {
-    /// In the order of their places.
+    /// Jobs in the order of their places.
     #[serde(rename = "travaux")]
     pub jobs: Vec<ActiveJob>,
-    /// Where to go on from.
+    /// The `since` of the next request.
     #[serde(rename = "suite")]
     pub next: u64,
-    /// Whether there is more after this.
+    /// Whether more entries follow.
     #[serde(rename = "encore")]
     pub more: bool,
 }
@@ -38,7 +38,7 @@
     /// Its urgency.
     #[serde(rename = "urgence")]
     pub urgency: Urgency,
-    /// How it is, or how it ended.
+    /// The state, or how it ended.
     #[serde(rename = "etat")]
     pub state: JobState,
     /// How many tasks it has.
@@ -48,27 +48,27 @@
     pub done: u32,
     /// How many tasks run.
     pub running: u32,
-    /// Time of day in milliseconds.
+    /// Time of day of its acceptance, in milliseconds.
     #[serde(rename = "accepteMs")]
     pub accepted_ms: u64,
     /// Time of day of its first start, in milliseconds.
     #[serde(rename = "debutMs", default, skip_serializing_if = "Option::is_none")]
     pub begun_ms: Option<u64>,
-    /// Why, in words.
+    /// The reason as readable text.
     #[serde(rename = "why", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<String>,
 }
 
-/// `GET /v1/teams/{equipe}/queue?since=N`: what waits, by place.
+/// `GET /v1/teams/{equipe}/queue?since=N`: waiting jobs, by place.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamQueue {
-    /// In the order of their places.
+    /// Jobs in the order of their places.
     #[serde(rename = "file")]
     pub waiting: Vec<WaitingJob>,
-    /// Where to go on from.
+    /// The `since` of the next request.
     #[serde(rename = "suite")]
     pub next: u64,
-    /// Whether there is more after this.
+    /// Whether more entries follow.
     #[serde(rename = "encore")]
     pub more: bool,
 }
@@ -85,15 +85,15 @@
     /// Its image is being fetched.
     #[serde(rename = "image")]
     Image,
-    /// Others go first.
+    /// Other jobs come first.
     #[serde(rename = "ordre")]
     Order,
-    /// It has failed, and is tried again later.
+    /// It has failed and is retried later.
     #[serde(rename = "pause")]
     Pause,
 }
 
-/// A job of which tasks wait.
+/// A job with waiting tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WaitingJob {
     /// Its place in the queue: the revision that accepted it.
@@ -107,16 +107,16 @@
     /// Its urgency.
     #[serde(rename = "urgence")]
     pub urgency: Urgency,
-    /// Which of its team's waiting jobs it is in the order of planning, from 1; none: it has no turn now.
+    /// Its rank among its team's waiting jobs in scheduling order, from 1; `None`: it is not considered now.
     #[serde(rename = "rang", default, skip_serializing_if = "Option::is_none")]
     pub rank: Option<u32>,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
     /// What keeps it from starting.
     #[serde(rename = "attend")]
     pub wait_cause: WaitCause,
-    /// Why, in words.
+    /// The reason as readable text.
     #[serde(rename = "why", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<String>,
 }
@@ -124,27 +124,27 @@
 /// `GET /v1/teams/{equipe}/history?since=N`: ended jobs, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamHistory {
-    /// In the order of their ends.
+    /// Ended jobs in the order of their ends.
     #[serde(rename = "histoire")]
     pub ended: Vec<EndedJob>,
-    /// Where to go on from.
+    /// The `since` of the next request.
     #[serde(rename = "suite")]
     pub next: u64,
-    /// Whether there is more after this.
+    /// Whether more entries follow.
     #[serde(rename = "encore")]
     pub more: bool,
 }
 
-/// Of a job that an earlier version ended only its end is known.
+/// An ended job. For a job that ended under an earlier version only the required fields are known.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndedJob {
-    /// Without gaps, from 0.
+    /// Its number in the history, from 0 without gaps.
     #[serde(rename = "numero")]
     pub number: u64,
     /// The job's id.
     #[serde(rename = "uid")]
     pub id: JobId,
-    /// How it is, or how it ended.
+    /// The state, or how it ended.
     #[serde(rename = "etat")]
     pub state: JobState,
     /// How many tasks are done.
@@ -167,21 +167,21 @@
     /// Time of day of its end, in milliseconds.
     #[serde(rename = "finMs", default, skip_serializing_if = "Option::is_none")]
     pub ended_ms: Option<u64>,
-    /// Processor seconds of all its starts, lost ones too.
+    /// Processor seconds of all its attempts, including lost ones.
     #[serde(rename = "coeursS", default, skip_serializing_if = "Option::is_none")]
     pub cpu_s: Option<f64>,
-    /// Starts that were lost or failed.
+    /// Number of attempts that were lost or failed.
     #[serde(rename = "pertes")]
     pub losses: u32,
-    /// Why, of the latest of them.
+    /// Causes of the most recent losses, with their counts.
     #[serde(rename = "motifs", default, skip_serializing_if = "Vec::is_empty")]
     pub causes: Vec<(LossCause, u32)>,
-    /// The last failed start that is known.
+    /// The last known failed attempt.
     #[serde(rename = "dernierEchec", default, skip_serializing_if = "Option::is_none")]
     pub last_failure: Option<LastFailure>,
 }
 
-/// A failed start of a task.
+/// A failed attempt of a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LastFailure {
     /// The task.
--- a/crates/cleatfold-wire/src/worker.rs
+++ b/crates/cleatfold-wire/src/worker.rs
@@ -1,4 +1,4 @@
-//! What workers report and are told.
+//! Messages between controllers and workers.
 
 use crate::ids::{
     AgentEpoch, Attempt, ControllerId, FencingToken, ImageId, MachineId, Seq, TaskId, TypeId,
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// How a task is, as its worker sees it.
+/// The state of a task as reported by its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
@@ -19,7 +19,7 @@
     Saving,
     /// It has ended.
     Exited,
-    /// Anything else the protocol may grow. On the machine, as far as we are concerned.
+    /// A state added by a later protocol version. The task counts as present on the machine.
     #[serde(other)]
     Other,
 }
@@ -35,15 +35,15 @@
     Stopped,
     /// It failed.
     Error,
-    /// Start refused: the machine has not enough that is free.
+    /// Start refused: the machine has too few free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Start refused: the task is on this machine with another attempt.
+    /// Start refused: another attempt of the task is on this machine.
     Busy,
     /// Start refused: no such job or task, or not submitted.
     #[serde(rename = "no_such")]
     Unknown,
-    /// Anything that the protocol may add.
+    /// A value added by a later protocol version.
     #[serde(other)]
     Other,
 }
@@ -60,7 +60,7 @@
     /// The state.
     #[serde(rename = "etat")]
     pub state: TaskState,
-    /// Why it has ended, if it has.
+    /// Why it has ended, if it has ended.
     #[serde(rename = "motif", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<Exit>,
     /// Whether its progress was saved when it was stopped.
@@ -68,22 +68,22 @@
     pub saved: Option<bool>,
 }
 
-/// An image on a machine, as far as it is there.
+/// A complete or partial image on a machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldImage {
     /// The image.
     #[serde(rename = "gabarit")]
     pub image: ImageId,
-    /// 1: all of it.
+    /// The received fraction, from 0 to 1.
     #[serde(rename = "part")]
     pub fraction: f64,
-    /// How many machines it hands it on to.
+    /// Number of machines that it uploads the image to.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub serves: u32,
-    /// Every source it was told failed: it waits to be told others, or to go to the origin.
+    /// All assigned sources failed: it waits for other sources or for permission to fetch from the origin.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub stuck: bool,
-    /// Whom it fetches it from at present; none: from its origin, or not at all.
+    /// The peer that it currently fetches from; `None`: the origin, or it does not fetch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub source: Option<String>,
 }
@@ -92,13 +92,13 @@
     *n == 0
 }
 
-/// A worker's report. `T` is its list of tasks: read, or as it came (`RawHeartbeat`).
+/// A worker's report. `T` is its list of tasks, either parsed or as raw JSON (`RawHeartbeat`).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat<T = Vec<TaskReport>> {
     /// The machine.
     #[serde(rename = "ruche")]
     pub machine: MachineId,
-    /// Where it takes `/orders`.
+    /// Address at which it accepts `/orders`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<String>,
     /// The machine type.
@@ -107,7 +107,7 @@
     /// The zone.
     #[serde(rename = "site")]
     pub zone: ZoneId,
-    /// A spot machine, which may be taken back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     #[serde(rename = "pretees")]
     pub spot: bool,
     /// The worker's epoch: it begins a new one when its lease expires.
@@ -119,20 +119,20 @@
     /// The fencing token.
     #[serde(rename = "jeton")]
     pub token: FencingToken,
-    /// Seconds until the cloud takes the machine away, if it does.
+    /// Seconds until the cloud reclaims the machine, if announced.
     #[serde(rename = "preavisS", default)]
     pub notice_s: Option<f64>,
-    /// What it holds, whole or in part. Only workers that fetch from one another say so.
+    /// Its complete and partial images. Only reported by workers that fetch from peers.
     #[serde(rename = "gabarits", default, skip_serializing_if = "Option::is_none")]
     pub images: Option<Vec<HeldImage>>,
-    /// All tasks on the machine, exited ones too.
+    /// All tasks on the machine, including exited ones.
     #[serde(rename = "pieces", default = "T::default")]
     #[serde(bound(deserialize = "T: Default + Deserialize<'de>"))]
     pub tasks: T,
 }
 
-/// A report whose list of tasks is still the text that came. Most reports say the same as the
-/// one before, which a comparison of the texts shows without reading them.
+/// A report whose list of tasks is not parsed. Most reports equal the one before, which a comparison of the
+/// raw JSON detects without parsing.
 pub type RawHeartbeat = Heartbeat<Box<RawValue>>;
 
 impl<T> Heartbeat<T> {
@@ -155,20 +155,20 @@
 }
 
 impl RawHeartbeat {
-    /// Whether there is anything in the list of tasks.
+    /// Whether the list of tasks is not empty.
     pub fn has_tasks(&self) -> bool {
         self.tasks.get().contains('{')
     }
 
-    /// Reads the list of tasks.
+    /// Parses the list of tasks.
     pub fn read_tasks(&self) -> serde_json::Result<Vec<TaskReport>> {
-        // What may be absent may be null.
+        // Optional fields may also be null.
         serde_json::from_str::<Option<_>>(self.tasks.get()).map(Option::unwrap_or_default)
     }
 }
 
 impl Heartbeat {
-    /// The same heartbeat with its list of tasks as text.
+    /// The same report with its list of tasks as raw JSON.
     pub fn into_raw(self) -> RawHeartbeat {
         #[expect(clippy::expect_used, reason = "tasks are plain JSON")]
         let text = serde_json::value::to_raw_value(&self.tasks).expect("tasks are plain JSON");
@@ -176,7 +176,7 @@
     }
 }
 
-/// What a worker is told to do.
+/// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "consigne")]
 pub enum Command {
@@ -189,8 +189,8 @@
         /// Its attempt.
         #[serde(rename = "essai")]
         attempt: Attempt,
-        /// Where the image can be fetched from, in turn. None: from its origin. A worker that does
-        /// not know of it goes to the origin, and is sent there only.
+        /// Peers to fetch the image from, in order of preference; empty: the origin. Workers that do not
+        /// support this field fetch from the origin and are sent no peers.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         sources: Vec<String>,
     },
@@ -203,11 +203,11 @@
         /// Its attempt.
         #[serde(rename = "essai")]
         attempt: Attempt,
-        /// How long it may take to save, in seconds; 0: none.
+        /// Time in seconds that it may take to save; 0: none.
         #[serde(rename = "delaiArretS")]
         grace_s: f64,
     },
-    /// Remove an exited task from the heartbeats.
+    /// Stop reporting an exited task.
     #[serde(rename = "reap")]
     Forget {
         /// The task.
@@ -225,7 +225,7 @@
     /// The fencing token.
     #[serde(rename = "jeton")]
     pub token: FencingToken,
-    /// To be executed in order.
+    /// Commands, executed in order.
     #[serde(rename = "consignes")]
     pub commands: Vec<Command>,
 }
@@ -233,12 +233,12 @@
 /// The answer to a worker that should report elsewhere.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Where; none: wherever it finds.
+    /// The controller to report to; `None`: any.
     #[serde(rename = "rapporteA", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<ControllerId>,
 }
 
-/// `POST /orders`, straight to a worker.
+/// `POST /orders`: commands sent directly to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
     /// The fencing token.
@@ -247,7 +247,7 @@
     /// The worker's epoch: it begins a new one when its lease expires.
     #[serde(rename = "veille")]
     pub agent_epoch: AgentEpoch,
-    /// To be executed in order.
+    /// Commands, executed in order.
     #[serde(rename = "consignes")]
     pub commands: Vec<Command>,
 }
--- a/crates/cleatfold-wire/tests/job.rs
+++ b/crates/cleatfold-wire/tests/job.rs
@@ -1,4 +1,4 @@
-//! What is taken for a submission: every required field there, of its type and within its bounds.
+//! Validation of submissions: required fields, types and bounds.
 
 use cleatfold_wire::job::{JobSpec, MAX_AMOUNT, MAX_BODY, MAX_TASKS};
 use serde_json::{json, Value};
@@ -12,7 +12,7 @@
 
 const MAY_BE_NULL: [&str; 3] = ["gabaritsMachine", "site", "echeanceS"];
 
-fn is_taken(body: &Value) -> bool {
+fn is_accepted(body: &Value) -> bool {
     JobSpec::from_json(&serde_json::to_vec(body).expect("json")).is_ok()
 }
 
@@ -23,24 +23,24 @@
 }
 
 #[test]
-fn every_field_is_there_unless_it_may_be_null() {
-    assert!(is_taken(&body()));
+fn only_nullable_fields_may_be_missing() {
+    assert!(is_accepted(&body()));
     let fields: Vec<String> = body().as_object().expect("an object").keys().cloned().collect();
     assert_eq!(fields.len(), 20);
     for field in fields {
-        let may = MAY_BE_NULL.contains(&field.as_str());
+        let may_be_null = MAY_BE_NULL.contains(&field.as_str());
         let mut without = body();
         without.as_object_mut().expect("an object").remove(&field);
-        assert_eq!(is_taken(&without), may, "without {field}");
-        assert_eq!(is_taken(&with(&field, Value::Null)), may, "{field}: null");
-        // Neither an object nor a list of lists is any field's value.
-        assert!(!is_taken(&with(&field, json!({}))), "{field}: an object");
-        assert!(!is_taken(&with(&field, json!([[]]))), "{field}: a list of lists");
+        assert_eq!(is_accepted(&without), may_be_null, "without {field}");
+        assert_eq!(is_accepted(&with(&field, Value::Null)), may_be_null, "{field}: null");
+        // No field accepts an object or a list of lists.
+        assert!(!is_accepted(&with(&field, json!({}))), "{field}: an object");
+        assert!(!is_accepted(&with(&field, json!([[]]))), "{field}: a list of lists");
     }
 }
 
 #[test]
-fn fields_are_within_their_bounds() {
+fn values_out_of_bounds_are_rejected() {
     for (field, good, bad) in [
         (
             "pieces",
@@ -58,30 +58,30 @@
         ("equipe", vec![json!("x")], vec![json!(""), json!("x".repeat(201))]),
         ("gabaritsMachine", vec![json!([])], vec![json!("g8"), json!([1])]),
     ] {
-        good.iter().for_each(|v| assert!(is_taken(&with(field, v.clone())), "{field}: {v}"));
-        bad.iter().for_each(|v| assert!(!is_taken(&with(field, v.clone())), "{field}: {v}"));
+        good.iter().for_each(|v| assert!(is_accepted(&with(field, v.clone())), "{field}: {v}"));
+        bad.iter().for_each(|v| assert!(!is_accepted(&with(field, v.clone())), "{field}: {v}"));
     }
     for field in
         ["cores", "cards", "ramGb", "pullGb", "dureePrevueS", "dureeSauvegardeS", "echeanceS"]
     {
         assert!(
-            is_taken(&with(field, json!(0))) && !is_taken(&with(field, json!(-0.5))),
+            is_accepted(&with(field, json!(0))) && !is_accepted(&with(field, json!(-0.5))),
             "{field}"
         );
-        assert!(!is_taken(&with(field, json!("1.0"))), "{field}");
+        assert!(!is_accepted(&with(field, json!("1.0"))), "{field}");
         let enormous = body().to_string().replace(&body()[field].to_string(), "1e999");
         assert!(JobSpec::from_json(enormous.as_bytes()).is_err(), "{field}: 1e999");
     }
     for field in
         ["pullGb", "dureePrevueS", "intervalleSauvegardeS", "dureeSauvegardeS", "echeanceS"]
     {
-        assert!(is_taken(&with(field, json!(MAX_AMOUNT))), "{field}");
-        assert!(!is_taken(&with(field, json!(MAX_AMOUNT * 1.001))), "{field}");
+        assert!(is_accepted(&with(field, json!(MAX_AMOUNT))), "{field}");
+        assert!(!is_accepted(&with(field, json!(MAX_AMOUNT * 1.001))), "{field}");
     }
 }
 
 #[test]
-fn a_body_is_one_object() {
+fn body_must_be_one_json_object() {
     let text = body().to_string();
     for wrong in ["", "null", "[]", "{}", "{", "\"run-1\""] {
         assert!(JobSpec::from_json(wrong.as_bytes()).is_err(), "{wrong}");
@@ -92,7 +92,7 @@
     }
     assert!(JobSpec::from_json(format!(" \n{text}\n").as_bytes()).is_ok());
     let unknown = with("anything", json!({"else": [1, null]}));
-    assert!(is_taken(&unknown), "unknown fields are ignored");
+    assert!(is_accepted(&unknown), "unknown fields are ignored");
     let long = with("anything", json!("x".repeat(MAX_BODY)));
-    assert!(!is_taken(&long));
+    assert!(!is_accepted(&long));
 }
--- a/crates/cleatfold-wire/tests/name.rs
+++ b/crates/cleatfold-wire/tests/name.rs
@@ -1,11 +1,11 @@
-//! Names against a plain model.
+//! Tests of names against a simple model.
 
 use cleatfold_wire::name::Name;
 use std::hash::{BuildHasher, RandomState};
 
-/// Against the plain model: the text itself.
+/// Names compare, hash and read back like their texts, including zero bytes and the inline length limit.
 #[test]
-fn names_are_ordered_and_equal_as_their_texts() {
+fn names_compare_like_their_texts() {
     let parts = ["", "a", "b", "\0", "run-", "000412", "é", "0123456789", "zz"];
     let mut texts: Vec<String> = Vec::new();
     for x in parts {
