--- a/crates/cleatfold-elastic/src/step_ledger.rs
+++ b/crates/cleatfold-elastic/src/step_ledger.rs
@@ -107,9 +107,9 @@
         let total = self.progress.steps;
         let finished = self.progress.finished();
         let next_action = if finished >= total {
-            NextAction::Over
+            NextAction::Finish
         } else if holds.is_empty() {
-            NextAction::Rest
+            NextAction::Wait
         } else {
             NextAction::Continue
         };
--- a/crates/cleatfold-elastic/tests/model.rs
+++ b/crates/cleatfold-elastic/tests/model.rs
@@ -13,7 +13,7 @@
 
 fn report(reporter: MemberAttempt, finished: Vec<(u32, u32)>, wants: u32) -> StepReport {
     let member = TaskId { job: JobId::new("run-1"), ix: reporter.0 };
-    StepReport { member, attempt: reporter.1, finished, wants, generate_load: false }
+    StepReport { member, attempt: reporter.1, finished, wants, require_answer: false }
 }
 
 /// Stores the changed parts in their stored form and reads them back.
@@ -94,7 +94,7 @@
                             other_holds.retain(|s| !held_now.contains(s));
                         }
                     }
-                    assert_eq!(reply.next_action == NextAction::Over, progress.is_complete());
+                    assert_eq!(reply.next_action == NextAction::Finish, progress.is_complete());
                     holds.insert(reporter, held_now);
                 }
             }
--- a/crates/cleatfold-fakes/src/images.rs
+++ b/crates/cleatfold-fakes/src/images.rs
@@ -1,7 +1,7 @@
 //! Fake of image distribution: workers fetch images in pieces from the origin and from each other.
 
 use crate::worker::Worker;
-use cleatfold_image_distribution::{digest, Fetch, Next, Pieces};
+use cleatfold_image_distribution::{piece_digest, Fetch, FetchStep, ImageManifest};
 use cleatfold_wire::job::JobSpec;
 use cleatfold_wire::worker::HeldImage;
 use cleatfold_wire::{Attempt, ImageId, MachineId, Ms, TaskId, ZoneId};
@@ -156,10 +156,10 @@
         self.holders.insert(id, holder);
     }
 
-    fn pieces(&self, image: &ImageId, gb: f64) -> Pieces {
+    fn pieces(&self, image: &ImageId, gb: f64) -> ImageManifest {
         let count = (gb / self.piece_gb).ceil() as u32;
-        let digests = (0..count).map(|n| digest(n, &n.to_le_bytes())).collect();
-        Pieces { image: image.clone(), digests }
+        let digests = (0..count).map(|n| piece_digest(n, &n.to_le_bytes())).collect();
+        ImageManifest { image: image.clone(), digests }
     }
 
     /// Starts a machine's fetch of an image, or updates the sources of one in progress.
@@ -167,7 +167,7 @@
         let pieces = self.pieces(image, gb);
         let Some(holder) = self.holders.get_mut(id) else { return };
         match holder.images.get_mut(image) {
-            Some((_, fetch)) => fetch.take_sources(sources),
+            Some((_, fetch)) => fetch.set_sources(sources),
             None => {
                 // Evicts images to make space, in the order of their names instead of least recent use.
                 let free_gb =
@@ -202,7 +202,7 @@
     /// Machines that are fetching from the origin.
     pub fn fetching_from_origin(&self, now: Ms) -> Vec<&MachineId> {
         let next = |h: &ImageHolder| Some(h.images.get(h.active.as_ref()?)?.1.next(now));
-        let fetches_from_origin = |h: &ImageHolder| matches!(next(h), Some(Next::Origin(_)));
+        let fetches_from_origin = |h: &ImageHolder| matches!(next(h), Some(FetchStep::Origin(_)));
         self.holders.iter().filter(|(_, h)| fetches_from_origin(h)).map(|h| h.0).collect()
     }
 
@@ -216,8 +216,8 @@
             let holder = &self.holders[id];
             let Some(image) = holder.active.clone() else { continue };
             match holder.images[&image].1.next(now) {
-                Next::Origin(_) => transfers.push((id.clone(), image, None)),
-                Next::Ask(source, _) => {
+                FetchStep::Origin(_) => transfers.push((id.clone(), image, None)),
+                FetchStep::Peer(source, _) => {
                     let from = MachineId::new(source.split(':').next().unwrap_or_default());
                     // The source may not have started its own fetch yet.
                     let source_not_started =
@@ -233,7 +233,7 @@
                     serving.entry(from.clone()).or_default().insert(id.clone());
                     transfers.push((id.clone(), image, Some(from)));
                 }
-                Next::Stuck | Next::Whole => {}
+                FetchStep::Stuck | FetchStep::Complete => {}
             }
         }
         let from_origin = transfers.iter().filter(|f| f.2.is_none());
@@ -282,19 +282,19 @@
         let Some((_, fetch)) = holder.images.get_mut(image) else { return };
         // Nothing is transferred while the source has no further pieces.
         holder.partial_piece_gb =
-            if fetch.have < available { holder.partial_piece_gb + gb } else { 0.0 };
+            if fetch.received < available { holder.partial_piece_gb + gb } else { 0.0 };
         let source = match fetch.next(now) {
-            Next::Ask(source, _) => Some(source),
+            FetchStep::Peer(source, _) => Some(source),
             _ => None,
         };
-        while holder.partial_piece_gb >= self.piece_gb && fetch.have < available {
-            let number = fetch.have;
-            if number as usize >= fetch.pieces.digests.len() {
+        while holder.partial_piece_gb >= self.piece_gb && fetch.received < available {
+            let number = fetch.received;
+            if number as usize >= fetch.manifest.digests.len() {
                 break;
             }
             holder.partial_piece_gb -= self.piece_gb;
             let bytes = if is_corrupt { [0xff; 4] } else { number.to_le_bytes() };
-            if !fetch.came(now, source.as_deref(), number, &bytes) {
+            if !fetch.receive_piece(now, source.as_deref(), number, &bytes) {
                 self.corrupt_pieces += 1;
                 break;
             }
@@ -305,10 +305,10 @@
         let min_pieces =
             window.1 + (max_gb_per_s * RATE_WINDOW_MS as f64 / 5000.0 / self.piece_gb) as u32;
         if now.since(window.0) >= RATE_WINDOW_MS {
-            holder.rate_window = (now, fetch.have);
-            let is_too_slow = available > fetch.have + 1 && fetch.have < min_pieces;
+            holder.rate_window = (now, fetch.received);
+            let is_too_slow = available > fetch.received + 1 && fetch.received < min_pieces;
             if is_too_slow && source.is_some() {
-                fetch.fails(now, source.as_deref());
+                fetch.mark_failed(now, source.as_deref());
             }
         }
     }
@@ -336,7 +336,7 @@
         let Some(holder) = self.holders.get_mut(id) else { return };
         holder.rate_window = (now, holder.piece_count(image));
         if let Some((_, fetch)) = holder.images.get_mut(image) {
-            fetch.fails(now, Some(source));
+            fetch.mark_failed(now, Some(source));
         }
     }
 
@@ -364,11 +364,11 @@
         let serves = self.serving.get(&worker.id).map_or(0, |s| s.len() as u32);
         let held = holder.images.iter().map(|(image, (_, fetch))| HeldImage {
             image: image.clone(),
-            part: fetch.part(),
+            fraction: fetch.fraction(),
             serves,
-            stuck: holder.active.as_ref() == Some(image) && fetch.next(now) == Next::Stuck,
+            stuck: holder.active.as_ref() == Some(image) && fetch.next(now) == FetchStep::Stuck,
             source: match fetch.next(now) {
-                Next::Ask(source, _) if holder.active.as_ref() == Some(image) => Some(source),
+                FetchStep::Peer(source, _) if holder.active.as_ref() == Some(image) => Some(source),
                 _ => None,
             },
         });
@@ -389,7 +389,7 @@
 
     /// Number of pieces of an image that it holds.
     pub fn piece_count(&self, image: &ImageId) -> u32 {
-        self.images.get(image).map_or(0, |i| i.1.have)
+        self.images.get(image).map_or(0, |i| i.1.received)
     }
 
     /// Whether it can serve an image, as far as it holds the pieces.
@@ -399,6 +399,6 @@
 
     /// Whether it holds a complete image.
     pub fn has_complete(&self, image: &ImageId) -> bool {
-        self.images.get(image).is_some_and(|i| i.1.part() >= 1.0)
+        self.images.get(image).is_some_and(|i| i.1.fraction() >= 1.0)
     }
 }
--- a/crates/cleatfold-fakes/src/member.rs
+++ b/crates/cleatfold-fakes/src/member.rs
@@ -122,7 +122,7 @@
             attempt: self.attempt,
             finished: self.unacknowledged_steps.iter().map(|s| (*s, s + 1)).collect(),
             wants: if is_leaving { 0 } else { 2 },
-            generate_load: self.last_report_unanswered,
+            require_answer: self.last_report_unanswered,
         })
     }
 
@@ -155,7 +155,7 @@
             self.next_report_at = now.plus(RETRY_DELAY_MS);
         }
         let is_stopped = self.stop_at.is_some() && is_idle;
-        if reply.next_action == NextAction::Over || is_stopped || self.idle_replies > 3 {
+        if reply.next_action == NextAction::Finish || is_stopped || self.idle_replies > 3 {
             self.exit = Some(MemberExit::Ended);
         }
         self.advance(now);
--- a/crates/cleatfold/src/operator_settings.rs
+++ b/crates/cleatfold/src/operator_settings.rs
@@ -3,7 +3,7 @@
 use crate::settings::{one_line, SettingsError};
 use cleatfold_control::Config;
 use cleatfold_image_distribution::OutOfRange;
-use cleatfold_workspace::Keep;
+use cleatfold_workspace::HistoryRetention;
 use serde::Deserialize;
 use std::path::Path;
 
@@ -43,7 +43,7 @@
     /// times as long as their objectives allow; 1 to 100. By default no job is refused for its size.
     pub refuse_after: Option<f64>,
     /// Retention of each team's history.
-    pub history: Option<Keep>,
+    pub history: Option<HistoryRetention>,
     /// Distribution of large images, which are fetched in stages and passed between machines. By
     /// default every machine fetches them from the origin.
     #[serde(rename = "weights")]
@@ -85,7 +85,7 @@
             return Err(OperatorSettingsError::RefuseAfterWithoutAdmission);
         }
         if let Some(image_distribution) = &self.image_distribution {
-            image_distribution.check()?;
+            image_distribution.validate()?;
         }
         Ok(())
     }
--- a/crates/cleatfold/src/serve.rs
+++ b/crates/cleatfold/src/serve.rs
@@ -5,7 +5,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use cleatfold_control::{Request, Response, WorkspaceView};
 use cleatfold_ingress::{ConnectionId, ConnectionTable, PollSchedule};
-use cleatfold_wire::job::{is_job_id, JobSpec, Problem, SpecError, MAX_BODY};
+use cleatfold_wire::job::{is_job_id, ErrorBody, JobSpec, SpecError, MAX_BODY};
 use cleatfold_wire::steps::StepReport;
 use cleatfold_wire::worker::{RawHeartbeat, Redirect};
 use cleatfold_wire::{JobId, TeamId};
@@ -309,7 +309,7 @@
 }
 
 fn error_response(code: u16, message: &str) -> HttpResponse {
-    json_response(code, &Problem { error: message.to_string() })
+    json_response(code, &ErrorBody { error: message.to_string() })
 }
 
 fn json_response(code: u16, body: &impl Serialize) -> HttpResponse {
