--- a/crates/cleatfold-control/tests/claims.rs
+++ b/crates/cleatfold-control/tests/claims.rs
@@ -1,18 +1,18 @@
-//! The protocol of claims, explored in every order of what can happen: acceptance, claim, launch, exit, reap,
-//! take-over, cancellation and archive, with two controllers, one or two machines in one pool, one or two
-//! tasks, and a state service whose transactions may go unanswered and be executed late. `model.rs` has the
-//! states, `steps.rs` what can happen; claims, ends and free tasks are the service's own `TaskTable`. An outage is
-//! any stretch without a step of the state service, so all of them are in it.
+//! Exhaustive model check of the claim protocol: acceptance, claim, launch, exit, reap, take-over, cancellation and
+//! archiving, in every possible order. The model has two controllers, one or two machines in one pool, one or two
+//! tasks, and a state service whose transactions may get no answer and be executed late. `model.rs` defines the
+//! states and `steps.rs` the transitions; claims, ends and free tasks use the service's own `TaskTable`. An outage
+//! is any sequence without a step of the state service, so the search covers all outages.
 //!
-//! Bounds: those of each search are in the table below; all are searched exhaustively within them. Beyond them
-//! or not in the model: jobs in parts, gangs, limits, elastic jobs, deletion of machines, answers that wait
-//! for a claim. Direct commands are in the two searches of their name. A reading is one step, and the
-//! assigning of a pool is one (its guard is the version that it changes). Time is not in it but for what the
-//! clocks warrant: an owner concludes that a lease has run out only when the session that it answered has ended
-//! or the worker has gone on under a higher token; a cancellation's bound passes only when each machine was
-//! answered since the partitioned limit, or its session has ended since.
+//! The bounds of each search are in the table below; each search is exhaustive within them. Not modelled: jobs in
+//! parts, gangs, limits, elastic jobs, deletion of machines, answers that wait for a claim. Direct commands are
+//! only in the "held" searches. Reading the state is one step, and so is a pool assignment (its guard is the
+//! version that it changes). Time is modelled only by what the clocks guarantee: an owner concludes that a lease
+//! has expired only when the session that it answered has ended or the worker has continued under a higher token;
+//! a cancellation's deadline passes only when each machine was answered after the stale-read limit, or its session
+//! has ended since then.
 //!
-//! (The search is a plain one through all states; no library for it could be had here.)
+//! The search is a plain breadth-first one, because no model-checking library was available.
 
 mod claims {
     pub(crate) mod commands;
@@ -33,135 +33,177 @@
     restarts: [0, 0],
     sessions: 0,
     attempts: 2,
-    late: 1,
-    copies: 1,
-    held: 0,
-    failures: false,
+    late_transactions: 1,
+    report_copies: 1,
+    direct_commands: 0,
+    task_failures: false,
     drains: false,
     cancel: false,
     submissions: 0,
     polls: false,
 };
 const RESTART: Bounds = Bounds { name: "restart", restarts: [1, 0], ..TAKE_OVER };
-const LEASES: Bounds =
-    Bounds { name: "leases", sessions: 1, failures: true, late: 0, copies: 0, ..TAKE_OVER };
+const LEASES: Bounds = Bounds {
+    name: "leases",
+    sessions: 1,
+    task_failures: true,
+    late_transactions: 0,
+    report_copies: 0,
+    ..TAKE_OVER
+};
 const DRAINS: Bounds =
-    Bounds { name: "drains", failures: true, drains: true, late: 0, ..TAKE_OVER };
-const TWO_TASKS: Bounds =
-    Bounds { name: "two tasks", tasks: 2, machines: 1, failures: true, copies: 0, ..TAKE_OVER };
-const CANCEL: Bounds =
-    Bounds { name: "cancellation", machines: 1, cancel: true, sessions: 1, copies: 0, ..TAKE_OVER };
-const ACCEPT: Bounds = Bounds {
+    Bounds { name: "drains", task_failures: true, drains: true, late_transactions: 0, ..TAKE_OVER };
+const TWO_TASKS: Bounds = Bounds {
+    name: "two tasks",
+    tasks: 2,
+    machines: 1,
+    task_failures: true,
+    report_copies: 0,
+    ..TAKE_OVER
+};
+const CANCELLATION: Bounds = Bounds {
+    name: "cancellation",
+    machines: 1,
+    cancel: true,
+    sessions: 1,
+    report_copies: 0,
+    ..TAKE_OVER
+};
+const ACCEPTANCE: Bounds = Bounds {
     name: "acceptance",
     machines: 1,
     tokens: 1,
     attempts: 1,
     submissions: 2,
     polls: true,
-    copies: 0,
+    report_copies: 0,
     ..TAKE_OVER
 };
-/// Direct commands that are held up, beside sessions, and beside copies of reports.
+/// Delayed direct commands, combined with sessions and with copies of reports.
 const HELD_SESSIONS: Bounds =
-    Bounds { name: "held, sessions", tokens: 1, sessions: 1, copies: 0, ..HELD_COPIES };
-const HELD_COPIES: Bounds = Bounds { name: "held, copies", held: 1, late: 0, ..TAKE_OVER };
-const HELD_DRAINS: Bounds = Bounds { name: "held, drains", copies: 0, drains: true, ..HELD_COPIES };
-/// All of it, with a cancellation.
-const WHOLE: Bounds = Bounds { name: "whole", tokens: 2, restarts: [1, 0], cancel: true, ..ACCEPT };
-/// For the guards that need them.
-const RESTART_DRAINS: Bounds = Bounds { name: "restart, drains", drains: true, late: 0, ..RESTART };
+    Bounds { name: "held, sessions", tokens: 1, sessions: 1, report_copies: 0, ..HELD_COPIES };
+const HELD_COPIES: Bounds =
+    Bounds { name: "held, copies", direct_commands: 1, late_transactions: 0, ..TAKE_OVER };
+const HELD_DRAINS: Bounds =
+    Bounds { name: "held, drains", report_copies: 0, drains: true, ..HELD_COPIES };
+/// From submission to archive, with restarts, polls and a cancellation.
+const WHOLE_LIFECYCLE: Bounds =
+    Bounds { name: "whole", tokens: 2, restarts: [1, 0], cancel: true, ..ACCEPTANCE };
+/// For the guards whose counterexample needs both a restart and a drain.
+const RESTART_DRAINS: Bounds =
+    Bounds { name: "restart, drains", drains: true, late_transactions: 0, ..RESTART };
 
-/// All states within the bounds: nothing is broken, the search is not empty, and what matters was reached.
-fn holds(bounds: Bounds, least: usize, reached: &[&str]) {
-    let found = explore(&World { bounds, without: None }, None);
-    println!("{bounds:?}: {} states, {} steps, {:?}", found.states, found.steps, found.seen);
-    assert!(found.broken.is_empty(), "{:?}", found.broken);
-    assert!(found.states > least, "only {} states", found.states);
-    // What `Guard::ExitAlone` is about: with the others in place it has nothing to do.
-    assert!(!found.seen.contains_key(BESIDE), "{:?}", found.seen);
-    for what in reached {
-        assert!(found.seen.contains_key(what), "never reached: {what}");
+/// Checks all states within the bounds: no violation, at least `min_states` states, and each milestone reached.
+fn assert_no_violation(bounds: Bounds, min_states: usize, reached: &[&str]) {
+    let found = explore(&Model { bounds, without: None }, None);
+    println!("{bounds:?}: {} states, {} steps, {:?}", found.states, found.steps, found.reached);
+    assert!(found.violations.is_empty(), "{:?}", found.violations);
+    assert!(found.states > min_states, "only {} states", found.states);
+    // The case that `Guard::NoOtherAttemptRunning` handles; the other guards already prevent it.
+    assert!(!found.reached.contains_key(EXIT_WHILE_RUNNING), "{:?}", found.reached);
+    for milestone in reached {
+        assert!(found.reached.contains_key(milestone), "never reached: {milestone}");
     }
 }
 
-/// All of `TAKE_OVER` and more.
+/// Includes every state of `TAKE_OVER`.
 #[test]
-fn restart() {
-    holds(RESTART, 500_000, &[DONE, ADOPTED, RELEASED]);
+fn restart_keeps_invariants() {
+    assert_no_violation(RESTART, 500_000, &[DONE, ADOPTED, RELEASED]);
 }
 
 #[test]
-fn leases() {
-    holds(LEASES, 500_000, &[DONE, ADOPTED, RELEASED]);
+fn lease_expiry_keeps_invariants() {
+    assert_no_violation(LEASES, 500_000, &[DONE, ADOPTED, RELEASED]);
 }
 
 #[test]
-fn drains() {
-    holds(DRAINS, 500_000, &[DONE, ADOPTED, RELEASED]);
+fn machine_drain_keeps_invariants() {
+    assert_no_violation(DRAINS, 500_000, &[DONE, ADOPTED, RELEASED]);
 }
 
 #[test]
-fn two_tasks() {
-    holds(TWO_TASKS, 500_000, &[DONE, ADOPTED, RELEASED]);
+fn two_tasks_keep_invariants() {
+    assert_no_violation(TWO_TASKS, 500_000, &[DONE, ADOPTED, RELEASED]);
 }
 
 #[test]
-fn cancellation() {
-    let reached = [DONE, ABORTED, ADOPTED, CANCELLED, BOUND, AT_END, READ_FIRST];
-    holds(CANCEL, 200_000, &reached);
+fn cancellation_keeps_invariants() {
+    let reached = [
+        DONE,
+        ABORTED,
+        ADOPTED,
+        CANCELLED,
+        DEADLINE_REACHED,
+        CANCELLED_AT_COMPLETION,
+        CANCELLATION_READ_EARLY,
+    ];
+    assert_no_violation(CANCELLATION, 200_000, &reached);
 }
 
 #[test]
-fn held_commands_and_sessions() {
-    holds(HELD_SESSIONS, 50_000, &[DONE]);
+fn delayed_commands_and_sessions_keep_invariants() {
+    assert_no_violation(HELD_SESSIONS, 50_000, &[DONE]);
 }
 
 #[test]
-fn held_commands_and_copies() {
-    holds(HELD_COPIES, 500_000, &[DONE, ADOPTED, RELEASED]);
+fn delayed_commands_and_copies_keep_invariants() {
+    assert_no_violation(HELD_COPIES, 500_000, &[DONE, ADOPTED, RELEASED]);
 }
 
-/// From acceptance to the archive. All of `ACCEPT` and more.
+/// From acceptance to the archive; includes every state of `ACCEPTANCE`.
 #[test]
-fn whole() {
-    let reached = [DONE, ABORTED, ADOPTED, RELEASED, CANCELLED, BOUND, AT_END, READ_FIRST];
-    holds(WHOLE, 200_000, &reached);
+fn whole_lifecycle_keeps_invariants() {
+    let reached = [
+        DONE,
+        ABORTED,
+        ADOPTED,
+        RELEASED,
+        CANCELLED,
+        DEADLINE_REACHED,
+        CANCELLED_AT_COMPLETION,
+        CANCELLATION_READ_EARLY,
+    ];
+    assert_no_violation(WHOLE_LIFECYCLE, 200_000, &reached);
 }
 
-/// The shortest way to what breaks without the guard.
-fn needed(guards: &[(Guard, Bounds, &str)]) {
-    for &(guard, bounds, what) in guards {
-        let found = explore(&World { bounds, without: Some(guard) }, Some(what));
+/// Checks that each violation occurs once its guard is removed, and prints the shortest path to it.
+fn assert_guards_needed(guards: &[(Guard, Bounds, &str)]) {
+    for &(guard, bounds, violation) in guards {
+        let found = explore(&Model { bounds, without: Some(guard) }, Some(violation));
         let (name, states) = (bounds.name, found.states);
-        println!("{guard:?}, {name}, {states} states: {what} by {:?}", found.broken.get(what));
-        let seen = found.broken.contains_key(what);
-        assert!(seen, "not seen without {guard:?}: {what}; {:?}", found.broken);
+        println!(
+            "{guard:?}, {name}, {states} states: {violation} by {:?}",
+            found.violations.get(violation)
+        );
+        let occurred = found.violations.contains_key(violation);
+        assert!(occurred, "not reached without {guard:?}: {violation}; {:?}", found.violations);
     }
 }
 
 #[test]
-fn each_guard_of_transactions_and_answers_is_needed() {
-    needed(&[
-        (Guard::JobInClaims, TAKE_OVER, WENT_BACK),
-        (Guard::PoolInClaims, TAKE_OVER, REAPED),
-        (Guard::ArchiveAbsence, ACCEPT, WENT_BACK),
-        (Guard::FreshPolls, ACCEPT, WENT_BACK),
-        (Guard::NotCancelled, CANCEL, RAN_CANCELLED),
-        (Guard::Evictions, CANCEL, RAN_CANCELLED),
-        (Guard::StaleReadLimit, CANCEL, RAN_CANCELLED),
-        (Guard::DurableReap, TAKE_OVER, REAPED),
+fn removing_transaction_guard_breaks_invariant() {
+    assert_guards_needed(&[
+        (Guard::JobVersionInClaims, TAKE_OVER, WENT_BACK),
+        (Guard::PoolTokenInClaims, TAKE_OVER, REAPED_EARLY),
+        (Guard::ArchiveAbsence, ACCEPTANCE, WENT_BACK),
+        (Guard::FreshPolls, ACCEPTANCE, WENT_BACK),
+        (Guard::NotCancelled, CANCELLATION, RAN_CANCELLED),
+        (Guard::Evictions, CANCELLATION, RAN_CANCELLED),
+        (Guard::StaleReadLimit, CANCELLATION, RAN_CANCELLED),
+        (Guard::DurableReap, TAKE_OVER, REAPED_EARLY),
     ]);
 }
 
 #[test]
-fn each_guard_of_proofs_is_needed() {
-    needed(&[
-        (Guard::PoolInReleases, TAKE_OVER, RAN_TWICE),
+fn removing_proof_guard_breaks_invariant() {
+    assert_guards_needed(&[
+        (Guard::PoolTokenInReleases, TAKE_OVER, RAN_TWICE),
         (Guard::SeenToken, TAKE_OVER, RAN_TWICE),
-        (Guard::SeenForExits, LEASES, RAN_TWICE),
-        (Guard::Newest, DRAINS, RAN_TWICE),
+        (Guard::SeenTokenForExits, LEASES, RAN_TWICE),
+        (Guard::NewestReport, DRAINS, RAN_TWICE),
         (Guard::Incarnation, RESTART_DRAINS, RAN_TWICE),
-        (Guard::NotEnding, DRAINS, RAN_TWICE),
+        (Guard::NotBeingEnded, DRAINS, RAN_TWICE),
         (Guard::OwnToken, DRAINS, RAN_TWICE),
         (Guard::DirectEvictionsOnly, HELD_DRAINS, RAN_TWICE),
     ]);
--- a/crates/cleatfold-control/tests/claims/model.rs
+++ b/crates/cleatfold-control/tests/claims/model.rs
@@ -1,5 +1,5 @@
-//! The states: what the state service holds, what controllers have read and remember, what is on the
-//! machines, what is on its way.
+//! The states of the model: the contents of the state service, the caches and memory of the controllers, the
+//! tasks on the machines, and the messages in transit.
 
 use cleatfold_control::records::TaskTable;
 use cleatfold_wire::{Attempt, FencingToken, MachineId, PoolId, TaskIx};
@@ -8,66 +8,67 @@
 pub(crate) const MACHINES: usize = 2;
 pub(crate) const TASKS: usize = 2;
 
-/// What may be left out, one at a time.
+/// Safety checks of the protocol; a search may remove one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Guard {
-    JobInClaims,
-    PoolInClaims,
-    PoolInReleases,
-    /// Absence counts only once the worker has seen our token.
+    JobVersionInClaims,
+    PoolTokenInClaims,
+    PoolTokenInReleases,
+    /// A task's absence from a report counts only once the worker has seen the owner's token.
     SeenToken,
-    /// The exit of a former owner's claim, too: else that owner, which may not know of it, can start the same
-    /// attempt once more in the worker's next session.
-    SeenForExits,
-    /// Only a report newer than all that were read shows absence.
-    Newest,
-    /// A restarted controller does not own what its former life was assigned.
+    /// The same holds for the exit of a claim made by a former owner: otherwise that owner, which may not have
+    /// read the exit, can start the same attempt again in the worker's next session.
+    SeenTokenForExits,
+    /// Only a report newer than all those read before shows absence.
+    NewestReport,
+    /// A restarted controller does not own the pools assigned to its previous incarnation.
     Incarnation,
-    /// What is being recorded as ended is not launched again.
-    NotEnding,
-    /// Only claims under the present token are launched.
+    /// An attempt whose end is being recorded is not launched again.
+    NotBeingEnded,
+    /// Only claims under the current token are launched.
     OwnToken,
-    /// An exit isn't recorded while another attempt of the task is alive in the same report.
-    ExitAlone,
-    /// `reap` only for exits whose end is durable.
+    /// An exit isn't recorded while the same report lists another attempt of the task as running.
+    NoOtherAttemptRunning,
+    /// `reap` is sent only for exits whose end is durable.
     DurableReap,
     /// A submission is guarded by the absence of the job's archive record.
     ArchiveAbsence,
     /// Nothing of a cancelled job is launched.
     NotCancelled,
-    /// What runs of a cancelled job is stopped.
+    /// Running tasks of a cancelled job are stopped.
     Evictions,
-    /// A controller that does not read stops answering workers in time.
+    /// A controller that cannot read the state stops answering workers within the stale-read limit.
     StaleReadLimit,
-    /// A poll is answered by a reading sent after it came.
+    /// A poll is answered from a read that was sent after the poll arrived.
     FreshPolls,
     /// Direct commands stop tasks and never start one.
     DirectEvictionsOnly,
 }
 
-/// How far the search goes.
+/// Limits of one search.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bounds {
     pub name: &'static str,
     pub tasks: usize,
     pub machines: usize,
     pub tokens: u8,
-    /// Restarts of the first controller, of the second one.
+    /// Restarts of each controller.
     pub restarts: [u8; CONTROLLERS],
-    /// Sessions of each machine.
+    /// Session changes (lease expiries) of each machine.
     pub sessions: u8,
     pub attempts: u8,
-    /// Transactions that get no answer, or whose sender restarts.
-    pub late: u8,
-    /// Reports of which a copy is kept, to be read any number of times.
-    pub copies: u8,
-    /// Direct commands, each executed at any later step if token and session still match.
-    pub held: u8,
-    /// Tasks may fail; machines may be emptied.
-    pub failures: bool,
+    /// Transactions that get no answer or whose sender restarts; they may be executed late.
+    pub late_transactions: u8,
+    /// ReportCopy reports; a copy can be read any number of times.
+    pub report_copies: u8,
+    /// Direct commands, each executed at any later step if its token and session still match.
+    pub direct_commands: u8,
+    /// Tasks may fail.
+    pub task_failures: bool,
+    /// Machines may be drained.
     pub drains: bool,
     pub cancel: bool,
-    /// Submissions; none: the job was accepted before.
+    /// Submissions; with 0 the job is already accepted in the initial state.
     pub submissions: u8,
     pub polls: bool,
 }
@@ -89,7 +90,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Pool {
     pub owner: u8,
-    pub life: u8,
+    pub incarnation: u8,
     pub token: u8,
 }
 
@@ -102,7 +103,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Store {
     pub job: Option<Job>,
-    /// Versions given to the job's key.
+    /// Number of versions assigned to the job's key so far.
     pub versions: u8,
     pub archive: Option<Ended>,
     pub pool: Pool,
@@ -113,7 +114,7 @@
     pub machine: u8,
     pub attempt: u8,
     pub done: bool,
-    /// The token it holds under; none: a fact.
+    /// The pool token under which the end is valid; `None` if it is valid under any token.
     pub fence: Option<u8>,
 }
 
@@ -123,17 +124,17 @@
     Ended(Ended),
 }
 
-/// A transaction: its guards and what it writes.
+/// A transaction: its guards and its writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Tx {
-    /// The job's version, 0: no such key; none: not guarded.
+    /// The guarded version of the job's key; 0 requires its absence, `None` is no guard.
     pub job: Option<u8>,
     pub no_archive: bool,
     pub pool: Option<u8>,
     pub outcome: Outcome,
     pub submission: bool,
-    /// A user waits for it to be told that the job is cancelled.
-    pub withdrawal: bool,
+    /// A user waits for its answer as confirmation of a cancellation.
+    pub cancellation: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -142,37 +143,37 @@
     pub pool: Pool,
 }
 
-/// What a controller remembers of a machine that it has answered under its present token.
+/// What a controller stores about a machine that it has answered under its current token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Received {
     pub token: u8,
-    /// The newest report carried it.
+    /// The newest report carried `token`.
     pub seen: bool,
-    /// The machine's session at the last answer.
+    /// The machine's session at the time of the last answer.
     pub agent_epoch: u8,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Controller {
-    pub life: u8,
+    pub incarnation: u8,
     pub cache: Option<StateCache>,
     pub tx: Option<Tx>,
     pub ends: [Option<End>; TASKS],
-    pub abort: bool,
-    /// It has not read for so long that it answers no worker.
+    pub cancel_requested: bool,
+    /// The cache is older than the stale-read limit, so the controller answers no worker.
     pub partitioned: bool,
     pub received: [Option<Received>; MACHINES],
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Run {
-    Alive,
+pub(crate) enum RunState {
+    Running,
     Completed,
     Failed,
 }
 
-/// Task, attempt, state.
-pub(crate) type Tasks = Vec<(u8, u8, Run)>;
+/// Task index, attempt and state of each task on a machine.
+pub(crate) type Tasks = Vec<(u8, u8, RunState)>;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Heartbeat {
@@ -187,12 +188,12 @@
     Reap(u8, u8),
 }
 
-/// A 200 on its way to its worker, which sends nothing while it waits.
+/// A 200 response in transit to its worker, which sends nothing while it waits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Answer {
     pub token: u8,
     pub commands: Vec<Command>,
-    /// The report was sent after the partitioned limit.
+    /// The report was sent after the stale-read limit.
     pub after_limit: bool,
 }
 
@@ -202,11 +203,11 @@
     pub token: u8,
     pub tasks: Tasks,
     pub answer: Option<Answer>,
-    /// Its lease was renewed by a report sent after the partitioned limit, or its session began then.
-    pub renewed: bool,
+    /// Its lease was renewed by a report sent after the stale-read limit, or its session began after it.
+    pub renewed_after_limit: bool,
 }
 
-/// A direct command that is on its way.
+/// A direct command in transit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct HeldCommand {
     pub sender: u8,
@@ -216,25 +217,25 @@
     pub command: Command,
 }
 
-/// A report that may be read again, or for the first time, at any later step.
+/// A copied report, which may be read at any later step, also repeatedly.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Copied {
+pub(crate) struct ReportCopy {
     pub machine: u8,
     pub report: Heartbeat,
-    /// Controllers that have read this one or a newer one of the machine.
-    pub old_for: [bool; CONTROLLERS],
+    /// Controllers that have read this report or a newer one of the machine.
+    pub outdated_for: [bool; CONTROLLERS],
 }
 
-/// How far a cancellation is.
+/// Progress of a cancellation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) enum Phase {
     #[default]
-    Before,
-    Confirmation,
-    /// `stale_read_limit_ms` after it was told.
-    Limit,
-    /// `cancel_s` after it was told.
-    Bound,
+    Unconfirmed,
+    Confirmed,
+    /// `stale_read_limit_ms` after the confirmation.
+    StaleReadLimit,
+    /// `cancel_s` after the confirmation.
+    Deadline,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -251,31 +252,31 @@
     pub store: Store,
     pub controllers: [Controller; CONTROLLERS],
     pub machines: [Machine; MACHINES],
-    /// Transactions that nobody waits for any more.
-    pub late: Vec<Tx>,
-    pub lates: u8,
-    pub copy: Option<Copied>,
-    pub copies: u8,
-    pub held: Option<HeldCommand>,
-    /// Direct commands that were sent.
-    pub sent: u8,
-    pub submitted: u8,
+    /// Unexecuted transactions whose senders no longer wait for an answer.
+    pub late_transactions: Vec<Tx>,
+    pub late_count: u8,
+    pub report_copy: Option<ReportCopy>,
+    pub copy_count: u8,
+    pub held_command: Option<HeldCommand>,
+    /// Number of direct commands sent.
+    pub command_count: u8,
+    pub submission_count: u8,
     pub confirmation: Confirmation,
     pub phase: Phase,
-    /// Tasks that have truly completed.
+    /// Tasks that completed on a machine, whether or not that is recorded.
     pub completed: [bool; TASKS],
-    /// Of the job.
-    pub tasks: u8,
-    pub broken: Option<&'static str>,
+    /// Number of tasks of the job.
+    pub task_count: u8,
+    pub violation: Option<&'static str>,
 }
 
-// ---- the real table of claims ----
+// ---- the service's own task table ----
 
 fn machine_id(m: u8) -> MachineId {
     MachineId::new(if m == 0 { "m0" } else { "m1" })
 }
 
-/// The record's tasks as the service's own table.
+/// The tasks of a `Job` as the service's own `TaskTable`.
 pub(crate) struct Claims {
     table: TaskTable,
     tasks: usize,
@@ -283,7 +284,7 @@
 }
 
 impl Claims {
-    pub(crate) fn of(job: &Job, tasks: usize) -> Self {
+    pub(crate) fn from_job(job: &Job, tasks: usize) -> Self {
         let mut table = TaskTable::default();
         let pool = PoolId { machine_type: "t".into(), zone: "z".into() };
         let mut claims = Self { table: TaskTable::default(), tasks, pool: pool.clone() };
--- a/crates/cleatfold-control/tests/claims/search.rs
+++ b/crates/cleatfold-control/tests/claims/search.rs
@@ -1,120 +1,129 @@
-//! The search: breadth first through all states, so a counterexample is a shortest one. States are known
-//! by 64 bits of their hash.
+//! Breadth-first search through all states, so each counterexample is a shortest one. Visited states are
+//! identified by a 64-bit hash.
 
 use super::model::*;
 use super::steps::*;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
-pub(crate) struct Found {
+pub(crate) struct SearchResult {
     pub states: usize,
     pub steps: usize,
-    /// What can go wrong, and the shortest way to it.
-    pub broken: BTreeMap<&'static str, Vec<Step>>,
-    /// What was reached.
-    pub seen: BTreeMap<&'static str, usize>,
+    /// Each violation with the shortest path to it.
+    pub violations: BTreeMap<&'static str, Vec<Step>>,
+    /// Number of states in which each milestone was reached.
+    pub reached: BTreeMap<&'static str, usize>,
 }
 
-const MOST: usize = 3_000_000;
+const MAX_STATES: usize = 3_000_000;
 
 pub(crate) const DONE: &str = "archived as done";
 pub(crate) const ABORTED: &str = "archived as aborted";
-pub(crate) const BOUND: &str = "the bound of a cancellation";
-pub(crate) const ADOPTED: &str = "a task adopted by the next owner";
-pub(crate) const RELEASED: &str = "a claim released after a take-over";
-pub(crate) const BESIDE: &str =
-    "an exit that is not recorded, beside another attempt that is alive";
-pub(crate) const CANCELLED: &str = "cancelled and not over";
-pub(crate) const AT_END: &str =
-    "a cancellation is asked for as the last task has completed and that is not recorded";
-pub(crate) const READ_FIRST: &str =
-    "a cancellation was read by another before its author knows of it";
+pub(crate) const DEADLINE_REACHED: &str = "cancellation deadline reached";
+pub(crate) const ADOPTED: &str = "running task adopted by the next owner";
+pub(crate) const RELEASED: &str = "claim released after a take-over";
+pub(crate) const EXIT_WHILE_RUNNING: &str = "unrecorded exit while another attempt is running";
+pub(crate) const CANCELLED: &str = "cancelled and not ended";
+pub(crate) const CANCELLED_AT_COMPLETION: &str =
+    "cancellation requested after the last task completed but before that is recorded";
+pub(crate) const CANCELLATION_READ_EARLY: &str =
+    "cancellation read by another controller before its sender knows the outcome";
 
-fn print(state: &State) -> u64 {
+fn fingerprint(state: &State) -> u64 {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
     state.hash(&mut hasher);
     hasher.finish()
 }
 
-/// All states, or those until `what` is found broken.
-pub(crate) fn explore(world: &World, what: Option<&str>) -> Found {
-    let start = world.start();
-    let mut known = HashSet::from([print(&start)]);
-    let mut ways: Vec<(u32, Step)> = vec![(0, Step::Bound)];
+/// Visits all states, or stops once the violation `stop_at` is found.
+pub(crate) fn explore(model: &Model, stop_at: Option<&str>) -> SearchResult {
+    let start = model.initial_state();
+    let mut visited = HashSet::from([fingerprint(&start)]);
+    let mut predecessors: Vec<(u32, Step)> = vec![(0, Step::PassDeadline)];
     let mut queue = VecDeque::from([(0u32, start)]);
-    let mut found = Found { states: 1, steps: 0, broken: BTreeMap::new(), seen: BTreeMap::new() };
-    while let Some((from, state)) = queue.pop_front() {
-        for sight in sights(&state) {
-            *found.seen.entry(sight).or_default() += 1;
+    let mut found =
+        SearchResult { states: 1, steps: 0, violations: BTreeMap::new(), reached: BTreeMap::new() };
+    while let Some((index, state)) = queue.pop_front() {
+        for milestone in milestones(&state) {
+            *found.reached.entry(milestone).or_default() += 1;
         }
-        for (step, next) in world.next(&state) {
+        for (step, next) in model.successors(&state) {
             found.steps += 1;
-            if let Some(broken) = next.broken {
-                // A state in which something is broken is looked at no further.
-                found.broken.entry(broken).or_insert_with(|| {
-                    let mut way = vec![step];
-                    let mut at = from;
-                    while at != 0 {
-                        let (before, step) = ways[at as usize];
-                        way.push(step);
-                        at = before;
+            if let Some(violation) = next.violation {
+                // States with a violation are not explored further.
+                found.violations.entry(violation).or_insert_with(|| {
+                    let mut path = vec![step];
+                    let mut current = index;
+                    while current != 0 {
+                        let (previous, step) = predecessors[current as usize];
+                        path.push(step);
+                        current = previous;
                     }
-                    way.reverse();
-                    way
+                    path.reverse();
+                    path
                 });
-                if what == Some(broken) {
+                if stop_at == Some(violation) {
                     return found;
                 }
-            } else if known.insert(print(&next)) {
+            } else if visited.insert(fingerprint(&next)) {
                 found.states += 1;
-                ways.push((from, step));
-                queue.push_back(((ways.len() - 1) as u32, next));
+                predecessors.push((index, step));
+                queue.push_back(((predecessors.len() - 1) as u32, next));
             }
         }
-        assert!(found.states < MOST, "{}: too many states", world.bounds.name);
+        assert!(found.states < MAX_STATES, "{}: too many states", model.bounds.name);
     }
     found
 }
 
-fn sights(s: &State) -> Vec<&'static str> {
-    let mut seen = Vec::new();
-    let alive = |m: &Machine| m.tasks.iter().any(|x| x.2 == Run::Alive);
-    match s.store.archive {
-        Some(Ended::Done) => seen.push(DONE),
-        Some(Ended::Aborted) => seen.push(ABORTED),
+fn milestones(state: &State) -> Vec<&'static str> {
+    let mut reached = Vec::new();
+    let is_running = |m: &Machine| m.tasks.iter().any(|x| x.2 == RunState::Running);
+    match state.store.archive {
+        Some(Ended::Done) => reached.push(DONE),
+        Some(Ended::Aborted) => reached.push(ABORTED),
         None => {}
     }
-    if s.phase == Phase::Bound {
-        seen.push(BOUND);
+    if state.phase == Phase::Deadline {
+        reached.push(DEADLINE_REACHED);
     }
-    let completed = s.completed.iter().take(s.tasks.into()).all(|done| *done);
-    if completed && s.store.job.is_some() && s.controllers.iter().any(|n| n.abort) {
-        seen.push(AT_END);
+    let completed = state.completed.iter().take(state.task_count.into()).all(|done| *done);
+    if completed
+        && state.store.job.is_some()
+        && state.controllers.iter().any(|n| n.cancel_requested)
+    {
+        reached.push(CANCELLED_AT_COMPLETION);
     }
-    // Its author still waits for the answer, or for the next reading after a lost one.
-    let knows = |n: &Controller| n.cache.and_then(|m| m.job).is_some_and(|j| j.aborted);
-    if s.controllers.iter().any(knows) && s.controllers.iter().any(|n| n.abort && !knows(n)) {
-        seen.push(READ_FIRST);
+    // The sender still waits for the answer, or for the next read after a lost answer.
+    let read_cancellation =
+        |n: &Controller| n.cache.and_then(|cache| cache.job).is_some_and(|j| j.aborted);
+    if state.controllers.iter().any(read_cancellation)
+        && state.controllers.iter().any(|n| n.cancel_requested && !read_cancellation(n))
+    {
+        reached.push(CANCELLATION_READ_EARLY);
     }
-    for (ix, task) in s.store.job.iter().flat_map(|j| j.tasks.iter().enumerate()) {
+    for (ix, task) in state.store.job.iter().flat_map(|j| j.tasks.iter().enumerate()) {
         if let Task::Claimed { machine, token, attempt } = *task {
-            let m = &s.machines[usize::from(machine)];
-            let exit = |x: &(u8, u8, Run)| (x.0, x.1) == (ix as u8, attempt) && x.2 != Run::Alive;
+            let m = &state.machines[usize::from(machine)];
+            let exit = |x: &(u8, u8, RunState)| {
+                (x.0, x.1) == (ix as u8, attempt) && x.2 != RunState::Running
+            };
             if m.tasks.iter().any(exit)
-                && m.tasks.iter().any(|x| x.0 == ix as u8 && x.2 == Run::Alive)
+                && m.tasks.iter().any(|x| x.0 == ix as u8 && x.2 == RunState::Running)
             {
-                seen.push(BESIDE);
+                reached.push(EXIT_WHILE_RUNNING);
             }
-            if token < s.store.pool.token && m.token == s.store.pool.token && alive(m) {
-                seen.push(ADOPTED);
+            if token < state.store.pool.token && m.token == state.store.pool.token && is_running(m)
+            {
+                reached.push(ADOPTED);
             }
         }
-        if matches!(task, Task::Free { last } if *last > 0) && s.store.pool.token > 1 {
-            seen.push(RELEASED);
+        if matches!(task, Task::Free { last } if *last > 0) && state.store.pool.token > 1 {
+            reached.push(RELEASED);
         }
-        if s.store.job.is_some_and(|j| j.aborted && j.tasks[ix] != Task::Done) {
-            seen.push(CANCELLED);
+        if state.store.job.is_some_and(|j| j.aborted && j.tasks[ix] != Task::Done) {
+            reached.push(CANCELLED);
         }
     }
-    seen
+    reached
 }
--- a/crates/cleatfold-control/tests/claims/steps.rs
+++ b/crates/cleatfold-control/tests/claims/steps.rs
@@ -1,287 +1,312 @@
-//! What can happen next, as `jobs/`, `pools/heartbeats.rs` and `machines/watch.rs` do it.
+//! The transitions of the model, which mirror `jobs/`, `pools/heartbeats.rs` and `machines/watch.rs`.
+//!
+//! Throughout, `n` is the index of a controller, `m` of a machine and `ix` of a task.
 
-use super::commands::hear;
+use super::commands::receive_answer;
 use super::model::*;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
     Submit(usize),
-    Withdraw(usize),
-    /// A reading; with a user who waits for it.
-    Read(usize, bool),
-    /// A poll answered by what was read before (without its guard).
-    OldPoll(usize),
-    /// A change to the job is sent: what has ended, a cancellation, a claim on a machine.
-    Send(usize, Option<usize>),
-    /// It is executed and answered.
-    Answered(usize),
-    /// Its outcome is unknown: it goes again, and the first sending is executed late, or never.
-    Unanswered(usize),
-    Late(usize),
+    Cancel(usize),
+    /// A controller reads the state; `true` if a user's poll waits for the result.
+    RefreshCache(usize, bool),
+    /// A poll answered from an earlier read (only without `Guard::FreshPolls`).
+    StalePoll(usize),
+    /// A controller sends a change of the job: ends, a cancellation, a claim on the given machine.
+    SendTransaction(usize, Option<usize>),
+    /// The transaction is executed and answered.
+    TransactionAnswered(usize),
+    /// The outcome is unknown: the transaction is sent again, and the first one is executed late or never.
+    TransactionAnswerLost(usize),
+    ExecuteLate(usize),
     Restart(usize),
     PoolAssignment(usize),
-    /// A worker reports; an owner that gives it up rather than order what is missing.
+    /// A worker reports to a controller; `true` if an owner drains the machine instead of launching missing tasks.
     Heartbeat(usize, usize, bool),
-    Hear(usize),
-    Miss(usize),
-    Copy(usize),
-    ReadCopy(usize, bool),
-    Exit(usize, u8, u8, Run),
-    /// The worker's lease runs out.
-    Expire(usize),
-    /// Its owner concludes that.
-    RanOut(usize, usize),
-    Limit,
-    Bound,
+    ReceiveAnswer(usize),
+    LoseAnswer(usize),
+    CopyReport(usize),
+    ReadReportCopy(usize, bool),
+    TaskExit(usize, u8, u8, RunState),
+    /// The worker's lease expires.
+    ExpireLease(usize),
+    /// An owner concludes that the lease has expired.
+    ObserveLeaseExpiry(usize, usize),
+    PassStaleReadLimit,
+    PassDeadline,
     /// An owner sends a direct command for a task on a machine.
-    Direct(usize, usize, u8),
-    /// It arrives; its sender hears the answer, or not.
-    Arrives(bool),
+    SendDirectCommand(usize, usize, u8),
+    /// The direct command arrives; `true` if its sender receives the answer.
+    DeliverDirectCommand(bool),
 }
 
-pub(crate) struct World {
+pub(crate) struct Model {
     pub bounds: Bounds,
     pub without: Option<Guard>,
 }
 
-impl World {
-    pub(super) fn has(&self, guard: Guard) -> bool {
+impl Model {
+    pub(super) fn is_enabled(&self, guard: Guard) -> bool {
         self.without != Some(guard)
     }
 
-    pub(crate) fn start(&self) -> State {
-        let mut s = State { tasks: self.bounds.tasks as u8, ..State::default() };
-        s.store.pool = Pool { owner: 0, life: 0, token: 1 };
+    pub(crate) fn initial_state(&self) -> State {
+        let mut state = State { task_count: self.bounds.tasks as u8, ..State::default() };
+        state.store.pool = Pool { owner: 0, incarnation: 0, token: 1 };
         if self.bounds.submissions == 0 {
             let tasks = [Task::Free { last: 0 }; TASKS];
-            s.store.job = Some(Job { version: 1, aborted: false, tasks });
-            s.store.versions = 1;
-            s.confirmation = Confirmation::Accepted;
+            state.store.job = Some(Job { version: 1, aborted: false, tasks });
+            state.store.versions = 1;
+            state.confirmation = Confirmation::Accepted;
         }
-        let cache = StateCache { job: s.store.job, pool: s.store.pool };
-        s.controllers.iter_mut().for_each(|n| n.cache = Some(cache));
-        s
+        let cache = StateCache { job: state.store.job, pool: state.store.pool };
+        state.controllers.iter_mut().for_each(|n| n.cache = Some(cache));
+        state
     }
 
-    pub(super) fn token(&self, s: &State, n: usize) -> Option<u8> {
-        let controller = &s.controllers[n];
+    pub(super) fn token(&self, state: &State, n: usize) -> Option<u8> {
+        let controller = &state.controllers[n];
         let pool = controller.cache?.pool;
-        let same_life = pool.life == controller.life || !self.has(Guard::Incarnation);
-        (usize::from(pool.owner) == n && same_life).then_some(pool.token)
+        let same_incarnation =
+            pool.incarnation == controller.incarnation || !self.is_enabled(Guard::Incarnation);
+        (usize::from(pool.owner) == n && same_incarnation).then_some(pool.token)
     }
 
-    pub(crate) fn next(&self, s: &State) -> Vec<(Step, State)> {
-        let mut out = Vec::new();
-        let mut go = |step: Step, f: &dyn Fn(&mut State)| {
-            let mut t = s.clone();
-            f(&mut t);
-            self.tidy(&mut t);
-            if t != *s {
-                out.push((step, t));
+    pub(crate) fn successors(&self, state: &State) -> Vec<(Step, State)> {
+        let mut successors = Vec::new();
+        let mut add = |step: Step, apply: &dyn Fn(&mut State)| {
+            let mut next = state.clone();
+            apply(&mut next);
+            self.normalize(&mut next);
+            if next != *state {
+                successors.push((step, next));
             }
         };
-        let b = &self.bounds;
-        let drains = if b.drains { &[false, true][..] } else { &[false] };
+        let bounds = &self.bounds;
+        let drains = if bounds.drains { &[false, true][..] } else { &[false] };
         for n in 0..CONTROLLERS {
-            let controller = &s.controllers[n];
-            if controller.life < b.restarts[n] {
-                go(Step::Restart(n), &|t| {
-                    let life = t.controllers[n].life + 1;
-                    if let Some(tx) = t.controllers[n].tx.take().filter(|_| t.lates < b.late) {
-                        leave(t, tx);
+            let controller = &state.controllers[n];
+            if controller.incarnation < bounds.restarts[n] {
+                add(Step::Restart(n), &|next| {
+                    let incarnation = next.controllers[n].incarnation + 1;
+                    if let Some(tx) = next.controllers[n]
+                        .tx
+                        .take()
+                        .filter(|_| next.late_count < bounds.late_transactions)
+                    {
+                        abandon_transaction(next, tx);
                     }
-                    t.controllers[n] = Controller { life, ..Controller::default() };
-                    if let Some(copy) = &mut t.copy {
-                        copy.old_for[n] = false;
+                    next.controllers[n] = Controller { incarnation, ..Controller::default() };
+                    if let Some(copy) = &mut next.report_copy {
+                        copy.outdated_for[n] = false;
                     }
                 });
             }
-            let holder = (usize::from(s.store.pool.owner), s.store.pool.life);
-            if s.store.pool.token < b.tokens && holder != (n, controller.life) {
-                go(Step::PoolAssignment(n), &|t| {
-                    let (token, life) = (t.store.pool.token + 1, t.controllers[n].life);
-                    t.store.pool = Pool { owner: n as u8, life, token };
+            let holder = (usize::from(state.store.pool.owner), state.store.pool.incarnation);
+            if state.store.pool.token < bounds.tokens && holder != (n, controller.incarnation) {
+                add(Step::PoolAssignment(n), &|next| {
+                    let (token, incarnation) =
+                        (next.store.pool.token + 1, next.controllers[n].incarnation);
+                    next.store.pool = Pool { owner: n as u8, incarnation, token };
                 });
             }
-            go(Step::Read(n, false), &|t| read(t, n));
-            if b.polls || b.cancel {
-                go(Step::Read(n, true), &|t| {
-                    read(t, n);
-                    let job = t.store.job;
-                    tell(t, job);
+            add(Step::RefreshCache(n, false), &|next| refresh_cache(next, n));
+            if bounds.polls || bounds.cancel {
+                add(Step::RefreshCache(n, true), &|next| {
+                    refresh_cache(next, n);
+                    let job = next.store.job;
+                    confirm_to_user(next, job);
                 });
             }
-            if b.polls && !self.has(Guard::FreshPolls) {
+            if bounds.polls && !self.is_enabled(Guard::FreshPolls) {
                 if let Some(cache) = controller.cache {
-                    go(Step::OldPoll(n), &|t| tell(t, cache.job));
+                    add(Step::StalePoll(n), &|next| confirm_to_user(next, cache.job));
                 }
             }
             if let Some(tx) = controller.tx {
-                go(Step::Answered(n), &|t| self.answered(t, n, tx));
-                if s.lates < b.late {
-                    go(Step::Unanswered(n), &|t| {
-                        leave(t, tx);
+                add(Step::TransactionAnswered(n), &|next| {
+                    self.apply_transaction_answer(next, n, tx)
+                });
+                if state.late_count < bounds.late_transactions {
+                    add(Step::TransactionAnswerLost(n), &|next| {
+                        abandon_transaction(next, tx);
                         if tx.submission {
-                            // Not repeated: its user is told to ask again.
-                            t.controllers[n].tx = None;
+                            // Submissions are not repeated: the user is asked to retry.
+                            next.controllers[n].tx = None;
                         }
                     });
                 }
             } else if let Some(cache) = controller.cache {
-                if s.submitted < b.submissions && cache.job.is_none() {
-                    go(Step::Submit(n), &|t| {
-                        t.submitted += 1;
+                if state.submission_count < bounds.submissions && cache.job.is_none() {
+                    add(Step::Submit(n), &|next| {
+                        next.submission_count += 1;
                         let tasks = [Task::Free { last: 0 }; TASKS];
                         let outcome = Outcome::Live(Job { version: 0, aborted: false, tasks });
-                        t.controllers[n].tx = Some(Tx {
+                        next.controllers[n].tx = Some(Tx {
                             job: Some(0),
-                            no_archive: self.has(Guard::ArchiveAbsence),
+                            no_archive: self.is_enabled(Guard::ArchiveAbsence),
                             pool: None,
                             outcome,
                             submission: true,
-                            withdrawal: false,
+                            cancellation: false,
                         });
                     });
                 }
                 if cache.job.is_some() {
-                    go(Step::Send(n, None), &|t| self.send(t, n, None));
-                    for m in 0..b.machines {
-                        go(Step::Send(n, Some(m)), &|t| self.send(t, n, Some(m)));
+                    add(Step::SendTransaction(n, None), &|next| {
+                        self.send_transaction(next, n, None)
+                    });
+                    for m in 0..bounds.machines {
+                        add(Step::SendTransaction(n, Some(m)), &|next| {
+                            self.send_transaction(next, n, Some(m))
+                        });
                     }
                 }
             }
-            let live = controller.cache.and_then(|m| m.job).is_some_and(|j| !j.aborted);
-            if b.cancel && live && s.controllers.iter().all(|n| !n.abort) {
-                go(Step::Withdraw(n), &|t| t.controllers[n].abort = true);
+            let live = controller.cache.and_then(|cache| cache.job).is_some_and(|j| !j.aborted);
+            if bounds.cancel && live && state.controllers.iter().all(|n| !n.cancel_requested) {
+                add(Step::Cancel(n), &|next| next.controllers[n].cancel_requested = true);
             }
-            for m in 0..b.machines {
-                if s.machines[m].answer.is_none() {
-                    for &give_up in drains {
-                        go(Step::Heartbeat(m, n, give_up), &|t| self.report(t, m, n, give_up));
+            for m in 0..bounds.machines {
+                if state.machines[m].answer.is_none() {
+                    for &drain in drains {
+                        add(Step::Heartbeat(m, n, drain), &|next| {
+                            self.send_heartbeat(next, m, n, drain)
+                        });
                     }
                 }
-                go(Step::RanOut(n, m), &|t| self.ran_out(t, n, m));
-                for ix in 0..b.tasks as u8 {
-                    go(Step::Direct(n, m, ix), &|t| self.send_directly(t, n, m, ix));
+                add(Step::ObserveLeaseExpiry(n, m), &|next| self.observe_lease_expiry(next, n, m));
+                for ix in 0..bounds.tasks as u8 {
+                    add(Step::SendDirectCommand(n, m, ix), &|next| {
+                        self.send_direct_command(next, n, m, ix)
+                    });
                 }
             }
-            for &give_up in drains {
-                go(Step::ReadCopy(n, give_up), &|t| self.read_copy(t, n, give_up));
+            for &drain in drains {
+                add(Step::ReadReportCopy(n, drain), &|next| self.read_report_copy(next, n, drain));
             }
         }
         for received in [false, true] {
-            go(Step::Arrives(received), &|t| self.arrives(t, received));
+            add(Step::DeliverDirectCommand(received), &|next| {
+                self.deliver_direct_command(next, received)
+            });
         }
-        for i in 0..s.late.len() {
-            go(Step::Late(i), &|t| {
-                let tx = t.late.remove(i);
-                execute(t, &tx);
+        for i in 0..state.late_transactions.len() {
+            add(Step::ExecuteLate(i), &|next| {
+                let tx = next.late_transactions.remove(i);
+                execute_transaction(next, &tx);
             });
         }
-        for m in 0..b.machines {
-            let machine = &s.machines[m];
+        for m in 0..bounds.machines {
+            let machine = &state.machines[m];
             if machine.answer.is_some() {
-                go(Step::Hear(m), &|t| hear(t, m));
-                go(Step::Miss(m), &|t| t.machines[m].answer = None);
-            } else if s.copies < b.copies {
-                go(Step::Copy(m), &|t| {
-                    t.copies += 1;
+                add(Step::ReceiveAnswer(m), &|next| receive_answer(next, m));
+                add(Step::LoseAnswer(m), &|next| next.machines[m].answer = None);
+            } else if state.copy_count < bounds.report_copies {
+                add(Step::CopyReport(m), &|next| {
+                    next.copy_count += 1;
                     let report = Heartbeat { token: machine.token, tasks: machine.tasks.clone() };
                     let machine = m as u8;
-                    t.copy = Some(Copied { machine, report, old_for: [false; CONTROLLERS] });
+                    next.report_copy =
+                        Some(ReportCopy { machine, report, outdated_for: [false; CONTROLLERS] });
                 });
             }
             for (i, &(ix, attempt, run)) in machine.tasks.iter().enumerate() {
-                if run == Run::Alive {
-                    go(Step::Exit(m, ix, attempt, Run::Completed), &|t| {
-                        t.machines[m].tasks[i].2 = Run::Completed;
-                        t.completed[ix as usize] = true;
+                if run == RunState::Running {
+                    add(Step::TaskExit(m, ix, attempt, RunState::Completed), &|next| {
+                        next.machines[m].tasks[i].2 = RunState::Completed;
+                        next.completed[ix as usize] = true;
                     });
-                    if b.failures {
-                        go(Step::Exit(m, ix, attempt, Run::Failed), &|t| {
-                            t.machines[m].tasks[i].2 = Run::Failed;
+                    if bounds.task_failures {
+                        add(Step::TaskExit(m, ix, attempt, RunState::Failed), &|next| {
+                            next.machines[m].tasks[i].2 = RunState::Failed;
                         });
                     }
                 }
             }
-            if machine.agent_epoch < b.sessions {
-                go(Step::Expire(m), &|t| {
-                    let old = &t.machines[m];
+            if machine.agent_epoch < bounds.sessions {
+                add(Step::ExpireLease(m), &|next| {
+                    let old = &next.machines[m];
                     let (agent_epoch, token) = (old.agent_epoch + 1, old.token);
-                    let renewed = s.phase >= Phase::Limit;
-                    t.machines[m] = Machine { agent_epoch, token, renewed, ..Machine::default() };
+                    let renewed_after_limit = state.phase >= Phase::StaleReadLimit;
+                    next.machines[m] =
+                        Machine { agent_epoch, token, renewed_after_limit, ..Machine::default() };
                 });
             }
         }
-        if s.phase == Phase::Confirmation {
-            go(Step::Limit, &|t| {
-                t.phase = Phase::Limit;
-                for controller in &mut t.controllers {
-                    let unread = controller.cache.and_then(|m| m.job).is_some_and(|j| !j.aborted);
-                    controller.partitioned |= unread && self.has(Guard::StaleReadLimit);
+        if state.phase == Phase::Confirmed {
+            add(Step::PassStaleReadLimit, &|next| {
+                next.phase = Phase::StaleReadLimit;
+                for controller in &mut next.controllers {
+                    let unread =
+                        controller.cache.and_then(|cache| cache.job).is_some_and(|j| !j.aborted);
+                    controller.partitioned |= unread && self.is_enabled(Guard::StaleReadLimit);
                 }
             });
         }
-        // A lease is shorter than what is left of `cancel_s`: it was renewed since, or has ended.
-        if s.phase == Phase::Limit && s.machines[..b.machines].iter().all(|m| m.renewed) {
-            go(Step::Bound, &|t| {
-                t.phase = Phase::Bound;
-                if t.machines.iter().any(|m| m.tasks.iter().any(|x| x.2 == Run::Alive)) {
-                    t.broken = Some(RAN_CANCELLED);
+        // A lease is shorter than the remainder of `cancel_s`: it was renewed since the limit, or has ended.
+        if state.phase == Phase::StaleReadLimit
+            && state.machines[..bounds.machines].iter().all(|m| m.renewed_after_limit)
+        {
+            add(Step::PassDeadline, &|next| {
+                next.phase = Phase::Deadline;
+                if next.machines.iter().any(|m| m.tasks.iter().any(|x| x.2 == RunState::Running)) {
+                    next.violation = Some(RAN_CANCELLED);
                 }
             });
         }
-        out
+        successors
     }
 
     // ---- a controller's changes to the job ----
 
-    fn send(&self, t: &mut State, n: usize, wish: Option<usize>) {
-        let own = self.token(t, n);
-        let controller = &mut t.controllers[n];
-        let Some(job) = controller.cache.and_then(|m| m.job) else { return };
-        let mut claims = Claims::of(&job, self.bounds.tasks);
+    fn send_transaction(&self, state: &mut State, n: usize, target: Option<usize>) {
+        let own_token = self.token(state, n);
+        let controller = &mut state.controllers[n];
+        let Some(job) = controller.cache.and_then(|cache| cache.job) else { return };
+        let mut claims = Claims::from_job(&job, self.bounds.tasks);
         let (mut changed, mut fence, mut unguarded) = (false, None, false);
         for ix in 0..TASKS {
             let Some(end) = controller.ends[ix] else { continue };
-            if (end.fence.is_some() && end.fence != own) || !claims.end(ix, &end) {
+            if (end.fence.is_some() && end.fence != own_token) || !claims.end(ix, &end) {
                 controller.ends[ix] = None;
                 continue;
             }
             changed = true;
-            if self.has(Guard::PoolInReleases) {
+            if self.is_enabled(Guard::PoolTokenInReleases) {
                 fence = fence.or(end.fence);
             }
         }
         let mut aborted = job.aborted;
-        if let (Some(m), Some(token)) = (wish, own) {
-            if !aborted && !controller.abort {
+        if let (Some(m), Some(token)) = (target, own_token) {
+            if !aborted && !controller.cancel_requested {
                 if let Some(&ix) = claims.free().first() {
                     if claims.claim(m as u8, token, ix) > self.bounds.attempts {
                         return;
                     }
                     changed = true;
-                    unguarded = !self.has(Guard::JobInClaims);
-                    if self.has(Guard::PoolInClaims) {
+                    unguarded = !self.is_enabled(Guard::JobVersionInClaims);
+                    if self.is_enabled(Guard::PoolTokenInClaims) {
                         fence = Some(token);
                     }
                 } else {
                     return;
                 }
             }
-        } else if wish.is_some() {
+        } else if target.is_some() {
             return;
         }
-        let withdrawal = controller.abort;
+        let cancellation = controller.cancel_requested;
         let all_done = claims.all_done();
-        if controller.abort && !aborted && !all_done {
+        if controller.cancel_requested && !aborted && !all_done {
             (aborted, changed) = (true, true);
         }
         if !changed {
-            if controller.abort {
-                // Cancelled or done already, by what was read.
-                controller.abort = false;
-                tell(t, Some(job));
+            if controller.cancel_requested {
+                // Already cancelled or done in the cached state.
+                controller.cancel_requested = false;
+                confirm_to_user(state, Some(job));
             }
             return;
         }
@@ -298,138 +323,143 @@
             pool: fence,
             outcome,
             submission: false,
-            withdrawal,
+            cancellation,
         };
         controller.tx = Some(tx);
     }
 
-    /// What makes no difference to anything that can follow is taken away: a transaction whose versions have
-    /// moved on (versions are never given twice, so it fails whenever it is executed, and its sender goes on
-    /// as if it had been told so at once), what is remembered under former tokens, a copy nobody would read.
-    fn tidy(&self, t: &mut State) {
-        let store = t.store;
-        let may_hold = |tx: &Tx| tx.submission || holds(&store, tx);
-        t.late.retain(may_hold);
-        t.late.sort_unstable();
-        let machines = &t.machines;
-        t.held.take_if(|held| !held.matches(&machines[usize::from(held.machine)]));
+    /// Removes everything that cannot affect any later step: a transaction whose guarded versions have changed
+    /// (versions are never reused, so it fails whenever it is executed, and its sender continues as if it had
+    /// been refused at once), data stored under former tokens, and a copy that no controller would read.
+    fn normalize(&self, state: &mut State) {
+        let store = state.store;
+        let may_succeed = |tx: &Tx| tx.submission || guards_hold(&store, tx);
+        state.late_transactions.retain(may_succeed);
+        state.late_transactions.sort_unstable();
+        let machines = &state.machines;
+        state.held_command.take_if(|held| !held.matches(&machines[usize::from(held.machine)]));
         for n in 0..CONTROLLERS {
-            let own = self.token(t, n);
-            let controller = &mut t.controllers[n];
-            controller.tx = controller.tx.filter(may_hold);
+            let own_token = self.token(state, n);
+            let controller = &mut state.controllers[n];
+            controller.tx = controller.tx.filter(may_succeed);
             for received in &mut controller.received {
-                *received = received.filter(|h| Some(h.token) == own);
+                *received = received.filter(|h| Some(h.token) == own_token);
             }
         }
-        let back = (0..CONTROLLERS).any(|n| t.controllers[n].life < self.bounds.restarts[n]);
-        if !back && self.has(Guard::Newest) {
-            t.copy.take_if(|c| c.old_for == [true; CONTROLLERS]);
+        let may_restart =
+            (0..CONTROLLERS).any(|n| state.controllers[n].incarnation < self.bounds.restarts[n]);
+        if !may_restart && self.is_enabled(Guard::NewestReport) {
+            state.report_copy.take_if(|c| c.outdated_for == [true; CONTROLLERS]);
         }
     }
 
-    fn answered(&self, t: &mut State, n: usize, tx: Tx) {
-        t.controllers[n].tx = None;
-        if !execute(t, &tx) {
-            // A submitter's question waits for the next reading.
+    fn apply_transaction_answer(&self, state: &mut State, n: usize, tx: Tx) {
+        state.controllers[n].tx = None;
+        if !execute_transaction(state, &tx) {
+            // A submitter's request is answered after the next read.
             return;
         }
-        let job = t.store.job;
-        let controller = &mut t.controllers[n];
+        let job = state.store.job;
+        let controller = &mut state.controllers[n];
         if let Some(cache) = &mut controller.cache {
             if tx.submission || cache.job.is_some() {
                 cache.job = job;
             }
         }
         for ix in 0..TASKS {
-            let standing = job.map(|j| j.tasks[ix]);
+            let recorded_task = job.map(|j| j.tasks[ix]);
             controller.ends[ix] = controller.ends[ix].filter(
-                |e| matches!(standing, Some(Task::Claimed { attempt, .. }) if attempt == e.attempt),
+                |e| matches!(recorded_task, Some(Task::Claimed { attempt, .. }) if attempt == e.attempt),
             );
         }
         if job.is_none_or(|j| j.aborted) {
-            controller.abort = false;
+            controller.cancel_requested = false;
         }
-        if tx.submission || tx.withdrawal {
-            tell(t, job);
+        if tx.submission || tx.cancellation {
+            confirm_to_user(state, job);
         }
     }
 
     // ---- workers ----
 
-    fn report(&self, t: &mut State, m: usize, n: usize, give_up: bool) {
-        let machine = &t.machines[m];
+    fn send_heartbeat(&self, state: &mut State, m: usize, n: usize, drain: bool) {
+        let machine = &state.machines[m];
         let report = Heartbeat { token: machine.token, tasks: machine.tasks.clone() };
-        let Some((token, commands)) = self.take_report(t, m, n, &report, give_up) else { return };
-        if let Some(copy) = t.copy.as_mut().filter(|c| usize::from(c.machine) == m) {
-            copy.old_for[n] = true;
+        let Some((token, commands)) = self.handle_report(state, m, n, &report, drain) else {
+            return;
+        };
+        if let Some(copy) = state.report_copy.as_mut().filter(|c| usize::from(c.machine) == m) {
+            copy.outdated_for[n] = true;
         }
-        let after_limit = t.phase >= Phase::Limit;
-        let machine = &t.machines[m];
-        let renews = after_limit && !machine.renewed;
+        let after_limit = state.phase >= Phase::StaleReadLimit;
+        let machine = &state.machines[m];
+        let renews = after_limit && !machine.renewed_after_limit;
         if commands.is_empty() && token == machine.token && !renews {
-            // It is nothing to the worker whether it hears this.
+            // The answer would not change the worker's state.
             return;
         }
-        t.machines[m].answer = Some(Answer { token, commands, after_limit });
+        state.machines[m].answer = Some(Answer { token, commands, after_limit });
     }
 
-    fn read_copy(&self, t: &mut State, n: usize, give_up: bool) {
-        let Some(copy) = t.copy.clone() else { return };
-        if copy.old_for[n] && self.has(Guard::Newest) {
+    fn read_report_copy(&self, state: &mut State, n: usize, drain: bool) {
+        let Some(copy) = state.report_copy.clone() else { return };
+        if copy.outdated_for[n] && self.is_enabled(Guard::NewestReport) {
             return;
         }
-        let taken = self.take_report(t, copy.machine.into(), n, &copy.report, give_up);
-        if let (Some(copy), true) = (&mut t.copy, taken.is_some()) {
-            copy.old_for[n] = true;
+        let taken = self.handle_report(state, copy.machine.into(), n, &copy.report, drain);
+        if let (Some(copy), true) = (&mut state.report_copy, taken.is_some()) {
+            copy.outdated_for[n] = true;
         }
     }
 
-    /// What a report shows, and what its answer orders; none where it is not answered with 200.
-    fn take_report(
+    /// Records what a report shows and returns token and commands of its answer; `None` if it is not answered
+    /// with 200.
+    fn handle_report(
         &self,
-        t: &mut State,
+        state: &mut State,
         m: usize,
         n: usize,
         report: &Heartbeat,
-        give_up: bool,
+        drain: bool,
     ) -> Option<(u8, Vec<Command>)> {
-        let token = self.token(t, n)?;
-        if report.token > token || t.controllers[n].partitioned {
+        let token = self.token(state, n)?;
+        if report.token > token || state.controllers[n].partitioned {
             return None;
         }
-        let agent_epoch = t.machines[m].agent_epoch;
-        let controller = &mut t.controllers[n];
+        let agent_epoch = state.machines[m].agent_epoch;
+        let controller = &mut state.controllers[n];
         let job = controller.cache?.job;
         controller.received[m] = Some(Received { token, seen: report.token == token, agent_epoch });
-        let seen = report.token == token || !self.has(Guard::SeenToken);
-        let over = job.is_none_or(|j| j.aborted);
+        let seen = report.token == token || !self.is_enabled(Guard::SeenToken);
+        let job_inactive = job.is_none_or(|j| j.aborted);
         let claim_of = |ix: u8| match job.map(|j| j.tasks[ix as usize]) {
             Some(Task::Claimed { machine, token, attempt }) if usize::from(machine) == m => {
                 Some((token, attempt))
             }
             _ => None,
         };
-        let alive = |ix: u8| report.tasks.iter().any(|x| x.0 == ix && x.2 == Run::Alive);
-        // Of a claim under our token the worker has heard from us.
+        let is_running =
+            |ix: u8| report.tasks.iter().any(|x| x.0 == ix && x.2 == RunState::Running);
+        // The worker has received an answer of this owner if the claim is under its token.
         let exits_count =
             |ix: u8| report.token == token || claim_of(ix).is_some_and(|c| c.0 == token);
         let mut commands = Vec::new();
-        let mut listed = [false; TASKS];
+        let mut is_listed = [false; TASKS];
         let mut exits = Vec::new();
         for &(ix, attempt, run) in &report.tasks {
-            let ours = claim_of(ix).is_some_and(|c| c.1 == attempt);
-            listed[ix as usize] |= ours;
-            match (run, ours) {
-                (Run::Alive, true) if !over => {}
-                (Run::Alive, true) if !self.has(Guard::Evictions) => {}
-                (Run::Alive, _) => commands.push(Command::Kill(ix, attempt)),
+            let is_claim = claim_of(ix).is_some_and(|c| c.1 == attempt);
+            is_listed[ix as usize] |= is_claim;
+            match (run, is_claim) {
+                (RunState::Running, true) if !job_inactive => {}
+                (RunState::Running, true) if !self.is_enabled(Guard::Evictions) => {}
+                (RunState::Running, _) => commands.push(Command::Kill(ix, attempt)),
                 (_, false) => commands.push(Command::Reap(ix, attempt)),
-                (_, true) if alive(ix) && self.has(Guard::ExitAlone) => {}
-                (_, true) if !exits_count(ix) && self.has(Guard::SeenForExits) => {}
+                (_, true) if is_running(ix) && self.is_enabled(Guard::NoOtherAttemptRunning) => {}
+                (_, true) if !exits_count(ix) && self.is_enabled(Guard::SeenTokenForExits) => {}
                 (_, true) => {
-                    let done = run == Run::Completed;
+                    let done = run == RunState::Completed;
                     exits.push((ix, End { machine: m as u8, attempt, done, fence: None }));
-                    if !self.has(Guard::DurableReap) {
+                    if !self.is_enabled(Guard::DurableReap) {
                         commands.push(Command::Reap(ix, attempt));
                     }
                 }
@@ -439,48 +469,48 @@
             controller.ends[ix as usize].is_some_and(|e| e.attempt == attempt)
         };
         for ix in 0..self.bounds.tasks as u8 {
-            let Some((under, attempt)) = claim_of(ix) else { continue };
-            if listed[ix as usize] || alive(ix) {
+            let Some((claim_token, attempt)) = claim_of(ix) else { continue };
+            if is_listed[ix as usize] || is_running(ix) {
                 continue;
             }
-            if is_ending(controller, ix, attempt) && self.has(Guard::NotEnding) {
+            if is_ending(controller, ix, attempt) && self.is_enabled(Guard::NotBeingEnded) {
                 continue;
             }
-            let stopped = over && self.has(Guard::NotCancelled);
+            let launch_forbidden = job_inactive && self.is_enabled(Guard::NotCancelled);
             let lost = End { machine: m as u8, attempt, done: false, fence: Some(token) };
-            if under == token {
-                if stopped || give_up {
-                    end(controller, ix, lost);
+            if claim_token == token {
+                if launch_forbidden || drain {
+                    record_end(controller, ix, lost);
                 } else {
                     commands.push(Command::Launch(ix, attempt));
                 }
-            } else if !self.has(Guard::OwnToken) && !stopped && !give_up {
+            } else if !self.is_enabled(Guard::OwnToken) && !launch_forbidden && !drain {
                 commands.push(Command::Launch(ix, attempt));
             } else if seen {
-                end(controller, ix, lost);
+                record_end(controller, ix, lost);
             }
         }
         for (ix, exit) in exits {
-            end(controller, ix, exit);
+            record_end(controller, ix, exit);
         }
         Some((token, commands))
     }
 
-    /// The owner's clock says that a lease has run out: so it has, unless another owner renewed it.
-    fn ran_out(&self, t: &mut State, n: usize, m: usize) {
-        let Some(token) = self.token(t, n) else { return };
-        let machine = &t.machines[m];
-        let controller = &mut t.controllers[n];
+    /// The owner's clock shows that a lease has expired, which is true unless another owner renewed it.
+    fn observe_lease_expiry(&self, state: &mut State, n: usize, m: usize) {
+        let Some(token) = self.token(state, n) else { return };
+        let machine = &state.machines[m];
+        let controller = &mut state.controllers[n];
         let Some(received) = controller.received[m].filter(|h| h.seen) else { return };
         if machine.agent_epoch == received.agent_epoch && machine.token == token {
             return;
         }
-        let Some(job) = controller.cache.and_then(|m| m.job) else { return };
+        let Some(job) = controller.cache.and_then(|cache| cache.job) else { return };
         for (ix, task) in job.tasks.iter().enumerate() {
             match *task {
                 Task::Claimed { machine, attempt, .. } if usize::from(machine) == m => {
                     let fence = Some(token);
-                    end(controller, ix as u8, End { machine, attempt, done: false, fence });
+                    record_end(controller, ix as u8, End { machine, attempt, done: false, fence });
                 }
                 _ => {}
             }
@@ -493,12 +523,12 @@
 pub(crate) const WENT_BACK: &str = "went_back";
 pub(crate) const NOT_DONE: &str = "not_done";
 pub(crate) const FORGOTTEN: &str = "forgotten";
-pub(crate) const UNDONE: &str = "a recorded completion is gone";
-pub(crate) const REAPED: &str = "a completion was reaped before it was durable";
-pub(crate) const AGAIN: &str = "started again after its completion was durable";
+pub(crate) const COMPLETION_LOST: &str = "recorded completion lost";
+pub(crate) const REAPED_EARLY: &str = "completion reaped before it was durable";
+pub(crate) const STARTED_AGAIN: &str = "started again after its completion was durable";
 
-/// A proof for ever replaces one that needs our token.
-pub(super) fn end(controller: &mut Controller, ix: u8, end: End) {
+/// An end that is valid under any token replaces one that is valid only under the owner's token.
+pub(super) fn record_end(controller: &mut Controller, ix: u8, end: End) {
     let known = &mut controller.ends[ix as usize];
     match known {
         Some(k) if k.attempt == end.attempt && (k.fence.is_none() || end.fence.is_some()) => {}
@@ -506,92 +536,94 @@
     }
 }
 
-fn leave(t: &mut State, tx: Tx) {
-    t.lates += 1;
-    t.late.push(tx);
+fn abandon_transaction(state: &mut State, tx: Tx) {
+    state.late_count += 1;
+    state.late_transactions.push(tx);
 }
 
-fn read(t: &mut State, n: usize) {
-    let controller = &mut t.controllers[n];
-    controller.cache = Some(StateCache { job: t.store.job, pool: t.store.pool });
+fn refresh_cache(state: &mut State, n: usize) {
+    let controller = &mut state.controllers[n];
+    controller.cache = Some(StateCache { job: state.store.job, pool: state.store.pool });
     controller.partitioned = false;
-    if t.store.job.is_none() {
-        (controller.ends, controller.abort) = ([None; TASKS], false);
+    if state.store.job.is_none() {
+        (controller.ends, controller.cancel_requested) = ([None; TASKS], false);
     }
 }
 
-/// A user is told how the job is; jobs that are not live are looked up in the archive.
-fn tell(t: &mut State, job: Option<Job>) {
-    let now = match (job, t.store.archive) {
+/// Reports the state of the job to a user; jobs that are not live are looked up in the archive.
+fn confirm_to_user(state: &mut State, job: Option<Job>) {
+    let answered = match (job, state.store.archive) {
         (Some(j), _) if j.aborted => Confirmation::Aborted,
         (Some(_), _) => Confirmation::Accepted,
         (None, Some(Ended::Done)) => Confirmation::Done,
         (None, Some(Ended::Aborted)) => Confirmation::Aborted,
         (None, None) => Confirmation::Nothing,
     };
-    match (t.confirmation, now) {
-        (Confirmation::Done | Confirmation::Aborted, now) if now != t.confirmation => {
-            t.broken = Some(WENT_BACK)
+    match (state.confirmation, answered) {
+        (Confirmation::Done | Confirmation::Aborted, answered)
+            if answered != state.confirmation =>
+        {
+            state.violation = Some(WENT_BACK)
         }
-        (Confirmation::Accepted, Confirmation::Nothing) => t.broken = Some(FORGOTTEN),
-        _ => t.confirmation = now,
+        (Confirmation::Accepted, Confirmation::Nothing) => state.violation = Some(FORGOTTEN),
+        _ => state.confirmation = answered,
     }
-    if t.confirmation == Confirmation::Aborted && t.phase == Phase::Before {
-        t.phase = Phase::Confirmation;
+    if state.confirmation == Confirmation::Aborted && state.phase == Phase::Unconfirmed {
+        state.phase = Phase::Confirmed;
     }
 }
 
-fn holds(store: &Store, tx: &Tx) -> bool {
+fn guards_hold(store: &Store, tx: &Tx) -> bool {
     let version = store.job.map_or(0, |j| j.version);
     tx.job.is_none_or(|v| v == version)
         && !(tx.no_archive && store.archive.is_some())
         && tx.pool.is_none_or(|p| p == store.pool.token)
 }
 
-/// The state service; returns whether the guards held.
-fn execute(t: &mut State, tx: &Tx) -> bool {
-    let store = &mut t.store;
-    if !holds(store, tx) {
+/// Executes a transaction at the state service; returns whether its guards held.
+fn execute_transaction(state: &mut State, tx: &Tx) -> bool {
+    let store = &mut state.store;
+    if !guards_hold(store, tx) {
         return false;
     }
     let before = store.job;
-    let mut broken = None;
+    let mut violation = None;
     match tx.outcome {
         Outcome::Live(job) => {
             store.versions += 1;
             if store.archive.is_some() {
-                broken = Some(WENT_BACK);
+                violation = Some(WENT_BACK);
             }
             store.job = Some(Job { version: store.versions, ..job });
             for (ix, task) in job.tasks.iter().enumerate() {
-                let was = before.map(|b| b.tasks[ix]);
-                if was == Some(Task::Done) && *task != Task::Done {
-                    broken = Some(UNDONE);
+                let previous = before.map(|b| b.tasks[ix]);
+                if previous == Some(Task::Done) && *task != Task::Done {
+                    violation = Some(COMPLETION_LOST);
                 }
             }
         }
         Outcome::Ended(ended) => {
             if store.archive.is_some_and(|a| a != ended) {
-                broken = Some(WENT_BACK);
+                violation = Some(WENT_BACK);
             }
             (store.job, store.archive) = (None, Some(ended));
         }
     }
-    // Only what has completed is recorded so.
+    // Only tasks that have completed may be recorded as done.
     let done = |ix: usize| match (store.job, store.archive) {
         (Some(job), _) => job.tasks[ix] == Task::Done,
-        (None, archive) => archive == Some(Ended::Done) && ix < usize::from(t.tasks),
+        (None, archive) => archive == Some(Ended::Done) && ix < usize::from(state.task_count),
     };
-    if (0..TASKS).any(|ix| done(ix) && !t.completed[ix]) {
-        broken = Some(NOT_DONE);
+    if (0..TASKS).any(|ix| done(ix) && !state.completed[ix]) {
+        violation = Some(NOT_DONE);
     }
-    t.broken = t.broken.or(broken);
+    state.violation = state.violation.or(violation);
     true
 }
 
-pub(super) fn is_durable(t: &State, ix: u8) -> bool {
-    match t.store.job {
+pub(super) fn is_durable(state: &State, ix: u8) -> bool {
+    match state.store.job {
         Some(job) => job.tasks[ix as usize] == Task::Done,
-        None => t.store.archive.is_some(),
+        None => state.store.archive.is_some(),
     }
 }
