--- a/crates/cleatfold-control/tests/cancellations.rs
+++ b/crates/cleatfold-control/tests/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancelled jobs stop in time, whoever told the user so and whoever holds the workers.
+//! Cancelled jobs stop in time, whichever controller confirmed the cancellation and whichever owns the workers.
 
 mod scenario;
 
@@ -11,8 +11,8 @@
     World::sized(seed, false, Size { most_jobs: 0, machines: 24, ..Size::SMALL })
 }
 
-/// Small tasks that run for a long time.
-fn long(world: &mut World, tasks: u32) -> JobSpec {
+/// A job of small tasks that run for a long time.
+fn long_job(world: &mut World, tasks: u32) -> JobSpec {
     let mut spec = world.some_job();
     (spec.team, spec.urgency, spec.kind) = (TeamId::new("free"), Urgency::High, Kind::Array);
     (spec.tasks, spec.cpus, spec.memory_gb, spec.estimate_s) = (tasks, 0.25, 0.1, 900.0);
@@ -21,42 +21,42 @@
     spec
 }
 
-fn running(world: &World, job: &JobId) -> usize {
+fn running_tasks(world: &World, job: &JobId) -> usize {
     world.running.keys().filter(|t| t.job == *job).count()
 }
 
-/// The head of a job in parts says that it is cancelled, and none of its parts changes by that: a machine whose
-/// reports repeat was never looked at again, and its tasks ran on for ever.
+/// The cancellation of a job in parts is recorded in its head and changes none of its parts. A machine whose reports
+/// repeat the last one was therefore skipped, and its tasks never stopped.
 #[test]
-fn a_cancelled_job_in_parts_ends_on_machines_whose_reports_repeat() {
+fn cancelled_job_in_parts_stops_despite_repeated_reports() {
     let mut world = region(1);
     world.run(Ms(4000));
-    let spec = long(&mut world, 300);
+    let spec = long_job(&mut world, 300);
     let job = world.submit(0, spec);
     run_for(&mut world, 60_000);
-    assert!(running(&world, &job) > 250, "{}", running(&world, &job));
+    assert!(running_tasks(&world, &job) > 250, "{}", running_tasks(&world, &job));
     cancel(&mut world, 1, &job);
     run_for(&mut world, 10_000);
     assert_eq!(world.jobs[&job].answered_state, Some(JobState::Aborted));
-    assert_eq!(running(&world, &job), 0);
+    assert_eq!(running_tasks(&world, &job), 0);
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
 }
 
-/// Of the workers' lease and how long a cancellation may take, in milliseconds.
-const RATIOS: [(u64, u64); 3] = [(10_000, 40_000), (17_500, 47_500), (42_000, 67_000)];
+/// Pairs of worker lease and maximum cancellation time, in milliseconds.
+const LEASE_AND_CANCEL_MS: [(u64, u64); 3] = [(10_000, 40_000), (17_500, 47_500), (42_000, 67_000)];
 
-/// What of the mesh is there.
+/// Connectivity between the controllers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mesh {
     Whole,
-    /// The confirmer and the owner don't hear of one another, the others do of both.
-    Half,
+    /// The confirming controller and the owner cannot reach each other; all other pairs can.
+    Partial,
     Cut,
 }
 
-/// What becomes of the confirmer or the owner once the user was told.
+/// Fault of the confirming controller or the owner after the cancellation was confirmed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
+enum Fault {
     Nothing,
     ConfirmerKilled,
     OwnerKilled,
@@ -65,97 +65,99 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Gap {
+struct Scenario {
     seed: u64,
     controllers: usize,
-    /// From the refusal of one to the outage for all.
-    before_ms: u64,
-    ratio: (u64, u64),
+    /// Time from the cut-off of the owner to the outage for all controllers.
+    outage_delay_ms: u64,
+    lease_and_cancel_ms: (u64, u64),
     mesh: Mesh,
-    fate: Fate,
+    fault: Fault,
 }
 
-/// The controller with most workers is refused by the state service alone; `before_ms` later all are, for longer than
-/// a cancellation may take. In between another one confirms that a job of long tasks is cancelled. Returns how long
-/// after that the last of them was gone.
-fn play(gap: Gap) -> u64 {
-    let (lease_ms, cancel_ms) = gap.ratio;
+/// The controller with most workers loses the state service; `outage_delay_ms` later all controllers do, for longer than a
+/// cancellation may take. In between, another controller confirms the cancellation of a job of long tasks. Returns the
+/// time in milliseconds from the confirmation to the end of the last task.
+fn measure_cancellation(scenario: Scenario) -> u64 {
+    let (lease_ms, cancel_ms) = scenario.lease_and_cancel_ms;
     let size = Size {
         most_jobs: 0,
         machines: 24,
-        controllers: gap.controllers,
+        controllers: scenario.controllers,
         heartbeat_interval_ms: lease_ms / 8,
         lease_ms,
         cancel_ms,
         ..Size::SMALL
     };
-    let mut world = World::sized(gap.seed, false, size);
+    let mut world = World::sized(scenario.seed, false, size);
     world.run(Ms(4000));
-    let spec = long(&mut world, 120);
+    let spec = long_job(&mut world, 120);
     let job = world.submit(0, spec);
     run_for(&mut world, 45_000);
-    assert!(running(&world, &job) > 100, "{gap:?}: {}", running(&world, &job));
-    let owner = world.most().expect("somebody holds workers");
-    let other = (owner + 1) % gap.controllers;
-    let begun = world.now;
-    world.store_cut[owner] = begun.plus(gap.before_ms + 20_000);
-    match gap.mesh {
+    assert!(running_tasks(&world, &job) > 100, "{scenario:?}: {}", running_tasks(&world, &job));
+    let owner = world.most().expect("a controller owns workers");
+    let confirmer = (owner + 1) % scenario.controllers;
+    let start = world.now;
+    world.store_cut[owner] = start.plus(scenario.outage_delay_ms + 20_000);
+    match scenario.mesh {
         Mesh::Whole => {}
-        Mesh::Half => world.mesh_cut.extend([(owner, other), (other, owner)]),
+        Mesh::Partial => world.mesh_cut.extend([(owner, confirmer), (confirmer, owner)]),
         Mesh::Cut => world.mesh_off = true,
     }
-    // Not so early that the owner could still have read it.
-    run_for(&mut world, (gap.before_ms * gap.seed % 7 / 7).max(50));
-    cancel(&mut world, other, &job);
+    // Late enough that the owner cannot have read the cancellation.
+    run_for(&mut world, (scenario.outage_delay_ms * scenario.seed % 7 / 7).max(50));
+    cancel(&mut world, confirmer, &job);
     while world.jobs[&job].cancel_confirmed.is_none() {
         run_for(&mut world, 10);
-        assert!(world.now.since(begun) < 1_000, "{gap:?}: not told");
+        assert!(world.now.since(start) < 1_000, "{scenario:?}: not confirmed");
     }
-    let told = world.now;
-    match gap.fate {
-        Fate::Nothing => {}
-        Fate::ConfirmerKilled => world.crash(other, 5_000),
-        Fate::OwnerKilled => world.crash(owner, 5_000),
-        Fate::OwnerFrozen => world.freeze(owner, lease_ms),
-        Fate::OwnerQuickRestart => world.crash(owner, 300),
+    let confirmed_at = world.now;
+    match scenario.fault {
+        Fault::Nothing => {}
+        Fault::ConfirmerKilled => world.crash(confirmer, 5_000),
+        Fault::OwnerKilled => world.crash(owner, 5_000),
+        Fault::OwnerFrozen => world.freeze(owner, lease_ms),
+        Fault::OwnerQuickRestart => world.crash(owner, 300),
     }
-    let outage = begun.plus(gap.before_ms);
+    let outage = start.plus(scenario.outage_delay_ms);
     let until = outage.plus(cancel_ms * 5 / 4);
     world.at(outage.since(world.now), SimulationEvent::Outage { until });
-    let mut gone = None;
-    while gone.is_none() && world.now.since(told) <= cancel_ms {
+    let mut stopped_after = None;
+    while stopped_after.is_none() && world.now.since(confirmed_at) <= cancel_ms {
         run_for(&mut world, 50);
-        gone = (running(&world, &job) == 0).then(|| world.now.since(told));
+        stopped_after = (running_tasks(&world, &job) == 0).then(|| world.now.since(confirmed_at));
     }
     world.mesh_cut.clear();
     world.mesh_off = false;
     run_for(&mut world, 2 * cancel_ms + 60_000);
-    assert!(world.broken.is_empty(), "{gap:?}: {:#?}", world.broken);
-    assert_eq!(world.unfinished(), Vec::<JobId>::new(), "{gap:?}");
-    assert_eq!(world.jobs[&job].answered_state, Some(JobState::Aborted), "{gap:?}");
-    gone.unwrap_or_else(|| panic!("{gap:?}: tasks are left"))
+    assert!(world.broken.is_empty(), "{scenario:?}: {:#?}", world.broken);
+    assert_eq!(world.unfinished(), Vec::<JobId>::new(), "{scenario:?}");
+    assert_eq!(world.jobs[&job].answered_state, Some(JobState::Aborted), "{scenario:?}");
+    stopped_after.unwrap_or_else(|| panic!("{scenario:?}: tasks are still running"))
 }
 
-/// Every mesh with every fate; numbers of controllers, times and ratios in turn.
+/// Every mesh state with every fault; controller counts, times and lease/cancellation pairs vary in turn.
 #[test]
-fn tasks_are_gone_in_time_whatever_meets_a_cancellation() {
-    let meshes = [Mesh::Whole, Mesh::Half, Mesh::Cut];
-    use Fate::*;
-    let fates = [Nothing, ConfirmerKilled, OwnerKilled, OwnerFrozen, OwnerQuickRestart];
+fn cancelled_tasks_stop_in_time_under_faults() {
+    let meshes = [Mesh::Whole, Mesh::Partial, Mesh::Cut];
+    use Fault::*;
+    let faults = [Nothing, ConfirmerKilled, OwnerKilled, OwnerFrozen, OwnerQuickRestart];
     let mut seed = 0;
-    for (mesh, fate) in meshes.iter().flat_map(|m| fates.iter().map(move |f| (*m, *f))) {
+    for (mesh, fault) in meshes.iter().flat_map(|m| faults.iter().map(move |f| (*m, *f))) {
         for _ in 0..2 {
             seed += 1;
-            let before_ms = [1_000, 2_000, 5_000, 12_000, 20_000][seed as usize % 5];
-            let (controllers, ratio) = ([3, 5][seed as usize % 2], RATIOS[seed as usize / 2 % 3]);
-            let gap = Gap { seed, controllers, before_ms, ratio, mesh, fate };
-            let ms = play(gap);
-            println!("{gap:?}: gone after {ms} ms");
-            // Whoever holds the workers and lives is told, over whatever way there is, and tells them at their reports.
-            let reached = mesh != Mesh::Cut && matches!(fate, Nothing | ConfirmerKilled);
-            let confirmer_alone = mesh == Mesh::Half && fate == ConfirmerKilled;
-            if reached && !confirmer_alone {
-                assert!(ms <= 3_000 + ratio.0 / 4, "{gap:?}: {ms} ms");
+            let outage_delay_ms = [1_000, 2_000, 5_000, 12_000, 20_000][seed as usize % 5];
+            let (controllers, lease_and_cancel_ms) =
+                ([3, 5][seed as usize % 2], LEASE_AND_CANCEL_MS[seed as usize / 2 % 3]);
+            let scenario =
+                Scenario { seed, controllers, outage_delay_ms, lease_and_cancel_ms, mesh, fault };
+            let ms = measure_cancellation(scenario);
+            println!("{scenario:?}: stopped after {ms} ms");
+            // A running owner learns of the cancellation by any available path and stops the tasks at the next reports.
+            let owner_is_notified = mesh != Mesh::Cut && matches!(fault, Nothing | ConfirmerKilled);
+            let confirmer_alone = mesh == Mesh::Partial && fault == ConfirmerKilled;
+            if owner_is_notified && !confirmer_alone {
+                assert!(ms <= 3_000 + lease_and_cancel_ms.0 / 4, "{scenario:?}: {ms} ms");
             }
         }
     }
