--- a/crates/cleatfold-control/tests/late_reports.rs
+++ b/crates/cleatfold-control/tests/late_reports.rs
@@ -1,5 +1,5 @@
-//! The troubles that the operators added: copies of reports that come late, machines that nothing
-//! told reaches, a controller without the state service and its peers but with its workers.
+//! Late copies of reports, machines that receive no answers, and a controller that is cut off from the state
+//! service and its peers but not from its workers.
 
 mod scenario;
 
@@ -12,8 +12,7 @@
     World::sized(seed, false, Size { most_jobs: 0, machines: 24, ..Size::SMALL })
 }
 
-/// A region that has something to do on all of its machines, for `estimate_s` or so; a processor of
-/// each is left.
+/// A region with tasks of about `estimate_s` on all of its machines and one free processor on each.
 fn busy(seed: u64, estimate_s: f64) -> World {
     let mut world = region(seed);
     world.run(Ms(4000));
@@ -27,8 +26,8 @@
     world
 }
 
-/// Runs on and counts how often a pool changes hands.
-fn moves_within(world: &mut World, ms: u64) -> usize {
+/// Runs for `ms` and counts changes of pool owners.
+fn count_owner_changes(world: &mut World, ms: u64) -> usize {
     let until = world.now.plus(ms);
     let (mut moves, mut known) = (0, world.holders());
     while world.now < until {
@@ -42,58 +41,58 @@
 
 // ---- copies of reports ----
 
-/// A controller that its workers do not reach took their old reports for a sign of them: it kept its
-/// pools for 13.5 s and more, for as long as copies came.
+/// A controller that its workers cannot reach counted copies of their old reports as contact: it kept its
+/// pools for 13.5 s and more, for as long as copies arrived.
 #[test]
-fn duplicate_heartbeats_do_not_make_a_lost_zone_reachable() {
+fn duplicate_reports_keep_zone_unreachable() {
     for seed in 1..4 {
         let mut world = busy(seed, 8.0);
-        let cut = world.most().expect("somebody holds workers");
+        let cut = world.most().expect("a controller owns workers");
         let now = world.now;
         world.copies(0.6, (2_000, 25_000), now.plus(60_000));
         run_for(&mut world, 12_000);
         let (from, until) = (world.now, world.now.plus(45_000));
         world.faults.cuts.insert(cut, (until, None));
-        let mut served = None;
-        while world.now < until && served.is_none() {
+        let mut served_after_ms = None;
+        while world.now < until && served_after_ms.is_none() {
             run_for(&mut world, 250);
             if world.holders().values().all(|h| h.0 != cut) {
-                served = Some(world.now.since(from));
+                served_after_ms = Some(world.now.since(from));
             }
         }
-        assert!(served.is_some_and(|ms| ms <= 12_000), "seed {seed}: {served:?}");
+        assert!(served_after_ms.is_some_and(|ms| ms <= 12_000), "seed {seed}: {served_after_ms:?}");
         world.run(Ms(300_000));
         assert_eq!(world.unfinished(), Vec::<JobId>::new());
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
     }
 }
 
-/// Copies that come to controllers that do not hold the pool passed for workers that cannot get
-/// through to their owner, again and again: pools moved after them 16 to 18 times in a minute, though
-/// nothing was wrong; 7 to 14 times when the worker was asked but six messages passed for none.
+/// Copies that reach a controller which does not own the pool were taken as workers that cannot reach their
+/// owner: pools moved 16 to 18 times a minute without any fault, and still 7 to 14 times when the worker was
+/// asked but six messages counted as none.
 #[test]
-fn copies_move_no_pool() {
+fn report_copies_move_no_pool() {
     let mut moves = Vec::new();
     for seed in 1..5 {
-        // Work enough that no machine is returned meanwhile: pools of other sizes are balanced.
+        // Enough work that no machine is returned meanwhile, since changed pool sizes cause rebalancing.
         let mut world = busy(seed, 90.0);
         run_for(&mut world, 10_000);
         let now = world.now;
         world.copies(0.6, (2_000, 30_000), now.plus(60_000));
-        moves.push(moves_within(&mut world, 60_000));
+        moves.push(count_owner_changes(&mut world, 60_000));
         assert!(world.faults.copied > 500);
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
     }
     assert!(moves.iter().all(|m| *m == 0), "{moves:?}");
 }
 
-/// Machines that were returned came to life again by their copies at a controller that had not
-/// deleted them itself: they were counted on, and what waited waited for them (2 s of 19 here).
+/// Copies of reports of returned machines made a controller that had not deleted them itself list them as
+/// running again: waiting tasks were planned on them and waited longer (2 s of 19 here).
 #[test]
-fn copies_do_not_revive_machines_that_were_returned() {
-    let served = |seed: u64, copies: bool| -> u64 {
+fn report_copies_revive_no_returned_machine() {
+    let completion_ms = |seed: u64, copies: bool| -> u64 {
         let mut world = busy(seed, 4.0);
-        // The idle ones are returned; then those that returned them are gone.
+        // Idle machines are returned; then the controllers that returned them are restarted.
         let mut last: BTreeMap<MachineId, worker::Heartbeat> = BTreeMap::new();
         let mut most = world.workers.len();
         while world.workers.len() * 2 > most && world.now < Ms(120_000) {
@@ -113,7 +112,7 @@
             }
         }
         run_for(&mut world, 8_000);
-        // More than fits on what is left.
+        // More tasks than fit on the remaining machines.
         let from = world.now;
         for _ in 0..4 {
             let spec = plain(&mut world, 30, 4.0);
@@ -127,23 +126,26 @@
         world.now.since(from)
     };
     for seed in 1..4 {
-        let (without, with) = (served(seed, false), served(seed, true));
-        assert!(with <= without + 1_000, "seed {seed}: {without} ms, with copies {with} ms");
+        let (without_copies, with_copies) = (completion_ms(seed, false), completion_ms(seed, true));
+        assert!(
+            with_copies <= without_copies + 1_000,
+            "seed {seed}: {without_copies} ms, with copies {with_copies} ms"
+        );
     }
 }
 
-/// Reports that a machine had sent before it died kept it from being given up by a new owner of its
-/// pool, one copy after the other: 49 s instead of 34 where a report without our token shows it alive.
+/// Copies of reports that a machine sent before it failed kept a new pool owner from declaring it lost: 49 s
+/// instead of 34 when a report without the owner's token counts as contact.
 #[test]
-fn copies_do_not_keep_a_dead_machine() {
-    let given_up = |seed: u64, copies: bool| -> u64 {
+fn report_copies_delay_no_machine_loss() {
+    let recovery_ms = |seed: u64, copies: bool| -> u64 {
         let mut world = busy(seed, 60.0);
         let machine = world.running.values().next().expect("a busy machine").clone();
         let tasks: BTreeSet<TaskId> =
             world.running.iter().filter(|r| *r.1 == machine).map(|r| r.0.clone()).collect();
-        let pool = world.pool_of(&machine).expect("there");
-        let owner = world.holder(&pool).expect("held");
-        let worker = world.workers.get_mut(&machine).expect("there");
+        let pool = world.pool_of(&machine).expect("machine exists");
+        let owner = world.holder(&pool).expect("pool has an owner");
+        let worker = world.workers.get_mut(&machine).expect("machine exists");
         let reports: Vec<_> = (0..15).map(|_| worker.heartbeat()).collect();
         world.at(0, SimulationEvent::Die(machine.clone()));
         world.crash(owner, 10_000);
@@ -162,17 +164,20 @@
         world.now.since(from)
     };
     for seed in 1..4 {
-        let (without, with) = (given_up(seed, false), given_up(seed, true));
-        assert!(with <= without + 4_000, "seed {seed}: {without} ms, with copies {with} ms");
+        let (without_copies, with_copies) = (recovery_ms(seed, false), recovery_ms(seed, true));
+        assert!(
+            with_copies <= without_copies + 4_000,
+            "seed {seed}: {without_copies} ms, with copies {with_copies} ms"
+        );
     }
 }
 
-// ---- machines that do not hear ----
+// ---- machines that receive no answers ----
 
-/// A machine that reports and hears nothing was given its tasks again after each lapse of its
-/// lease, also after minutes; what was tried there waited a lease each time.
+/// A machine that reports but receives no answers was assigned tasks again after each expiry of its lease,
+/// even after minutes; each task assigned there waited for one lease.
 #[test]
-fn the_work_of_a_machine_that_does_not_hear_goes_on_elsewhere() {
+fn tasks_move_from_machine_without_answers() {
     for seed in 1..4 {
         let mut world = busy(seed, 40.0);
         let machine = world.running.values().next().expect("a busy machine").clone();
@@ -193,41 +198,41 @@
                     elsewhere.entry(task.clone()).or_insert(now.since(from));
                 }
             }
-            let on_it = world.claims().remove(&machine).unwrap_or_default();
-            // Its lease has run out and it has come to its owner twice.
+            let tasks_on_machine = world.claims().remove(&machine).unwrap_or_default();
+            // Its lease has expired and it has contacted its owner twice.
             if now.since(from) > 45_000 {
-                late += on_it.difference(&claimed).count();
+                late += tasks_on_machine.difference(&claimed).count();
             }
-            claimed.extend(on_it);
+            claimed.extend(tasks_on_machine);
         }
         assert!(elsewhere.len() == tasks.len(), "seed {seed}: {elsewhere:?} of {tasks:?}");
         let longest = elsewhere.values().max().copied().unwrap_or_default();
         assert!(longest <= 45_000, "seed {seed}: {elsewhere:?}");
-        assert_eq!(late, 0, "seed {seed}: claimed on it all the same");
+        assert_eq!(late, 0, "seed {seed}: still claimed on the machine");
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
     }
 }
 
-/// A pool, then a zone, of such machines: no pool goes in circles, and the zone is not returned
-/// as a whole. (A pool of eight was.)
+/// A pool, then a zone, of such machines: pools do not move back and forth between controllers, and the zone's
+/// machines are not all returned. (A pool of eight machines once was.)
 #[test]
-fn a_zone_of_machines_that_do_not_hear_stays_where_it_is() {
+fn zone_without_answers_keeps_machines() {
     for (seed, whole) in [(1, false), (2, true), (3, true)] {
         let mut world = busy(seed, 50.0);
         let machine = world.running.values().next().expect("a busy machine").clone();
-        let pool = world.pool_of(&machine).expect("there");
-        let of = |world: &World| -> usize {
+        let pool = world.pool_of(&machine).expect("machine exists");
+        let machine_count = |world: &World| -> usize {
             let kind =
                 |w: &&cleatfold_fakes::worker::Worker| whole || w.machine_type == pool.machine_type;
             world.workers.values().filter(|w| w.zone == pool.zone).filter(kind).count()
         };
-        let (before, until) = (of(&world), world.now.plus(60_000));
+        let (before, until) = (machine_count(&world), world.now.plus(60_000));
         let kind = (!whole).then(|| pool.machine_type.clone());
         world.deafen_zone(pool.zone.clone(), kind, until);
         let spec = plain(&mut world, 40, 10.0);
         world.submit(1, spec);
-        let moves = moves_within(&mut world, 60_000);
-        let after = of(&world);
+        let moves = count_owner_changes(&mut world, 60_000);
+        let after = machine_count(&world);
         assert!(moves <= 4, "seed {seed}: {moves} moves");
         assert!(after * 2 >= before, "seed {seed}: {before} machines, then {after}");
         world.run(Ms(400_000));
@@ -238,30 +243,30 @@
 
 // ---- a controller without the state service and its peers ----
 
-/// The controller kept its workers, with 200, until a cancellation could no longer have been met,
-/// while others owned its pools: nothing started there until the cut was over.
+/// The controller kept answering its workers with 200 until the limit for cancellations, although other
+/// controllers owned its pools: nothing started there until the cut ended.
 #[test]
-fn pools_of_a_controller_that_is_apart_start_work_again_soon() {
+fn pools_of_isolated_controller_resume_starts() {
     for (seed, held) in [(1, false), (2, true), (3, false)] {
         let mut world = busy(seed, 90.0);
-        let apart = world.most().expect("somebody holds workers");
+        let isolated = world.most().expect("a controller owns workers");
         let held_by = world.holders();
-        let pool = held_by.iter().filter(|h| h.1 .0 == apart).max_by_key(|h| h.1 .1);
-        let pool = pool.expect("it holds some").0.clone();
+        let pool = held_by.iter().filter(|h| h.1 .0 == isolated).max_by_key(|h| h.1 .1);
+        let pool = pool.expect("it owns pools").0.clone();
         let (from, until) = (world.now, world.now.plus(45_000));
-        world.set_apart(apart, until, held);
+        world.set_apart(isolated, until, held);
         let before = (world.dropped, world.running.len());
         let mut spec = plain(&mut world, 4, 5.0);
-        // There is room for it beside all that runs.
+        // There is capacity for it beside the running tasks.
         (spec.cpus, spec.zone) = (0.5, Some(pool.zone.clone()));
         spec.types = Some(vec![pool.machine_type.clone()]);
-        let job = world.submit((apart + 1) % CONTROLLERS, spec);
+        let job = world.submit((isolated + 1) % CONTROLLERS, spec);
         while world.jobs[&job].begun.is_none() && world.now < until {
             run_for(&mut world, 250);
         }
-        let began = world.now.since(from);
+        let started_after_ms = world.now.since(from);
         world.run(until);
-        assert!(began <= 12_000, "seed {seed}: {began} ms");
+        assert!(started_after_ms <= 12_000, "seed {seed}: {started_after_ms} ms");
         assert_eq!(world.dropped, before.0, "seed {seed}: tasks were lost");
         world.run(Ms(500_000));
         assert_eq!(world.unfinished(), Vec::<JobId>::new());
@@ -269,18 +274,18 @@
     }
 }
 
-/// Where the state service is out for all, nobody else serves: whoever lets its workers go costs
-/// them their leases.
+/// While the state service is unavailable to all, no other controller can serve the workers: a controller that
+/// drops its workers costs them their leases.
 #[test]
-fn an_outage_for_all_costs_no_lease() {
+fn full_outage_expires_no_lease() {
     for seed in 1..4 {
-        for for_ms in [8_000, 20_000] {
+        for outage_ms in [8_000, 20_000] {
             let mut world = busy(seed, 90.0);
-            let (before, until) = (world.dropped, world.now.plus(for_ms));
+            let (before, until) = (world.dropped, world.now.plus(outage_ms));
             world.outage = until;
             world.store.renew_all_leases(until);
             world.run(until.plus(20_000));
-            assert_eq!(world.dropped, before, "seed {seed}: {for_ms} ms cost leases");
+            assert_eq!(world.dropped, before, "seed {seed}: {outage_ms} ms cost leases");
             assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
         }
     }
