--- a/crates/cleatfold-control/tests/cancellations.rs
+++ b/crates/cleatfold-control/tests/cancellations.rs
@@ -65,7 +65,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Scenario {
+struct CancellationCase {
     seed: u64,
     controllers: usize,
     /// Time from the cut-off of the owner to the outage for all controllers.
@@ -78,48 +78,48 @@
 /// The controller with most workers loses the state service; `outage_delay_ms` later all controllers do, for longer than a
 /// cancellation may take. In between, another controller confirms the cancellation of a job of long tasks. Returns the
 /// time in milliseconds from the confirmation to the end of the last task.
-fn measure_cancellation(scenario: Scenario) -> u64 {
-    let (lease_ms, cancel_ms) = scenario.lease_and_cancel_ms;
+fn measure_cancellation(case: CancellationCase) -> u64 {
+    let (lease_ms, cancel_ms) = case.lease_and_cancel_ms;
     let size = Size {
         most_jobs: 0,
         machines: 24,
-        controllers: scenario.controllers,
+        controllers: case.controllers,
         heartbeat_interval_ms: lease_ms / 8,
         lease_ms,
         cancel_ms,
         ..Size::SMALL
     };
-    let mut world = World::sized(scenario.seed, false, size);
+    let mut world = World::sized(case.seed, false, size);
     world.run(Ms(4000));
     let spec = long_job(&mut world, 120);
     let job = world.submit(0, spec);
     run_for(&mut world, 45_000);
-    assert!(running_tasks(&world, &job) > 100, "{scenario:?}: {}", running_tasks(&world, &job));
+    assert!(running_tasks(&world, &job) > 100, "{case:?}: {}", running_tasks(&world, &job));
     let owner = world.most().expect("a controller owns workers");
-    let confirmer = (owner + 1) % scenario.controllers;
+    let confirmer = (owner + 1) % case.controllers;
     let start = world.now;
-    world.store_cut[owner] = start.plus(scenario.outage_delay_ms + 20_000);
-    match scenario.mesh {
+    world.store_cut[owner] = start.plus(case.outage_delay_ms + 20_000);
+    match case.mesh {
         Mesh::Whole => {}
         Mesh::Partial => world.mesh_cut.extend([(owner, confirmer), (confirmer, owner)]),
         Mesh::Cut => world.mesh_off = true,
     }
     // Late enough that the owner cannot have read the cancellation.
-    run_for(&mut world, (scenario.outage_delay_ms * scenario.seed % 7 / 7).max(50));
+    run_for(&mut world, (case.outage_delay_ms * case.seed % 7 / 7).max(50));
     cancel(&mut world, confirmer, &job);
     while world.jobs[&job].cancel_confirmed.is_none() {
         run_for(&mut world, 10);
-        assert!(world.now.since(start) < 1_000, "{scenario:?}: not confirmed");
+        assert!(world.now.since(start) < 1_000, "{case:?}: not confirmed");
     }
     let confirmed_at = world.now;
-    match scenario.fault {
+    match case.fault {
         Fault::Nothing => {}
         Fault::ConfirmerKilled => world.crash(confirmer, 5_000),
         Fault::OwnerKilled => world.crash(owner, 5_000),
         Fault::OwnerFrozen => world.freeze(owner, lease_ms),
         Fault::OwnerQuickRestart => world.crash(owner, 300),
     }
-    let outage = start.plus(scenario.outage_delay_ms);
+    let outage = start.plus(case.outage_delay_ms);
     let until = outage.plus(cancel_ms * 5 / 4);
     world.at(outage.since(world.now), SimulationEvent::Outage { until });
     let mut stopped_after = None;
@@ -130,10 +130,10 @@
     world.mesh_cut.clear();
     world.mesh_off = false;
     run_for(&mut world, 2 * cancel_ms + 60_000);
-    assert!(world.broken.is_empty(), "{scenario:?}: {:#?}", world.broken);
-    assert_eq!(world.unfinished(), Vec::<JobId>::new(), "{scenario:?}");
-    assert_eq!(world.jobs[&job].answered_state, Some(JobState::Aborted), "{scenario:?}");
-    stopped_after.unwrap_or_else(|| panic!("{scenario:?}: tasks are still running"))
+    assert!(world.broken.is_empty(), "{case:?}: {:#?}", world.broken);
+    assert_eq!(world.unfinished(), Vec::<JobId>::new(), "{case:?}");
+    assert_eq!(world.jobs[&job].answered_state, Some(JobState::Aborted), "{case:?}");
+    stopped_after.unwrap_or_else(|| panic!("{case:?}: tasks are still running"))
 }
 
 /// Every mesh state with every fault; controller counts, times and lease/cancellation pairs vary in turn.
@@ -149,15 +149,21 @@
             let outage_delay_ms = [1_000, 2_000, 5_000, 12_000, 20_000][seed as usize % 5];
             let (controllers, lease_and_cancel_ms) =
                 ([3, 5][seed as usize % 2], LEASE_AND_CANCEL_MS[seed as usize / 2 % 3]);
-            let scenario =
-                Scenario { seed, controllers, outage_delay_ms, lease_and_cancel_ms, mesh, fault };
-            let ms = measure_cancellation(scenario);
-            println!("{scenario:?}: stopped after {ms} ms");
+            let case = CancellationCase {
+                seed,
+                controllers,
+                outage_delay_ms,
+                lease_and_cancel_ms,
+                mesh,
+                fault,
+            };
+            let ms = measure_cancellation(case);
+            println!("{case:?}: stopped after {ms} ms");
             // A running owner learns of the cancellation by any available path and stops the tasks at the next reports.
             let owner_is_notified = mesh != Mesh::Cut && matches!(fault, Nothing | ConfirmerKilled);
             let confirmer_alone = mesh == Mesh::Partial && fault == ConfirmerKilled;
             if owner_is_notified && !confirmer_alone {
-                assert!(ms <= 3_000 + lease_and_cancel_ms.0 / 4, "{scenario:?}: {ms} ms");
+                assert!(ms <= 3_000 + lease_and_cancel_ms.0 / 4, "{case:?}: {ms} ms");
             }
         }
     }
--- a/crates/cleatfold-control/tests/commands.rs
+++ b/crates/cleatfold-control/tests/commands.rs
@@ -12,7 +12,7 @@
 
 /// Tasks that run for minutes on two thirds of the machines' processors; short tasks on the rest have just ended, so
 /// there is capacity for released tasks.
-fn long_tasks(seed: u64) -> World {
+fn region_with_long_tasks(seed: u64) -> World {
     let mut world = region(seed, 18);
     world.run(Ms(4000));
     for (controller, estimate_s) in
@@ -135,7 +135,7 @@
 fn unreachable_machine_loses_tasks_with_lease() {
     for (seed, owner_restart_ms) in [(1, None), (2, Some(300)), (3, Some(20_000))] {
         let context = format!("seed {seed}, {owner_restart_ms:?}");
-        let mut world = long_tasks(seed);
+        let mut world = region_with_long_tasks(seed);
         let (machine, stopped, cancelled) =
             machine_with_two_jobs(&world).expect("a machine with two jobs");
         let (task, attempt) = stopped;
@@ -190,7 +190,7 @@
 /// A whole zone of such machines, with cancellations and a crash of an owner: all jobs end.
 #[test]
 fn unreachable_zone_recovers() {
-    let mut world = long_tasks(5);
+    let mut world = region_with_long_tasks(5);
     let (_, _, machine) = running_task(&world);
     let zone = world.workers[&machine].zone.clone();
     let machines: Vec<MachineId> =
@@ -210,7 +210,7 @@
 /// An attempt that was stopped by a delayed command, dropped with the machine's session and started again there by its
 /// owner, while the report of its first exit is still in transit. `None` if the run has no such attempt.
 fn restarted_attempt(seed: u64) -> Option<(World, TaskId, MachineId, Heartbeat)> {
-    let mut world = long_tasks(seed);
+    let mut world = region_with_long_tasks(seed);
     let (task, attempt, machine) = running_task(&world);
     let owner_ix = owner(&world, &machine).expect("pool has an owner");
     let worker = world.workers.get_mut(&machine).expect("machine exists");
@@ -291,7 +291,7 @@
 fn report_to_former_owner_sets_no_lease() {
     let mut hit_count = 0;
     for seed in 0..4 {
-        let mut world = long_tasks(seed);
+        let mut world = region_with_long_tasks(seed);
         let (_, _, machine) = running_task(&world);
         let pool = world.pool_of(&machine).expect("machine exists");
         let zone = pool.zone.clone();
@@ -414,7 +414,7 @@
         (6, 25_000, None),
     ] {
         let context = format!("seed {seed}, {hang_ms} ms, {loss:?}");
-        let mut world = long_tasks(seed);
+        let mut world = region_with_long_tasks(seed);
         let owner_ix = world.most().expect("a controller owns machines");
         world.cancel_now(6, Some(hang_ms));
         let (cancelled, hung) = (world.command_faults.cancelled, world.command_faults.hung);
--- a/crates/cleatfold-control/tests/late_reports.rs
+++ b/crates/cleatfold-control/tests/late_reports.rs
@@ -13,7 +13,7 @@
 }
 
 /// A region with tasks of about `estimate_s` on all of its machines and one free processor on each.
-fn busy(seed: u64, estimate_s: f64) -> World {
+fn busy_region(seed: u64, estimate_s: f64) -> World {
     let mut world = region(seed);
     world.run(Ms(4000));
     for _ in 0..6 {
@@ -46,7 +46,7 @@
 #[test]
 fn duplicate_reports_keep_zone_unreachable() {
     for seed in 1..4 {
-        let mut world = busy(seed, 8.0);
+        let mut world = busy_region(seed, 8.0);
         let cut = world.most().expect("a controller owns workers");
         let now = world.now;
         world.copies(0.6, (2_000, 25_000), now.plus(60_000));
@@ -75,7 +75,7 @@
     let mut moves = Vec::new();
     for seed in 1..5 {
         // Enough work that no machine is returned meanwhile, since changed pool sizes cause rebalancing.
-        let mut world = busy(seed, 90.0);
+        let mut world = busy_region(seed, 90.0);
         run_for(&mut world, 10_000);
         let now = world.now;
         world.copies(0.6, (2_000, 30_000), now.plus(60_000));
@@ -91,7 +91,7 @@
 #[test]
 fn report_copies_revive_no_returned_machine() {
     let completion_ms = |seed: u64, copies: bool| -> u64 {
-        let mut world = busy(seed, 4.0);
+        let mut world = busy_region(seed, 4.0);
         // Idle machines are returned; then the controllers that returned them are restarted.
         let mut last: BTreeMap<MachineId, worker::Heartbeat> = BTreeMap::new();
         let mut most = world.workers.len();
@@ -139,7 +139,7 @@
 #[test]
 fn report_copies_delay_no_machine_loss() {
     let recovery_ms = |seed: u64, copies: bool| -> u64 {
-        let mut world = busy(seed, 60.0);
+        let mut world = busy_region(seed, 60.0);
         let machine = world.running.values().next().expect("a busy machine").clone();
         let tasks: BTreeSet<TaskId> =
             world.running.iter().filter(|r| *r.1 == machine).map(|r| r.0.clone()).collect();
@@ -179,7 +179,7 @@
 #[test]
 fn tasks_move_from_machine_without_answers() {
     for seed in 1..4 {
-        let mut world = busy(seed, 40.0);
+        let mut world = busy_region(seed, 40.0);
         let machine = world.running.values().next().expect("a busy machine").clone();
         let tasks: BTreeSet<TaskId> =
             world.running.iter().filter(|r| *r.1 == machine).map(|r| r.0.clone()).collect();
@@ -218,7 +218,7 @@
 #[test]
 fn zone_without_answers_keeps_machines() {
     for (seed, whole) in [(1, false), (2, true), (3, true)] {
-        let mut world = busy(seed, 50.0);
+        let mut world = busy_region(seed, 50.0);
         let machine = world.running.values().next().expect("a busy machine").clone();
         let pool = world.pool_of(&machine).expect("machine exists");
         let machine_count = |world: &World| -> usize {
@@ -248,7 +248,7 @@
 #[test]
 fn pools_of_isolated_controller_resume_starts() {
     for (seed, held) in [(1, false), (2, true), (3, false)] {
-        let mut world = busy(seed, 90.0);
+        let mut world = busy_region(seed, 90.0);
         let isolated = world.most().expect("a controller owns workers");
         let held_by = world.holders();
         let pool = held_by.iter().filter(|h| h.1 .0 == isolated).max_by_key(|h| h.1 .1);
@@ -280,7 +280,7 @@
 fn full_outage_expires_no_lease() {
     for seed in 1..4 {
         for outage_ms in [8_000, 20_000] {
-            let mut world = busy(seed, 90.0);
+            let mut world = busy_region(seed, 90.0);
             let (before, until) = (world.dropped, world.now.plus(outage_ms));
             world.outage = until;
             world.store.renew_all_leases(until);
--- a/crates/cleatfold-control/tests/late_transactions.rs
+++ b/crates/cleatfold-control/tests/late_transactions.rs
@@ -237,7 +237,7 @@
         let guarded: Vec<String> = guarded.cloned().collect();
         assert!(!guarded.is_empty(), "{kind:?} is not guarded by what it writes");
         wait_for(&mut world, 60, |w| guarded.iter().all(|k| w.store.get(k).is_some()));
-        let refused = refused_by(&mut world, &txn);
+        let refused = conflicting_keys(&mut world, &txn);
         assert!(guarded.iter().any(|k| refused.contains(k)), "{kind:?}: {refused:?}");
     }
 }
@@ -250,8 +250,8 @@
     result
 }
 
-/// The keys of the guards that refuse the intercepted transaction.
-fn refused_by(world: &mut World, txn: &Txn) -> Vec<String> {
+/// The guard keys that refuse the intercepted transaction.
+fn conflicting_keys(world: &mut World, txn: &Txn) -> Vec<String> {
     match execute_intercepted(world, txn) {
         Err(Refusal::Conflict(keys)) => keys,
         result => panic!("{result:?}"),
@@ -273,12 +273,12 @@
         assert!(world.jobs[&job].accepted, "sent again, and confirmed within a second");
         submit_again(&mut world, 1, &spec);
         wait_for(&mut world, 30, |w| w.store.get(&job_key(&job)).is_some());
-        assert_eq!(refused_by(&mut world, &txn), [job_key(&job)], "while the job is live");
+        assert_eq!(conflicting_keys(&mut world, &txn), [job_key(&job)], "while the job is live");
         if cancelled {
             cancel(&mut world, 2, &job);
         }
         wait_for(&mut world, 60, |w| has_ended(w, &job));
-        assert_eq!(refused_by(&mut world, &txn), [archive_key(&job)]);
+        assert_eq!(conflicting_keys(&mut world, &txn), [archive_key(&job)]);
         // Another submission is answered with the final state.
         submit_again(&mut world, 0, &spec);
         run_for(&mut world, 3_000);
@@ -317,9 +317,9 @@
         }
         // Deleted one by one, at the latest with the job.
         wait_for(&mut world, 120, |w| absent.iter().all(|k| w.store.get(k).is_none()));
-        assert_eq!(refused_by(&mut world, &txn), [job_key(&job)], "{kind:?} {cancelled}");
+        assert_eq!(conflicting_keys(&mut world, &txn), [job_key(&job)], "{kind:?} {cancelled}");
         wait_for(&mut world, 60, |w| has_ended(w, &job));
-        assert_eq!(refused_by(&mut world, &txn), [job_key(&job)], "{kind:?} {cancelled}");
+        assert_eq!(conflicting_keys(&mut world, &txn), [job_key(&job)], "{kind:?} {cancelled}");
         let until = world.now.plus(40_000);
         run_audited(&mut world, until);
     }
@@ -344,7 +344,7 @@
         record.is_none_or(|r| !r.parts_done.is_empty())
     };
     wait_for(&mut world, 120, complete);
-    assert!(refused_by(&mut world, &txn).contains(&job_key(&job)));
+    assert!(conflicting_keys(&mut world, &txn).contains(&job_key(&job)));
     wait_for(&mut world, 200, |w| has_ended(w, &job));
 }
 
@@ -405,7 +405,7 @@
         let sender = (0..CONTROLLERS).find(|i| controller_id(*i) == holder.owner);
         let sender = sender.expect("a node");
         assert_eq!(
-            refused_by(&mut world, &txn),
+            conflicting_keys(&mut world, &txn),
             std::slice::from_ref(&key),
             "while the role is held"
         );
--- a/crates/cleatfold-control/tests/seen_token.rs
+++ b/crates/cleatfold-control/tests/seen_token.rs
@@ -21,7 +21,7 @@
 }
 
 /// A region that runs twelve jobs, and the last report of each machine without tasks.
-fn busy(seed: u64) -> (World, BTreeMap<MachineId, Heartbeat>) {
+fn busy_region(seed: u64) -> (World, BTreeMap<MachineId, Heartbeat>) {
     let mut world = World::sized(seed, false, Size { most_jobs: 0, machines: 24, ..Size::SMALL });
     world.run(Ms(4000));
     for _ in 0..12 {
@@ -57,7 +57,7 @@
 #[test]
 fn absence_before_seen_token_releases_no_claim() {
     for seed in 0..3 {
-        let (mut world, idle_reports) = busy(seed);
+        let (mut world, idle_reports) = busy_region(seed);
         let (machine, tasks) = world.claims().into_iter().next().expect("a claim exists");
         assert!(tasks.iter().any(|t| world.running.get(&t.0) == Some(&machine)));
         let pool = world.pool_of(&machine).expect("machine exists");
@@ -71,7 +71,7 @@
 #[test]
 fn exit_before_seen_token_ends_no_claim() {
     for seed in 0..3 {
-        let mut world = busy(seed).0;
+        let mut world = busy_region(seed).0;
         let (machine, tasks) = world.claims().into_iter().next().expect("a claim exists");
         let (task, attempt) = tasks.into_iter().next().expect("a claim");
         let pool = world.pool_of(&machine).expect("machine exists");
--- a/crates/cleatfold-control/tests/unannounced_faults.rs
+++ b/crates/cleatfold-control/tests/unannounced_faults.rs
@@ -10,7 +10,7 @@
     World::sized(seed, false, Size { most_jobs: 0, machines: 24, ..Size::SMALL })
 }
 
-fn plain(world: &mut World, tasks: u32, estimate_s: f64) -> JobSpec {
+fn job_spec(world: &mut World, tasks: u32, estimate_s: f64) -> JobSpec {
     let mut spec = world.some_job();
     (spec.team, spec.urgency, spec.kind) = (TeamId::new("free"), Urgency::Normal, job::Kind::Array);
     (spec.tasks, spec.cpus, spec.memory_gb, spec.estimate_s) = (tasks, 2.0, 1.0, estimate_s);
@@ -35,11 +35,11 @@
 }
 
 /// A region with running jobs, and the controller that owns most of its workers.
-fn busy(seed: u64) -> (World, usize) {
+fn busy_region(seed: u64) -> (World, usize) {
     let mut world = region(seed);
     world.run(Ms(4000));
     for _ in 0..6 {
-        let spec = plain(&mut world, 30, 8.0);
+        let spec = job_spec(&mut world, 30, 8.0);
         world.submit(0, spec);
         let now = world.now;
         world.run(now.plus(500));
@@ -58,7 +58,7 @@
 #[test]
 fn pools_leave_unreachable_controller_and_stay() {
     for seed in 1..5 {
-        let (mut world, unreachable) = busy(seed);
+        let (mut world, unreachable) = busy_region(seed);
         let until = world.now.plus(60_000);
         world.faults.cuts.insert(unreachable, (until, None));
         let from = world.now;
@@ -93,7 +93,7 @@
 
 #[test]
 fn zone_cut_moves_only_that_zone() {
-    let (mut world, unreachable) = busy(7);
+    let (mut world, unreachable) = busy_region(7);
     let held = pool_owners(&world);
     let zone = held.iter().find(|(_, h)| h.0 == unreachable).expect("it owns pools").0.zone.clone();
     let until = world.now.plus(40_000);
@@ -112,10 +112,10 @@
 #[test]
 fn frozen_controller_violates_no_invariant() {
     for seed in 10..16 {
-        let (mut world, most) = busy(seed);
+        let (mut world, most) = busy_region(seed);
         // First one controller at a time, then all at once, for longer and shorter than every lease.
         for (i, freeze_ms) in [(most, 25_000), ((most + 1) % CONTROLLERS, 4_000), (most, 2_000)] {
-            let spec = plain(&mut world, 20, 6.0);
+            let spec = job_spec(&mut world, 20, 6.0);
             world.submit((i + 1) % CONTROLLERS, spec);
             world.freeze(i, freeze_ms);
             let now = world.now;
@@ -136,7 +136,7 @@
     world.run(Ms(4000));
     let mut failing_jobs = Vec::new();
     for i in 0..16 {
-        let spec = plain(&mut world, 12, 5.0);
+        let spec = job_spec(&mut world, 12, 5.0);
         if i % 2 == 0 {
             world.faults.broken.insert(spec.id.clone());
             failing_jobs.push(spec.id.clone());
