--- a/crates/cleatfold-control/tests/cancellations.rs
+++ b/crates/cleatfold-control/tests/cancellations.rs
@@ -75,7 +75,7 @@
     fault: Fault,
 }
 
-/// The controller with most workers loses the state service; `outage_delay_ms` later all controllers do, for longer than a
+/// The controller with most workers loses the state service; `outage_delay_ms` later all do, for longer than a
 /// cancellation may take. In between, another controller confirms the cancellation of a job of long tasks. Returns the
 /// time in milliseconds from the confirmation to the end of the last task.
 fn measure_cancellation(case: CancellationCase) -> u64 {
--- a/crates/cleatfold-control/tests/claims/commands.rs
+++ b/crates/cleatfold-control/tests/claims/commands.rs
@@ -74,7 +74,11 @@
             );
             if is_claim {
                 let done = run == RunState::Completed;
-                record_end(controller, ix, End { machine, attempt, done, fence: None });
+                record_end(
+                    controller,
+                    ix,
+                    AttemptEnd { machine, attempt, done, required_token: None },
+                );
             }
         }
     }
@@ -130,7 +134,7 @@
         state.violation = Some(RAN_TWICE);
     } else if state.phase == Phase::Deadline {
         state.violation = Some(RAN_CANCELLED);
-    } else if is_durable(state, ix) && state.store.archive != Some(Ended::Aborted) {
+    } else if is_durable(state, ix) && state.store.archive != Some(FinalState::Aborted) {
         state.violation = Some(STARTED_AGAIN);
     }
     state.machines[m].tasks.push((ix, attempt, RunState::Running));
--- a/crates/cleatfold-control/tests/claims/model.rs
+++ b/crates/cleatfold-control/tests/claims/model.rs
@@ -95,7 +95,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) enum Ended {
+pub(crate) enum FinalState {
     Done,
     Aborted,
 }
@@ -105,28 +105,28 @@
     pub job: Option<Job>,
     /// Number of versions assigned to the job's key so far.
     pub versions: u8,
-    pub archive: Option<Ended>,
+    pub archive: Option<FinalState>,
     pub pool: Pool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) struct End {
+pub(crate) struct AttemptEnd {
     pub machine: u8,
     pub attempt: u8,
     pub done: bool,
     /// The pool token under which the end is valid; `None` if it is valid under any token.
-    pub fence: Option<u8>,
+    pub required_token: Option<u8>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) enum Outcome {
     Live(Job),
-    Ended(Ended),
+    Ended(FinalState),
 }
 
 /// A transaction: its guards and its writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) struct Tx {
+pub(crate) struct Transaction {
     /// The guarded version of the job's key; 0 requires its absence, `None` is no guard.
     pub job: Option<u8>,
     pub no_archive: bool,
@@ -157,8 +157,8 @@
 pub(crate) struct Controller {
     pub incarnation: u8,
     pub cache: Option<StateCache>,
-    pub tx: Option<Tx>,
-    pub ends: [Option<End>; TASKS],
+    pub tx: Option<Transaction>,
+    pub ends: [Option<AttemptEnd>; TASKS],
     pub cancel_requested: bool,
     /// The cache is older than the stale-read limit, so the controller answers no worker.
     pub partitioned: bool,
@@ -253,7 +253,7 @@
     pub controllers: [Controller; CONTROLLERS],
     pub machines: [Machine; MACHINES],
     /// Unexecuted transactions whose senders no longer wait for an answer.
-    pub late_transactions: Vec<Tx>,
+    pub late_transactions: Vec<Transaction>,
     pub late_count: u8,
     pub report_copy: Option<ReportCopy>,
     pub copy_count: u8,
@@ -310,7 +310,7 @@
         claims
     }
 
-    pub(crate) fn end(&mut self, ix: usize, end: &End) -> bool {
+    pub(crate) fn end(&mut self, ix: usize, end: &AttemptEnd) -> bool {
         let attempt = Attempt(end.attempt.into());
         self.table.end_claim(&machine_id(end.machine), TaskIx(ix as u32), attempt, end.done)
     }
--- a/crates/cleatfold-control/tests/claims/search.rs
+++ b/crates/cleatfold-control/tests/claims/search.rs
@@ -80,8 +80,8 @@
     let mut reached = Vec::new();
     let is_running = |m: &Machine| m.tasks.iter().any(|x| x.2 == RunState::Running);
     match state.store.archive {
-        Some(Ended::Done) => reached.push(DONE),
-        Some(Ended::Aborted) => reached.push(ABORTED),
+        Some(FinalState::Done) => reached.push(DONE),
+        Some(FinalState::Aborted) => reached.push(ABORTED),
         None => {}
     }
     if state.phase == Phase::Deadline {
--- a/crates/cleatfold-control/tests/claims/steps.rs
+++ b/crates/cleatfold-control/tests/claims/steps.rs
@@ -143,7 +143,7 @@
                         next.submission_count += 1;
                         let tasks = [Task::Free { last: 0 }; TASKS];
                         let outcome = Outcome::Live(Job { version: 0, aborted: false, tasks });
-                        next.controllers[n].tx = Some(Tx {
+                        next.controllers[n].tx = Some(Transaction {
                             job: Some(0),
                             no_archive: self.is_enabled(Guard::ArchiveAbsence),
                             pool: None,
@@ -266,16 +266,18 @@
         let controller = &mut state.controllers[n];
         let Some(job) = controller.cache.and_then(|cache| cache.job) else { return };
         let mut claims = Claims::from_job(&job, self.bounds.tasks);
-        let (mut changed, mut fence, mut unguarded) = (false, None, false);
+        let (mut changed, mut required_token, mut unguarded) = (false, None, false);
         for ix in 0..TASKS {
             let Some(end) = controller.ends[ix] else { continue };
-            if (end.fence.is_some() && end.fence != own_token) || !claims.end(ix, &end) {
+            if (end.required_token.is_some() && end.required_token != own_token)
+                || !claims.end(ix, &end)
+            {
                 controller.ends[ix] = None;
                 continue;
             }
             changed = true;
             if self.is_enabled(Guard::PoolTokenInReleases) {
-                fence = fence.or(end.fence);
+                required_token = required_token.or(end.required_token);
             }
         }
         let mut aborted = job.aborted;
@@ -288,7 +290,7 @@
                     changed = true;
                     unguarded = !self.is_enabled(Guard::JobVersionInClaims);
                     if self.is_enabled(Guard::PoolTokenInClaims) {
-                        fence = Some(token);
+                        required_token = Some(token);
                     }
                 } else {
                     return;
@@ -311,16 +313,16 @@
             return;
         }
         let outcome = if all_done && !aborted {
-            Outcome::Ended(Ended::Done)
+            Outcome::Ended(FinalState::Done)
         } else if aborted && claims.none_claimed() {
-            Outcome::Ended(Ended::Aborted)
+            Outcome::Ended(FinalState::Aborted)
         } else {
             Outcome::Live(Job { version: 0, aborted, tasks: claims.tasks() })
         };
-        let tx = Tx {
+        let tx = Transaction {
             job: (!unguarded).then_some(job.version),
             no_archive: false,
-            pool: fence,
+            pool: required_token,
             outcome,
             submission: false,
             cancellation,
@@ -333,7 +335,7 @@
     /// been refused at once), data stored under former tokens, and a copy that no controller would read.
     fn normalize(&self, state: &mut State) {
         let store = state.store;
-        let may_succeed = |tx: &Tx| tx.submission || guards_hold(&store, tx);
+        let may_succeed = |tx: &Transaction| tx.submission || guards_hold(&store, tx);
         state.late_transactions.retain(may_succeed);
         state.late_transactions.sort_unstable();
         let machines = &state.machines;
@@ -353,7 +355,7 @@
         }
     }
 
-    fn apply_transaction_answer(&self, state: &mut State, n: usize, tx: Tx) {
+    fn apply_transaction_answer(&self, state: &mut State, n: usize, tx: Transaction) {
         state.controllers[n].tx = None;
         if !execute_transaction(state, &tx) {
             // A submitter's request is answered after the next read.
@@ -458,7 +460,10 @@
                 (_, true) if !exits_count(ix) && self.is_enabled(Guard::SeenTokenForExits) => {}
                 (_, true) => {
                     let done = run == RunState::Completed;
-                    exits.push((ix, End { machine: m as u8, attempt, done, fence: None }));
+                    exits.push((
+                        ix,
+                        AttemptEnd { machine: m as u8, attempt, done, required_token: None },
+                    ));
                     if !self.is_enabled(Guard::DurableReap) {
                         commands.push(Command::Reap(ix, attempt));
                     }
@@ -477,7 +482,8 @@
                 continue;
             }
             let launch_forbidden = job_inactive && self.is_enabled(Guard::NotCancelled);
-            let lost = End { machine: m as u8, attempt, done: false, fence: Some(token) };
+            let lost =
+                AttemptEnd { machine: m as u8, attempt, done: false, required_token: Some(token) };
             if claim_token == token {
                 if launch_forbidden || drain {
                     record_end(controller, ix, lost);
@@ -509,8 +515,12 @@
         for (ix, task) in job.tasks.iter().enumerate() {
             match *task {
                 Task::Claimed { machine, attempt, .. } if usize::from(machine) == m => {
-                    let fence = Some(token);
-                    record_end(controller, ix as u8, End { machine, attempt, done: false, fence });
+                    let required_token = Some(token);
+                    record_end(
+                        controller,
+                        ix as u8,
+                        AttemptEnd { machine, attempt, done: false, required_token },
+                    );
                 }
                 _ => {}
             }
@@ -528,15 +538,17 @@
 pub(crate) const STARTED_AGAIN: &str = "started again after its completion was durable";
 
 /// An end that is valid under any token replaces one that is valid only under the owner's token.
-pub(super) fn record_end(controller: &mut Controller, ix: u8, end: End) {
+pub(super) fn record_end(controller: &mut Controller, ix: u8, end: AttemptEnd) {
     let known = &mut controller.ends[ix as usize];
     match known {
-        Some(k) if k.attempt == end.attempt && (k.fence.is_none() || end.fence.is_some()) => {}
+        Some(k)
+            if k.attempt == end.attempt
+                && (k.required_token.is_none() || end.required_token.is_some()) => {}
         _ => *known = Some(end),
     }
 }
 
-fn abandon_transaction(state: &mut State, tx: Tx) {
+fn abandon_transaction(state: &mut State, tx: Transaction) {
     state.late_count += 1;
     state.late_transactions.push(tx);
 }
@@ -555,8 +567,8 @@
     let answered = match (job, state.store.archive) {
         (Some(j), _) if j.aborted => Confirmation::Aborted,
         (Some(_), _) => Confirmation::Accepted,
-        (None, Some(Ended::Done)) => Confirmation::Done,
-        (None, Some(Ended::Aborted)) => Confirmation::Aborted,
+        (None, Some(FinalState::Done)) => Confirmation::Done,
+        (None, Some(FinalState::Aborted)) => Confirmation::Aborted,
         (None, None) => Confirmation::Nothing,
     };
     match (state.confirmation, answered) {
@@ -573,7 +585,7 @@
     }
 }
 
-fn guards_hold(store: &Store, tx: &Tx) -> bool {
+fn guards_hold(store: &Store, tx: &Transaction) -> bool {
     let version = store.job.map_or(0, |j| j.version);
     tx.job.is_none_or(|v| v == version)
         && !(tx.no_archive && store.archive.is_some())
@@ -581,7 +593,7 @@
 }
 
 /// Executes a transaction at the state service; returns whether its guards held.
-fn execute_transaction(state: &mut State, tx: &Tx) -> bool {
+fn execute_transaction(state: &mut State, tx: &Transaction) -> bool {
     let store = &mut state.store;
     if !guards_hold(store, tx) {
         return false;
@@ -612,7 +624,7 @@
     // Only tasks that have completed may be recorded as done.
     let done = |ix: usize| match (store.job, store.archive) {
         (Some(job), _) => job.tasks[ix] == Task::Done,
-        (None, archive) => archive == Some(Ended::Done) && ix < usize::from(state.task_count),
+        (None, archive) => archive == Some(FinalState::Done) && ix < usize::from(state.task_count),
     };
     if (0..TASKS).any(|ix| done(ix) && !state.completed[ix]) {
         violation = Some(NOT_DONE);
