--- a/crates/cleatfold-control/tests/answer_order.rs
+++ b/crates/cleatfold-control/tests/answer_order.rs
@@ -1,5 +1,5 @@
-//! Users' questions, repeated submissions and cancellations at all controllers, at the moments at which the state of a
-//! job changes: nobody is told anything older than what somebody was told before.
+//! Users poll, resubmit and cancel jobs at all controllers while the state of a job changes: no answer reports an older
+//! state than an earlier answer to any user did.
 
 mod scenario;
 
@@ -11,89 +11,95 @@
 use scenario::*;
 use std::collections::BTreeSet;
 
-/// A call to the state service that is on its way.
-struct Call {
-    number: u64,
+/// A request to the state service that is in flight.
+struct InFlightRequest {
+    event_number: u64,
     controller: usize,
     op: u64,
 }
 
-fn call(world: &World, which: impl Fn(usize, &StoreRequest) -> bool) -> Option<Call> {
-    world.events.iter().find_map(|(number, event)| match event {
+fn find_in_flight(
+    world: &World,
+    which: impl Fn(usize, &StoreRequest) -> bool,
+) -> Option<InFlightRequest> {
+    world.events.iter().find_map(|(event_number, event)| match event {
         SimulationEvent::StoreRequest { controller, op, request, .. }
             if which(*controller, request) =>
         {
-            Some(Call { number: *number, controller: *controller, op: *op })
+            Some(InFlightRequest { event_number: *event_number, controller: *controller, op: *op })
         }
         _ => None,
     })
 }
 
-fn is_reading(request: &StoreRequest) -> bool {
+fn is_changes_read(request: &StoreRequest) -> bool {
     matches!(request, StoreRequest::Changes { prefix, .. } if prefix == "cf/")
 }
 
-fn writes(request: &StoreRequest, purpose: Purpose) -> bool {
+fn has_purpose(request: &StoreRequest, purpose: Purpose) -> bool {
     matches!(request, StoreRequest::Txn(txn) if Purpose::of(txn) == Some(purpose))
 }
 
-/// The record of the job, as this request would write it.
-fn written(request: &StoreRequest, job: &JobId) -> Option<records::JobRecord> {
+/// Returns the job record that the request would write.
+fn written_record(request: &StoreRequest, job: &JobId) -> Option<records::JobRecord> {
     let StoreRequest::Txn(Txn { changes, .. }) = request else { return None };
     let key = records::job_key(job);
     let change = changes.iter().find(|c| c.put.as_deref() == Some(&key))?;
     serde_json::from_str(change.value.as_ref()?.get()).ok()
 }
 
-fn cancels(request: &StoreRequest, job: &JobId) -> bool {
-    written(request, job).is_some_and(|r| r.aborted)
+fn cancels_job(request: &StoreRequest, job: &JobId) -> bool {
+    written_record(request, job).is_some_and(|r| r.aborted)
 }
 
-fn claims(request: &StoreRequest, job: &JobId) -> bool {
-    written(request, job).is_some_and(|r| !r.table.claims.is_empty())
+fn claims_tasks(request: &StoreRequest, job: &JobId) -> bool {
+    written_record(request, job).is_some_and(|r| !r.table.claims.is_empty())
 }
 
-/// Runs on until a call like that is on its way, and takes it off it.
-fn hold(
+/// Runs the simulation until a matching request is in flight, and removes it from the event queue.
+fn hold_request(
     world: &mut World,
     what: &str,
     which: impl Fn(usize, &StoreRequest) -> bool,
-) -> (Call, SimulationEvent) {
+) -> (InFlightRequest, SimulationEvent) {
     for _ in 0..60_000 {
-        if let Some(call) = call(world, &which) {
-            let event = world.events.remove(&call.number).expect("just seen");
-            return (call, event);
+        if let Some(request) = find_in_flight(world, &which) {
+            let event = world.events.remove(&request.event_number).expect("found above");
+            return (request, event);
         }
         run_for(world, 1);
     }
-    panic!("{what}: never on its way")
+    panic!("{what}: no matching request was sent")
 }
 
-/// Carries a held call out; its answer is there within the same millisecond.
-fn carry_out_at_once(world: &mut World, (call, event): (Call, SimulationEvent)) {
+/// Executes a held request and delivers its reply within the same millisecond.
+fn execute_and_deliver_reply(
+    world: &mut World,
+    (request, event): (InFlightRequest, SimulationEvent),
+) {
     world.handle_event(event);
-    if let Some(answer) = take_answer(world, &call) {
-        world.handle_event(answer);
+    if let Some(reply) = take_reply(world, &request) {
+        world.handle_event(reply);
     }
 }
 
-fn take_answer(world: &mut World, of: &Call) -> Option<SimulationEvent> {
-    let is_answer = |event: &SimulationEvent| match event {
+fn take_reply(world: &mut World, request: &InFlightRequest) -> Option<SimulationEvent> {
+    let is_reply = |event: &SimulationEvent| match event {
         SimulationEvent::Controller(controller, _, event) => {
-            *controller == of.controller
-                && matches!(**event, Event::Store { op, .. } if op == of.op)
+            *controller == request.controller
+                && matches!(**event, Event::Store { op, .. } if op == request.op)
         }
         _ => false,
     };
-    let number = world.events.iter().find(|e| is_answer(e.1)).map(|e| *e.0)?;
-    world.events.remove(&number)
+    let event_number = world.events.iter().find(|e| is_reply(e.1)).map(|e| *e.0)?;
+    world.events.remove(&event_number)
 }
 
-/// Carries a held call out and loses the answer.
-fn lose_answer(world: &mut World, (call, event): (Call, SimulationEvent)) {
+/// Executes a held request and drops its reply; the sender later learns that the outcome is unknown.
+fn execute_and_lose_reply(world: &mut World, (request, event): (InFlightRequest, SimulationEvent)) {
     world.handle_event(event);
-    take_answer(world, &call).expect("answered");
-    let (controller, op) = (call.controller, call.op);
+    take_reply(world, &request).expect("answered");
+    let (controller, op) = (request.controller, request.op);
     let unknown = Box::new(Event::Store { op, reply: StoreReply::Unknown });
     world.at(1_500, SimulationEvent::Controller(controller, world.lives[controller], unknown));
 }
@@ -104,7 +110,7 @@
     world.ask(controller, asked, Request::Poll(job.clone()));
 }
 
-/// Everything that users may do about a job, at every controller, for a while.
+/// Polls and resubmits the job at every controller, in rounds of 40 ms, for `for_ms`.
 fn query_everywhere(world: &mut World, job: &JobId, for_ms: u64) {
     let until = world.now.plus(for_ms);
     while world.now < until {
@@ -116,152 +122,158 @@
     }
 }
 
-fn started(world: &mut World, seed_job: JobSpec, controller: usize) -> JobId {
-    let job = world.submit(controller, seed_job);
+fn submit_and_await_start(world: &mut World, spec: JobSpec, controller: usize) -> JobId {
+    let job = world.submit(controller, spec);
     for _ in 0..60_000 {
         if world.running.keys().any(|t| t.job == job) {
             return job;
         }
         run_for(world, 1);
     }
-    panic!("{job} never ran")
+    panic!("{job} did not start")
 }
 
-fn ready(seed: u64) -> World {
+fn ready_region(seed: u64) -> World {
     let mut world = region(seed, 12);
     world.run(Ms(4_000));
     world
 }
 
-fn assert_well(world: &World, what: &str) {
+fn assert_no_violations(world: &World, what: &str) {
     assert!(world.broken.is_empty(), "{what}: {:#?}", world.broken);
 }
 
-/// A reading that is answered within the millisecond in which it was sent shows nothing of what became durable later in
-/// that millisecond. Whoever asks after that is answered by the next one, also where the clock says the same.
+/// A read of the store that is answered in the millisecond in which it was sent does not include a change that became
+/// durable later in that millisecond. A request that arrives after that change must be answered from the next read, even
+/// though its timestamp equals that of the first read.
 #[test]
-fn whoever_asks_in_the_millisecond_of_a_reading_is_answered_by_the_next() {
-    for told in [JobState::Queued, JobState::Aborted, JobState::Done] {
-        let mut world = ready(1);
+fn request_during_store_read_waits_for_next_read() {
+    for state in [JobState::Queued, JobState::Aborted, JobState::Done] {
+        let mut world = ready_region(1);
         let spec = plain(&mut world, 1, 6.0);
         let job = spec.id.clone();
-        let what = format!("{told:?}");
-        let change = match told {
+        let what = format!("{state:?}");
+        let change = match state {
             JobState::Queued => {
                 world.submit(1, spec);
-                hold(&mut world, &what, |_, r| writes(r, Purpose::Submit))
+                hold_request(&mut world, &what, |_, r| has_purpose(r, Purpose::Submit))
             }
             JobState::Aborted => {
-                started(&mut world, spec, 1);
+                submit_and_await_start(&mut world, spec, 1);
                 cancel(&mut world, 1, &job);
-                hold(&mut world, &what, |_, r| cancels(r, &job))
+                hold_request(&mut world, &what, |_, r| cancels_job(r, &job))
             }
             _ => {
-                started(&mut world, spec, 1);
-                hold(&mut world, &what, |_, r| writes(r, Purpose::Archive))
+                submit_and_await_start(&mut world, spec, 1);
+                hold_request(&mut world, &what, |_, r| has_purpose(r, Purpose::Archive))
             }
         };
         let (writer, reader) = (change.0.controller, (change.0.controller + 1) % CONTROLLERS);
-        let reading = hold(&mut world, &what, |n, r| n == reader && is_reading(r));
-        // It is read, changed and told, and asked about, all within this millisecond.
-        world.handle_event(reading.1);
-        let answer = take_answer(&mut world, &reading.0).expect("answered");
-        carry_out_at_once(&mut world, change);
+        let read = hold_request(&mut world, &what, |n, r| n == reader && is_changes_read(r));
+        // The read, the change, the answer to the user and the next poll all happen within this millisecond.
+        world.handle_event(read.1);
+        let reply = take_reply(&mut world, &read.0).expect("answered");
+        execute_and_deliver_reply(&mut world, change);
         poll(&mut world, writer, &job);
         let watch = &world.jobs[&job];
-        assert!(watch.accepted && (told == JobState::Queued || watch.answered_state == Some(told)));
+        assert!(
+            watch.accepted && (state == JobState::Queued || watch.answered_state == Some(state))
+        );
         poll(&mut world, reader, &job);
         world.submit_again(reader, &job);
-        world.handle_event(answer);
+        world.handle_event(reply);
         run_for(&mut world, 1_000);
-        assert_well(&world, &what);
-        assert!(world.jobs[&job].answered.is_some(), "{what}: not told");
+        assert_no_violations(&world, &what);
+        assert!(world.jobs[&job].answered.is_some(), "{what}: not answered");
     }
 }
 
-/// The answer to an acceptance is long on its way, and users have heard meanwhile, of others, that the job was cancelled:
-/// whoever submitted is not told that it waits.
+/// The store's reply to an acceptance is delayed, and other controllers have meanwhile answered that the job was
+/// cancelled: the submitter must not be told that the job is queued.
 #[test]
-fn an_acceptance_that_is_confirmed_late_says_what_has_become_of_the_job() {
-    let mut world = ready(2);
+fn late_acceptance_reply_reports_current_state() {
+    let mut world = ready_region(2);
     let spec = plain(&mut world, 1, 60.0);
     let job = world.submit(1, spec);
-    let (call, request) = hold(&mut world, "submission", |_, r| writes(r, Purpose::Submit));
-    world.handle_event(request);
-    let answer = take_answer(&mut world, &call).expect("answered");
+    let (request, event) =
+        hold_request(&mut world, "submission", |_, r| has_purpose(r, Purpose::Submit));
+    world.handle_event(event);
+    let reply = take_reply(&mut world, &request).expect("answered");
     let durable = world.now;
     cancel(&mut world, 2, &job);
     while world.jobs[&job].answered_state != Some(JobState::Aborted) {
         run_for(&mut world, 1);
     }
-    // The one that still waits for its answer reads what the others did.
+    // The controller that still waits for the reply reads the changes of the other controllers.
     poll(&mut world, 1, &job);
     run_for(&mut world, 100);
-    assert!(world.now.since(durable) < 300, "settled by a reading before: {:?}", world.now);
+    assert!(world.now.since(durable) < 300, "resolved earlier by a read: {:?}", world.now);
     world.answers.last.clear();
-    world.handle_event(answer);
+    world.handle_event(reply);
     assert_eq!(world.answers.last.get(&job).and_then(|l| l.1), Some(JobState::Aborted));
     run_for(&mut world, 1_000);
-    assert_well(&world, "late acceptance");
+    assert_no_violations(&world, "late acceptance");
 }
 
-/// Users look at every job at all controllers within milliseconds of its acceptance, cancellation and end.
+/// Users poll every job at all controllers within milliseconds of its acceptance, cancellation and completion.
 #[test]
-fn close_looks_at_all_controllers_see_nothing_older() {
+fn frequent_polls_never_see_older_state() {
     for seed in 1..3 {
         let mut world = World::sized(seed, false, Size { machines: 24, ..Size::SMALL });
         world.poll_everything();
         world.query_repeatedly_until(Ms(90_000));
         world.keep_busy(Ms(60_000));
         world.run(Ms(60_000));
-        let most = world.most().expect("somebody holds machines");
-        world.crash(most, 4_000);
+        let busiest = world.most().expect("a controller owns machines");
+        world.crash(busiest, 4_000);
         world.run(Ms(100_000));
-        assert_well(&world, &format!("seed {seed}"));
+        assert_no_violations(&world, &format!("seed {seed}"));
         let cancelled = world.jobs.values().filter(|w| w.cancel_confirmed.is_some()).count();
         assert!(world.answers.looks > 500 && cancelled > 5, "{} {cancelled}", world.answers.looks);
     }
 }
 
-/// Each kind of change is carried out at once and its answer lost, while users ask, repeat the submission and cancel at
-/// all controllers.
+/// A change of each kind is executed at once and its reply is lost, while users poll, resubmit and cancel at all
+/// controllers.
 #[test]
-fn all_controllers_agree_on_a_transaction_whose_reply_was_lost() {
+fn lost_transaction_reply_keeps_controllers_consistent() {
     #[derive(Clone, Copy, Debug, PartialEq)]
-    enum Lost {
+    enum LostReply {
         Acceptance,
         Claim,
         Cancellation,
         End,
     }
-    for (seed, lost) in
-        [Lost::Acceptance, Lost::Claim, Lost::Cancellation, Lost::End].into_iter().enumerate()
+    for (seed, lost_reply) in
+        [LostReply::Acceptance, LostReply::Claim, LostReply::Cancellation, LostReply::End]
+            .into_iter()
+            .enumerate()
     {
         for cancelled in [false, true] {
-            let what = format!("{lost:?}, cancelled: {cancelled}");
-            let mut world = ready(seed as u64 + 3);
+            let what = format!("{lost_reply:?}, cancelled: {cancelled}");
+            let mut world = ready_region(seed as u64 + 3);
             let spec = plain(&mut world, 1, if cancelled { 40.0 } else { 8.0 });
             let job = spec.id.clone();
-            let held = match lost {
-                Lost::Acceptance => {
+            let held = match lost_reply {
+                LostReply::Acceptance => {
                     world.submit(1, spec);
-                    hold(&mut world, &what, |_, r| writes(r, Purpose::Submit))
+                    hold_request(&mut world, &what, |_, r| has_purpose(r, Purpose::Submit))
                 }
-                Lost::Claim => {
+                LostReply::Claim => {
                     world.submit(1, spec);
-                    hold(&mut world, &what, |_, r| claims(r, &job))
+                    hold_request(&mut world, &what, |_, r| claims_tasks(r, &job))
                 }
-                Lost::Cancellation => {
-                    started(&mut world, spec, 1);
+                LostReply::Cancellation => {
+                    submit_and_await_start(&mut world, spec, 1);
                     cancel(&mut world, 1, &job);
-                    hold(&mut world, &what, |_, r| cancels(r, &job))
+                    hold_request(&mut world, &what, |_, r| cancels_job(r, &job))
                 }
-                Lost::End => {
-                    started(&mut world, spec, 1);
-                    hold(&mut world, &what, |_, r| writes(r, Purpose::Archive))
+                LostReply::End => {
+                    submit_and_await_start(&mut world, spec, 1);
+                    hold_request(&mut world, &what, |_, r| has_purpose(r, Purpose::Archive))
                 }
             };
-            lose_answer(&mut world, held);
+            execute_and_lose_reply(&mut world, held);
             query_everywhere(&mut world, &job, 400);
             if cancelled {
                 (0..CONTROLLERS).for_each(|controller| cancel(&mut world, controller, &job));
@@ -269,16 +281,17 @@
             query_everywhere(&mut world, &job, 3_000);
             ends_well_asked(&mut world, 60_000, &what);
             let end = world.jobs[&job].answered_state;
-            let by_user = lost == Lost::Cancellation || cancelled && lost != Lost::End;
+            let by_user =
+                lost_reply == LostReply::Cancellation || cancelled && lost_reply != LostReply::End;
             let expected = if by_user { JobState::Aborted } else { JobState::Done };
             assert_eq!(end, Some(expected), "{what}");
         }
     }
 }
 
-/// A share of all answers is lost while jobs come, run and are cancelled.
+/// A quarter of all store replies is lost while jobs are submitted, run and are cancelled.
 #[test]
-fn days_of_lost_answers() {
+fn lost_replies_keep_answers_consistent() {
     for seed in 1..3 {
         let mut world = World::sized(seed, false, Size { machines: 24, ..Size::SMALL });
         world.poll_everything();
@@ -286,24 +299,24 @@
         world.lose_answers(0.25, Ms(70_000));
         world.keep_busy(Ms(70_000));
         world.run(Ms(130_000));
-        assert_well(&world, &format!("seed {seed}"));
+        assert_no_violations(&world, &format!("seed {seed}"));
         assert!(world.answers.lost_answers > 40, "{}", world.answers.lost_answers);
     }
 }
 
-/// The end of a job's last task and its cancellation are on their way at the same time, in both orders. Whichever comes
-/// first is the outcome for all, for good.
+/// The completion of a job's last task and its cancellation are in flight at the same time, in both orders. The one that
+/// is executed first is the permanent outcome at all controllers.
 #[test]
-fn a_cancellation_that_meets_the_last_end_has_one_outcome() {
+fn cancellation_racing_completion_has_one_outcome() {
     for end_first in [false, true] {
         let what = format!("end first: {end_first}");
-        let mut world = ready(8);
+        let mut world = ready_region(8);
         let spec = plain(&mut world, 1, 6.0);
-        let job = started(&mut world, spec, 1);
-        let end = hold(&mut world, &what, |_, r| writes(r, Purpose::Archive));
+        let job = submit_and_await_start(&mut world, spec, 1);
+        let end = hold_request(&mut world, &what, |_, r| has_purpose(r, Purpose::Archive));
         let other = (end.0.controller + 1) % CONTROLLERS;
         cancel(&mut world, other, &job);
-        let cancelled = hold(&mut world, &what, |n, r| n == other && cancels(r, &job));
+        let cancelled = hold_request(&mut world, &what, |n, r| n == other && cancels_job(r, &job));
         let (first, second) = if end_first { (end, cancelled) } else { (cancelled, end) };
         world.handle_event(first.1);
         query_everywhere(&mut world, &job, 200);
@@ -316,14 +329,14 @@
     }
 }
 
-/// Whenever a user cancels around the last end, at whichever controller, all tell the same from then on.
+/// A user cancels a job at various delays after its last task ended: all controllers give the same answer from then on.
 #[test]
-fn whenever_a_job_is_cancelled_around_its_end_all_tell_the_same() {
+fn cancellation_near_completion_gives_consistent_answers() {
     let mut ends = [0, 0];
     for after_ms in [0, 3, 10, 25, 60, 120, 250, 500, 900] {
-        let mut world = ready(9 + after_ms);
+        let mut world = ready_region(9 + after_ms);
         let spec = plain(&mut world, 2, 5.0);
-        let job = started(&mut world, spec, 0);
+        let job = submit_and_await_start(&mut world, spec, 0);
         while world.jobs[&job].done.len() < 2 {
             run_for(&mut world, 1);
         }
@@ -342,16 +355,17 @@
     assert!(ends[0] > 0 && ends[1] > 0, "aborted and done: {ends:?}");
 }
 
-/// Users cancel what runs under a controller just before, while and after its pools are assigned to others; nothing of it
-/// is ordered by either one once they were told, beyond what was on its way.
+/// Users cancel jobs that run in a controller's pools just before, during and after the assignment of these pools to other
+/// controllers. Once a cancellation is confirmed, neither owner may start tasks of the job, except for commands that were
+/// already in flight.
 #[test]
-fn cancellations_while_pools_change_hands() {
-    for (seed, loss) in [Loss::Ends(8_000), Loss::Refused(20_000), Loss::Apart(25_000, false)]
+fn cancellations_hold_during_pool_reassignment() {
+    for (seed, loss) in [Loss::Ends(8_000), Loss::Refused(20_000), Loss::Isolated(25_000, false)]
         .into_iter()
         .enumerate()
     {
         for after_ms in [0, 400, 1_500, 4_000] {
-            let what = format!("{loss:?}, {after_ms} ms after the dealing");
+            let what = format!("{loss:?}, {after_ms} ms after the assignment");
             let mut world = region(20 + seed as u64, 24);
             world.run(Ms(4_000));
             let jobs: Vec<JobId> = (0..6)
@@ -362,43 +376,44 @@
                 })
                 .collect();
             run_for(&mut world, 20_000);
-            let owner = world.most().expect("somebody holds machines");
+            let owner = world.most().expect("a controller owns machines");
             loss.befall(&mut world, owner);
-            // The assigning itself is on its way when the first are cancelled.
-            let deal =
-                hold(&mut world, &what, |n, r| n != owner && writes(r, Purpose::PoolAssignment));
+            // The assignment is still in flight when the first jobs are cancelled.
+            let assignment = hold_request(&mut world, &what, |n, r| {
+                n != owner && has_purpose(r, Purpose::PoolAssignment)
+            });
             let others: Vec<usize> = (0..CONTROLLERS).filter(|n| *n != owner).collect();
             for (n, job) in jobs[..3].iter().enumerate() {
                 cancel(&mut world, others[n % 2], job);
             }
             run_for(&mut world, 300);
-            world.handle_event(deal.1);
+            world.handle_event(assignment.1);
             run_for(&mut world, after_ms);
             for (n, job) in jobs[3..].iter().enumerate() {
                 cancel(&mut world, others[n % 2], job);
             }
             asking(&mut world, 60_000);
-            assert_well(&world, &what);
-            assert!(world.running.is_empty(), "{what}: {} run", world.running.len());
-            let told = |j: &&JobId| world.jobs[*j].answered_state == Some(JobState::Aborted);
-            assert_eq!(jobs.iter().filter(told).count(), jobs.len(), "{what}");
+            assert_no_violations(&world, &what);
+            assert!(world.running.is_empty(), "{what}: {} tasks run", world.running.len());
+            let is_aborted = |j: &&JobId| world.jobs[*j].answered_state == Some(JobState::Aborted);
+            assert_eq!(jobs.iter().filter(is_aborted).count(), jobs.len(), "{what}");
         }
     }
 }
 
-/// Jobs that can't run are refused by every controller, 503 by one that does not know the machine types, and what was
-/// accepted is never refused.
+/// Jobs that fit no machine type are refused by every controller. A controller that does not know the machine types
+/// answers 503. An accepted job is never refused later.
 #[test]
-fn odd_requests_are_refused_by_every_controller() {
+fn invalid_requests_are_refused_by_every_controller() {
     let mut world = World::sized(40, false, Size { machines: 24, ..Size::SMALL });
     world.poll_everything();
     world.odd_requests(Ms(60_000));
     world.keep_busy(Ms(60_000));
     world.run(Ms(20_000));
-    // A controller that comes back while the cloud says nothing, and one that hears of no types, can't decide.
-    for (controller, off, at) in [(0, true, 20_000), (1, false, 35_000)] {
+    // A controller that restarts while the cloud API is unavailable, or lists no types, can't decide.
+    for (controller, cloud_off, at) in [(0, true, 20_000), (1, false, 35_000)] {
         let types = world.cloud.types.clone();
-        match off {
+        match cloud_off {
             true => world.cloud_off = true,
             false => world.cloud.types.clear(),
         }
@@ -410,65 +425,69 @@
         let possible = plain(&mut world, 1, 5.0);
         let job = world.submit(controller, possible);
         run_for(&mut world, 1_000);
-        assert_eq!(world.answers.last.get(&impossible), Some(&(503, None)), "off: {off}");
-        assert!(!world.jobs[&job].accepted, "off: {off}");
+        assert_eq!(
+            world.answers.last.get(&impossible),
+            Some(&(503, None)),
+            "cloud off: {cloud_off}"
+        );
+        assert!(!world.jobs[&job].accepted, "cloud off: {cloud_off}");
         (world.cloud_off, world.cloud.types) = (false, types);
         run_for(&mut world, 5_000);
     }
     world.run(Ms(62_000));
-    assert_well(&world, "odd requests");
+    assert_no_violations(&world, "invalid requests");
     let refused = world.answers.odd_answers.get(&422).copied().unwrap_or_default();
     assert!(refused > 10 && world.answers.malformed > 10, "{:?}", world.answers.odd_answers);
 }
 
-/// What was accepted is never refused: also not, while it runs or after its end, by a controller that came when the cloud
+/// An accepted job is never refused, neither while it runs nor after its end, by a controller that restarted when the cloud
 /// no longer listed the only machine type that fits.
 #[test]
-fn what_was_accepted_is_known_where_it_seems_impossible() {
-    let only_other = |world: &mut World| {
+fn accepted_job_survives_machine_type_removal() {
+    let requiring_other_type = |world: &mut World| {
         let mut spec = plain(world, 1, 8.0);
         spec.types = Some(vec![TypeId::new("other")]);
         spec
     };
-    let newcomer = 2;
-    // Just accepted, and not read yet there.
-    let mut world = ready(41);
+    let restarted = 2;
+    // The job was just accepted, and the restarted controller has not read it yet.
+    let mut world = ready_region(41);
     world.cloud.types.retain(|t| t.name != TypeId::new("other"));
-    world.crash(newcomer, 200);
+    world.crash(restarted, 200);
     run_for(&mut world, 4_000);
-    let spec = only_other(&mut world);
+    let spec = requiring_other_type(&mut world);
     let job = world.submit(0, spec);
     run_for(&mut world, 60);
     assert!(world.jobs[&job].accepted);
     world.answers.last.clear();
-    world.submit_again(newcomer, &job);
+    world.submit_again(restarted, &job);
     run_for(&mut world, 1_000);
     assert_eq!(world.answers.last.get(&job), Some(&(200, Some(JobState::Queued))));
-    assert_well(&world, "just accepted");
-    // While it runs, and after its end.
-    let mut world = ready(41);
-    let spec = only_other(&mut world);
-    let job = started(&mut world, spec, 0);
+    assert_no_violations(&world, "just accepted");
+    // Resubmitted while the job runs, and after its end.
+    let mut world = ready_region(41);
+    let spec = requiring_other_type(&mut world);
+    let job = submit_and_await_start(&mut world, spec, 0);
     let owner = owner(&world, &world.running.values().next().expect("it runs").clone());
-    let newcomer = (owner.expect("held") + 1) % CONTROLLERS;
+    let restarted = (owner.expect("held") + 1) % CONTROLLERS;
     world.cloud.types.retain(|t| t.name != TypeId::new("other"));
     for state in [JobState::Running, JobState::Done] {
-        world.crash(newcomer, 200);
+        world.crash(restarted, 200);
         run_for(&mut world, 4_000);
         world.answers.last.clear();
-        world.submit_again(newcomer, &job);
+        world.submit_again(restarted, &job);
         run_for(&mut world, 1_000);
         assert_eq!(world.answers.last.get(&job), Some(&(200, Some(state))));
         ends_well(&mut world, 30_000, "accepted");
     }
-    assert_well(&world, "accepted");
+    assert_no_violations(&world, "accepted");
 }
 
-/// The state service is slow, then refuses the controller with most machines, then everybody for longer than a
-/// cancellation may take. Users cancel, through the others, what runs under it, while controllers do not hear of each other,
-/// and ask everywhere.
+/// The state service is slow, then refuses the controller with the most machines, then all controllers for longer than a
+/// cancellation may take. Users cancel the jobs on that controller's machines through the other controllers and poll at all
+/// of them, while the controllers can't reach each other.
 #[test]
-fn cancellations_and_questions_while_the_state_service_is_slow_and_then_away() {
+fn cancellations_hold_during_slow_then_unavailable_store() {
     for seed in 1..3 {
         let mut world = World::sized(50 + seed, false, Size { machines: 24, ..Size::SMALL });
         world.poll_everything();
@@ -484,38 +503,40 @@
         world.query_repeatedly_until(Ms(120_000));
         world.cancel_at_end(0.5, Ms(120_000));
         world.run(Ms(40_000));
-        let most = world.most().expect("somebody holds machines");
+        let busiest = world.most().expect("a controller owns machines");
         world.mesh_off = true;
         let outage_ms = world.size.cancel_ms + 15_000;
-        world.refused_then_outage(most, 1_800, outage_ms);
-        let holds = |m: &&MachineId| owner(&world, m) == Some(most);
-        let on: BTreeSet<MachineId> = world.running.values().filter(holds).cloned().collect();
+        world.refused_then_outage(busiest, 1_800, outage_ms);
+        let is_owned = |m: &&MachineId| owner(&world, m) == Some(busiest);
+        let busy_machines: BTreeSet<MachineId> =
+            world.running.values().filter(is_owned).cloned().collect();
         let jobs: BTreeSet<JobId> = world
             .running
             .iter()
-            .filter(|(_, m)| on.contains(m))
+            .filter(|(_, m)| busy_machines.contains(m))
             .map(|(task, _)| task.job.clone())
             .collect();
         for (n, job) in jobs.iter().enumerate() {
-            cancel(&mut world, (most + 1 + n % 2) % CONTROLLERS, job);
+            cancel(&mut world, (busiest + 1 + n % 2) % CONTROLLERS, job);
         }
         run_for(&mut world, 1_800);
-        let told = jobs.iter().filter(|j| world.jobs[*j].cancel_confirmed.is_some()).count();
-        assert!(told > 3, "seed {seed}: {told} of {} told", jobs.len());
+        let confirmed = jobs.iter().filter(|j| world.jobs[*j].cancel_confirmed.is_some()).count();
+        assert!(confirmed > 3, "seed {seed}: {confirmed} of {} confirmed", jobs.len());
         world.run(Ms(180_000));
-        assert_well(&world, &format!("seed {seed}"));
+        assert_no_violations(&world, &format!("seed {seed}"));
     }
 }
 
-/// Amounts as large as a submission may have, in all its fields that are no part of a machine.
+/// Jobs with the largest accepted amount in every field that does not describe machine resources do not block other jobs.
 #[test]
-fn enormous_amounts_stop_nobody() {
-    let mut world = ready(60);
-    let most = job::MAX_AMOUNT;
+fn maximum_amounts_do_not_block_scheduling() {
+    let mut world = ready_region(60);
+    let max_amount = job::MAX_AMOUNT;
     for n in 0..6 {
-        let mut spec = plain(&mut world, 3, most);
-        (spec.save_s, spec.deadline_s) = (most, Some(most));
-        (spec.checkpoint_s, spec.image_gb) = ([0.0, most][n % 2], [0.5, most][n / 2 % 2]);
+        let mut spec = plain(&mut world, 3, max_amount);
+        (spec.save_s, spec.deadline_s) = (max_amount, Some(max_amount));
+        (spec.checkpoint_s, spec.image_gb) =
+            ([0.0, max_amount][n % 2], [0.5, max_amount][n / 2 % 2]);
         let body = serde_json::to_vec(&spec).expect("a job");
         assert!(JobSpec::from_json(&body).is_ok());
         world.submit(n % CONTROLLERS, spec);
@@ -527,70 +548,80 @@
     let others: Vec<JobId> = world.jobs.keys().filter(|id| **id != job).cloned().collect();
     assert!(others.iter().all(|id| world.jobs[id].accepted));
     others.iter().for_each(|id| cancel(&mut world, 0, id));
-    ends_well_asked(&mut world, 60_000, "enormous");
+    ends_well_asked(&mut world, 60_000, "maximum amounts");
 }
 
 /// A user counts an acceptance or a cancellation as prompt within this time.
 const PROMPT_MS: u64 = 1_000;
 
-/// What happens to a transaction whose answer is missing.
+/// What happens to a transaction whose reply is lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
-    /// It was carried out at once.
-    Done,
-    /// It is carried out seconds later, after others.
-    Late,
-    Never,
-}
-
-const FATES: [Fate; 3] = [Fate::Done, Fate::Late, Fate::Never];
-
-/// Loses the answer to a held call, whatever else becomes of it.
-fn befall(world: &mut World, fate: Fate, held: (Call, SimulationEvent)) -> Option<SimulationEvent> {
-    if fate == Fate::Done {
-        lose_answer(world, held);
+enum TransactionOutcome {
+    /// Executed at once.
+    Executed,
+    /// Executed seconds later, after other transactions.
+    ExecutedLate,
+    NotExecuted,
+}
+
+const TRANSACTION_OUTCOMES: [TransactionOutcome; 3] = [
+    TransactionOutcome::Executed,
+    TransactionOutcome::ExecutedLate,
+    TransactionOutcome::NotExecuted,
+];
+
+/// Loses the reply to a held request. Returns the request if it is to be executed later.
+fn lose_reply(
+    world: &mut World,
+    outcome: TransactionOutcome,
+    held: (InFlightRequest, SimulationEvent),
+) -> Option<SimulationEvent> {
+    if outcome == TransactionOutcome::Executed {
+        execute_and_lose_reply(world, held);
         return None;
     }
-    let (call, event) = held;
-    let unknown = Box::new(Event::Store { op: call.op, reply: StoreReply::Unknown });
+    let (request, event) = held;
+    let unknown = Box::new(Event::Store { op: request.op, reply: StoreReply::Unknown });
     world.at(
         1_500,
-        SimulationEvent::Controller(call.controller, world.lives[call.controller], unknown),
+        SimulationEvent::Controller(request.controller, world.lives[request.controller], unknown),
     );
-    Some(event).filter(|_| fate == Fate::Late)
+    Some(event).filter(|_| outcome == TransactionOutcome::ExecutedLate)
 }
 
-/// Nobody asks again: the one who submitted, or cancelled, is told within the second, and the job begins in time.
+/// Without any repeated request, the submission and the cancellation are answered within a second, and the job starts in
+/// time.
 #[test]
-fn a_missing_answer_is_made_up_for_within_a_second() {
-    for (seed, fate) in FATES.into_iter().enumerate() {
-        let what = format!("{fate:?}");
-        let mut world = ready(70 + seed as u64);
-        // Machines are there, so that a start waits for nothing but claims.
+fn missing_store_reply_is_resolved_within_second() {
+    for (seed, outcome) in TRANSACTION_OUTCOMES.into_iter().enumerate() {
+        let what = format!("{outcome:?}");
+        let mut world = ready_region(70 + seed as u64);
+        // Machines are already running, so that a start waits only for its claim.
         let mut spec = plain(&mut world, 4, 60.0);
         spec.cpus = 0.5;
-        started(&mut world, spec, 0);
+        submit_and_await_start(&mut world, spec, 0);
         run_for(&mut world, 10_000);
         let mut spec = plain(&mut world, 1, 300.0);
         spec.cpus = 0.5;
         let job = world.submit(1, spec);
         let submitted = world.now;
-        let held = hold(&mut world, &what, |_, r| writes(r, Purpose::Submit));
-        let mut late: Vec<SimulationEvent> = befall(&mut world, fate, held).into_iter().collect();
+        let held = hold_request(&mut world, &what, |_, r| has_purpose(r, Purpose::Submit));
+        let mut late: Vec<SimulationEvent> =
+            lose_reply(&mut world, outcome, held).into_iter().collect();
         world.run(submitted.plus(PROMPT_MS));
         assert!(world.jobs[&job].accepted, "{what}: accepted");
         if !world.running.keys().any(|t| t.job == job) {
-            if let Some(claim) = call(&world, |_, r| claims(r, &job)) {
-                let event = world.events.remove(&claim.number).expect("just seen");
-                late.extend(befall(&mut world, fate, (claim, event)));
+            if let Some(claim) = find_in_flight(&world, |_, r| claims_tasks(r, &job)) {
+                let event = world.events.remove(&claim.event_number).expect("found above");
+                late.extend(lose_reply(&mut world, outcome, (claim, event)));
             }
         }
         run_for(&mut world, 5_000);
         assert!(world.running.keys().any(|t| t.job == job), "{what}: runs");
         cancel(&mut world, 2, &job);
         let asked = world.now;
-        let held = hold(&mut world, &what, |_, r| cancels(r, &job));
-        late.extend(befall(&mut world, fate, held));
+        let held = hold_request(&mut world, &what, |_, r| cancels_job(r, &job));
+        late.extend(lose_reply(&mut world, outcome, held));
         world.run(asked.plus(PROMPT_MS));
         assert_eq!(world.jobs[&job].answered_state, Some(JobState::Aborted), "{what}: cancelled");
         late.into_iter().for_each(|event| world.handle_event(event));
@@ -599,31 +630,34 @@
     }
 }
 
-/// Users submit and cancel for ninety seconds while a share of answers is lost, or the service is slow. Of the jobs that
-/// were submitted in that time, how many were accepted within a second; changes and calls of the day.
-fn measured(seed: u64, lost: f64, slow_ms: u64) -> (f64, usize, u64) {
+/// Users submit and cancel for ninety seconds while a share of the store replies is lost or the store is slow. Returns
+/// which share of the jobs submitted in that time was accepted within a second, and the numbers of store changes and
+/// requests of the whole run.
+fn measure_prompt_acceptance(seed: u64, lost_share: f64, slow_ms: u64) -> (f64, usize, u64) {
     let mut world = World::sized(seed, false, Size { machines: 24, ..Size::SMALL });
     world.poll_everything();
     world.keep_busy(Ms(110_000));
     world.run(Ms(15_000));
-    if lost > 0.0 {
-        world.lose_answers(lost, Ms(105_000));
+    if lost_share > 0.0 {
+        world.lose_answers(lost_share, Ms(105_000));
     }
     if slow_ms > 0 {
         world.slow(slow_ms, Ms(105_000));
     }
     world.run(Ms(125_000));
-    assert_well(&world, &format!("seed {seed}, lost {lost}, slow {slow_ms}"));
+    assert_no_violations(&world, &format!("seed {seed}, lost {lost_share}, slow {slow_ms}"));
     let (all, prompt) = world.accepted_within(PROMPT_MS, Ms(15_000), Ms(105_000));
     let changes = world.changes.iter().map(|c| c.1).sum();
     (prompt as f64 / all as f64, changes, world.answers.store_calls)
 }
 
 #[test]
-fn submissions_are_accepted_within_a_second_while_a_quarter_of_answers_is_lost() {
+fn submissions_are_prompt_despite_lost_replies() {
     for seed in 80..83 {
-        let (prompt, changes, calls) = measured(seed, 0.25, 0);
-        println!("seed {seed}: {prompt:.3} within a second, {changes} changes, {calls} calls");
+        let (prompt, changes, requests) = measure_prompt_acceptance(seed, 0.25, 0);
+        println!(
+            "seed {seed}: {prompt:.3} within a second, {changes} changes, {requests} requests"
+        );
         assert!(prompt >= 0.95, "seed {seed}: {prompt:.3}");
     }
 }
--- a/crates/cleatfold-control/tests/scenario/mod.rs
+++ b/crates/cleatfold-control/tests/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of meeting troubles share.
+//! Helpers shared by the tests of combined faults.
 
 #![allow(dead_code)]
 
@@ -6,13 +6,14 @@
 use cleatfold_wire::job::{JobSpec, Kind, Urgency};
 use cleatfold_wire::*;
 
-/// A quiet region in which every job is asked about until it ends.
+/// A region without faults or users of its own, in which each job is polled until it ends.
 pub(crate) fn region(seed: u64, machines: usize) -> World {
     let mut world = World::sized(seed, false, Size { most_jobs: 0, machines, ..Size::SMALL });
     world.poll_everything();
     world
 }
 
+/// Returns a job of team `free` with small tasks and no placement constraints.
 pub(crate) fn plain(world: &mut World, tasks: u32, estimate_s: f64) -> JobSpec {
     let mut spec = world.some_job();
     (spec.team, spec.urgency, spec.kind) = (TeamId::new("free"), Urgency::Normal, Kind::Array);
@@ -22,12 +23,13 @@
     spec
 }
 
+/// Runs the simulation for so many milliseconds.
 pub(crate) fn run_for(world: &mut World, ms: u64) {
     let now = world.now;
     world.run(now.plus(ms));
 }
 
-/// Cancels the job at a controller.
+/// Sends a cancellation of the job to a controller.
 pub(crate) fn cancel(world: &mut World, controller: usize, job: &JobId) {
     use cleatfold_control::Request;
     use cleatfold_testbed::world::Asked;
@@ -35,7 +37,7 @@
     world.ask(controller, Asked::Withdraw(job.clone()), Request::Withdraw(job.clone()));
 }
 
-/// Everything accepted comes to its end, and no rule was broken on the way.
+/// Checks that all accepted jobs end within `by_ms` and that no invariant is violated.
 pub(crate) fn ends_well(world: &mut World, by_ms: u64, what: &str) {
     let until = world.now.plus(by_ms);
     while world.now < until && !world.unfinished().is_empty() && world.broken.is_empty() {
@@ -45,21 +47,21 @@
     assert_eq!(world.unfinished(), Vec::<JobId>::new(), "{what}");
 }
 
-/// What befalls an owner of pools.
+/// A fault of a controller that owns pools. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Loss {
-    /// Its process ends and is back so much later.
+    /// The process crashes and restarts after this time.
     Ends(u64),
-    /// It alone is refused by the state service; its process lives on.
+    /// The state service refuses only this controller; its process continues.
     Refused(u64),
-    /// It has neither the state service nor its peers, its calls refused or held.
-    Apart(u64, bool),
-    /// It stands still.
-    Still(u64),
-    /// It is cut off from everything, packets held.
+    /// The controller reaches neither the state service nor its peers; its packets are held or refused.
+    Isolated(u64, bool),
+    /// The process is frozen.
+    Frozen(u64),
+    /// The controller is cut off from all other processes; its packets are held.
     Cut(u64),
-    /// All end, one is back at once, the others so much later.
-    AllEnd(u64),
+    /// All controllers crash. This one restarts after 200 ms, the others after this time.
+    AllCrash(u64),
 }
 
 impl Loss {
@@ -68,22 +70,23 @@
         Loss::Ends(8_000),
         Loss::Refused(6_000),
         Loss::Refused(20_000),
-        Loss::Apart(9_000, true),
-        Loss::Apart(25_000, false),
-        Loss::Still(7_000),
+        Loss::Isolated(9_000, true),
+        Loss::Isolated(25_000, false),
+        Loss::Frozen(7_000),
         Loss::Cut(12_000),
-        Loss::AllEnd(7_000),
+        Loss::AllCrash(7_000),
     ];
 
+    /// Injects this fault at a controller.
     pub(crate) fn befall(self, world: &mut World, controller: usize) {
         let now = world.now;
         match self {
-            Loss::Ends(back) => world.crash(controller, back),
+            Loss::Ends(restart_ms) => world.crash(controller, restart_ms),
             Loss::Refused(ms) => world.store_cut[controller] = now.plus(ms),
-            Loss::Apart(ms, held) => world.set_apart(controller, now.plus(ms), held),
-            Loss::Still(ms) => world.freeze(controller, ms),
+            Loss::Isolated(ms, held) => world.set_apart(controller, now.plus(ms), held),
+            Loss::Frozen(ms) => world.freeze(controller, ms),
             Loss::Cut(ms) => world.cut[controller] = now.plus(ms),
-            Loss::AllEnd(ms) => {
+            Loss::AllCrash(ms) => {
                 for i in 0..world.controllers.len() {
                     world.crash(i, if i == controller { 200 } else { ms });
                 }
@@ -92,7 +95,7 @@
     }
 }
 
-/// Runs on while users ask at every controller each second.
+/// Runs the simulation while users poll all jobs at every controller once per second.
 pub(crate) fn asking(world: &mut World, ms: u64) {
     let until = world.now.plus(ms);
     while world.now < until && world.broken.is_empty() {
@@ -101,6 +104,8 @@
     }
 }
 
+/// Checks the same as [`ends_well`] while users poll at every controller, and that each accepted job's final state was
+/// reported to a user.
 pub(crate) fn ends_well_asked(world: &mut World, by_ms: u64, what: &str) {
     let until = world.now.plus(by_ms);
     while world.now < until && !world.unfinished().is_empty() && world.broken.is_empty() {
@@ -111,12 +116,12 @@
     assert_eq!(world.unfinished(), Vec::<JobId>::new(), "{what}");
     for (job, watch) in &world.jobs {
         use cleatfold_wire::job::JobState;
-        let told = watch.answered_state.is_some_and(JobState::is_final);
-        assert!(told || !watch.accepted, "{what}: {job} has ended and nobody was told");
+        let reported = watch.answered_state.is_some_and(JobState::is_final);
+        assert!(reported || !watch.accepted, "{what}: the end of {job} was not reported");
     }
 }
 
-/// Whoever holds the pool of the machine.
+/// Returns the controller that owns the machine's pool.
 pub(crate) fn owner(world: &World, machine: &MachineId) -> Option<usize> {
     world.holder(&world.pool_of(machine)?)
 }
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -1,4 +1,4 @@
-//! Teams' workspaces while their keepers are killed, frozen, cut off and replaced.
+//! Team workspaces while their owners are killed, frozen, partitioned and replaced.
 
 use cleatfold_control::records::*;
 use cleatfold_control::{
@@ -15,12 +15,12 @@
 
 const TEAMS: [&str; 2] = ["free", "tight"];
 
-/// Many small jobs, so that groups fill.
-const BUSY: Size =
+/// Many small jobs, so that history groups fill up.
+const MANY_SMALL_JOBS: Size =
     Size { machines: 30, most_jobs: 700, tasks: (1, 3), pause_ms: 130, ..Size::SMALL };
 
-/// The plain model: the team's ended jobs in the order of the revisions that ended them.
-fn model(world: &World, team: &str) -> Vec<(Version, JobId)> {
+/// The reference model: the team's ended jobs in the order of the revisions that ended them.
+fn ended_jobs(world: &World, team: &str) -> Vec<(Version, JobId)> {
     let items = world.store.list(ARCHIVE_PREFIX, None, usize::MAX - 1).items;
     let mut all: Vec<(Version, JobId)> = items
         .iter()
@@ -34,33 +34,33 @@
     all
 }
 
-fn head(world: &World, team: &str) -> HistoryHead {
+fn history_head(world: &World, team: &str) -> HistoryHead {
     let item = world.store.get(&history_head_key(&TeamId::new(team)));
-    item.map(|i| serde_json::from_str(i.value.get()).expect("a head")).unwrap_or_default()
+    item.map(|i| serde_json::from_str(i.value.get()).expect("a history head")).unwrap_or_default()
 }
 
-/// What stands in the groups is the model's beginning up to the head's revision: complete, in order,
-/// without doubles, whoever wrote it.
+/// Checks that the history groups equal the prefix of the model up to the head's revision: complete, in order and
+/// without duplicates, whichever controllers wrote them.
 fn check_groups(world: &World, team: &str) {
-    let head = head(world, team);
+    let head = history_head(world, team);
     let items = world.store.list(&history_prefix(&TeamId::new(team)), None, usize::MAX - 1).items;
     let mut written: Vec<JobId> = Vec::new();
     for item in items {
         let number: u64 = item.key.rsplit('/').next().unwrap().parse().unwrap();
-        assert_eq!(number, written.len() as u64, "{team}: groups follow one another");
+        assert_eq!(number, written.len() as u64, "{team}: groups are contiguous");
         let group: HistoryGroup = serde_json::from_str(item.value.get()).expect("a group");
         assert!(!group.entries.is_empty() && item.value.get().len() < 16 * 1024);
         written.extend(group.entries.into_iter().map(|e| e.job));
     }
     let upto = Version(head.upto);
-    let should: Vec<JobId> =
-        model(world, team).into_iter().filter(|(v, _)| *v <= upto).map(|(_, j)| j).collect();
-    assert_eq!(written, should, "{team} up to {upto}");
+    let expected: Vec<JobId> =
+        ended_jobs(world, team).into_iter().filter(|(v, _)| *v <= upto).map(|(_, j)| j).collect();
+    assert_eq!(written, expected, "{team} up to {upto}");
     assert_eq!(head.entries, written.len() as u64);
 }
 
-/// As a team asks: whoever is told to come back does.
-fn ask(
+/// Requests a view as a team's client does, retrying after the `retry-after` time of each 503 answer.
+fn request_view(
     world: &mut World,
     controller: usize,
     team: &str,
@@ -82,7 +82,7 @@
         match world.team_answer.take() {
             Some(Response::Refusal { code: 503, retry_after_s, .. }) => {
                 let now = world.now;
-                world.run(now.plus(1000 * u64::from(retry_after_s.expect("when to come back"))));
+                world.run(now.plus(1000 * u64::from(retry_after_s.expect("retry-after"))));
             }
             answer => return answer,
         }
@@ -90,11 +90,11 @@
     None
 }
 
-/// The whole history, page by page.
+/// Reads the whole history, page by page.
 fn history(world: &mut World, controller: usize, team: &str) -> Vec<EndedJob> {
     let (mut all, mut since) = (Vec::new(), 0);
     for _ in 0..500 {
-        let answer = ask(world, controller, team, WorkspaceView::History, since);
+        let answer = request_view(world, controller, team, WorkspaceView::History, since);
         let Some(Response::Workspace(WorkspaceContents::History(page))) = answer else {
             panic!("{team}: {answer:?}");
         };
@@ -106,20 +106,20 @@
             return all;
         }
     }
-    panic!("{team}: no end of pages");
+    panic!("{team}: the history does not end after 500 pages");
 }
 
 fn check_history(world: &mut World, controller: usize, team: &str) {
-    let before = model(world, team).len();
-    let told = history(world, controller, team);
-    assert!(told.len() >= before, "{team} at node {controller}: {} of {before}", told.len());
-    let numbers: Vec<u64> = told.iter().map(|e| e.number).collect();
-    assert_eq!(numbers, (0..told.len() as u64).collect::<Vec<_>>(), "dense");
-    // Some may have ended while it was read.
-    let should = model(world, team).into_iter().take(told.len());
-    let should: Vec<JobId> = should.map(|m| m.1).collect();
-    let ids: Vec<JobId> = told.into_iter().map(|e| e.id).collect();
-    assert_eq!(ids, should, "{team} at node {controller}");
+    let before = ended_jobs(world, team).len();
+    let entries = history(world, controller, team);
+    assert!(entries.len() >= before, "{team} at node {controller}: {} of {before}", entries.len());
+    let numbers: Vec<u64> = entries.iter().map(|e| e.number).collect();
+    assert_eq!(numbers, (0..entries.len() as u64).collect::<Vec<_>>(), "dense");
+    // More jobs may have ended while the history was read.
+    let expected = ended_jobs(world, team).into_iter().take(entries.len());
+    let expected: Vec<JobId> = expected.map(|m| m.1).collect();
+    let ids: Vec<JobId> = entries.into_iter().map(|e| e.id).collect();
+    assert_eq!(ids, expected, "{team} at node {controller}");
 }
 
 fn owner(world: &World, team: &str) -> Option<usize> {
@@ -128,13 +128,13 @@
     (0..CONTROLLERS).find(|i| controller_id(*i) == holder.owner)
 }
 
-/// Ordinary days of troubles, and the keepers themselves killed, frozen and cut off, packets held, again
-/// and again.
+/// In addition to the simulation's usual faults, the workspace owners are repeatedly killed, frozen, and cut off from the
+/// state service or from everything.
 #[test]
-fn histories_are_complete_and_without_doubles_through_every_hand_over() {
-    let mut owners = BTreeSet::new();
+fn histories_stay_complete_across_handovers() {
+    let mut ownerships = BTreeSet::new();
     for seed in 1..4 {
-        let mut world = World::sized(seed, seed % 2 == 0, BUSY);
+        let mut world = World::sized(seed, seed % 2 == 0, MANY_SMALL_JOBS);
         for second in 1..140u64 {
             world.run(Ms(second * 1000));
             if second % 7 == 0 && (10..110).contains(&second) {
@@ -153,7 +153,7 @@
                 if second % 7 == 2 {
                     check_groups(&world, team);
                 }
-                owners.extend(
+                ownerships.extend(
                     world
                         .store
                         .get(&workspace_key(&TeamId::new(team)))
@@ -161,8 +161,8 @@
                 );
             }
         }
-        let written: u64 = TEAMS.iter().map(|t| head(&world, t).entries).sum();
-        let ended: usize = TEAMS.iter().map(|t| model(&world, t).len()).sum();
+        let written: u64 = TEAMS.iter().map(|t| history_head(&world, t).entries).sum();
+        let ended: usize = TEAMS.iter().map(|t| ended_jobs(&world, t).len()).sum();
         assert!(ended > 150 && written as usize > ended / 2, "{written} of {ended}");
         for team in TEAMS {
             for controller in 0..CONTROLLERS {
@@ -171,46 +171,47 @@
         }
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
     }
-    assert!(owners.len() > 30, "only {} keepers", owners.len());
+    assert!(ownerships.len() > 30, "only {} ownerships", ownerships.len());
 }
 
-/// Changes to histories that are on their way now.
-fn writes(world: &World) -> Vec<u64> {
-    let heads = |t: &Txn| {
+/// Returns the event numbers of the history writes in flight.
+fn history_writes_in_flight(world: &World) -> Vec<u64> {
+    let writes_history = |t: &Txn| {
         let mut keys = t.changes.iter().filter_map(|c| c.put.as_deref());
         keys.any(|k| k.starts_with("cf/hist/"))
     };
-    let of = |event: &SimulationEvent| match event {
+    let is_history_write = |event: &SimulationEvent| match event {
         SimulationEvent::StoreRequest { request: StoreRequest::Txn(txn), answered, .. } => {
-            *answered && heads(txn)
+            *answered && writes_history(txn)
         }
         _ => false,
     };
-    world.events.iter().filter(|(_, e)| of(e)).map(|(n, _)| *n).collect()
+    world.events.iter().filter(|(_, e)| is_history_write(e)).map(|(n, _)| *n).collect()
 }
 
-/// Every second change to a history is held for longer than it takes to write the next ones, its outcome
-/// unknown; on some days its sender is killed at that moment. It arrives when others have been written.
-/// Seen to fail without the guard of the head's version (heads go back); not without the workspace's alone.
+/// Every second history write is delayed for 45 s, until later ones have been written; its sender learns that the outcome
+/// is unknown, and is killed at that moment if the seed is even. The delayed write must have no effect.
+/// Fails without the guard on the head's version (the head goes back); passes without only the guard on the workspace's
+/// version.
 #[test]
-fn a_change_that_arrives_late_changes_nothing() {
+fn late_history_write_is_rejected() {
     for seed in 71..73 {
-        let mut world = World::sized(seed, false, BUSY);
+        let mut world = World::sized(seed, false, MANY_SMALL_JOBS);
         let (mut seen, mut held) = (0, 0);
         while world.now < Ms(150_000) {
             let now = world.now;
             world.run(now.plus(2));
-            for number in writes(&world) {
+            for number in history_writes_in_flight(&world) {
                 seen += 1;
                 if seen % 2 == 0 || world.now > Ms(90_000) {
                     continue;
                 }
                 held += 1;
-                let nobody = SimulationEvent::Wake(MachineId::new("nobody"));
-                let event = world.events.insert(number, nobody).expect("on its way");
+                let no_op = SimulationEvent::Wake(MachineId::new("nobody"));
+                let event = world.events.insert(number, no_op).expect("in flight");
                 let SimulationEvent::StoreRequest { controller, life, op, request, .. } = event
                 else {
-                    unreachable!("looked for above")
+                    unreachable!("only store requests are selected")
                 };
                 let unknown = Event::Store { op, reply: StoreReply::Unknown };
                 world.at(1500, SimulationEvent::Controller(controller, life, Box::new(unknown)));
@@ -239,8 +240,8 @@
     }
 }
 
-/// Live jobs of a team in the store, by place.
-fn live(world: &World, team: &str) -> Vec<(u64, JobId)> {
+/// Returns a team's unfinished jobs in the store, in order of acceptance.
+fn unfinished_jobs(world: &World, team: &str) -> Vec<(u64, JobId)> {
     let items = world.store.list("cf/j/", None, usize::MAX - 1).items;
     let mut all: Vec<(u64, JobId)> = items
         .iter()
@@ -255,7 +256,7 @@
 }
 
 #[test]
-fn a_team_sees_its_own_jobs_and_no_others() {
+fn team_sees_only_its_own_jobs() {
     let mut world = World::sized(21, false, Size { most_jobs: 0, limit_cpus: 8.0, ..Size::SMALL });
     world.run(Ms(8000));
     let mut specs: Vec<JobSpec> = Vec::new();
@@ -274,23 +275,24 @@
     for team in TEAMS {
         let other: Vec<&JobId> =
             specs.iter().filter(|s| s.team.as_str() != team).map(|s| &s.id).collect();
-        let mut told = Vec::new();
+        let mut listed = Vec::new();
         let (mut since, mut pages) = (0, 0);
         loop {
-            let answer = ask(&mut world, pages % CONTROLLERS, team, WorkspaceView::Jobs, since);
+            let answer =
+                request_view(&mut world, pages % CONTROLLERS, team, WorkspaceView::Jobs, since);
             let Some(Response::Workspace(WorkspaceContents::Jobs(page))) = answer else {
                 panic!("{answer:?}")
             };
             let text = serde_json::to_string(&page).unwrap();
             assert!(text.len() <= 64 * 1024 && other.iter().all(|id| !text.contains(id.as_str())));
-            told.extend(page.jobs.into_iter().map(|j| (j.place, j.id)));
+            listed.extend(page.jobs.into_iter().map(|j| (j.place, j.id)));
             (since, pages) = (page.next, pages + 1);
             if !page.more {
                 break;
             }
         }
-        assert_eq!(told, live(&world, team), "by place, each once");
-        let answer = ask(&mut world, 0, team, WorkspaceView::Queue, 0);
+        assert_eq!(listed, unfinished_jobs(&world, team), "in order of acceptance, each once");
+        let answer = request_view(&mut world, 0, team, WorkspaceView::Queue, 0);
         let Some(Response::Workspace(WorkspaceContents::Queue(queue))) = answer else {
             panic!("{answer:?}")
         };
@@ -300,16 +302,16 @@
         assert!(queue.waiting.len() > 20 && ranks.len() + 1 >= queue.waiting.len());
         let limited = queue.waiting.iter().any(|w| w.holdup == Holdup::Limit);
         assert_eq!(limited, team == "tight");
-        // Urgent ones first: the order of planning, not of acceptance.
+        // Ranks follow the planning order, more urgent jobs first, not the order of acceptance.
         let mut by_rank: Vec<_> = queue.waiting.iter().filter(|w| w.rank.is_some()).collect();
         by_rank.sort_by_key(|w| w.rank);
         assert!(by_rank.windows(2).filter(|w| w[0].urgency > w[1].urgency).count() <= 2);
     }
-    let answer = ask(&mut world, 1, "nobody", WorkspaceView::Queue, 0);
+    let answer = request_view(&mut world, 1, "nobody", WorkspaceView::Queue, 0);
     assert!(matches!(answer, Some(Response::Refusal { code: 404, .. })), "{answer:?}");
     world.outage = Ms(world.now.0 + 600_000);
-    let answer = ask(&mut world, 1, "free", WorkspaceView::Jobs, 0);
-    assert!(answer.is_none(), "told to come back, each time: {answer:?}");
+    let answer = request_view(&mut world, 1, "free", WorkspaceView::Jobs, 0);
+    assert!(answer.is_none(), "expected only 503 answers: {answer:?}");
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
 }
 
@@ -320,46 +322,49 @@
     world.store.txn(&txn).expect("unguarded")
 }
 
-/// A head that a foreign hand has spoilt stops that team's history, and only that; nothing writes over it.
+/// A history head that was corrupted from outside stops the history of that team only, and is never overwritten.
 #[test]
-fn an_unreadable_record_affects_only_its_own_workspace() {
-    let mut world = World::sized(31, false, BUSY);
+fn unreadable_record_affects_only_its_workspace() {
+    let mut world = World::sized(31, false, MANY_SMALL_JOBS);
     world.run(Ms(40_000));
     let key = history_head_key(&TeamId::new("free"));
-    let good = world.store.get(&key).expect("written by now");
-    let spoilt = put(&mut world, &key, r#"{"f":"what"}"#);
-    let others = head(&world, "tight").upto;
+    let valid = world.store.get(&key).expect("written by now");
+    let corrupted = put(&mut world, &key, r#"{"f":"what"}"#);
+    let other_upto = history_head(&world, "tight").upto;
     for controller in 0..CONTROLLERS {
         world.at(2000 * (1 + controller as u64), SimulationEvent::Crash(controller));
     }
     world.run(Ms(100_000));
-    assert_eq!(world.store.get(&key).map(|i| i.version), Some(spoilt), "written over");
+    assert_eq!(world.store.get(&key).map(|i| i.version), Some(corrupted), "overwritten");
     world.keeps = 0;
     world.run(Ms(101_000));
     world.keeps = 10_000;
-    // A history is written in groups, when changes can be had: later rather than never.
-    while head(&world, "tight").upto <= others && world.now < Ms(135_000) {
+    // Histories are written in groups and only when the write budget allows it, so progress may be late.
+    while history_head(&world, "tight").upto <= other_upto && world.now < Ms(135_000) {
         let now = world.now;
         world.run(now.plus(1000));
     }
-    assert!(head(&world, "tight").upto > others, "another team's history stands still");
-    put(&mut world, &key, good.value.get());
+    assert!(
+        history_head(&world, "tight").upto > other_upto,
+        "another team's history makes no progress"
+    );
+    put(&mut world, &key, valid.value.get());
     world.run(Ms(150_000));
     for team in TEAMS {
         check_groups(&world, team);
         check_history(&mut world, 2, team);
     }
-    assert!(head(&world, "free").entries > 80);
+    assert!(history_head(&world, "free").entries > 80);
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
 }
 
-/// A store as an earlier version left it: ended jobs without a summary, live ones without a place, losses
-/// told by the holder of a role; and more changes since than the state service keeps. Controllers fall
-/// while it is carried over, under load.
+/// A store as an earlier version left it: ended jobs without a summary, unfinished ones without an acceptance revision,
+/// losses logged by the holder of a role; and more changes since then than the state service keeps. Controllers crash
+/// during the migration, which runs under load.
 #[test]
-fn a_store_of_an_earlier_version_is_carried_over() {
+fn store_of_earlier_version_is_migrated() {
     for seed in 41..43 {
-        let mut world = World::sized(seed, false, BUSY);
+        let mut world = World::sized(seed, false, MANY_SMALL_JOBS);
         for i in 0..500u32 {
             let team = TEAMS[(i % 2) as usize];
             let value = format!(r#"{{"e":"done","n":3,"q":"{team}"}}"#);
@@ -367,7 +372,7 @@
         }
         put(&mut world, "cf/loss/free", r#"{"n":4}"#);
         put(&mut world, "cf/duty/tell", r#"{"o":"n1","i":3}"#);
-        // As it was accepted and claimed in part by a life that is gone.
+        // A job that a former controller process accepted and partly claimed.
         let mut spec = world.some_job();
         (spec.team, spec.tasks, spec.one_zone, spec.spread) =
             (TeamId::new("free"), 2, false, false);
@@ -385,49 +390,59 @@
         world.run(Ms(130_000));
         for team in TEAMS {
             check_groups(&world, team);
-            assert!(head(&world, team).entries >= 240, "{}", head(&world, team).entries);
+            assert!(
+                history_head(&world, team).entries >= 240,
+                "{}",
+                history_head(&world, team).entries
+            );
             for controller in 0..CONTROLLERS {
                 check_history(&mut world, controller, team);
             }
         }
-        let told = history(&mut world, 0, "free");
-        let old = told.iter().find(|e| e.id.as_str() == "run-900000").expect("the oldest");
+        let entries = history(&mut world, 0, "free");
+        let old = entries.iter().find(|e| e.id.as_str() == "run-900000").expect("the oldest");
         assert_eq!((old.number, old.state, old.done), (0, JobState::Done, 3));
-        assert!(old.class.is_none() && old.ended_ms.is_none(), "only what is known is told");
-        let new = told.iter().find(|e| e.id == spec.id).expect("ended here");
+        assert!(old.class.is_none() && old.ended_ms.is_none(), "unknown fields are left out");
+        let new = entries.iter().find(|e| e.id == spec.id).expect("ended after the migration");
         assert!(new.ended_ms.is_some() && new.tasks == Some(2));
         assert!(world.store.get("cf/loss/free").is_some());
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
     }
 }
 
-/// Twelve teams' worth of changes in a region that takes few.
+/// Bounds the store changes for workspaces and histories per job, at a load of many jobs on a store with a low write rate.
 #[test]
-fn histories_cost_a_tenth_of_a_change_a_job() {
+fn histories_add_few_changes_per_job() {
     let mut world = World::sized(
         51,
         false,
         Size { tasks: (1, 8), most_jobs: 700, pause_ms: 130, ..Size::GROWN },
     );
     world.run(Ms(240_000));
-    let jobs: usize = TEAMS.iter().map(|t| model(&world, t).len()).sum();
-    let ours = |e: &cleatfold_wire::store::Event| {
+    let jobs: usize = TEAMS.iter().map(|t| ended_jobs(&world, t).len()).sum();
+    let is_workspace_change = |e: &cleatfold_wire::store::Event| {
         let key = e.put.as_ref().or(e.delete.as_ref()).expect("a key");
         ["cf/ws/", "cf/hist/", "hist/"].iter().any(|p| key.starts_with(p))
     };
-    let changes = world.store.changes("", Version(0)).events.iter().filter(|e| ours(e)).count();
+    let changes = world
+        .store
+        .changes("", Version(0))
+        .events
+        .iter()
+        .filter(|e| is_workspace_change(e))
+        .count();
     println!("{changes} changes for {jobs} jobs");
     assert!(jobs > 200 && (changes as f64) < 0.12 * jobs as f64, "{changes} for {jobs}");
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
 }
 
-/// Workspaces are spread over the controllers, none stands empty for long, and each goes back to its
-/// first controller when all is quiet.
+/// A workspace whose owner fails gets a new owner within the lease time and a short delay, and returns to its preferred
+/// controller once there are no faults.
 #[test]
-fn a_workspace_is_taken_soon_after_its_owner_failed() {
+fn workspace_is_taken_over_after_owner_failure() {
     let mut world = World::sized(61, false, Size { most_jobs: 0, ..Size::SMALL });
     world.run(Ms(200_000));
-    let first = |team: &str, world: &World| {
+    let preferred = |team: &str, world: &World| {
         let controllers: Vec<ControllerId> = (0..CONTROLLERS)
             .filter(|i| world.controllers[*i].is_some())
             .map(controller_id)
@@ -436,27 +451,32 @@
     };
     for round in 0..6 {
         let team = TEAMS[round % 2];
-        let controller = owner(&world, team).expect("kept");
+        let controller = owner(&world, team).expect("owned");
         assert_eq!(
             Some(controller_id(controller)),
-            first(team, &world),
-            "where it belongs once all is quiet"
+            preferred(team, &world),
+            "at its preferred controller when there are no faults"
         );
         let version = world.store.get(&workspace_key(&TeamId::new(team))).map(|i| i.version);
-        let fell = world.now;
+        let failed_at = world.now;
         match round % 3 {
             0 => world.crash(controller, 20_000),
-            1 => world.at(0, SimulationEvent::StoreCut { controller, until: fell.plus(20_000) }),
+            1 => {
+                world.at(0, SimulationEvent::StoreCut { controller, until: failed_at.plus(20_000) })
+            }
             _ => world.freeze(controller, 20_000),
         }
         while world.store.get(&workspace_key(&TeamId::new(team))).map(|i| i.version) == version {
             let now = world.now;
             world.run(now.plus(50));
-            assert!(world.now.since(fell) < 3000 + 100 + 2 * 400 + 1500, "{team} stood empty");
+            assert!(
+                world.now.since(failed_at) < 3000 + 100 + 2 * 400 + 1500,
+                "{team} has no owner"
+            );
         }
-        world.run(fell.plus(120_000));
+        world.run(failed_at.plus(120_000));
     }
     let written = world.store.changes("cf/ws/", Version(0)).events.len();
-    println!("{written} changes for 6 falls");
-    assert!(written <= 4 + 6 * 4, "{written} changes for 6 falls");
+    println!("{written} changes for 6 failures");
+    assert!(written <= 4 + 6 * 4, "{written} changes for 6 failures");
 }
