--- a/crates/cleatfold-control/tests/handovers.rs
+++ b/crates/cleatfold-control/tests/handovers.rs
@@ -1,4 +1,4 @@
-//! Two troubles at once: machines, commands and users while their controllers change.
+//! Faults of machines, commands and user requests combined with changes of pool ownership.
 
 mod scenario;
 
@@ -8,8 +8,8 @@
 use scenario::*;
 use std::collections::BTreeSet;
 
-/// A region whose machines run tasks for minutes.
-fn long_tasks(seed: u64) -> World {
+/// A region whose machines run tasks of 100 s.
+fn region_with_long_tasks(seed: u64) -> World {
     let mut world = region(seed, 18);
     world.run(Ms(4000));
     for _ in 0..4 {
@@ -22,12 +22,13 @@
     world
 }
 
-// ---- small jobs with ends far apart ----
+// ---- small jobs with different task durations ----
 
-/// Of two or three tasks one ends in seconds and the last after minutes, and the owner of the first one's
-/// machine changes once, twice or three times right around that end.
+/// The first task of each job ends in seconds, the last one after up to 90 s. The owner of the first task's machine fails
+/// once, twice or three times right after that end. Each task must be completed once, and all controllers must know each
+/// job throughout.
 #[test]
-fn small_jobs_whose_ends_lie_apart_are_done_once_and_known_throughout() {
+fn small_jobs_complete_once_across_handovers() {
     let mut seed = 0;
     for losses in 1..4usize {
         for (n, loss) in Loss::ALL.into_iter().enumerate() {
@@ -36,44 +37,47 @@
                 let after_ms = [0, 400, 1_300][(seed as usize + losses) % 3];
                 let mut world = region(seed, 12);
                 world.run(Ms(4000));
-                let mut ends = Vec::new();
-                for j in 0..6u32 {
-                    let tasks = 2 + j % 2;
+                let mut short_tasks = Vec::new();
+                for job_index in 0..6u32 {
+                    let tasks = 2 + job_index % 2;
                     let mut spec = plain(&mut world, tasks, 30.0);
                     spec.cpus = 3.0;
                     for ix in 0..tasks {
                         let task = TaskId { job: spec.id.clone(), ix: TaskIx(ix) };
-                        let run = [4_000, 25_000, 90_000][(3 - tasks + ix) as usize % 3];
-                        let run = if ix == 0 { 4_000 } else { run };
-                        world.fault_schedule.runs.insert(task, run + 150 * u64::from(j));
+                        let runs_ms = [4_000, 25_000, 90_000][(3 - tasks + ix) as usize % 3];
+                        let runs_ms = if ix == 0 { 4_000 } else { runs_ms };
+                        world
+                            .fault_schedule
+                            .runs
+                            .insert(task, runs_ms + 150 * u64::from(job_index));
                     }
-                    ends.push(TaskId { job: spec.id.clone(), ix: TaskIx(0) });
-                    world.submit(j as usize % CONTROLLERS, spec);
+                    short_tasks.push(TaskId { job: spec.id.clone(), ix: TaskIx(0) });
+                    world.submit(job_index as usize % CONTROLLERS, spec);
                 }
-                // Until the first of them has ended on its machine.
-                let first = |w: &World| {
-                    ends.iter().find(|t| w.jobs[&t.job].done.contains(&t.ix.0)).cloned()
+                // Runs until the first of these tasks has ended on its machine.
+                let first_ended = |w: &World| {
+                    short_tasks.iter().find(|t| w.jobs[&t.job].done.contains(&t.ix.0)).cloned()
                 };
-                let mut on = std::collections::BTreeMap::new();
-                while first(&world).is_none() && world.now < Ms(60_000) {
-                    on.extend(world.running.clone());
+                let mut machine_of_task = std::collections::BTreeMap::new();
+                while first_ended(&world).is_none() && world.now < Ms(60_000) {
+                    machine_of_task.extend(world.running.clone());
                     run_for(&mut world, 50);
                 }
                 let what = format!("seed {seed} {loss:?} x{losses} {after_ms} ms after the end");
-                let early = first(&world).expect("one ends");
-                let machine = on[&early].clone();
+                let early = first_ended(&world).expect("a task ends");
+                let machine = machine_of_task[&early].clone();
                 asking(&mut world, after_ms.max(1));
-                for again in 0..losses {
+                for round in 0..losses {
                     if let Some(owner) = owner(&world, &machine) {
-                        let loss = if again == 0 { loss } else { Loss::ALL[(n + again) % 9] };
+                        let loss = if round == 0 { loss } else { Loss::ALL[(n + round) % 9] };
                         loss.befall(&mut world, owner);
                     }
-                    if again == 0 && n % 3 == 1 {
+                    if round == 0 && n % 3 == 1 {
                         world.handle_event(cleatfold_testbed::world::SimulationEvent::Die(
                             machine.clone(),
                         ));
                     }
-                    asking(&mut world, 4_000 + 3_000 * (again as u64 + n as u64 % 4));
+                    asking(&mut world, 4_000 + 3_000 * (round as u64 + n as u64 % 4));
                 }
                 ends_well_asked(&mut world, 400_000, &what);
             }
@@ -84,17 +88,17 @@
 // ---- unreachable machines ----
 
 #[derive(Clone, Copy, Debug)]
-enum Unreached {
+enum MachineFault {
     Hangs(u64),
     Cut(u64),
     OneWayPartition(u64),
 }
 
-/// Machines with long tasks hang, are cut off or hear nothing while their pool's owner ends: nothing runs
-/// twice (the region's watcher), and what they held runs elsewhere or there in the end.
+/// Machines with long tasks hang, are cut off or receive nothing while their pool's owner fails: no task runs twice (checked
+/// by the simulation), and their tasks eventually complete, there or on other machines.
 #[test]
-fn unreachable_machines_hold_no_job_when_their_owner_ends() {
-    use Unreached::*;
+fn unreachable_machines_block_no_job_across_handover() {
+    use MachineFault::*;
     let kinds = [
         Hangs(4_000),
         Hangs(9_000),
@@ -108,16 +112,17 @@
         for loss in Loss::ALL {
             {
                 seed += 1;
-                let (before, twice) =
+                let (machines_fail_first, second_loss) =
                     [(true, false), (false, false), (true, true)][seed as usize % 3];
-                let mut world = long_tasks(seed);
-                let what = format!("seed {seed} {kind:?} {loss:?} {before} {twice}");
+                let mut world = region_with_long_tasks(seed);
+                let what =
+                    format!("seed {seed} {kind:?} {loss:?} {machines_fail_first} {second_loss}");
                 let busy: Vec<MachineId> = world.running.values().cloned().collect();
                 let victim = busy[seed as usize % busy.len()].clone();
                 let mut victims = vec![victim.clone()];
                 victims.extend(busy.iter().rev().take(1).cloned());
                 let owner_now = owner(&world, &victim).expect("held");
-                if !before {
+                if !machines_fail_first {
                     loss.befall(&mut world, owner_now);
                     run_for(&mut world, 700 * (seed % 7));
                 }
@@ -133,11 +138,11 @@
                         OneWayPartition(ms) => world.deafen(m, now.plus(ms)),
                     }
                 }
-                if before {
+                if machines_fail_first {
                     run_for(&mut world, 500 * (seed % 11));
                     loss.befall(&mut world, owner_now);
                 }
-                if twice {
+                if second_loss {
                     run_for(&mut world, 5_500);
                     if let Some(next) = owner(&world, &victim) {
                         Loss::Ends(300).befall(&mut world, next);
@@ -149,21 +154,22 @@
     }
 }
 
-// ---- held commands and answers ----
+// ---- delayed commands and lost replies ----
 
-/// Stops that are held for seconds, their answers lost, executed by a machine that goes on, ordered by an
-/// owner that is none any more.
+/// Kill commands are delayed for seconds and their replies are lost. A machine that continues to run executes them after
+/// their sender has lost the pool. This must not start any ended task again.
 #[test]
-fn held_kills_and_lost_answers_start_nothing_again() {
-    let mut late = 0;
+fn delayed_kills_restart_no_ended_task() {
+    let mut late_commands = 0;
     for seed in 200..216u64 {
         let mut world = region(seed, 9);
         world.run(Ms(4000));
         let until = Ms(90_000);
         world.fault_schedule.late_orders = Some((9_000, until, seed % 2 == 0));
-        let mut sweep = plain(&mut world, 40, 0.0);
-        (sweep.cpus, sweep.elastic) = (1.0, Some(Elastic { steps: 900, least: 1, step_s: 1.5 }));
-        world.submit(0, sweep);
+        let mut elastic = plain(&mut world, 40, 0.0);
+        (elastic.cpus, elastic.elastic) =
+            (1.0, Some(Elastic { steps: 900, least: 1, step_s: 1.5 }));
+        world.submit(0, elastic);
         run_for(&mut world, 12_000);
         for round in 0..8u64 {
             let mut spec = plain(&mut world, 6, 3.0);
@@ -183,18 +189,19 @@
             run_for(&mut world, 3_000);
         }
         ends_well(&mut world, 400_000, &format!("seed {seed}"));
-        late += world.fault_schedule.ordered_late;
+        late_commands += world.fault_schedule.ordered_late;
     }
-    assert!(late > 30, "only {late} orders came late");
+    assert!(late_commands > 30, "only {late_commands} commands arrived late");
 }
 
-// ---- over and back ----
+// ---- ownership moves away and back ----
 
-/// A pool goes from one controller to another and back, the first one's process living on or not, at every
-/// moment of a claim, an election, a assigning, a cancellation.
+/// A pool moves from one controller to another and back, with or without a restart of the first controller's process, at
+/// various delays, so that claims, elections, assignments and cancellations are interrupted. State from the first ownership
+/// must have no effect in the second.
 #[test]
-fn a_pool_that_goes_over_and_back_finds_nothing_of_its_former_time() {
-    let mut back = 0;
+fn pool_returning_to_former_owner_has_no_stale_state() {
+    let mut returned = 0;
     let mut seed = 300;
     for loss in Loss::ALL {
         for step in (0..12u64).step_by(2) {
@@ -224,55 +231,57 @@
                 }
             }
             asking(&mut world, 2_000);
-            // Whoever has them now goes, and the first one is there again.
+            // The present owner and the third controller crash, so that the pools return to the first one.
             let second = pools.first().and_then(|p| world.holder(p));
             if let Some(second) = second.filter(|s| *s != first) {
                 world.crash(second, 9_000);
                 let third = (0..CONTROLLERS).find(|i| *i != first && *i != second).expect("three");
                 world.crash(third, 9_000);
                 asking(&mut world, 8_000);
-                back += usize::from(world.holder(&pools[0]) == Some(first));
+                returned += usize::from(world.holder(&pools[0]) == Some(first));
             }
             ends_well_asked(&mut world, 400_000, &format!("seed {seed} {loss:?} step {step}"));
         }
     }
-    assert!(back > 15, "only {back} pools came back");
+    assert!(returned > 15, "only {returned} pools returned");
 }
 
-// ---- apart ----
+// ---- isolated controller ----
 
-/// A controller without the state service and its peers but with its workers and users: it tells nothing
-/// older than others have told, and jobs cancelled at others stop on its machines in time.
+/// A controller that reaches its workers and users, but neither the state service nor its peers, reports no state older
+/// than other controllers reported, and jobs cancelled at other controllers stop on its machines in time.
 #[test]
-fn an_isolated_controller_answers_nothing_older_and_kills_what_is_cancelled_elsewhere() {
+fn isolated_controller_honors_cancellations_made_elsewhere() {
     for seed in 400..412u64 {
-        let mut world = long_tasks(seed);
-        let apart = world.most().expect("somebody holds workers");
-        let other = (apart + 1 + seed as usize % 2) % CONTROLLERS;
+        let mut world = region_with_long_tasks(seed);
+        let isolated = world.most().expect("a controller owns machines");
+        let other = (isolated + 1 + seed as usize % 2) % CONTROLLERS;
         let until = world.now.plus([30_000, 60_000][seed as usize % 2]);
-        world.set_apart(apart, until, seed % 3 == 0);
+        world.set_apart(isolated, until, seed % 3 == 0);
         let jobs: Vec<JobId> = world.jobs.keys().cloned().collect();
         let quick = plain(&mut world, 2, 2.0);
         world.submit(other, quick);
         run_for(&mut world, 200 * (seed % 40));
-        // One that runs where the controller apart goes on answering; no one may delete its machines instead.
-        let mine = |m: &MachineId| owner(&world, m) == Some(apart);
-        let on_it = world.running.iter().find(|r| mine(r.1)).map(|r| r.0.job.clone());
-        let cancelled = on_it.unwrap_or_else(|| jobs[seed as usize % jobs.len()].clone());
+        // Cancels a job on the machines of the isolated controller. In half of the cases the cloud API is unavailable, so that
+        // its machines can't be deleted instead.
+        let is_isolated_owner = |m: &MachineId| owner(&world, m) == Some(isolated);
+        let job_there =
+            world.running.iter().find(|r| is_isolated_owner(r.1)).map(|r| r.0.job.clone());
+        let cancelled = job_there.unwrap_or_else(|| jobs[seed as usize % jobs.len()].clone());
         world.cloud_off = seed % 2 == 1;
         cancel(&mut world, other, &cancelled);
         while world.now < until && world.broken.is_empty() {
             run_for(&mut world, 500);
-            world.ask_all_at(apart);
+            world.ask_all_at(isolated);
             world.ask_all_at(other);
-            let again = jobs[(world.now.0 / 500) as usize % jobs.len()].clone();
-            world.submit_again(apart, &again);
+            let resubmitted = jobs[(world.now.0 / 500) as usize % jobs.len()].clone();
+            world.submit_again(isolated, &resubmitted);
             if world.jobs[&cancelled].cancel_confirmed.is_none() {
                 cancel(&mut world, other, &cancelled);
             }
         }
         world.cloud_off = false;
-        assert!(world.jobs[&cancelled].cancel_confirmed.is_some(), "seed {seed}: not told");
+        assert!(world.jobs[&cancelled].cancel_confirmed.is_some(), "seed {seed}: not confirmed");
         ends_well_asked(&mut world, 500_000, &format!("seed {seed}"));
     }
 }
