--- a/crates/cleatfold-control/tests/quick_restarts.rs
+++ b/crates/cleatfold-control/tests/quick_restarts.rs
@@ -1,10 +1,10 @@
-//! Processes and machines that are back within a fraction of a second, in the middle of something:
-//! each pair of a step (a controller says that it is there, takes a role, deals a pool, takes one over,
-//! claims, rents) and a blink of each participant, right before the step is executed, while it is
-//! still on its way, and after it is executed but before its answer. One day is played again and
-//! again, with another blink each time. Seen to fail without the incarnation in the names of rentals (9
-//! of the blinks); not without the incarnation in who owns a pool, behind which the other proofs of
-//! `docs/safety.md` stand as well.
+//! Controllers and machines that restart within a fraction of a second during an operation.
+//!
+//! The same run is repeated with a different fault each time: each participant restarts at each kind of step (a controller
+//! registers, acquires a role, assigns a pool, takes one over, claims tasks, creates machines), right before the step is
+//! executed, while it is in flight, and after its execution but before its reply. Nine of the faults fail without the
+//! incarnation in the names of scale-out requests. None fails without the incarnation in the record of a pool's owner,
+//! because the other checks in `docs/safety.md` cover these cases as well.
 
 use cleatfold_control::records::{pool_key, HolderRecord};
 use cleatfold_roles::Role;
@@ -22,12 +22,12 @@
     spec
 }
 
-/// A day with an election, assigning, a take-over, claims and rentals. Returns the world at its end and
-/// what did not hold.
-fn day(seed: u64, blink: Blink) -> (World, Vec<String>) {
+/// Runs a region through an election, a pool assignment, a take-over, claims and scale-outs. Returns the world at the end
+/// and the violated invariants.
+fn run_with_fault(seed: u64, fault: Blink) -> (World, Vec<String>) {
     let size = Size { most_jobs: 0, machines: 9, ..Size::SMALL };
     let mut world = World::sized(seed, false, size);
-    world.quick_restarts.plan = Some(blink);
+    world.quick_restarts.plan = Some(fault);
     world.poll_everything();
     let submit = |world: &mut World, team: &str, tasks: u32, estimate_s: f64| {
         let spec = plain(world, team, tasks, estimate_s);
@@ -40,22 +40,25 @@
     submit(&mut world, "free", 14, 6.0);
     submit(&mut world, "tight", 8, 5.0);
     world.run(Ms(14_000));
-    // Whoever deals is gone for a while: its roles and pools go to others.
-    let holds = |world: &World, key: &str| -> Option<usize> {
-        let holder = world.store.get(key)?;
-        let holder: HolderRecord = serde_json::from_str(holder.value.get()).ok()?;
-        (0..CONTROLLERS).find(|i| cleatfold_testbed::world::controller_id(*i) == holder.owner)
+    // The controller that assigns pools is down for 6 s: its roles and pools move to other controllers.
+    let holder = |world: &World, key: &str| -> Option<usize> {
+        let record = world.store.get(key)?;
+        let record: HolderRecord = serde_json::from_str(record.value.get()).ok()?;
+        (0..CONTROLLERS).find(|i| cleatfold_testbed::world::controller_id(*i) == record.owner)
     };
-    if let Some(leader) = holds(&world, Role::PoolAssignment.key()) {
+    if let Some(leader) = holder(&world, Role::PoolAssignment.key()) {
         world.crash(leader, 6_000);
     }
     submit(&mut world, "free", 10, 4.0);
     world.run(Ms(24_000));
     submit(&mut world, "tight", 8, 6.0);
-    // Workers of a zone do not reach their owner, and nobody is told: their pools come after them.
+    // The workers of a zone can't reach their owner, and no controller learns of it: their pools are taken over by the
+    // controller that they reach.
     world.mesh_off = true;
-    let busy = world.running.values().next().and_then(|m| world.pool_of(m));
-    if let Some((pool, owner)) = busy.and_then(|p| holds(&world, &pool_key(&p)).map(|o| (p, o))) {
+    let busy_pool = world.running.values().next().and_then(|m| world.pool_of(m));
+    if let Some((pool, owner)) =
+        busy_pool.and_then(|p| holder(&world, &pool_key(&p)).map(|o| (p, o)))
+    {
         world.faults.cuts.insert(owner, (Ms(40_000), Some(pool.zone)));
     }
     world.run(Ms(40_000));
@@ -69,7 +72,7 @@
     (world, broken)
 }
 
-const WHO: [Who; 7] = [
+const PARTICIPANTS: [Who; 7] = [
     Who::Controller(0),
     Who::Controller(1),
     Who::Controller(2),
@@ -79,71 +82,75 @@
     Who::Machine(Back::Replaced),
 ];
 
-/// Plays the day with each blink at so many of the step's occurrences, the first and the last among
-/// them.
-fn play(seed: u64, step: Step, most: usize) {
-    let none = Blink { step, nth: u32::MAX, who: Who::All, moment: Moment::Before };
-    let (undisturbed, broken) = day(seed, none);
-    assert!(broken.is_empty(), "undisturbed: {broken:#?}");
-    let count = undisturbed.quick_restarts.seen.get(&step).copied().unwrap_or_default();
-    assert!(count > 0, "the day shows no {step:?}");
-    let most = most.min(count as usize);
-    let spread = |i: usize| 1 + (i * (count as usize - 1) / (most - 1).max(1)) as u32;
+/// Repeats the run with each fault at up to `max_occurrences` occurrences of the step, evenly spread and including the first and
+/// the last.
+fn check_faults(seed: u64, step: Step, max_occurrences: usize) {
+    let no_fault = Blink { step, nth: u32::MAX, who: Who::All, moment: Moment::Before };
+    let (world, broken) = run_with_fault(seed, no_fault);
+    assert!(broken.is_empty(), "no fault: {broken:#?}");
+    let count = world.quick_restarts.seen.get(&step).copied().unwrap_or_default();
+    assert!(count > 0, "the run has no {step:?}");
+    let max_occurrences = max_occurrences.min(count as usize);
+    let nth_occurrence =
+        |i: usize| 1 + (i * (count as usize - 1) / (max_occurrences - 1).max(1)) as u32;
     let mut failed: BTreeMap<String, Vec<String>> = BTreeMap::new();
     let mut applied_faults = 0;
-    for nth in (0..most).map(spread) {
-        for who in WHO {
+    for nth in (0..max_occurrences).map(nth_occurrence) {
+        for who in PARTICIPANTS {
             for moment in [Moment::Before, Moment::Late, Moment::After] {
-                let blink = Blink { step, nth, who, moment };
-                let (world, broken) = day(seed, blink);
+                let fault = Blink { step, nth, who, moment };
+                let (world, broken) = run_with_fault(seed, fault);
                 applied_faults += usize::from(world.quick_restarts.applied_faults.is_some());
                 if !broken.is_empty() {
                     failed.insert(
-                        format!("{blink:?} {:?}", world.quick_restarts.applied_faults),
+                        format!("{fault:?} {:?}", world.quick_restarts.applied_faults),
                         broken,
                     );
                 }
             }
         }
     }
-    // Before the first machine is there none can blink.
-    let machines = 3 * 3 * most;
-    assert!(applied_faults + machines >= WHO.len() * 3 * most, "{step:?}: only {applied_faults}");
+    // A machine fault can't be injected before the first machine exists.
+    let machine_faults = 3 * 3 * max_occurrences;
+    assert!(
+        applied_faults + machine_faults >= PARTICIPANTS.len() * 3 * max_occurrences,
+        "{step:?}: only {applied_faults}"
+    );
     assert!(failed.is_empty(), "{} of {applied_faults}: {failed:#?}", failed.len());
 }
 
 const SEED: u64 = 3;
 
 #[test]
-fn while_a_role_is_taken() {
-    play(SEED, Step::Elect, 4);
+fn restart_while_role_is_acquired() {
+    check_faults(SEED, Step::Elect, 4);
 }
 
 #[test]
-fn while_a_pool_is_assigned() {
-    play(SEED, Step::PoolAssignment, 4);
+fn restart_while_pool_is_assigned() {
+    check_faults(SEED, Step::PoolAssignment, 4);
 }
 
 #[test]
-fn while_a_pool_is_taken_over() {
-    play(SEED, Step::TakeOver, 4);
+fn restart_while_pool_is_taken_over() {
+    check_faults(SEED, Step::TakeOver, 4);
 }
 
 #[test]
-fn while_tasks_are_claimed() {
-    play(SEED, Step::Claim, 4);
+fn restart_while_tasks_are_claimed() {
+    check_faults(SEED, Step::Claim, 4);
 }
 
 #[test]
-fn while_machines_are_rented() {
-    play(SEED, Step::ScaleOut, 3);
-    play(SEED, Step::RentCall, 3);
+fn restart_while_machines_are_created() {
+    check_faults(SEED, Step::ScaleOut, 3);
+    check_faults(SEED, Step::RentCall, 3);
 }
 
-/// Every occurrence of every step, on several days: some 1,600 blinks a day.
+/// Every occurrence of every step, for four seeds: about 1,600 faults per seed.
 #[test]
 #[ignore = "minutes; by hand"]
-fn every_occurrence_of_every_step() {
+fn restart_at_every_step() {
     let steps = [
         Step::Enlist,
         Step::Elect,
@@ -157,7 +164,7 @@
     ];
     std::thread::scope(|scope| {
         for step in steps {
-            scope.spawn(move || (3..7).for_each(|seed| play(seed, step, usize::MAX)));
+            scope.spawn(move || (3..7).for_each(|seed| check_faults(seed, step, usize::MAX)));
         }
     });
 }
--- a/crates/cleatfold-control/tests/roles.rs
+++ b/crates/cleatfold-control/tests/roles.rs
@@ -1,4 +1,4 @@
-//! What only one controller may do, while whoever does it is killed, cut off and replaced.
+//! Exclusive roles of controllers while their holders are killed, partitioned and replaced.
 
 use cleatfold_control::records::{HolderRecord, SCALE_OUT_KEY};
 use cleatfold_roles::{Role, ScaleOutIntents};
@@ -7,7 +7,7 @@
 use cleatfold_wire::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Plenty of machines to be had, a list that is ten seconds old, and only a test's users.
+/// A region with 400 available machines, a machine list that lags by ten seconds, and no jobs but those of the test.
 fn region(seed: u64) -> World {
     let size = Size { machines: 400, most_jobs: 0, ..Size::SMALL };
     let mut world = World::sized(seed, false, size);
@@ -29,62 +29,70 @@
     (0..CONTROLLERS).find(|i| controller_id(*i) == holder.owner)
 }
 
-fn book(world: &World) -> ScaleOutIntents {
+fn intents_record(world: &World) -> ScaleOutIntents {
     let item = world.store.get(SCALE_OUT_KEY);
     item.map(|i| serde_json::from_str(i.value.get()).expect("a record")).unwrap_or_default()
 }
 
-/// Eighty tasks of half a machine each, and the holder falls as soon as the cloud has been asked.
-fn rented_after(seed: u64, fall: impl Fn(&mut World, usize)) -> (usize, World) {
+/// Submits eighty tasks of half a machine each and applies `fault` to the scale-out holder as soon as it has called the
+/// cloud API. Returns the number of machines requested.
+fn machines_requested(seed: u64, fault: impl Fn(&mut World, usize)) -> (usize, World) {
     let mut world = region(seed);
     world.run(Ms(6000));
     submit(&mut world, 0, 80);
-    let mut fell = false;
+    let mut fault_applied = false;
     while world.now < Ms(22_000) {
         let now = world.now;
         world.run(now.plus(5));
-        if !fell && !world.cloud.scale_out_log.is_empty() {
-            fell = true;
-            let controller = holder(&world, Role::ScaleOut).expect("somebody rents");
-            fall(&mut world, controller);
+        if !fault_applied && !world.cloud.scale_out_log.is_empty() {
+            fault_applied = true;
+            let controller = holder(&world, Role::ScaleOut).expect("a scale-out holder");
+            fault(&mut world, controller);
         }
     }
-    assert!(fell && world.broken.is_empty(), "{:#?}", world.broken);
+    assert!(fault_applied && world.broken.is_empty(), "{:#?}", world.broken);
     (world.cloud.scale_out_log.iter().map(|a| a.2).sum(), world)
 }
 
-/// A new holder knew nothing of what the former one had asked for and was not listed yet, and
-/// asked again for all of it. Seen to fail without counting what stands in the record.
+/// Guards against a new holder that does not know which machines the former one requested, as long as the cloud does not
+/// list them, and requests all of them again. Fails if the intents in the record are not counted.
 #[test]
-fn nothing_is_rented_twice_for_one_need() {
+fn new_holder_does_not_repeat_scale_out() {
     for seed in 1..4 {
-        let (undisturbed, _) = rented_after(seed, |_, _| {});
-        let (killed, world) =
-            rented_after(seed, |w, controller| w.at(0, SimulationEvent::Crash(controller)));
-        assert!(killed <= undisturbed + undisturbed / 5, "seed {seed}: {killed} of {undisturbed}");
-        assert!(killed >= undisturbed / 2, "seed {seed}: {killed} of {undisturbed}");
-        // Whoever came next has asked by the same names, and the record is empty again.
-        assert!(book(&world).open.is_empty(), "{:?}", book(&world));
+        let (without_fault, _) = machines_requested(seed, |_, _| {});
+        let (after_crash, world) =
+            machines_requested(seed, |w, controller| w.at(0, SimulationEvent::Crash(controller)));
+        assert!(
+            after_crash <= without_fault + without_fault / 5,
+            "seed {seed}: {after_crash} of {without_fault}"
+        );
+        assert!(after_crash >= without_fault / 2, "seed {seed}: {after_crash} of {without_fault}");
+        // The next holder repeated the requests under the same names and then cleared the record.
+        assert!(intents_record(&world).open.is_empty(), "{:?}", intents_record(&world));
         let until = Ms(20_000);
-        let (cut, _) =
-            rented_after(seed, |w, controller| w.at(0, SimulationEvent::Cut { controller, until }));
-        assert!(cut <= undisturbed + undisturbed / 5, "seed {seed}: {cut} of {undisturbed}");
+        let (after_partition, _) = machines_requested(seed, |w, controller| {
+            w.at(0, SimulationEvent::Cut { controller, until })
+        });
+        assert!(
+            after_partition <= without_fault + without_fault / 5,
+            "seed {seed}: {after_partition} of {without_fault}"
+        );
     }
 }
 
-/// Holders are killed and cut off, packets held, again and again. Seen to fail with calls made
+/// Holders are repeatedly killed, and cut off from the state service or from everything. Fails if the cloud API is called
 /// before the intent is durable.
 #[test]
-fn the_cloud_is_asked_only_for_what_was_durable_first() {
+fn scale_out_intent_is_durable_before_request() {
     let mut holders = BTreeSet::new();
     for seed in 10..14 {
         let mut world = region(seed);
         let mut intents: BTreeMap<String, Version> = BTreeMap::new();
-        let mut epochs = Version(0);
+        let mut epoch = Version(0);
         let mut checked = 0;
         for second in 1..150u64 {
             if second % 21 == 1 && second > 5 {
-                // All there is falls, or there would be nothing to rent.
+                // Ends all machines, so that the new tasks require a scale-out.
                 for id in world.workers.keys().cloned().collect::<Vec<_>>() {
                     world.at(0, SimulationEvent::Die(id));
                 }
@@ -103,19 +111,25 @@
             for ms in 0..200 {
                 let before = world.store.get(Role::ScaleOut.key()).map(|i| i.version);
                 world.run(Ms(second * 1000 + (ms + 1) * 5));
-                let book = book(&world);
-                if book.epoch != epochs {
+                let record = intents_record(&world);
+                if record.epoch != epoch {
                     let after = world.store.get(Role::ScaleOut.key()).map(|i| i.version);
-                    assert!([before, after].contains(&Some(book.epoch)), "by a former holder");
-                    assert!(book.epoch > epochs);
-                    epochs = book.epoch;
-                    holders.insert((seed, epochs));
+                    assert!(
+                        [before, after].contains(&Some(record.epoch)),
+                        "written by a former holder"
+                    );
+                    assert!(record.epoch > epoch);
+                    epoch = record.epoch;
+                    holders.insert((seed, epoch));
                 }
-                for intent in &book.open {
-                    intents.entry(intent.name.clone()).or_insert(book.epoch);
+                for intent in &record.open {
+                    intents.entry(intent.name.clone()).or_insert(record.epoch);
                 }
                 for (_, request, _) in &world.cloud.scale_out_log[checked..] {
-                    assert!(intents.contains_key(&request.request), "{request:?} was no intent");
+                    assert!(
+                        intents.contains_key(&request.request),
+                        "{request:?} has no durable intent"
+                    );
                 }
                 checked = world.cloud.scale_out_log.len();
             }
@@ -125,40 +139,45 @@
             world.cloud.scale_out_log.iter().map(|a| &a.1.request).collect();
         assert!(names.len() > 6, "seed {seed}: only {} requests", names.len());
         world.run(Ms(220_000));
-        assert!(book(&world).open.is_empty(), "all is settled in the end");
+        assert!(intents_record(&world).open.is_empty(), "all intents are resolved at the end");
     }
-    assert!(holders.len() > 20, "only {} holders rented", holders.len());
+    assert!(holders.len() > 20, "only {} scale-out holders", holders.len());
 }
 
-/// Roles are spread, and none stands empty for long after its holder's end.
+/// Roles are spread over the controllers, and each gets a new holder soon after its holder failed.
 #[test]
-fn a_role_is_taken_soon_after_its_holder_failed() {
+fn role_is_taken_over_after_holder_failure() {
     let mut world = region(20);
     world.run(Ms(180_000));
     let held: BTreeSet<Option<usize>> = Role::ALL.iter().map(|d| holder(&world, *d)).collect();
-    assert_eq!(held.len(), CONTROLLERS, "spread over all once all is quiet");
+    assert_eq!(held.len(), CONTROLLERS, "spread over all controllers when there are no faults");
     for round in 0..8 {
         let role = Role::ALL[round % Role::ALL.len()];
         let controller = holder(&world, role).expect("held");
-        let fell = world.now;
+        let failed_at = world.now;
         match round % 2 {
             0 => world.at(0, SimulationEvent::Crash(controller)),
-            _ => world.at(0, SimulationEvent::StoreCut { controller, until: fell.plus(15_000) }),
+            _ => {
+                world.at(0, SimulationEvent::StoreCut { controller, until: failed_at.plus(15_000) })
+            }
         }
-        let mut since = None;
+        let mut vacant_since = None;
         loop {
             let now = world.now;
             world.run(now.plus(50));
-            if holder(&world, role).is_some_and(|h| h != controller || since.is_some()) {
+            if holder(&world, role).is_some_and(|h| h != controller || vacant_since.is_some()) {
                 break;
             }
             if holder(&world, role).is_none() {
-                since.get_or_insert(world.now);
+                vacant_since.get_or_insert(world.now);
             }
-            // The lease (3 s) and what of it was left, then the next in order, and a reading each.
-            assert!(world.now.since(fell) < 3000 + 100 + 2 * 400 + 1500, "{role:?} stood empty");
+            // The lease (3 s) and the rest of its term, then the next candidate in order, and a store read for each.
+            assert!(
+                world.now.since(failed_at) < 3000 + 100 + 2 * 400 + 1500,
+                "{role:?} has no holder"
+            );
         }
-        world.run(fell.plus(20_000));
+        world.run(failed_at.plus(20_000));
     }
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
 }
