--- a/crates/cleatfold-control/tests/losses.rs
+++ b/crates/cleatfold-control/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Nothing vanishes: what falls with its machine is told, by its job and in its team's log.
+//! Each task attempt lost with its machine is reported in its job's record and in its team's loss log.
 
 use cleatfold_control::records::{loss_log_prefix, ArchiveRecord};
 use cleatfold_control::Request;
@@ -7,18 +7,18 @@
 use cleatfold_wire::{Attempt, JobId, Ms, TaskId, TeamId};
 use std::collections::{BTreeMap, BTreeSet};
 
-type Start = (TaskId, Attempt);
+type TaskAttempt = (TaskId, Attempt);
 
-fn log(world: &World, team: &str) -> Vec<Loss> {
+fn logged_losses(world: &World, team: &str) -> Vec<Loss> {
     let items = world.store.list(&loss_log_prefix(&TeamId::new(team)), None, 999).items;
     let group = |v: &str| serde_json::from_str::<Vec<Loss>>(v).expect("a group of losses");
     items.iter().flat_map(|i| group(i.value.get())).collect()
 }
 
-/// A team that asks on from where it was hears each group once, and the end is the end.
-fn resumes(world: &mut World) {
+/// Checks that a team that continues from the returned position receives each loss once, and none after the last.
+fn check_paging(world: &mut World) {
     for team in ["free", "tight"] {
-        let mut heard = Vec::new();
+        let mut received = Vec::new();
         let mut since = 0;
         for _ in 0..3 {
             world.team_losses = None;
@@ -26,18 +26,18 @@
             world.ask(0, Asked::TeamLosses, request);
             let now = world.now;
             world.run(now.plus(500));
-            let told = world.team_losses.take().expect("an answer");
-            assert!(told.next >= since, "never back");
-            since = told.next;
-            heard.extend(told.losses);
+            let page = world.team_losses.take().expect("an answer");
+            assert!(page.next >= since, "the position decreased");
+            since = page.next;
+            received.extend(page.losses);
         }
-        assert_eq!(heard, log(world, team));
+        assert_eq!(received, logged_losses(world, team));
     }
 }
 
-/// A third of the machines and all controllers fall within the same second.
+/// A third of the machines and all controllers fail within the same second.
 #[test]
-fn every_lost_run_is_reported_to_its_team_even_if_all_machines_fail_together() {
+fn all_losses_are_logged_after_mass_failure() {
     for seed in [3, 4] {
         let mut world = World::sized(seed, false, Size { most_jobs: 0, ..Size::GROWN });
         world.run(Ms(8000));
@@ -51,38 +51,42 @@
             world.run(Ms(8000 + 200 * (i + 1)));
         }
         world.run(Ms(45_000));
-        let fallen: Vec<_> = world.workers.keys().step_by(3).cloned().collect();
-        let mut lost: BTreeSet<Start> = BTreeSet::new();
-        for id in &fallen {
-            let on = world.workers[id].tasks.iter();
-            let running = on.filter(|(_, t)| t.exit.is_none());
-            lost.extend(running.map(|(start, _)| start.clone()));
+        let failed_machines: Vec<_> = world.workers.keys().step_by(3).cloned().collect();
+        let mut lost: BTreeSet<TaskAttempt> = BTreeSet::new();
+        for id in &failed_machines {
+            let attempts = world.workers[id].tasks.iter();
+            let running = attempts.filter(|(_, t)| t.exit.is_none());
+            lost.extend(running.map(|(attempt, _)| attempt.clone()));
             world.at(0, SimulationEvent::Die(id.clone()));
         }
-        assert!(lost.len() > 20, "{} runs to be lost", lost.len());
+        assert!(lost.len() > 20, "only {} attempts lost", lost.len());
         for controller in 0..CONTROLLERS {
             world.at(300, SimulationEvent::Crash(controller));
         }
         world.run(Ms(300_000));
-        let mut told: BTreeSet<Start> = BTreeSet::new();
+        let mut logged: BTreeSet<TaskAttempt> = BTreeSet::new();
         for team in ["free", "tight"] {
-            for loss in log(&world, team) {
-                assert_eq!(teams[&loss.task.job], TeamId::new(team), "a team hears its own only");
-                told.insert((loss.task, loss.attempt));
+            for loss in logged_losses(&world, team) {
+                assert_eq!(
+                    teams[&loss.task.job],
+                    TeamId::new(team),
+                    "a loss in another team's log"
+                );
+                logged.insert((loss.task, loss.attempt));
             }
         }
-        let missing: Vec<_> = lost.difference(&told).collect();
-        assert!(missing.is_empty(), "seed {seed}: {missing:?} of {} not told", lost.len());
-        // Each job's own record says it too, and what was lost ran again.
+        let missing: Vec<_> = lost.difference(&logged).collect();
+        assert!(missing.is_empty(), "seed {seed}: {missing:?} of {} not logged", lost.len());
+        // Each job's archive record lists its losses as well, and the job ended, so the lost tasks ran again.
         for job in teams.keys() {
             let item = world.store.get(&format!("ar/{job}")).expect("ended");
             let record: ArchiveRecord = serde_json::from_str(item.value.get()).expect("a record");
-            let named: BTreeSet<Start> =
+            let recorded: BTreeSet<TaskAttempt> =
                 record.losses.entries(job).map(|l| (l.task, l.attempt)).collect();
-            let own = lost.iter().filter(|l| l.0.job == *job);
-            assert!(own.into_iter().all(|l| named.contains(l)), "{job}");
+            let job_losses = lost.iter().filter(|l| l.0.job == *job);
+            assert!(job_losses.into_iter().all(|l| recorded.contains(l)), "{job}");
         }
         assert!(world.broken.is_empty(), "{:#?}", world.broken);
-        resumes(&mut world);
+        check_paging(&mut world);
     }
 }
