--- a/crates/cleatfold-control/tests/formats.rs
+++ b/crates/cleatfold-control/tests/formats.rs
@@ -1,7 +1,7 @@
 //! Stored records, messages between controllers and HTTP bodies, byte for byte.
 //!
-//! The fixtures were written by the version before the code's names were revised. Whatever is
-//! renamed since, each must be read, and written again exactly as it was.
+//! The fixtures were written by a version from before identifiers were renamed. Each must be readable and be written again
+//! byte for byte.
 
 use cleatfold_control::records::*;
 use cleatfold_roles::ScaleOutIntents;
@@ -26,7 +26,7 @@
 fn fixtures(kind: &'static str) -> Vec<Fixture> {
     let lines = FIXTURES.lines().map(|line| {
         let mut fields = line.splitn(3, '\t');
-        let mut next = || fields.next().expect("three fields a line");
+        let mut next = || fields.next().expect("three fields per line");
         Fixture { kind: next(), name: next(), bytes: next() }
     });
     let found: Vec<Fixture> = lines.filter(|fixture| fixture.kind == kind).collect();
@@ -34,64 +34,64 @@
     found
 }
 
-/// Reads a JSON text as `T` and expects the same text when it is written again.
-fn rewritten<T: DeserializeOwned + Serialize>(fixture: &Fixture) {
+/// Checks that a JSON text that is parsed as `T` serializes to the same text.
+fn check_roundtrip<T: DeserializeOwned + Serialize>(fixture: &Fixture) {
     let value: T = serde_json::from_str(fixture.bytes)
         .unwrap_or_else(|error| panic!("{} {}: {error}", fixture.kind, fixture.name));
-    let written = serde_json::to_string(&value).expect("plain JSON");
+    let written = serde_json::to_string(&value).expect("serializable");
     assert_eq!(written, fixture.bytes, "{} {}", fixture.kind, fixture.name);
 }
 
-fn all_rewritten<T: DeserializeOwned + Serialize>(kind: &'static str) {
-    fixtures(kind).iter().for_each(rewritten::<T>);
+fn check_all_roundtrips<T: DeserializeOwned + Serialize>(kind: &'static str) {
+    fixtures(kind).iter().for_each(check_roundtrip::<T>);
 }
 
-fn rewritten_live_record(fixture: &Fixture, key: &Key) {
+fn check_record_roundtrip(fixture: &Fixture, key: &Key) {
     match key {
-        Key::Job(_) => rewritten::<JobRecord>(fixture),
-        Key::Part(..) => rewritten::<TaskTable>(fixture),
-        Key::Progress(..) => rewritten::<cleatfold_elastic::ProgressPartRecord>(fixture),
-        Key::Pool(_) | Key::Role(_) | Key::Workspace(_) => rewritten::<HolderRecord>(fixture),
-        Key::Controller(_) => rewritten::<ControllerRecord>(fixture),
-        Key::Slice(_) => rewritten::<SliceRecord>(fixture),
-        Key::LossHead(_) => rewritten::<LossHead>(fixture),
-        Key::History(_) => rewritten::<HistoryHead>(fixture),
-        Key::Preemption(_) => rewritten::<PreemptionRecord>(fixture),
-        Key::ImageHolders(_) => rewritten::<SpreadRecord>(fixture),
-        Key::ScaleOutIntents => rewritten::<ScaleOutIntents>(fixture),
-        Key::OverloadQuota => rewritten::<cleatfold_admission::OverloadQuota>(fixture),
-        Key::Origin => rewritten::<OriginRecord>(fixture),
+        Key::Job(_) => check_roundtrip::<JobRecord>(fixture),
+        Key::Part(..) => check_roundtrip::<TaskTable>(fixture),
+        Key::Progress(..) => check_roundtrip::<cleatfold_elastic::ProgressPartRecord>(fixture),
+        Key::Pool(_) | Key::Role(_) | Key::Workspace(_) => check_roundtrip::<HolderRecord>(fixture),
+        Key::Controller(_) => check_roundtrip::<ControllerRecord>(fixture),
+        Key::Slice(_) => check_roundtrip::<SliceRecord>(fixture),
+        Key::LossHead(_) => check_roundtrip::<LossHead>(fixture),
+        Key::History(_) => check_roundtrip::<HistoryHead>(fixture),
+        Key::Preemption(_) => check_roundtrip::<PreemptionRecord>(fixture),
+        Key::ImageHolders(_) => check_roundtrip::<SpreadRecord>(fixture),
+        Key::ScaleOutIntents => check_roundtrip::<ScaleOutIntents>(fixture),
+        Key::OverloadQuota => check_roundtrip::<cleatfold_admission::OverloadQuota>(fixture),
+        Key::Origin => check_roundtrip::<OriginRecord>(fixture),
     }
 }
 
 #[test]
-fn stored_records_are_read_and_written_as_before() {
+fn stored_records_keep_their_format() {
     let mut kinds = std::collections::BTreeSet::new();
     for fixture in fixtures("record") {
         match fixture.name.split_once('/') {
-            Some(("ar", _)) => rewritten::<ArchiveRecord>(&fixture),
-            Some(("hist", _)) => rewritten::<HistoryGroup>(&fixture),
-            Some(("lo", _)) => rewritten::<Vec<Loss>>(&fixture),
+            Some(("ar", _)) => check_roundtrip::<ArchiveRecord>(&fixture),
+            Some(("hist", _)) => check_roundtrip::<HistoryGroup>(&fixture),
+            Some(("lo", _)) => check_roundtrip::<Vec<Loss>>(&fixture),
             Some(("cf", "format")) => assert_eq!(fixture.bytes, r#"{"version":1}"#),
             _ => {
                 let key = parse_key(fixture.name);
-                let key = key.unwrap_or_else(|| panic!("{} is no key", fixture.name));
+                let key = key.unwrap_or_else(|| panic!("{} is not a key", fixture.name));
                 kinds.insert(kind_name(&key));
-                rewritten_live_record(&fixture, &key);
+                check_record_roundtrip(&fixture, &key);
             }
         }
     }
-    assert_eq!(kinds.len(), 15, "a kind of record has no fixture: {kinds:?}");
+    assert_eq!(kinds.len(), 15, "a record kind has no fixture: {kinds:?}");
 }
 
-/// The name of a key's kind, without what the key is about.
+/// Returns the name of a key's kind, without the key's arguments.
 fn kind_name(key: &Key) -> String {
     let name = format!("{key:?}");
     name.split(['(', ' ']).next().unwrap_or_default().to_string()
 }
 
 #[test]
-fn messages_between_controllers_are_read_and_written_as_before() {
+fn controller_messages_keep_their_format() {
     for fixture in fixtures("mesh") {
         let digits: Vec<char> = fixture.bytes.chars().collect();
         let bytes: Vec<u8> = digits
@@ -101,7 +101,7 @@
         let message: Message =
             bitcode::decode(&bytes).unwrap_or_else(|error| panic!("{}: {error}", fixture.name));
         assert_eq!(bitcode::encode(&message), bytes, "{}", fixture.name);
-        let same = match fixture.name {
+        let is_expected = match fixture.name {
             "Alive" => matches!(message, Message::Alive { .. }),
             "Assign" => matches!(message, Message::Assign { .. }),
             "Cancelled" => matches!(message, Message::Cancelled { .. }),
@@ -111,22 +111,22 @@
             "Images" => matches!(message, Message::Images { .. }),
             "Promises" => matches!(message, Message::Promises { .. }),
             "Rented" => matches!(message, Message::Rented { .. }),
-            other => panic!("no such message: {other}"),
+            other => panic!("unknown message: {other}"),
         };
-        assert!(same, "{} is read as {message:?}", fixture.name);
+        assert!(is_expected, "{} is decoded as {message:?}", fixture.name);
     }
 }
 
 #[test]
-fn http_bodies_are_read_and_written_as_before() {
-    all_rewritten::<Txn>("transaction");
-    all_rewritten::<Grant>("grant");
-    all_rewritten::<Orders>("orders");
-    all_rewritten::<Heartbeat>("report");
-    all_rewritten::<HeartbeatResponse>("report_reply");
-    all_rewritten::<Redirect>("redirect");
-    all_rewritten::<JobStatus>("status");
-    all_rewritten::<StepReply>("steps");
-    all_rewritten::<StepReport>("steps_report");
-    all_rewritten::<cleatfold_wire::cloud::ScaleOutRequest>("rent");
+fn http_bodies_keep_their_format() {
+    check_all_roundtrips::<Txn>("transaction");
+    check_all_roundtrips::<Grant>("grant");
+    check_all_roundtrips::<Orders>("orders");
+    check_all_roundtrips::<Heartbeat>("report");
+    check_all_roundtrips::<HeartbeatResponse>("report_reply");
+    check_all_roundtrips::<Redirect>("redirect");
+    check_all_roundtrips::<JobStatus>("status");
+    check_all_roundtrips::<StepReply>("steps");
+    check_all_roundtrips::<StepReport>("steps_report");
+    check_all_roundtrips::<cleatfold_wire::cloud::ScaleOutRequest>("rent");
 }
