--- a/crates/cleatfold-control/tests/quota.rs
+++ b/crates/cleatfold-control/tests/quota.rs
@@ -1,5 +1,5 @@
-//! Teams at their limits while machines can't be asked, jobs are cancelled and the leader changes; and that what a
-//! limit, a claim or a reservation holds is given back once the troubles are over.
+//! Teams at their limits while machines are unreachable, jobs are cancelled and the leader changes. The capacity held by
+//! limits, claims and reservations must be released once the faults are over.
 
 mod scenario;
 
@@ -13,8 +13,8 @@
 use scenario::{cancel, ends_well, plain, run_for, Loss};
 use std::collections::BTreeSet;
 
-/// Every team has a limit of a tenth of what it asks for.
-fn scarce(seed: u64) -> World {
+/// A region in which every team's limit is a tenth of its demand.
+fn scarce_region(seed: u64) -> World {
     let mut world = World::sized(seed, false, Size { most_jobs: 0, ..Size::SCARCE });
     world.poll_everything();
     world
@@ -26,26 +26,26 @@
     (0..world.controllers.len()).find(|i| controller_id(*i) == holder.owner)
 }
 
-/// Teams of which no further task of two processors may start.
-fn at_limit(world: &World) -> usize {
+/// Returns the number of teams that can't start another task of two processors.
+fn teams_at_limit(world: &World) -> usize {
     let size = Size::SCARCE;
     let used = |i: usize| world.in_use.get(&team_id(i)).copied().unwrap_or_default();
     (0..size.teams).filter(|i| used(*i) + 2.0 > size.limit_cpus).count()
 }
 
-/// A region in which every team is at its limit, with much more waiting.
-fn at_limits(seed: u64) -> (World, Vec<JobId>) {
-    let mut world = scarce(seed);
+/// A region in which every team is at its limit, with many more tasks queued.
+fn region_at_limits(seed: u64) -> (World, Vec<JobId>) {
+    let mut world = scarce_region(seed);
     run_for(&mut world, 4_000);
     let mut jobs = Vec::new();
-    // Half a limit each, so that what goes on beside a cancelled one frees room on other machines.
+    // Each job takes half of a limit, so that a job beside a cancelled one frees capacity on other machines when it ends.
     for n in 0..Size::SCARCE.teams * 6 {
         let mut spec = plain(&mut world, 3, [12.0, 40.0][n / Size::SCARCE.teams % 2]);
         (spec.team, spec.cpus) = (team_id(n % Size::SCARCE.teams), 2.0);
         jobs.push(world.submit(n % CONTROLLERS, spec));
     }
     let from = world.now;
-    while at_limit(&world) < Size::SCARCE.teams {
+    while teams_at_limit(&world) < Size::SCARCE.teams {
         assert!(world.now.since(from) < 60_000, "seed {seed}: no team at its limit");
         run_for(&mut world, 50);
     }
@@ -53,52 +53,57 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Unreached {
+enum MachineFault {
     Hangs(u64),
     Cut(u64),
     OneWayPartition(u64),
 }
 
-impl Unreached {
-    fn befall(self, world: &mut World, machine: &MachineId) {
+impl MachineFault {
+    fn inject(self, world: &mut World, machine: &MachineId) {
         let now = world.now;
         match self {
-            Unreached::Hangs(ms) => {
+            MachineFault::Hangs(ms) => {
                 world.hung.insert(machine.clone(), now.plus(ms));
             }
-            Unreached::Cut(ms) => {
+            MachineFault::Cut(ms) => {
                 world.fault_schedule.cut_machines.insert(machine.clone(), now.plus(ms));
             }
-            Unreached::OneWayPartition(ms) => world.deafen(machine, now.plus(ms)),
+            MachineFault::OneWayPartition(ms) => world.deafen(machine, now.plus(ms)),
         }
     }
 }
 
-/// In which order the machines are lost from sight, the jobs cancelled and the leader ended.
+/// The order in which the machines become unreachable, the jobs are cancelled and the leader fails.
 #[derive(Clone, Copy, Debug)]
 enum Order {
     LeaderLast,
     LeaderFirst,
-    /// The cancellation falls into the spell without a leader, after the machines were lost from sight.
+    /// The jobs are cancelled while there is no leader, after the machines became unreachable.
     CancelLast,
 }
 
-/// One day: the machines of a job of each team can't be asked, the job is cancelled, the leader changes. Returns
-/// how many cancelled tasks still ran when their users had been told.
-fn cancelled_at_the_limit(seed: u64, unreached: Unreached, loss: Loss, order: Order) -> usize {
-    let what = format!("seed {seed} {unreached:?} {loss:?} {order:?}");
-    let (mut world, jobs) = at_limits(seed);
-    // Orders between controllers and the state service cross.
+/// Makes the machines of one job of each team unreachable, cancels the job and changes the leader. Returns the largest
+/// number of tasks that ran after the cancellation of their job was confirmed.
+fn max_running_after_cancellation(
+    seed: u64,
+    machine_fault: MachineFault,
+    loss: Loss,
+    order: Order,
+) -> usize {
+    let what = format!("seed {seed} {machine_fault:?} {loss:?} {order:?}");
+    let (mut world, jobs) = region_at_limits(seed);
+    // Delays the replies of the state service at random, so that they cross later requests.
     for controller in 0..CONTROLLERS {
         let until = world.now.plus(40_000);
         world.fault_schedule.late_commits.insert(controller, (900, until));
     }
-    let runs = |w: &World, job: &JobId| w.running.keys().any(|task| task.job == *job);
+    let is_running = |w: &World, job: &JobId| w.running.keys().any(|task| task.job == *job);
     let victims: Vec<JobId> = (0..Size::SCARCE.teams)
         .filter_map(|team| {
             let of_team = jobs.iter().skip(team).step_by(Size::SCARCE.teams);
-            // The longest that runs.
-            of_team.into_iter().rev().find(|job| runs(&world, job)).cloned()
+            // The last running job, whose tasks take longest.
+            of_team.into_iter().rev().find(|job| is_running(&world, job)).cloned()
         })
         .collect();
     let machines: BTreeSet<MachineId> = world
@@ -107,14 +112,14 @@
         .filter(|(task, _)| victims.contains(&task.job))
         .map(|(_, machine)| machine.clone())
         .collect();
-    let first = leader(&world).or(world.most()).expect("somebody leads");
-    let lose = |w: &mut World| machines.iter().for_each(|m| unreached.befall(w, m));
+    let first = leader(&world).or(world.most()).expect("there is a leader");
+    let lose_machines = |w: &mut World| machines.iter().for_each(|m| machine_fault.inject(w, m));
     let cancel_victims = |w: &mut World| {
         victims.iter().for_each(|job| cancel(w, (first + 1) % CONTROLLERS, job));
     };
     match order {
         Order::LeaderLast => {
-            lose(&mut world);
+            lose_machines(&mut world);
             cancel_victims(&mut world);
             run_for(&mut world, 300);
             loss.befall(&mut world, first);
@@ -123,10 +128,10 @@
             loss.befall(&mut world, first);
             run_for(&mut world, 700);
             cancel_victims(&mut world);
-            lose(&mut world);
+            lose_machines(&mut world);
         }
         Order::CancelLast => {
-            lose(&mut world);
+            lose_machines(&mut world);
             run_for(&mut world, 400);
             loss.befall(&mut world, first);
             run_for(&mut world, 900);
@@ -143,33 +148,38 @@
             cancel(&mut world, (first + 2) % CONTROLLERS, &job);
         }
     }
-    // What waits takes the places, and no place is lost for ever.
+    // The queued tasks use the freed capacity, and no capacity is lost permanently.
     ends_well(&mut world, 400_000, &what);
     held
 }
 
-/// A place is free only when its task is provably gone: not when its job is cancelled, nor when its
-/// machine is silent, nor because a new leader has not heard of it.
+/// A task's share of the limit is released only when the task has provably ended: not when its job is cancelled, nor when
+/// its machine sends no heartbeats, nor because a new leader does not know of the task.
 #[test]
-fn no_team_exceeds_its_limit_while_cancelled_jobs_run_on_unreached() {
-    use Unreached::*;
+fn unreachable_cancelled_tasks_count_against_limit() {
+    use MachineFault::*;
     let kinds = [Hangs(4_000), Hangs(25_000), Cut(9_000), Cut(30_000), OneWayPartition(30_000)];
     let orders = [Order::LeaderLast, Order::LeaderFirst, Order::CancelLast];
     let mut held = 0;
     for (seed, loss) in Loss::ALL.into_iter().enumerate() {
         for (k, order) in orders.into_iter().enumerate() {
-            let unreached = kinds[(seed + 2 * k) % kinds.len()];
-            held += cancelled_at_the_limit(1 + (seed * 3 + k) as u64, unreached, loss, order);
+            let machine_fault = kinds[(seed + 2 * k) % kinds.len()];
+            held += max_running_after_cancellation(
+                1 + (seed * 3 + k) as u64,
+                machine_fault,
+                loss,
+                order,
+            );
         }
     }
     assert!(held > 100, "only {held} cancelled tasks still ran");
 }
 
-/// Slices of teams' limits change hands while transactions about them are carried out late.
+/// Slices of teams' limits move between pools while the transactions on them are executed late.
 #[test]
-fn limits_hold_while_slices_are_written_late() {
+fn limits_hold_with_delayed_slice_writes() {
     for seed in 60..66u64 {
-        let mut world = scarce(seed);
+        let mut world = scarce_region(seed);
         let kinds = [Purpose::Slice, Purpose::Record, Purpose::Part, Purpose::PoolAssignment];
         world.writes_late(kinds, [0.3, 0.6][seed as usize % 2], Ms(60_000));
         run_for(&mut world, 4_000);
@@ -191,12 +201,12 @@
     }
 }
 
-/// Tasks of four processors wait for a limit that was cut up among pools for smaller ones: whoever does not use its
-/// slice gives it back.
+/// Tasks of four or eight processors wait for a limit that was divided among pools for smaller tasks: pools must return
+/// slices that they do not use.
 #[test]
-fn a_limit_that_was_cut_up_serves_a_task_of_half_of_it() {
+fn unused_slices_are_returned_for_large_tasks() {
     for seed in 70..74u64 {
-        let mut world = scarce(seed);
+        let mut world = scarce_region(seed);
         run_for(&mut world, 4_000);
         for round in 0..4usize {
             for n in 0..4usize {
@@ -215,35 +225,38 @@
         }
         ends_well(&mut world, 300_000, &format!("seed {seed}"));
         let longest_ms = world.starvation.longest_ms;
-        assert!(longest_ms < 45_000, "seed {seed}: a job waited {longest_ms} ms beside room");
+        assert!(
+            longest_ms < 45_000,
+            "seed {seed}: a job waited {longest_ms} ms beside free capacity"
+        );
     }
 }
 
-/// The watcher sees a job that waits beside room: here no controller comes back.
+/// The simulation detects a job that waits although there is free capacity; here, because no controller restarts.
 #[test]
-fn a_job_left_waiting_beside_free_machines_is_found() {
-    let mut world = scarce(80);
+fn job_waiting_beside_free_machines_is_detected() {
+    let mut world = scarce_region(80);
     run_for(&mut world, 4_000);
-    let keeper = plain(&mut world, 4, 20.0);
-    world.submit(0, keeper);
+    let long_job = plain(&mut world, 4, 20.0);
+    world.submit(0, long_job);
     run_for(&mut world, 15_000);
-    let late = plain(&mut world, 2, 5.0);
-    let late = world.submit(0, late);
-    while !world.jobs[&late].accepted {
+    let waiting = plain(&mut world, 2, 5.0);
+    let waiting = world.submit(0, waiting);
+    while !world.jobs[&waiting].accepted {
         run_for(&mut world, 5);
     }
     (0..CONTROLLERS).for_each(|controller| world.crash(controller, 10_000_000));
     run_for(&mut world, 80_000);
-    let found = |w: &World| w.broken.iter().any(|b| b.contains("left waiting"));
-    assert!(!found(&world), "{:#?}", world.broken);
+    let is_detected = |w: &World| w.broken.iter().any(|b| b.contains("left waiting"));
+    assert!(!is_detected(&world), "{:#?}", world.broken);
     run_for(&mut world, 40_000);
-    assert!(found(&world), "{:#?}", world.broken);
+    assert!(is_detected(&world), "{:#?}", world.broken);
 }
 
-/// More work than room, urgent and not, while the state service answers slowly: at least half of each class, team and size
-/// is served, and the largest jobs begin within four minutes.
+/// More work than capacity, in all urgencies, while the state service is slow: at least half of the jobs of each class,
+/// team and size must start and end, and the largest jobs must start within four minutes.
 #[test]
-fn every_team_is_served_under_overload_over_slow_links() {
+fn every_team_is_served_under_overload() {
     for seed in 90..93u64 {
         let size = Size { machines: 6, most_jobs: 0, ..Size::SMALL };
         let mut world = World::sized(seed, false, size);
