--- a/crates/cleatfold-control/tests/image_distribution.rs
+++ b/crates/cleatfold-control/tests/image_distribution.rs
@@ -1,5 +1,6 @@
-//! Images that many machines want at once, while those who plan their spread fall. The world watches, at every
-//! step, that the seats in the record stay within the bound and that whoever fetches from the origin has one.
+//! Distribution of images that many machines need at once, while the controllers that plan it fail. At each step, the
+//! simulation checks that the origin slots in the record stay within the bound and that each machine that fetches from the
+//! origin has one.
 
 use cleatfold_testbed::world::{
     controller_id, ImageSettings, SimulationEvent, Size, World, CONTROLLERS,
@@ -17,7 +18,7 @@
     world
 }
 
-/// One task to a machine.
+/// Submits a job of which one task fits on a machine.
 fn submit(world: &mut World, tasks: u32, image: &str, run_s: f64) -> JobId {
     let mut spec = world.some_job();
     (spec.team, spec.urgency, spec.kind) = (TeamId::new("free"), Urgency::Normal, Kind::Array);
@@ -25,22 +26,22 @@
     (spec.one_zone, spec.spread, spec.types, spec.spot) = (false, false, None, true);
     (spec.image, spec.image_gb) = (ImageId::new(image), GB);
     let up = (0..CONTROLLERS).find(|i| world.controllers[*i].is_some());
-    world.submit(up.expect("one is up"), spec)
+    world.submit(up.expect("a controller is up"), spec)
 }
 
-/// Machines that have it.
-fn having(world: &World, image: &str) -> usize {
+/// Returns the number of machines that have the image.
+fn machines_with_image(world: &World, image: &str) -> usize {
     let image = ImageId::new(image);
     let net = world.net.as_ref().expect("weights");
     net.holders.keys().filter(|id| net.has(id, &image)).count()
 }
 
-fn run_until(world: &mut World, most_s: u64, over: impl Fn(&World) -> bool) -> f64 {
+fn run_until(world: &mut World, max_s: u64, condition: impl Fn(&World) -> bool) -> f64 {
     let from = world.now;
-    while !over(world) {
+    while !condition(world) {
         assert!(world.broken.is_empty(), "{:#?}", world.broken);
-        let passed = world.now.since(from);
-        assert!(passed < most_s * 1000, "not over: {:#?}", world.origin_record());
+        let elapsed_ms = world.now.since(from);
+        assert!(elapsed_ms < max_s * 1000, "condition not met: {:#?}", world.origin_record());
         world.run(world.now.plus(250));
     }
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
@@ -51,39 +52,43 @@
     world.net.as_ref().expect("weights").origin_gb
 }
 
-/// Somebody who serves others now, or fetches from the origin.
-fn a_source(world: &World) -> Option<MachineId> {
-    let held = |w: &cleatfold_fakes::worker::Worker| {
+/// Returns a machine that serves an image to others before it has all of it.
+fn find_source(world: &World) -> Option<MachineId> {
+    let is_serving = |w: &cleatfold_fakes::worker::Worker| {
         w.images.held.iter().any(|h| h.serves > 0 && h.part < 1.0)
     };
-    world.workers.iter().find(|(_, w)| held(w)).map(|(id, _)| id.clone())
+    world.workers.iter().find(|(_, w)| is_serving(w)).map(|(id, _)| id.clone())
 }
 
-/// Thirty machines and two seats. Each for itself would take 150 s, in stages alone as long.
+/// Thirty machines and two origin slots. Fetching the image from the origin only takes 150 s, staged or not.
 #[test]
-fn a_wave_is_fetched_in_stages_and_handed_on() {
+fn simultaneous_fetches_are_staged_and_shared() {
     let mut world = region(1, 30, ImageSettings::SMALL);
     submit(&mut world, 30, "m1", 300.0);
-    let s = run_until(&mut world, 40, |w| having(w, "m1") == 30);
-    assert!(s < 30.0 && origin_gb(&world) <= 3.0 * GB, "{s} s, {} GB", origin_gb(&world));
+    let elapsed_s = run_until(&mut world, 40, |w| machines_with_image(w, "m1") == 30);
+    assert!(
+        elapsed_s < 30.0 && origin_gb(&world) <= 3.0 * GB,
+        "{elapsed_s} s, {} GB",
+        origin_gb(&world)
+    );
 }
 
-/// Workers that know the protocol alone fetch from the origin, by turns.
+/// Workers that know only the basic protocol fetch from the origin, in turns.
 #[test]
-fn workers_of_the_protocol_are_staged() {
+fn protocol_only_workers_fetch_in_turns() {
     let mut world = region(2, 30, ImageSettings { hear: 0, ..ImageSettings::SMALL });
     submit(&mut world, 30, "m1", 300.0);
-    let s = run_until(&mut world, 220, |w| having(w, "m1") == 30);
-    // Fifteen rounds of ten seconds, and a report or two to each.
-    assert!(s < 200.0, "{s}");
+    let elapsed_s = run_until(&mut world, 220, |w| machines_with_image(w, "m1") == 30);
+    // Fifteen rounds of ten seconds, with one or two heartbeats each.
+    assert!(elapsed_s < 200.0, "{elapsed_s}");
     assert_eq!(origin_gb(&world), 300.0);
 }
 
-/// Controllers fall one by one, all at once, stand still for a lease and wake, are cut off with packets held,
-/// while workers of both sorts fetch: no seat too many, nothing is left unfetched, and nothing comes from the
-/// origin twice to machines that stay.
+/// Controllers crash one by one or all at once, freeze for longer than a lease and continue, or are cut off with their
+/// packets held, while workers of both kinds fetch: the slots stay within their bound, each machine gets the image, and no
+/// surviving machine fetches it from the origin twice.
 #[test]
-fn whoever_fails_no_slot_is_given_twice_and_all_get_it() {
+fn failures_do_not_exceed_origin_slots() {
     for seed in 10..18 {
         let mut world = region(seed, 24, ImageSettings { hear: 70, ..ImageSettings::SMALL });
         submit(&mut world, 24, "m1", 20.0);
@@ -105,25 +110,25 @@
             }
         }
         run_until(&mut world, 300, |w| w.unfinished().is_empty() && w.started >= 24);
-        let seats = |w: &World| !w.origin_record().slots.is_empty();
-        run_until(&mut world, 60, |w| !seats(w));
-        let most = 24.0 * GB;
-        assert!(origin_gb(&world) <= most, "seed {seed}: {} GB", origin_gb(&world));
+        let has_slots = |w: &World| !w.origin_record().slots.is_empty();
+        run_until(&mut world, 60, |w| !has_slots(w));
+        let max_gb = 24.0 * GB;
+        assert!(origin_gb(&world) <= max_gb, "seed {seed}: {} GB", origin_gb(&world));
     }
 }
 
-/// Sources die half-way, one after another; then one is a black hole, one is slow and one sends wrong
-/// pieces; their owner falls as well. Seen to stand still for ever when a machine that is stuck was told
-/// anew only for claims under its present owner's token.
+/// A source fails half-way, accepts requests without serving them, is slow, sends corrupt pieces, or leaves; a controller
+/// crashes as well. Distribution stopped for good when a stuck machine got a new source only for claims under its present
+/// owner's token.
 #[test]
-fn a_source_that_dies_is_partitioned_is_slow_or_lies_costs_little() {
+fn faulty_source_is_replaced() {
     for (case, seed) in [(0, 20), (1, 21), (2, 22), (3, 23), (4, 24)] {
         let mut world = region(seed, 30, ImageSettings::SMALL);
         submit(&mut world, 30, "m1", 400.0);
-        run_until(&mut world, 40, |w| a_source(w).is_some());
+        run_until(&mut world, 40, |w| find_source(w).is_some());
         let now = world.now;
         world.run(now.plus(2000));
-        let source = a_source(&world).expect("it serves");
+        let source = find_source(&world).expect("it serves");
         let net = world.net.as_mut().expect("weights");
         let holder = net.holders.get_mut(&source).expect("holds");
         match case {
@@ -135,41 +140,43 @@
         }
         let owner = (0..CONTROLLERS).find(|n| world.controllers[*n].is_some()).expect("up");
         world.at(1000, SimulationEvent::Crash(owner));
-        run_until(&mut world, 150, |w| having(w, "m1") >= 29);
+        run_until(&mut world, 150, |w| machines_with_image(w, "m1") >= 29);
         if case == 3 {
-            assert!(world.net.as_ref().unwrap().wrong > 0, "a wrong piece was sent");
+            assert!(world.net.as_ref().unwrap().wrong > 0, "no corrupt piece was sent");
         }
         assert!(origin_gb(&world) <= 4.0 * GB, "case {case}: {} GB", origin_gb(&world));
     }
 }
 
-/// Many want it in one second, most are cancelled; all controllers fall meanwhile. Nobody fetches what
-/// nobody waits for, and the seats come back.
+/// Many machines need an image at once, then most of their tasks are cancelled and all controllers crash. Machines without a
+/// waiting task stop fetching, and their slots are released.
 #[test]
-fn what_is_cancelled_leaves_the_plan() {
+fn cancelled_fetches_release_slots() {
     let mut world = region(30, 40, ImageSettings { hear: 0, ..ImageSettings::SMALL });
-    let keep = submit(&mut world, 8, "m1", 400.0);
-    let cancel = submit(&mut world, 32, "m1", 400.0);
+    let kept = submit(&mut world, 8, "m1", 400.0);
+    let cancelled = submit(&mut world, 32, "m1", 400.0);
     world.run(Ms(20_000));
-    world.jobs.get_mut(&cancel).expect("known").cancel_asked = true;
-    let asked = cleatfold_testbed::world::Asked::Withdraw(cancel.clone());
-    world.ask(1, asked, cleatfold_control::Request::Withdraw(cancel.clone()));
+    world.jobs.get_mut(&cancelled).expect("known").cancel_asked = true;
+    let asked = cleatfold_testbed::world::Asked::Withdraw(cancelled.clone());
+    world.ask(1, asked, cleatfold_control::Request::Withdraw(cancelled.clone()));
     world.run(Ms(21_000));
     (0..CONTROLLERS).for_each(|n| world.at(0, SimulationEvent::Crash(n)));
-    let done = |w: &World| w.running.keys().filter(|t| t.job == keep).count() == 8;
+    let done = |w: &World| w.running.keys().filter(|t| t.job == kept).count() == 8;
     run_until(&mut world, 120, done);
-    run_until(&mut world, 120, |w| w.origin_record().slots.is_empty() && having(w, "m1") >= 8);
-    // Those that fetched for the cancelled one gave up what they had begun.
-    assert!(having(&world, "m1") <= 12, "{}", having(&world, "m1"));
+    run_until(&mut world, 120, |w| {
+        w.origin_record().slots.is_empty() && machines_with_image(w, "m1") >= 8
+    });
+    // The machines that fetched for the cancelled job gave up their unfinished fetches.
+    assert!(machines_with_image(&world, "m1") <= 12, "{}", machines_with_image(&world, "m1"));
 }
 
-/// A machine is back at once with an empty cache, or a full one, under its name.
+/// A machine restarts at once under the same name, with an empty or a full cache.
 #[test]
-fn a_machine_that_is_back_at_once_is_asked_what_it_has() {
+fn restarted_machine_reports_its_cache() {
     for full in [false, true] {
         let mut world = region(40, 12, ImageSettings::SMALL);
         submit(&mut world, 12, "m1", 400.0);
-        run_until(&mut world, 60, |w| having(w, "m1") >= 6);
+        run_until(&mut world, 60, |w| machines_with_image(w, "m1") >= 6);
         let id = world.workers.keys().next().expect("one").clone();
         let now = world.now;
         let worker = world.workers.get_mut(&id).expect("there");
@@ -190,25 +197,26 @@
             holder.rest();
         }
         let before = origin_gb(&world);
-        run_until(&mut world, 90, |w| having(w, "m1") == 12 && w.running.len() == 12);
+        run_until(&mut world, 90, |w| machines_with_image(w, "m1") == 12 && w.running.len() == 12);
         assert!(origin_gb(&world) - before <= 2.0 * GB);
     }
 }
 
-/// The record names who holds it, and a successor reads it; it goes when nobody wants the image any more.
+/// The record lists the machines that hold the image, so that a new owner can read it, and is deleted when no job needs the
+/// image any more.
 #[test]
-fn holders_are_in_shared_state_while_the_image_is_wanted() {
+fn image_holders_are_recorded_while_needed() {
     let mut world = region(50, 20, ImageSettings::SMALL);
     submit(&mut world, 20, "m1", 30.0);
     let key = "cf/w/m1";
-    let named = |w: &World| {
+    let recorded_holders = |w: &World| {
         let item = w.store.get(key)?;
         let record: cleatfold_image_distribution::SpreadRecord =
             serde_json::from_str(item.value.get()).expect("a record");
         Some(record.holders.values().map(|n| n.read().len()).sum::<usize>())
     };
-    run_until(&mut world, 90, |w| named(w).unwrap_or(0) >= 15);
+    run_until(&mut world, 90, |w| recorded_holders(w).unwrap_or(0) >= 15);
     assert!((0..CONTROLLERS)
         .any(|n| world.controllers[n].is_some() && controller_id(n).as_str() == "n0"));
-    run_until(&mut world, 200, |w| w.unfinished().is_empty() && named(w).is_none());
+    run_until(&mut world, 200, |w| w.unfinished().is_empty() && recorded_holders(w).is_none());
 }
