--- a/crates/cleatfold-control/tests/zones.rs
+++ b/crates/cleatfold-control/tests/zones.rs
@@ -1,6 +1,6 @@
-//! Jobs that are bound to one zone, or spread over zones, lose machines, and a zone with workers and a controller is
-//! cut off. The region's watchers look for all rules, also for tasks in a wrong place and for jobs that are left
-//! waiting beside room.
+//! Jobs that are bound to one zone or spread over zones lose machines, and a zone with its workers and controller is cut
+//! off. The simulation checks all invariants, including those on tasks in a wrong zone and on jobs that wait although there
+//! is free capacity.
 
 mod scenario;
 
@@ -11,8 +11,8 @@
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// Long work in a zone, so that its machines are not returned, with room beside it.
-fn keep_machines(world: &mut World, zone: &str) -> JobId {
+/// Submits long tasks in a zone, so that its machines are not returned, and leaves free capacity on them.
+fn submit_long_job(world: &mut World, zone: &str) -> JobId {
     let mut spec = plain(world, 4, 150.0);
     (spec.cpus, spec.zone) = (3.0, Some(ZoneId::new(zone)));
     world.submit(0, spec)
@@ -32,16 +32,16 @@
     world.running.keys().filter(|task| task.job == *job).count()
 }
 
-fn wait_until(world: &mut World, most_ms: u64, what: &str, over: impl Fn(&World) -> bool) {
+fn wait_until(world: &mut World, max_ms: u64, what: &str, condition: impl Fn(&World) -> bool) {
     let from = world.now;
-    while !over(world) {
-        assert!(world.now.since(from) < most_ms, "{what} does not happen");
+    while !condition(world) {
+        assert!(world.now.since(from) < max_ms, "{what}: not reached");
         run_for(world, 50);
         assert!(world.broken.is_empty(), "{what}: {:#?}", world.broken);
     }
 }
 
-/// Processors and memory: the tasks of a large array are small.
+/// Returns processors and memory of a task; the tasks of a large array are small.
 fn size_of_tasks(tasks: u32) -> (f64, f64) {
     if tasks > 64 {
         (0.05, 0.05)
@@ -50,14 +50,15 @@
     }
 }
 
-/// A region with machines in every zone, and a one-zone job of long tasks that runs in one of them.
-fn bound_job(seed: u64, tasks: u32) -> (World, JobId, ZoneId, Vec<JobId>) {
+/// A region with machines in every zone, and a one-zone job of long tasks that runs in one of the zones.
+fn region_with_one_zone_job(seed: u64, tasks: u32) -> (World, JobId, ZoneId, Vec<JobId>) {
     let mut world = region(seed, 12);
     run_for(&mut world, 4_000);
-    let keepers: Vec<JobId> = ZONES.iter().map(|zone| keep_machines(&mut world, zone)).collect();
-    let all = keepers.clone();
+    let long_jobs: Vec<JobId> =
+        ZONES.iter().map(|zone| submit_long_job(&mut world, zone)).collect();
+    let awaited = long_jobs.clone();
     wait_until(&mut world, 40_000, "work in every zone", |w| {
-        all.iter().all(|job| running(w, job) == 4)
+        awaited.iter().all(|job| running(w, job) == 4)
     });
     let mut spec = plain(&mut world, tasks, 30.0);
     let (cpus, memory_gb) = size_of_tasks(tasks);
@@ -66,19 +67,20 @@
     let id = job.clone();
     wait_until(&mut world, 40_000, "the bound job", |w| running(w, &id) >= tasks as usize * 2 / 3);
     let zone = zones_of(&world, &job).into_iter().next().expect("it runs");
-    (world, job, zone, keepers)
+    (world, job, zone, long_jobs)
 }
 
-/// A job stayed bound to the zone of its first task for ever: when that zone had no machine left and none could be
-/// rented there, it waited beside free machines of other zones. Seen to fail where nothing unbinds it.
+/// Guards against a job that stays bound to the zone of its first task for ever: when that zone had no machine left and none
+/// could be created there, the job waited although other zones had free machines. Fails if the job is never unbound.
 #[test]
-fn a_one_zone_job_whose_zone_is_lost_goes_on_in_another() {
+fn one_zone_job_moves_when_zone_is_lost() {
     for (seed, tasks) in [(1, 4), (2, 6), (3, 300)] {
-        let (mut world, _, zone, keepers) = bound_job(seed, tasks);
-        // Nothing can be rented any more.
+        let (mut world, _, zone, long_jobs) = region_with_one_zone_job(seed, tasks);
+        // No more machines can be created.
         world.cloud.capacity = 0;
-        let kept = keepers.iter().zip(ZONES).find(|k| zone == ZoneId::new(k.1)).expect("a zone").0;
-        cancel(&mut world, 0, kept);
+        let zone_job =
+            long_jobs.iter().zip(ZONES).find(|k| zone == ZoneId::new(k.1)).expect("a zone").0;
+        cancel(&mut world, 0, zone_job);
         let lost = world.workers.values().filter(|worker| worker.zone == zone);
         for machine in lost.map(|worker| worker.id.clone()).collect::<Vec<_>>() {
             world.handle_event(SimulationEvent::Die(machine));
@@ -87,23 +89,23 @@
     }
 }
 
-/// The zone is lost but for one machine that nobody reaches, and whose task of the job runs on: until that is
-/// proven to be gone, nothing of the job may start in another zone. Seen to fail (`wrong_place`) where a job is unbound
-/// though claims of it stand.
+/// All machines of the zone are lost except one, which is unreachable and continues to run a task of the job: until that
+/// task is proven to have ended, no task of the job may start in another zone. Fails (`wrong_place`) if a job is unbound
+/// while it has claims.
 #[test]
-fn a_one_zone_job_stays_in_its_zone_while_a_task_may_run_there() {
+fn one_zone_job_stays_while_task_may_run() {
     for (seed, tasks) in [(11, 6), (12, 12), (13, 300)] {
-        let (mut world, job, zone, _) = bound_job(seed, tasks);
+        let (mut world, job, zone, _) = region_with_one_zone_job(seed, tasks);
         world.cloud.capacity = 0;
-        let its = machines_of(&world, &job);
-        let unreached = its.iter().next().expect("it runs").clone();
+        let job_machines = machines_of(&world, &job);
+        let unreachable_machine = job_machines.iter().next().expect("it runs").clone();
         let until = world.now.plus(25_000);
-        world.fault_schedule.cut_machines.insert(unreached.clone(), until);
-        let lost = world.workers.values().filter(|w| w.zone == zone && w.id != unreached);
+        world.fault_schedule.cut_machines.insert(unreachable_machine.clone(), until);
+        let lost = world.workers.values().filter(|w| w.zone == zone && w.id != unreachable_machine);
         for machine in lost.map(|worker| worker.id.clone()).collect::<Vec<_>>() {
             world.handle_event(SimulationEvent::Die(machine));
         }
-        if let Some(owner) = owner(&world, &unreached) {
+        if let Some(owner) = owner(&world, &unreachable_machine) {
             world.crash(owner, 6_000);
         }
         run_for(&mut world, 120_000);
@@ -111,10 +113,10 @@
     }
 }
 
-/// Jobs of each kind of binding, arrays in parts too, lose machines in the middle, some of them only from sight; the
-/// owner of most machines ends as well.
+/// Jobs with each kind of zone constraint, including multi-part arrays, lose machines while they run. Some of the machines are
+/// only unreachable. The owner of most machines crashes as well.
 #[test]
-fn bound_jobs_that_lose_machines_start_nowhere_wrong() {
+fn zone_constraints_hold_after_machine_loss() {
     for seed in 20..26u64 {
         let mut world = region(seed, 16);
         run_for(&mut world, 4_000);
@@ -145,18 +147,18 @@
                 _ => {}
             }
         }
-        if let Some(most) = world.most() {
-            world.crash(most, [300, 8_000][seed as usize % 2]);
+        if let Some(busiest) = world.most() {
+            world.crash(busiest, [300, 8_000][seed as usize % 2]);
         }
         ends_well(&mut world, 400_000, &format!("seed {seed}"));
     }
 }
 
-/// A zone goes on by itself for longer than a lease: its controller neither reads the state service nor hears the
-/// others, and its workers reach that controller alone. What is cancelled elsewhere is gone in time, nothing runs twice, and
-/// all goes on afterwards.
+/// A zone is partitioned for longer than a lease: its controller reaches neither the state service nor the other
+/// controllers, and its workers reach only that controller. Tasks of jobs cancelled at another controller must stop in time,
+/// no task may run twice, and all jobs must end after the partition.
 #[test]
-fn a_zone_with_its_controller_is_cut_off_for_longer_than_a_lease() {
+fn invariants_hold_when_zone_is_partitioned() {
     for seed in 40..46u64 {
         let mut world = region(seed, 16);
         run_for(&mut world, 4_000);
@@ -176,9 +178,9 @@
                 cancelled.push(job);
             }
         }
-        let of = cancelled.clone();
+        let awaited = cancelled.clone();
         wait_until(&mut world, 60_000, "work in the zone", |w| {
-            of.iter().all(|job| running(w, job) > 0)
+            awaited.iter().all(|job| running(w, job) > 0)
         });
         let until = world.now.plus([14_000, 35_000, 70_000][seed as usize % 3]);
         world.set_apart(inside, until, seed % 2 == 0);
