--- a/crates/cleatfold-control/tests/boots.rs
+++ b/crates/cleatfold-control/tests/boots.rs
@@ -1,5 +1,5 @@
-//! Machines that are up within two seconds and get work at once: the cloud's list does not name them yet, writes lag,
-//! the rental's answer or intent is late, and the leader ends.
+//! Machines that boot within two seconds and receive tasks at once: the cloud does not list them yet, store writes are
+//! delayed, the scale-out reply or its intent is late, and the leader crashes.
 
 mod scenario;
 
@@ -10,7 +10,7 @@
 use scenario::{ends_well, plain, run_for};
 use std::collections::BTreeMap;
 
-/// The list is ten seconds old, machines boot in 1.5 s.
+/// A region whose machine list lags by ten seconds and whose machines boot in 1.5 s.
 fn region(seed: u64) -> World {
     let boot_s = Size::FAST_BOOT_S;
     let size = Size { machines: 30, most_jobs: 0, boot_s, ..Size::SMALL };
@@ -32,7 +32,7 @@
     world.submit(n % CONTROLLERS, spec);
 }
 
-/// Tasks that run on machines that the list does not name yet.
+/// Returns the machines that run tasks but are not listed by the cloud yet.
 fn unlisted(world: &World) -> Vec<MachineId> {
     let listed: BTreeMap<MachineId, ()> =
         world.cloud.list(world.now).into_iter().map(|m| (m.id, ())).collect();
@@ -40,33 +40,40 @@
     machines.cloned().collect()
 }
 
-/// Both leaders and whoever owns the machines' pool end as soon as a new machine runs its first task.
+/// The controllers that crash as soon as a new machine runs its first task.
 #[derive(Clone, Copy, Debug)]
-enum Falls {
-    Renter,
-    Dealer,
-    Owner,
+enum CrashTarget {
+    ScaleOutHolder,
+    PoolAssignmentHolder,
+    PoolOwner,
     All,
 }
 
-fn fall(world: &mut World, falls: Falls, machine: &MachineId, back_ms: u64) {
+fn crash_controllers(world: &mut World, target: CrashTarget, machine: &MachineId, restart_ms: u64) {
     let owner = scenario::owner(world, machine);
-    let who = match falls {
-        Falls::Renter => holder(world, Role::ScaleOut).into_iter().collect(),
-        Falls::Dealer => holder(world, Role::PoolAssignment).into_iter().collect(),
-        Falls::Owner => owner.into_iter().collect(),
-        Falls::All => (0..CONTROLLERS).collect::<Vec<_>>(),
+    let controllers = match target {
+        CrashTarget::ScaleOutHolder => holder(world, Role::ScaleOut).into_iter().collect(),
+        CrashTarget::PoolAssignmentHolder => {
+            holder(world, Role::PoolAssignment).into_iter().collect()
+        }
+        CrashTarget::PoolOwner => owner.into_iter().collect(),
+        CrashTarget::All => (0..CONTROLLERS).collect::<Vec<_>>(),
     };
-    who.into_iter().for_each(|controller| world.crash(controller, back_ms));
+    controllers.into_iter().for_each(|controller| world.crash(controller, restart_ms));
 }
 
 #[test]
-fn work_on_machines_that_just_came_up_survives_their_leader() {
-    let mut met = 0;
+fn tasks_on_unlisted_machines_survive_leader_crash() {
+    let mut crashes = 0;
     for seed in 1..17u64 {
         let mut world = region(seed);
-        let falls = [Falls::Renter, Falls::Dealer, Falls::Owner, Falls::All][seed as usize % 4];
-        let back_ms = [300, 7_000][seed as usize / 4 % 2];
+        let target = [
+            CrashTarget::ScaleOutHolder,
+            CrashTarget::PoolAssignmentHolder,
+            CrashTarget::PoolOwner,
+            CrashTarget::All,
+        ][seed as usize % 4];
+        let restart_ms = [300, 7_000][seed as usize / 4 % 2];
         let late =
             [Purpose::Record, Purpose::ScaleOutIntents, Purpose::PoolAssignment, Purpose::Submit];
         world.writes_late(late, 0.3, Ms(45_000));
@@ -74,41 +81,47 @@
         for n in 0..3 {
             submit(&mut world, n);
         }
-        let (mut fell, mut asked) = (0, 0);
+        let (mut crash_count, mut requests) = (0, 0);
         while world.now < Ms(60_000) && world.broken.is_empty() {
             run_for(&mut world, 20);
-            let new = unlisted(&world);
-            if fell < 3 && !new.is_empty() && world.now >= Ms(8_000 + 9_000 * fell) {
-                fell += 1;
-                fall(&mut world, falls, &new[0], back_ms);
-                // One of them is lost before anybody else has heard of it.
+            let unlisted_machines = unlisted(&world);
+            if crash_count < 3
+                && !unlisted_machines.is_empty()
+                && world.now >= Ms(8_000 + 9_000 * crash_count)
+            {
+                crash_count += 1;
+                crash_controllers(&mut world, target, &unlisted_machines[0], restart_ms);
+                // One of the machines is lost before any other controller knows of it.
                 if seed % 3 == 0 {
-                    world.handle_event(SimulationEvent::Die(new[0].clone()));
+                    world.handle_event(SimulationEvent::Die(unlisted_machines[0].clone()));
                 }
-                submit(&mut world, fell as usize);
-                submit(&mut world, fell as usize + 1);
+                submit(&mut world, crash_count as usize);
+                submit(&mut world, crash_count as usize + 1);
             }
-            // The renter ends with the answer to a rental on its way.
-            if seed % 5 == 4 && world.cloud.scale_out_log.len() > asked && asked < 4 {
-                if let Some(renter) = holder(&world, Role::ScaleOut) {
-                    world.crash(renter, back_ms);
+            // The scale-out holder crashes while the reply to its request is in flight.
+            if seed % 5 == 4 && world.cloud.scale_out_log.len() > requests && requests < 4 {
+                if let Some(controller) = holder(&world, Role::ScaleOut) {
+                    world.crash(controller, restart_ms);
                 }
             }
-            asked = world.cloud.scale_out_log.len();
+            requests = world.cloud.scale_out_log.len();
         }
-        met += fell;
-        ends_well(&mut world, 400_000, &format!("seed {seed} {falls:?}"));
+        crashes += crash_count;
+        ends_well(&mut world, 400_000, &format!("seed {seed} {target:?}"));
         let longest_ms = world.starvation.longest_ms;
-        assert!(longest_ms < 90_000, "seed {seed}: a job waited {longest_ms} ms beside room");
+        assert!(
+            longest_ms < 90_000,
+            "seed {seed}: a job waited {longest_ms} ms beside free capacity"
+        );
     }
-    assert!(met > 24, "only {met} times did a machine that was not listed run something");
+    assert!(crashes > 24, "only {crashes} crashes while an unlisted machine ran a task");
 }
 
-/// A machine that its owner had returned counted as supply with whoever rents until it had been out of the list for
-/// 50 s, and what came meanwhile waited for it.
+/// Guards against the scale-out holder counting a machine that its owner had returned as supply until it had been missing
+/// from the list for 50 s, while new jobs waited for it.
 #[test]
-fn what_others_have_returned_is_no_supply() {
-    let mut others = 0;
+fn machines_returned_by_owner_are_not_supply() {
+    let mut returned_by_others = 0;
     for seed in 20..32u64 {
         let mut world = region(seed);
         world.cloud.lag_ms = 0;
@@ -120,25 +133,28 @@
         while world.cloud.machines.is_empty() {
             run_for(&mut world, 50);
         }
-        let machine = world.cloud.machines.keys().next().expect("one is rented").clone();
+        let machine = world.cloud.machines.keys().next().expect("a machine was created").clone();
         run_for(&mut world, 10_000);
         let owner = scenario::owner(&world, &machine);
         while world.cloud.machines.contains_key(&machine) {
-            assert!(world.now < Ms(120_000), "seed {seed}: it is not returned");
+            assert!(world.now < Ms(120_000), "seed {seed}: the machine is not returned");
             run_for(&mut world, 50);
         }
-        others += usize::from(owner != holder(&world, Role::ScaleOut));
-        let asked = world.cloud.scale_out_log.len();
+        returned_by_others += usize::from(owner != holder(&world, Role::ScaleOut));
+        let requests = world.cloud.scale_out_log.len();
         let mut spec = plain(&mut world, 1, 3.0);
         spec.zone = Some(zone);
         world.submit(0, spec);
         let from = world.now;
-        while world.cloud.scale_out_log.len() == asked {
+        while world.cloud.scale_out_log.len() == requests {
             run_for(&mut world, 50);
             let waited_ms = world.now.since(from);
-            assert!(waited_ms < 15_000, "seed {seed}: nothing is rented");
+            assert!(waited_ms < 15_000, "seed {seed}: no machine is requested");
         }
         ends_well(&mut world, 60_000, &format!("seed {seed}"));
     }
-    assert!(others > 3, "only {others} machines were returned by another than the renter");
+    assert!(
+        returned_by_others > 3,
+        "only {returned_by_others} machines were returned by other controllers"
+    );
 }
