--- a/crates/cleatfold-control/tests/machine_limits.rs
+++ b/crates/cleatfold-control/tests/machine_limits.rs
@@ -1,33 +1,34 @@
-//! Limits of what a controller keeps in memory, at more machines than are supported.
+//! Bounds on a controller's memory of deleted machines, tested with more machines than are supported.
 
 use cleatfold_control::DeletedMachines;
 use cleatfold_wire::MachineId;
 
-const MACHINES: usize = 4_500;
+const MACHINE_COUNT: usize = 4_500;
 
 fn machine(number: usize) -> MachineId {
     MachineId::new(format!("vm-{number:06}"))
 }
 
 #[test]
-fn all_machines_may_be_deleted_at_once_and_none_is_forgotten() {
+fn all_machines_deleted_at_once_are_remembered() {
     let mut deleted = DeletedMachines::default();
-    for number in 0..MACHINES {
+    for number in 0..MACHINE_COUNT {
         deleted.insert(&machine(number));
     }
-    let forgotten: Vec<usize> = (0..MACHINES).filter(|n| !deleted.contains(&machine(*n))).collect();
+    let forgotten: Vec<usize> =
+        (0..MACHINE_COUNT).filter(|n| !deleted.contains(&machine(*n))).collect();
     assert!(forgotten.is_empty(), "{} forgotten", forgotten.len());
-    assert!(!deleted.contains(&machine(MACHINES)));
+    assert!(!deleted.contains(&machine(MACHINE_COUNT)));
 }
 
 #[test]
-fn the_memory_of_deleted_machines_is_bounded_and_drops_the_oldest() {
+fn deleted_machines_are_bounded_and_evict_oldest() {
     let mut deleted = DeletedMachines::default();
-    let more = DeletedMachines::CAPACITY + 100;
-    for number in 0..more {
+    let inserted = DeletedMachines::CAPACITY + 100;
+    for number in 0..inserted {
         deleted.insert(&machine(number));
         deleted.insert(&machine(number));
     }
-    let kept: Vec<usize> = (0..more).filter(|n| deleted.contains(&machine(*n))).collect();
-    assert_eq!(kept, (100..more).collect::<Vec<_>>());
+    let kept: Vec<usize> = (0..inserted).filter(|n| deleted.contains(&machine(*n))).collect();
+    assert_eq!(kept, (100..inserted).collect::<Vec<_>>());
 }
--- a/crates/cleatfold-control/tests/overload.rs
+++ b/crates/cleatfold-control/tests/overload.rs
@@ -1,47 +1,47 @@
-//! More is asked than can be done: what is given up, and what comes back.
+//! More requests than the controllers can process: which are dropped, and that their retries succeed.
 
 use cleatfold_control::Request;
 use cleatfold_testbed::world::{Asked, Size, World, CONTROLLERS};
 use cleatfold_wire::{JobId, Ms};
 
-/// Hundreds of machines, few changes a second, and only the users that a test plays.
+/// A region with hundreds of machines, a low change rate, and no users but those of the test.
 fn region(seed: u64) -> World {
     World::sized(seed, false, Size { most_jobs: 0, ..Size::GROWN })
 }
 
-/// A user who waits 5 s, as the protocol has it, and then asks the next controller a second later.
+/// A user whose request times out after 5 s, as the protocol specifies, and who then retries at the next controller within a second.
 struct User {
     job: JobId,
     controller: usize,
-    asks_at: Ms,
-    open: Option<(usize, u64)>,
+    next_request_at: Ms,
+    pending: Option<(usize, u64)>,
 }
 
-/// Whoever is not answered in time asks another controller. When every controller kept all that it was
-/// asked, each batch of submissions met jobs that another controller had accepted and failed as a
-/// whole: the more had asked again the fewer were accepted, and it stayed so for good with three
-/// quarters of the processor idle. Seen to fail without dropping who has left.
+/// Users that are not answered in time retry at another controller. When each controller kept all requests, each batch of
+/// submissions contained jobs that another controller had accepted and failed as a whole: the more users retried, the fewer
+/// were accepted, permanently and with three quarters of the CPU idle. Fails if requests of disconnected users are not
+/// dropped.
 #[test]
-fn a_flood_of_submissions_is_accepted_in_the_end() {
+fn flood_of_submissions_is_eventually_accepted() {
     for seed in [1, 2] {
         let mut world = region(seed);
         world.run(Ms(8000));
         let mut users: Vec<User> = Vec::new();
         for second in 8..100u64 {
-            let new = if second == 8 { 240 } else { 2 * u64::from(second < 50) };
-            for i in 0..new {
+            let new_users = if second == 8 { 240 } else { 2 * u64::from(second < 50) };
+            for i in 0..new_users {
                 let mut spec = world.some_job();
-                // What they are about is not looked at here.
+                // The contents of the jobs do not matter here.
                 (spec.tasks, spec.one_zone, spec.spread) = (2, false, false);
                 let (job, controller) = (spec.id.clone(), (i % 3) as usize);
                 world.jobs.entry(job.clone()).or_default().spec = Some(spec);
-                users.push(User { job, controller, asks_at: world.now, open: None });
+                users.push(User { job, controller, next_request_at: world.now, pending: None });
             }
             let now = world.now;
-            for user in users.iter_mut().filter(|u| u.asks_at <= now) {
-                // An answer that came after its asker left is heard by nobody.
-                if let Some(asked) = user.open.take() {
-                    world.asked.remove(&asked);
+            for user in users.iter_mut().filter(|u| u.next_request_at <= now) {
+                // An answer that arrives after its user disconnected is discarded.
+                if let Some(request) = user.pending.take() {
+                    world.asked.remove(&request);
                 }
                 let watch = &world.jobs[&user.job];
                 if watch.accepted {
@@ -50,9 +50,9 @@
                 let spec = watch.spec.clone().expect("submitted");
                 let request = Request::Submit(Box::new(spec));
                 world.ask(user.controller, Asked::Submit(user.job.clone()), request);
-                user.open = Some((user.controller, world.next_rid));
+                user.pending = Some((user.controller, world.next_rid));
                 user.controller = (user.controller + 1) % CONTROLLERS;
-                user.asks_at = world.now.plus(5000);
+                user.next_request_at = world.now.plus(5000);
             }
             world.run(Ms((second + 1) * 1000));
         }
@@ -62,10 +62,10 @@
     }
 }
 
-/// Every poll for an ended job that this controller did not end once cost a request of its own, in
-/// the last urgency; with all of them late the askers came back and the queue only grew.
+/// Guards against one store request, of the lowest urgency, per poll for an ended job that another controller had ended. All of
+/// these requests were late, so that the users retried and the queue only grew.
 #[test]
-fn polls_for_ended_jobs_cost_no_request_each() {
+fn polls_for_ended_jobs_share_reads() {
     let mut world = region(5);
     world.run(Ms(8000));
     let mut jobs = Vec::new();
@@ -81,8 +81,12 @@
     for round in 0..30u64 {
         for job in &jobs {
             let controller = (round % 3) as usize;
-            let told = world.jobs[job].answered_state;
-            world.ask(controller, Asked::Poll(job.clone(), told, true), Request::Poll(job.clone()));
+            let answered = world.jobs[job].answered_state;
+            world.ask(
+                controller,
+                Asked::Poll(job.clone(), answered, true),
+                Request::Poll(job.clone()),
+            );
         }
         world.run(Ms(60_000 + 500 * (round + 1)));
     }
--- a/crates/cleatfold-control/tests/slices.rs
+++ b/crates/cleatfold-control/tests/slices.rs
@@ -1,12 +1,12 @@
-//! Many teams with limits, several controllers and few changes a second: moving slices of the limits must leave the
-//! changes to starts and ends.
+//! Many teams with limits, several controllers and a low change rate: moving slices of the limits must leave most of the
+//! change budget to task starts and ends.
 
 mod scenario;
 
 use cleatfold_testbed::world::{team_id, ChangeKind, Size, World};
 use scenario::{ends_well, plain, run_for};
 
-/// Ninety limited teams share four pools and 24 changes a second, of which more are refused.
+/// Ninety limited teams share four pools and 24 changes per second; changes above this rate are refused.
 const CROWDED: Size = Size {
     controllers: 4,
     teams: 90,
@@ -18,11 +18,11 @@
     ..Size::SMALL
 };
 
-const MEASURED_S: u64 = 60;
+const MEASUREMENT_S: u64 = 60;
 
-/// What the changes of some time were spent on.
+/// Counts of store changes by purpose, and of started tasks.
 #[derive(Clone, Copy, Debug)]
-struct Spent {
+struct ChangeCounts {
     slices: u64,
     conflicts: u64,
     changes: u64,
@@ -30,7 +30,7 @@
     started: u32,
 }
 
-impl Spent {
+impl ChangeCounts {
     fn until_now(world: &World) -> Self {
         Self {
             slices: world.written.of(ChangeKind::Slice),
@@ -52,9 +52,9 @@
     }
 }
 
-/// A region whose machines come when every team's work waits already, so that each pool wants a slice of every limit
-/// at once.
-fn crowded(seed: u64) -> World {
+/// A region whose machines become available when jobs of every team are already queued, so that each pool requests a slice
+/// of every limit at once.
+fn crowded_region(seed: u64) -> World {
     let mut world = World::sized(seed, false, CROWDED);
     world.poll_everything();
     world.refuses_above_rate = true;
@@ -71,22 +71,25 @@
     world
 }
 
-/// Each controller wrote every team's slice at each look, and again shortly after a refusal or a conflict: nearly all
-/// changes went to slices, many were refused, and nothing started. Seen to fail without the pacer.
+/// Guards against each controller writing every team's slice at each check, and again shortly after a refusal or a conflict:
+/// nearly all changes were slice writes, many were refused, and no task started. Fails without the pacer.
 #[test]
-fn slices_of_many_teams_leave_the_changes_to_the_work() {
+fn slice_writes_leave_budget_for_tasks() {
     for seed in 1..4 {
-        let mut world = crowded(seed);
-        let before = Spent::until_now(&world);
-        run_for(&mut world, MEASURED_S * 1_000);
-        let spent = Spent::until_now(&world).since(before);
-        println!("seed {seed}, {MEASURED_S} s: {spent:?}");
-        assert!(spent.started >= 600, "seed {seed}: {spent:?}");
-        assert!(spent.slices * 2 <= spent.changes, "seed {seed}: {spent:?}");
-        assert!(spent.conflicts <= MEASURED_S, "seed {seed}: {spent:?}");
-        assert!(spent.refused <= MEASURED_S, "seed {seed}: {spent:?}");
+        let mut world = crowded_region(seed);
+        let before = ChangeCounts::until_now(&world);
+        run_for(&mut world, MEASUREMENT_S * 1_000);
+        let counts = ChangeCounts::until_now(&world).since(before);
+        println!("seed {seed}, {MEASUREMENT_S} s: {counts:?}");
+        assert!(counts.started >= 600, "seed {seed}: {counts:?}");
+        assert!(counts.slices * 2 <= counts.changes, "seed {seed}: {counts:?}");
+        assert!(counts.conflicts <= MEASUREMENT_S, "seed {seed}: {counts:?}");
+        assert!(counts.refused <= MEASUREMENT_S, "seed {seed}: {counts:?}");
         ends_well(&mut world, 300_000, &format!("seed {seed}"));
         let longest_ms = world.starvation.longest_ms;
-        assert!(longest_ms < 90_000, "seed {seed}: a job waited {longest_ms} ms beside room");
+        assert!(
+            longest_ms < 90_000,
+            "seed {seed}: a job waited {longest_ms} ms beside free capacity"
+        );
     }
 }
