--- a/crates/cleatfold-control/tests/answer_order.rs
+++ b/crates/cleatfold-control/tests/answer_order.rs
@@ -469,7 +469,7 @@
     let spec = requiring_other_type(&mut world);
     let job = submit_and_await_start(&mut world, spec, 0);
     let owner = owner(&world, &world.running.values().next().expect("it runs").clone());
-    let restarted = (owner.expect("held") + 1) % CONTROLLERS;
+    let restarted = (owner.expect("the pool has an owner") + 1) % CONTROLLERS;
     world.cloud.types.retain(|t| t.name != TypeId::new("other"));
     for state in [JobState::Running, JobState::Done] {
         world.crash(restarted, 200);
@@ -604,27 +604,27 @@
         let mut spec = plain(&mut world, 1, 300.0);
         spec.cpus = 0.5;
         let job = world.submit(1, spec);
-        let submitted = world.now;
+        let submitted_at = world.now;
         let held = hold_request(&mut world, &what, |_, r| has_purpose(r, Purpose::Submit));
-        let mut late: Vec<SimulationEvent> =
+        let mut late_requests: Vec<SimulationEvent> =
             lose_reply(&mut world, outcome, held).into_iter().collect();
-        world.run(submitted.plus(PROMPT_MS));
+        world.run(submitted_at.plus(PROMPT_MS));
         assert!(world.jobs[&job].accepted, "{what}: accepted");
         if !world.running.keys().any(|t| t.job == job) {
             if let Some(claim) = find_in_flight(&world, |_, r| claims_tasks(r, &job)) {
                 let event = world.events.remove(&claim.event_number).expect("found above");
-                late.extend(lose_reply(&mut world, outcome, (claim, event)));
+                late_requests.extend(lose_reply(&mut world, outcome, (claim, event)));
             }
         }
         run_for(&mut world, 5_000);
         assert!(world.running.keys().any(|t| t.job == job), "{what}: runs");
         cancel(&mut world, 2, &job);
-        let asked = world.now;
+        let cancelled_at = world.now;
         let held = hold_request(&mut world, &what, |_, r| cancels_job(r, &job));
-        late.extend(lose_reply(&mut world, outcome, held));
-        world.run(asked.plus(PROMPT_MS));
+        late_requests.extend(lose_reply(&mut world, outcome, held));
+        world.run(cancelled_at.plus(PROMPT_MS));
         assert_eq!(world.jobs[&job].answered_state, Some(JobState::Aborted), "{what}: cancelled");
-        late.into_iter().for_each(|event| world.handle_event(event));
+        late_requests.into_iter().for_each(|event| world.handle_event(event));
         query_everywhere(&mut world, &job, 2_000);
         ends_well_asked(&mut world, 90_000, &what);
     }
--- a/crates/cleatfold-control/tests/boots.rs
+++ b/crates/cleatfold-control/tests/boots.rs
@@ -33,7 +33,7 @@
 }
 
 /// Returns the machines that run tasks but are not listed by the cloud yet.
-fn unlisted(world: &World) -> Vec<MachineId> {
+fn machines_not_listed(world: &World) -> Vec<MachineId> {
     let listed: BTreeMap<MachineId, ()> =
         world.cloud.list(world.now).into_iter().map(|m| (m.id, ())).collect();
     let machines = world.running.values().filter(|m| !listed.contains_key(*m));
@@ -74,9 +74,9 @@
             CrashTarget::All,
         ][seed as usize % 4];
         let restart_ms = [300, 7_000][seed as usize / 4 % 2];
-        let late =
+        let late_kinds =
             [Purpose::Record, Purpose::ScaleOutIntents, Purpose::PoolAssignment, Purpose::Submit];
-        world.writes_late(late, 0.3, Ms(45_000));
+        world.writes_late(late_kinds, 0.3, Ms(45_000));
         run_for(&mut world, 6_000);
         for n in 0..3 {
             submit(&mut world, n);
@@ -84,7 +84,7 @@
         let (mut crash_count, mut requests) = (0, 0);
         while world.now < Ms(60_000) && world.broken.is_empty() {
             run_for(&mut world, 20);
-            let unlisted_machines = unlisted(&world);
+            let unlisted_machines = machines_not_listed(&world);
             if crash_count < 3
                 && !unlisted_machines.is_empty()
                 && world.now >= Ms(8_000 + 9_000 * crash_count)
--- a/crates/cleatfold-control/tests/elastic.rs
+++ b/crates/cleatfold-control/tests/elastic.rs
@@ -51,7 +51,7 @@
     world.run(world.now.plus(400_000));
     assert!(world.broken.is_empty(), "{:#?}", world.broken);
     assert_eq!(world.steps.finished(job), steps);
-    assert!(!world.unfinished().contains(job), "{job} has not ended");
+    assert!(!world.unfinished().contains(job), "the job has not ended");
     world
 }
 
@@ -202,12 +202,15 @@
     let (_, machine) = members(&world, &job).first().cloned().expect("members run");
     let worker = &world.workers[&machine];
     let key = format!("cf/pool/{}/{}", worker.machine_type, worker.zone);
-    let holder = world.store.get(&key).expect("the pool is held");
+    let holder = world.store.get(&key).expect("the pool has an owner");
     let record: records::HolderRecord = serde_json::from_str(holder.value.get()).expect("a pool");
     let owner = (0..CONTROLLERS).find(|i| controller_id(*i) == record.owner).expect("a node");
     world.crash(owner, 20_000);
     world.run(world.now.plus(15_000));
-    assert!(world.store.get(&key).expect("held").version > holder.version, "the pool did not move");
+    assert!(
+        world.store.get(&key).expect("the pool has an owner").version > holder.version,
+        "the pool did not move"
+    );
     finish(world, &job, 150);
 }
 
--- a/crates/cleatfold-control/tests/handovers.rs
+++ b/crates/cleatfold-control/tests/handovers.rs
@@ -121,7 +121,7 @@
                 let victim = busy[seed as usize % busy.len()].clone();
                 let mut victims = vec![victim.clone()];
                 victims.extend(busy.iter().rev().take(1).cloned());
-                let owner_now = owner(&world, &victim).expect("held");
+                let owner_now = owner(&world, &victim).expect("the pool has an owner");
                 if !machines_fail_first {
                     loss.befall(&mut world, owner_now);
                     run_for(&mut world, 700 * (seed % 7));
--- a/crates/cleatfold-control/tests/image_distribution.rs
+++ b/crates/cleatfold-control/tests/image_distribution.rs
@@ -157,12 +157,12 @@
     let cancelled = submit(&mut world, 32, "m1", 400.0);
     world.run(Ms(20_000));
     world.jobs.get_mut(&cancelled).expect("known").cancel_asked = true;
-    let asked = cleatfold_testbed::world::Asked::Withdraw(cancelled.clone());
-    world.ask(1, asked, cleatfold_control::Request::Withdraw(cancelled.clone()));
+    let withdrawal = cleatfold_testbed::world::Asked::Withdraw(cancelled.clone());
+    world.ask(1, withdrawal, cleatfold_control::Request::Withdraw(cancelled.clone()));
     world.run(Ms(21_000));
     (0..CONTROLLERS).for_each(|n| world.at(0, SimulationEvent::Crash(n)));
-    let done = |w: &World| w.running.keys().filter(|t| t.job == kept).count() == 8;
-    run_until(&mut world, 120, done);
+    let all_run = |w: &World| w.running.keys().filter(|t| t.job == kept).count() == 8;
+    run_until(&mut world, 120, all_run);
     run_until(&mut world, 120, |w| {
         w.origin_record().slots.is_empty() && machines_with_image(w, "m1") >= 8
     });
--- a/crates/cleatfold-control/tests/leaders.rs
+++ b/crates/cleatfold-control/tests/leaders.rs
@@ -2,8 +2,8 @@
 //!
 //! Most of these tests fail if job changes are not guarded by the job's version, or task ends not by the pool's version.
 //! They pass without the owners' incarnation, without the pool's version in pool assignments, without the check that a
-//! worker has seen the fencing token, and without a poll's wait for a later read: `claims.rs`, `late.rs`, `seen_token.rs`
-//! and `world.rs` test these.
+//! worker has seen the fencing token, and without a poll's wait for a later read: `claims.rs`, `late_reports.rs`,
+//! `late_transactions.rs`, `seen_token.rs` and `world.rs` test these.
 
 mod scenario;
 
--- a/crates/cleatfold-control/tests/quota.rs
+++ b/crates/cleatfold-control/tests/quota.rs
@@ -38,7 +38,7 @@
     let mut world = scarce_region(seed);
     run_for(&mut world, 4_000);
     let mut jobs = Vec::new();
-    // Each job takes half of a limit, so that a job beside a cancelled one frees capacity on other machines when it ends.
+    // Each job takes half of a limit, so that the jobs that run next to a cancelled one free capacity on other machines when they end.
     for n in 0..Size::SCARCE.teams * 6 {
         let mut spec = plain(&mut world, 3, [12.0, 40.0][n / Size::SCARCE.teams % 2]);
         (spec.team, spec.cpus) = (team_id(n % Size::SCARCE.teams), 2.0);
@@ -112,20 +112,20 @@
         .filter(|(task, _)| victims.contains(&task.job))
         .map(|(_, machine)| machine.clone())
         .collect();
-    let first = leader(&world).or(world.most()).expect("there is a leader");
+    let initial_leader = leader(&world).or(world.most()).expect("there is a leader");
     let lose_machines = |w: &mut World| machines.iter().for_each(|m| machine_fault.inject(w, m));
     let cancel_victims = |w: &mut World| {
-        victims.iter().for_each(|job| cancel(w, (first + 1) % CONTROLLERS, job));
+        victims.iter().for_each(|job| cancel(w, (initial_leader + 1) % CONTROLLERS, job));
     };
     match order {
         Order::LeaderLast => {
             lose_machines(&mut world);
             cancel_victims(&mut world);
             run_for(&mut world, 300);
-            loss.befall(&mut world, first);
+            loss.befall(&mut world, initial_leader);
         }
         Order::LeaderFirst => {
-            loss.befall(&mut world, first);
+            loss.befall(&mut world, initial_leader);
             run_for(&mut world, 700);
             cancel_victims(&mut world);
             lose_machines(&mut world);
@@ -133,24 +133,29 @@
         Order::CancelLast => {
             lose_machines(&mut world);
             run_for(&mut world, 400);
-            loss.befall(&mut world, first);
+            loss.befall(&mut world, initial_leader);
             run_for(&mut world, 900);
             cancel_victims(&mut world);
         }
     }
-    let mut held = 0;
+    let mut max_running = 0;
     for _ in 0..40 {
         run_for(&mut world, 500);
-        let told = |job: &JobId| world.jobs[job].cancel_confirmed.is_some();
-        held = held
-            .max(world.running.keys().filter(|t| victims.contains(&t.job) && told(&t.job)).count());
-        for job in victims.iter().filter(|job| !told(job)).cloned().collect::<Vec<_>>() {
-            cancel(&mut world, (first + 2) % CONTROLLERS, &job);
+        let is_confirmed = |job: &JobId| world.jobs[job].cancel_confirmed.is_some();
+        max_running = max_running.max(
+            world
+                .running
+                .keys()
+                .filter(|t| victims.contains(&t.job) && is_confirmed(&t.job))
+                .count(),
+        );
+        for job in victims.iter().filter(|job| !is_confirmed(job)).cloned().collect::<Vec<_>>() {
+            cancel(&mut world, (initial_leader + 2) % CONTROLLERS, &job);
         }
     }
     // The queued tasks use the freed capacity, and no capacity is lost permanently.
     ends_well(&mut world, 400_000, &what);
-    held
+    max_running
 }
 
 /// A task's share of the limit is released only when the task has provably ended: not when its job is cancelled, nor when
@@ -160,11 +165,11 @@
     use MachineFault::*;
     let kinds = [Hangs(4_000), Hangs(25_000), Cut(9_000), Cut(30_000), OneWayPartition(30_000)];
     let orders = [Order::LeaderLast, Order::LeaderFirst, Order::CancelLast];
-    let mut held = 0;
+    let mut still_running = 0;
     for (seed, loss) in Loss::ALL.into_iter().enumerate() {
         for (k, order) in orders.into_iter().enumerate() {
             let machine_fault = kinds[(seed + 2 * k) % kinds.len()];
-            held += max_running_after_cancellation(
+            still_running += max_running_after_cancellation(
                 1 + (seed * 3 + k) as u64,
                 machine_fault,
                 loss,
@@ -172,7 +177,7 @@
             );
         }
     }
-    assert!(held > 100, "only {held} cancelled tasks still ran");
+    assert!(still_running > 100, "only {still_running} cancelled tasks still ran");
 }
 
 /// Slices of teams' limits move between pools while the transactions on them are executed late.
--- a/crates/cleatfold-control/tests/repeats.rs
+++ b/crates/cleatfold-control/tests/repeats.rs
@@ -62,7 +62,7 @@
         let task = TaskId { job: job.clone(), ix: TaskIx(0) };
         let machine = world.running.get(&task).expect("it runs").clone();
         let pool = world.pool_of(&machine).expect("the machine has a pool");
-        let owner = world.holder(&pool).expect("held");
+        let owner = world.holder(&pool).expect("the pool has an owner");
         let claims = world.claims();
         // A heartbeat that did not arrive in time, according to which the task had exited.
         let mut late_heartbeat =
--- a/crates/cleatfold-control/tests/roles.rs
+++ b/crates/cleatfold-control/tests/roles.rs
@@ -149,11 +149,11 @@
 fn role_is_taken_over_after_holder_failure() {
     let mut world = region(20);
     world.run(Ms(180_000));
-    let held: BTreeSet<Option<usize>> = Role::ALL.iter().map(|d| holder(&world, *d)).collect();
-    assert_eq!(held.len(), CONTROLLERS, "spread over all controllers when there are no faults");
+    let holders: BTreeSet<Option<usize>> = Role::ALL.iter().map(|d| holder(&world, *d)).collect();
+    assert_eq!(holders.len(), CONTROLLERS, "spread over all controllers when there are no faults");
     for round in 0..8 {
         let role = Role::ALL[round % Role::ALL.len()];
-        let controller = holder(&world, role).expect("held");
+        let controller = holder(&world, role).expect("the role has a holder");
         let failed_at = world.now;
         match round % 2 {
             0 => world.at(0, SimulationEvent::Crash(controller)),
--- a/crates/cleatfold-control/tests/urgency_order.rs
+++ b/crates/cleatfold-control/tests/urgency_order.rs
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum OwnerFault {
-    None,
+    NoFault,
     Killed,
     Frozen,
     Cut,
@@ -26,14 +26,14 @@
 
 /// Returns the controllers in descending order of the number of pools they own.
 fn controllers_by_pools(world: &World) -> Vec<usize> {
-    let mut held: BTreeMap<usize, usize> = (0..CONTROLLERS).map(|n| (n, 0)).collect();
+    let mut pool_counts: BTreeMap<usize, usize> = (0..CONTROLLERS).map(|n| (n, 0)).collect();
     for item in world.store.list("cf/pool/", None, 50).items {
         let holder: HolderRecord = serde_json::from_str(item.value.get()).expect("a pool");
         let controller = (0..CONTROLLERS).find(|n| controller_id(*n) == holder.owner);
-        *held.entry(controller.expect("a node")).or_default() += 1;
+        *pool_counts.entry(controller.expect("a node")).or_default() += 1;
     }
     let mut controllers: Vec<usize> = (0..CONTROLLERS).collect();
-    controllers.sort_by_key(|n| std::cmp::Reverse(held[n]));
+    controllers.sort_by_key(|n| std::cmp::Reverse(pool_counts[n]));
     controllers
 }
 
@@ -84,7 +84,7 @@
             let owners = controllers_by_pools(&world);
             let until = now.plus(14_000);
             match fault {
-                OwnerFault::None => {}
+                OwnerFault::NoFault => {}
                 OwnerFault::Killed => world.crash(owners[0], 8000),
                 OwnerFault::Frozen => world.freeze(owners[0], 14_000),
                 OwnerFault::Cut => {
@@ -155,7 +155,7 @@
 }
 
 fn check_start_order(seed: u64, fault: OwnerFault, max_share: f64, max_leases: u64) {
-    let (baseline_share, baseline_wait) = measure_start_order(seed, OwnerFault::None);
+    let (baseline_share, baseline_wait) = measure_start_order(seed, OwnerFault::NoFault);
     assert_eq!(baseline_share, 0.0, "seed {seed}");
     let (share, longest) = measure_start_order(seed, fault);
     assert!(share <= max_share, "seed {seed} {fault:?}: {share}");
@@ -232,7 +232,7 @@
         }
         preemptions += 1;
         let pool = preemption_record(&world).expect("written").key.replace("cf/made/", "cf/pool/");
-        let holder = world.store.get(&pool).expect("held");
+        let holder = world.store.get(&pool).expect("the pool has an owner");
         let holder: HolderRecord = serde_json::from_str(holder.value.get()).expect("a pool");
         let owner = (0..CONTROLLERS).find(|n| controller_id(*n) == holder.owner).expect("a node");
         let crashed_at = world.now;
--- a/crates/cleatfold-control/tests/workspaces.rs
+++ b/crates/cleatfold-control/tests/workspaces.rs
@@ -197,16 +197,16 @@
 fn late_history_write_is_rejected() {
     for seed in 71..73 {
         let mut world = World::sized(seed, false, MANY_SMALL_JOBS);
-        let (mut seen, mut held) = (0, 0);
+        let (mut write_count, mut held_count) = (0, 0);
         while world.now < Ms(150_000) {
             let now = world.now;
             world.run(now.plus(2));
             for number in history_writes_in_flight(&world) {
-                seen += 1;
-                if seen % 2 == 0 || world.now > Ms(90_000) {
+                write_count += 1;
+                if write_count % 2 == 0 || world.now > Ms(90_000) {
                     continue;
                 }
-                held += 1;
+                held_count += 1;
                 let no_op = SimulationEvent::Wake(MachineId::new("nobody"));
                 let event = world.events.insert(number, no_op).expect("in flight");
                 let SimulationEvent::StoreRequest { controller, life, op, request, .. } = event
@@ -215,14 +215,14 @@
                 };
                 let unknown = Event::Store { op, reply: StoreReply::Unknown };
                 world.at(1500, SimulationEvent::Controller(controller, life, Box::new(unknown)));
-                let late = SimulationEvent::StoreRequest {
+                let late_request = SimulationEvent::StoreRequest {
                     controller,
                     life,
                     op,
                     request,
                     answered: false,
                 };
-                world.at(45_000, late);
+                world.at(45_000, late_request);
                 if seed % 2 == 0 {
                     world.at(0, SimulationEvent::Crash(controller));
                 }
@@ -231,7 +231,10 @@
                 TEAMS.iter().for_each(|team| check_groups(&world, team));
             }
         }
-        assert!(held >= 3 && seen > 2 * held, "{held} held of {seen}");
+        assert!(
+            held_count >= 3 && write_count > 2 * held_count,
+            "{held_count} held of {write_count}"
+        );
         for team in TEAMS {
             check_groups(&world, team);
             check_history(&mut world, 1, team);
--- a/crates/cleatfold-control/tests/world.rs
+++ b/crates/cleatfold-control/tests/world.rs
@@ -62,7 +62,7 @@
     let cut_at = world.now;
     let machine = &world.workers[&world.running[&task]];
     let key = format!("cf/pool/{}/{}", machine.machine_type, machine.zone);
-    let holder = world.store.get(&key).expect("the pool is held");
+    let holder = world.store.get(&key).expect("the pool has an owner");
     let record: records::HolderRecord = serde_json::from_str(holder.value.get()).expect("a pool");
     let owner = (0..CONTROLLERS).find(|i| controller_id(*i) == record.owner).expect("a node");
 
