--- a/crates/cleatfold-admission/src/decide.rs
+++ b/crates/cleatfold-admission/src/decide.rs
@@ -331,8 +331,9 @@
                 (0..all.len()).filter(|&i| all[i].group.team == **team).collect();
             let demand = |&i: &usize| WeightedDemand { amount: needed(all[i]), weight: 1.0 };
             let demands: Vec<WeightedDemand> = members.iter().map(demand).collect();
-            let amounts = max_min_shares(factor * share - *granted, &demands);
-            for (&i, amount) in members.iter().zip(amounts) {
+            for (&i, amount) in
+                members.iter().zip(max_min_shares(factor * share - *granted, &demands))
+            {
                 limited[i] = amount;
                 *granted += amount;
             }
--- a/crates/cleatfold-admission/src/overload_quota.rs
+++ b/crates/cleatfold-admission/src/overload_quota.rs
@@ -47,9 +47,8 @@
 
 impl QuotaEntry {
     fn floors(&self) -> [i64; 3] {
-        let (middle, large) =
-            self.sizes.as_ref().map_or((0, 0), |s| (s.middle_floor, s.large_floor));
-        [self.floor, middle, large]
+        let upper_floors = self.sizes.as_ref().map_or((0, 0), |s| (s.middle_floor, s.large_floor));
+        [self.floor, upper_floors.0, upper_floors.1]
     }
 }
 
--- a/crates/cleatfold-admission/src/size_classes.rs
+++ b/crates/cleatfold-admission/src/size_classes.rs
@@ -62,12 +62,13 @@
 impl SizeClassQuota {
     /// The size class of a job.
     pub fn size_class(&self, work: f64, tasks: u32) -> SizeClass {
-        let bounds = SizeBounds {
-            small_max_work: self.small_max_work as f64,
-            large_min_work: self.large_min_work as f64,
+        let (small_max_work, min_work) = (self.small_max_work as f64, self.large_min_work as f64);
+        SizeBounds {
+            small_max_work,
+            large_min_work: min_work,
             large_min_tasks: self.large_min_tasks,
-        };
-        bounds.size_class(work, tasks)
+        }
+        .size_class(work, tasks)
     }
 
     /// The guaranteed minimum of an upper size class; 0 for small jobs, whose floor is in the quota entry.
