--- a/crates/cleatfold-admission/tests/sizes.rs
+++ b/crates/cleatfold-admission/tests/sizes.rs
@@ -111,8 +111,10 @@
         groups.entry(&job.group).or_default().push(job);
     }
     let demand = |(group, jobs): (&Group, Vec<&Job>)| {
-        let required = meter.size_distribution(group, rules.required_job_share)?;
-        let desired = meter.size_distribution(group, rules.desired_job_share)?;
+        let (required, desired) = (
+            meter.size_distribution(group, rules.required_job_share)?,
+            meter.size_distribution(group, rules.desired_job_share)?,
+        );
         let largest = meter.largest(&group.class, rules.largest_job_share, required.max_work)?;
         let bounds = SizeBounds {
             small_max_work: required.max_work,
@@ -239,8 +241,11 @@
         let amounts = {
             let capacity_short =
                 entries_of(class).iter().filter_map(|e| e.sizes.as_ref()).any(|s| s.capacity_short);
-            let terms = SizeClassTerms { floor, start_within_ms: 240_000, capacity_short };
-            promote_larger(terms, now * 1000, &demands)
+            promote_larger(
+                SizeClassTerms { floor, start_within_ms: 240_000, capacity_short },
+                now * 1000,
+                &demands,
+            )
         };
         promoted.extend(
             jobs.iter().zip(amounts).filter(|(_, a)| *a > 0).map(|(job, amount)| (job.0, amount)),
