--- a/crates/cleatfold-priority/src/inversions.rs
+++ b/crates/cleatfold-priority/src/inversions.rs
@@ -67,9 +67,6 @@
         && start.free.fitting_tasks(&waiting.each, 1) > 0
 }
 
-/// Number of inversions that are kept as examples.
-const MAX_EXAMPLES: usize = 8;
-
 /// Counts task starts and priority inversions.
 #[derive(Clone, Debug, Default)]
 pub struct Inversions {
@@ -97,7 +94,7 @@
             return;
         };
         self.inverted += 1;
-        if self.examples.len() < MAX_EXAMPLES {
+        if self.examples.len() < 8 {
             self.examples.push((now, start.clone(), waiting_job.clone()));
         }
     }
