--- a/crates/cleatfold-admission/src/decide.rs
+++ b/crates/cleatfold-admission/src/decide.rs
@@ -256,10 +256,10 @@
         .collect()
 }
 
-/// Delay of a group in the queue order relative to others of its urgency, in multiples of its patience. It depends on
-/// how far its team's demand exceeds a fair share of half of the total demand; up to twice the others' ratio is accepted
-/// as random variation. Demand is compared by team, since a comparison by class never detected a guest team whose
-/// classes no other team uses.
+/// Delay of a group in the queue order relative to others of its urgency, in multiples of its patience. It grows with the
+/// ratio of its team's demand to the team's fair share of half of the total demand; up to twice the lowest ratio of any
+/// team is accepted as random variation. Demand is compared by team, since a comparison by class never detected a guest
+/// team whose classes no other team uses.
 fn queue_delay(demand: &Demand, overloaded: &[(&Demand, f64)]) -> f64 {
     let mut teams: BTreeMap<&TeamId, (f64, f64)> = BTreeMap::new();
     for (g, _) in overloaded.iter().filter(|(g, _)| g.urgency == demand.urgency) {
--- a/crates/cleatfold-admission/src/order.rs
+++ b/crates/cleatfold-admission/src/order.rs
@@ -2,8 +2,8 @@
 //!
 //! The smaller half of the jobs needs much less than half of the work, so small jobs go first within a group that is
 //! not served in time. A job is sorted by its acceptance time plus a shift: later for large jobs, earlier for small and
-//! nearly finished ones, by at most `MAX_SHIFT` times the patience. Later jobs can therefore overtake an accepted job
-//! only for a bounded time.
+//! nearly finished ones, by at most `MAX_SHIFT` times the patience. The shifts for started and for late jobs are bounded
+//! as well, so later jobs can overtake an accepted job only for a bounded time.
 
 use crate::overload_quota::QuotaEntry;
 
@@ -43,7 +43,7 @@
     };
     let shifted = job.accepted_ms as f64 + patience * (size_shift + state_shift);
     let delay = (entry.delay_ms as f64).min(patience * MAX_SHIFT);
-    // A constant offset keeps the result from becoming negative.
+    // Offset by the largest shift to an earlier time, so that the result is not negative.
     (shifted + delay + patience * (MAX_SHIFT + STARTED_SHIFT)).max(0.0) as u64
 }
 
