--- a/crates/cleatfold-admission/src/size_classes.rs
+++ b/crates/cleatfold-admission/src/size_classes.rs
@@ -86,7 +86,7 @@
 pub struct LargerJobDemand {
     /// Time of day of its acceptance, in milliseconds.
     pub accepted_ms: u64,
-    /// Hash of the job id, which is the same on every controller.
+    /// Evenly distributed hash of the job id, which is the same on every controller.
     pub id_hash: u64,
     /// Whether some of its tasks run or are done.
     pub started: bool,
--- a/crates/cleatfold-admission/tests/decide.rs
+++ b/crates/cleatfold-admission/tests/decide.rs
@@ -78,7 +78,8 @@
     assert_eq!(decider.quota.generation, 1);
     let entry = &decider.quota.entries[0];
     assert_eq!((decider.quota.entries.len(), entry.team.as_str()), (1, "b"));
-    // A quarter of the arriving and of the waiting work, over twice the patience: all of it fits under the maximum.
+    // A quarter of the arriving work, and of the waiting work within twice the patience: all of it fits under the
+    // maximum.
     let needed = 0.25 * (800.0 + 200_000.0 / 600.0);
     assert!((entry.floor as f64 / 1000.0 - needed).abs() < 1.0, "{entry:?}");
 }
@@ -167,7 +168,8 @@
             // Guarantees come first, at most twelve of 50 processors; the remaining capacity is shared equally.
             let guaranteed = snapshot.groups.iter().filter(|g| g.guarantee > 0.0).count() as i64;
             let equal_share = (900_000 - 50_000 * guaranteed).max(0) / entries.len() as i64;
-            // No floor exceeds the share of its team, whose weight depends equally on its guarantee and on being a team.
+            // No floor exceeds the share of its team. Half of the total weight is divided equally among the teams, the
+            // other half, if there are guarantees, in proportion to them.
             let equal_share = equal_share.min(500_000 / snapshot.groups.len() as i64);
             let least = if g.guarantee > 0.0 { 900_000 / 12 } else { equal_share };
             assert!(e.floor + 2 >= least.min(needed as i64), "case {case}: {e:?} of {needed}");
