--- a/crates/cleatfold-backfill/src/profile.rs
+++ b/crates/cleatfold-backfill/src/profile.rs
@@ -240,8 +240,8 @@
     reservations: Vec<Reservation>,
 }
 
-/// Rank of a machine for some tasks; the smallest is used. In order: finish in whole seconds, cost,
-/// exact finish, start, processors free at first, machine index.
+/// Rank of a machine for some tasks; the smallest is used. In order: finish in whole seconds (less the
+/// bonus of an immediate start), cost, exact finish, start, processors free at first, machine index.
 type Rank = (u64, u64, Ms, Ms, i64, usize);
 
 /// Rank of a machine that could run some tasks, and how many. Reversed for a min-heap.
--- a/crates/cleatfold-priority/src/inversions.rs
+++ b/crates/cleatfold-priority/src/inversions.rs
@@ -43,7 +43,7 @@
     pub spot: bool,
     /// Whether one more task fits its team's limit.
     pub within_limit: bool,
-    /// Whether its tasks start all together; then it proves nothing that one of them would fit.
+    /// Whether its tasks have to start together; that one of them fits does not show that the job could start.
     pub gang: bool,
 }
 
