--- a/crates/cleatfold-admission/src/size_classes.rs
+++ b/crates/cleatfold-admission/src/size_classes.rs
@@ -62,12 +62,13 @@
 impl SizeClassQuota {
     /// The size class of a job.
     pub fn size_class(&self, work: f64, tasks: u32) -> SizeClass {
-        let bounds = SizeBounds {
-            small_max_work: self.small_max_work as f64,
-            large_min_work: self.large_min_work as f64,
+        let (small_max_work, min_work) = (self.small_max_work as f64, self.large_min_work as f64);
+        SizeBounds {
+            small_max_work,
+            large_min_work: min_work,
             large_min_tasks: self.large_min_tasks,
-        };
-        bounds.size_class(work, tasks)
+        }
+        .size_class(work, tasks)
     }
 
     /// The guaranteed minimum of an upper size class; 0 for small jobs, whose floor is in the quota entry.
@@ -85,7 +86,7 @@
 pub struct LargerJobDemand {
     /// Time of day of its acceptance, in milliseconds.
     pub accepted_ms: u64,
-    /// Hash of the job id, which is the same on every controller.
+    /// Evenly distributed hash of the job id, which is the same on every controller.
     pub id_hash: u64,
     /// Whether some of its tasks run or are done.
     pub started: bool,
