--- a/crates/cleatfold-control/tests/answer_order.rs
+++ b/crates/cleatfold-control/tests/answer_order.rs
@@ -150,7 +150,7 @@
 fn request_during_store_read_waits_for_next_read() {
     for state in [JobState::Queued, JobState::Aborted, JobState::Done] {
         let mut world = ready_region(1);
-        let spec = plain(&mut world, 1, 6.0);
+        let spec = plain_job(&mut world, 1, 6.0);
         let job = spec.id.clone();
         let what = format!("{state:?}");
         let change = match state {
@@ -193,7 +193,7 @@
 #[test]
 fn late_acceptance_reply_reports_current_state() {
     let mut world = ready_region(2);
-    let spec = plain(&mut world, 1, 60.0);
+    let spec = plain_job(&mut world, 1, 60.0);
     let job = world.submit(1, spec);
     let (request, event) =
         hold_request(&mut world, "submission", |_, r| has_purpose(r, Purpose::Submit));
@@ -252,7 +252,7 @@
         for cancelled in [false, true] {
             let what = format!("{lost_reply:?}, cancelled: {cancelled}");
             let mut world = ready_region(seed as u64 + 3);
-            let spec = plain(&mut world, 1, if cancelled { 40.0 } else { 8.0 });
+            let spec = plain_job(&mut world, 1, if cancelled { 40.0 } else { 8.0 });
             let job = spec.id.clone();
             let held = match lost_reply {
                 LostReply::Acceptance => {
@@ -279,7 +279,7 @@
                 (0..CONTROLLERS).for_each(|controller| cancel(&mut world, controller, &job));
             }
             query_everywhere(&mut world, &job, 3_000);
-            ends_well_asked(&mut world, 60_000, &what);
+            assert_all_jobs_end_and_are_reported(&mut world, 60_000, &what);
             let end = world.jobs[&job].answered_state;
             let by_user =
                 lost_reply == LostReply::Cancellation || cancelled && lost_reply != LostReply::End;
@@ -311,7 +311,7 @@
     for end_first in [false, true] {
         let what = format!("end first: {end_first}");
         let mut world = ready_region(8);
-        let spec = plain(&mut world, 1, 6.0);
+        let spec = plain_job(&mut world, 1, 6.0);
         let job = submit_and_await_start(&mut world, spec, 1);
         let end = hold_request(&mut world, &what, |_, r| has_purpose(r, Purpose::Archive));
         let other = (end.0.controller + 1) % CONTROLLERS;
@@ -323,7 +323,7 @@
         world.handle_event(second.1);
         (0..CONTROLLERS).for_each(|controller| cancel(&mut world, controller, &job));
         query_everywhere(&mut world, &job, 3_000);
-        ends_well_asked(&mut world, 30_000, &what);
+        assert_all_jobs_end_and_are_reported(&mut world, 30_000, &what);
         let expected = if end_first { JobState::Done } else { JobState::Aborted };
         assert_eq!(world.jobs[&job].answered_state, Some(expected), "{what}");
     }
@@ -335,7 +335,7 @@
     let mut ends = [0, 0];
     for after_ms in [0, 3, 10, 25, 60, 120, 250, 500, 900] {
         let mut world = ready_region(9 + after_ms);
-        let spec = plain(&mut world, 2, 5.0);
+        let spec = plain_job(&mut world, 2, 5.0);
         let job = submit_and_await_start(&mut world, spec, 0);
         while world.jobs[&job].done.len() < 2 {
             run_for(&mut world, 1);
@@ -349,7 +349,7 @@
             );
         }
         query_everywhere(&mut world, &job, 2_000);
-        ends_well_asked(&mut world, 30_000, &format!("{after_ms} ms after"));
+        assert_all_jobs_end_and_are_reported(&mut world, 30_000, &format!("{after_ms} ms after"));
         ends[usize::from(world.jobs[&job].answered_state == Some(JobState::Done))] += 1;
     }
     assert!(ends[0] > 0 && ends[1] > 0, "aborted and done: {ends:?}");
@@ -360,24 +360,28 @@
 /// already in flight.
 #[test]
 fn cancellations_hold_during_pool_reassignment() {
-    for (seed, loss) in [Loss::Ends(8_000), Loss::Refused(20_000), Loss::Isolated(25_000, false)]
-        .into_iter()
-        .enumerate()
+    for (seed, owner_fault) in [
+        OwnerFault::Crash(8_000),
+        OwnerFault::StoreRefused(20_000),
+        OwnerFault::Isolated(25_000, false),
+    ]
+    .into_iter()
+    .enumerate()
     {
         for after_ms in [0, 400, 1_500, 4_000] {
-            let what = format!("{loss:?}, {after_ms} ms after the assignment");
+            let what = format!("{owner_fault:?}, {after_ms} ms after the assignment");
             let mut world = region(20 + seed as u64, 24);
             world.run(Ms(4_000));
             let jobs: Vec<JobId> = (0..6)
                 .map(|n| {
-                    let mut spec = plain(&mut world, 8, 300.0);
+                    let mut spec = plain_job(&mut world, 8, 300.0);
                     spec.cpus = 1.0;
                     world.submit(n % CONTROLLERS, spec)
                 })
                 .collect();
             run_for(&mut world, 20_000);
             let owner = world.most().expect("a controller owns machines");
-            loss.befall(&mut world, owner);
+            owner_fault.inject(&mut world, owner);
             // The assignment is still in flight when the first jobs are cancelled.
             let assignment = hold_request(&mut world, &what, |n, r| {
                 n != owner && has_purpose(r, Purpose::PoolAssignment)
@@ -392,7 +396,7 @@
             for (n, job) in jobs[3..].iter().enumerate() {
                 cancel(&mut world, others[n % 2], job);
             }
-            asking(&mut world, 60_000);
+            run_while_polling(&mut world, 60_000);
             assert_no_violations(&world, &what);
             assert!(world.running.is_empty(), "{what}: {} tasks run", world.running.len());
             let is_aborted = |j: &&JobId| world.jobs[*j].answered_state == Some(JobState::Aborted);
@@ -422,7 +426,7 @@
         let spec = world.impossible_job();
         let impossible = spec.id.clone();
         world.submit_odd(controller, spec);
-        let possible = plain(&mut world, 1, 5.0);
+        let possible = plain_job(&mut world, 1, 5.0);
         let job = world.submit(controller, possible);
         run_for(&mut world, 1_000);
         assert_eq!(
@@ -445,7 +449,7 @@
 #[test]
 fn accepted_job_survives_machine_type_removal() {
     let requiring_other_type = |world: &mut World| {
-        let mut spec = plain(world, 1, 8.0);
+        let mut spec = plain_job(world, 1, 8.0);
         spec.types = Some(vec![TypeId::new("other")]);
         spec
     };
@@ -468,7 +472,7 @@
     let mut world = ready_region(41);
     let spec = requiring_other_type(&mut world);
     let job = submit_and_await_start(&mut world, spec, 0);
-    let owner = owner(&world, &world.running.values().next().expect("it runs").clone());
+    let owner = pool_owner(&world, &world.running.values().next().expect("it runs").clone());
     let restarted = (owner.expect("the pool has an owner") + 1) % CONTROLLERS;
     world.cloud.types.retain(|t| t.name != TypeId::new("other"));
     for state in [JobState::Running, JobState::Done] {
@@ -478,7 +482,7 @@
         world.submit_again(restarted, &job);
         run_for(&mut world, 1_000);
         assert_eq!(world.answers.last.get(&job), Some(&(200, Some(state))));
-        ends_well(&mut world, 30_000, "accepted");
+        assert_all_jobs_end(&mut world, 30_000, "accepted");
     }
     assert_no_violations(&world, "accepted");
 }
@@ -494,7 +498,7 @@
         world.keep_busy(Ms(120_000));
         world.run(Ms(4_000));
         for n in 0..6 {
-            let mut spec = plain(&mut world, 8, 300.0);
+            let mut spec = plain_job(&mut world, 8, 300.0);
             spec.cpus = 1.0;
             world.submit(n % CONTROLLERS, spec);
         }
@@ -507,7 +511,7 @@
         world.mesh_off = true;
         let outage_ms = world.size.cancel_ms + 15_000;
         world.refused_then_outage(busiest, 1_800, outage_ms);
-        let is_owned = |m: &&MachineId| owner(&world, m) == Some(busiest);
+        let is_owned = |m: &&MachineId| pool_owner(&world, m) == Some(busiest);
         let busy_machines: BTreeSet<MachineId> =
             world.running.values().filter(is_owned).cloned().collect();
         let jobs: BTreeSet<JobId> = world
@@ -533,7 +537,7 @@
     let mut world = ready_region(60);
     let max_amount = job::MAX_AMOUNT;
     for n in 0..6 {
-        let mut spec = plain(&mut world, 3, max_amount);
+        let mut spec = plain_job(&mut world, 3, max_amount);
         (spec.save_s, spec.deadline_s) = (max_amount, Some(max_amount));
         (spec.checkpoint_s, spec.image_gb) =
             ([0.0, max_amount][n % 2], [0.5, max_amount][n / 2 % 2]);
@@ -541,14 +545,14 @@
         assert!(JobSpec::from_json(&body).is_ok());
         world.submit(n % CONTROLLERS, spec);
     }
-    let spec = plain(&mut world, 4, 5.0);
+    let spec = plain_job(&mut world, 4, 5.0);
     let job = world.submit(0, spec);
-    asking(&mut world, 40_000);
+    run_while_polling(&mut world, 40_000);
     assert_eq!(world.jobs[&job].answered_state, Some(JobState::Done));
     let others: Vec<JobId> = world.jobs.keys().filter(|id| **id != job).cloned().collect();
     assert!(others.iter().all(|id| world.jobs[id].accepted));
     others.iter().for_each(|id| cancel(&mut world, 0, id));
-    ends_well_asked(&mut world, 60_000, "maximum amounts");
+    assert_all_jobs_end_and_are_reported(&mut world, 60_000, "maximum amounts");
 }
 
 /// A user counts an acceptance or a cancellation as prompt within this time.
@@ -597,11 +601,11 @@
         let what = format!("{outcome:?}");
         let mut world = ready_region(70 + seed as u64);
         // Machines are already running, so that a start waits only for its claim.
-        let mut spec = plain(&mut world, 4, 60.0);
+        let mut spec = plain_job(&mut world, 4, 60.0);
         spec.cpus = 0.5;
         submit_and_await_start(&mut world, spec, 0);
         run_for(&mut world, 10_000);
-        let mut spec = plain(&mut world, 1, 300.0);
+        let mut spec = plain_job(&mut world, 1, 300.0);
         spec.cpus = 0.5;
         let job = world.submit(1, spec);
         let submitted_at = world.now;
@@ -626,7 +630,7 @@
         assert_eq!(world.jobs[&job].answered_state, Some(JobState::Aborted), "{what}: cancelled");
         late_requests.into_iter().for_each(|event| world.handle_event(event));
         query_everywhere(&mut world, &job, 2_000);
-        ends_well_asked(&mut world, 90_000, &what);
+        assert_all_jobs_end_and_are_reported(&mut world, 90_000, &what);
     }
 }
 
--- a/crates/cleatfold-control/tests/boots.rs
+++ b/crates/cleatfold-control/tests/boots.rs
@@ -7,7 +7,7 @@
 use cleatfold_roles::Role;
 use cleatfold_testbed::world::{controller_id, Purpose, SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::*;
-use scenario::{ends_well, plain, run_for};
+use scenario::{assert_all_jobs_end, plain_job, run_for};
 use std::collections::BTreeMap;
 
 /// A region whose machine list lags by ten seconds and whose machines boot in 1.5 s.
@@ -27,7 +27,7 @@
 }
 
 fn submit(world: &mut World, n: usize) {
-    let mut spec = plain(world, 10, [6.0, 15.0][n % 2]);
+    let mut spec = plain_job(world, 10, [6.0, 15.0][n % 2]);
     spec.cpus = 4.0;
     world.submit(n % CONTROLLERS, spec);
 }
@@ -50,7 +50,7 @@
 }
 
 fn crash_controllers(world: &mut World, target: CrashTarget, machine: &MachineId, restart_ms: u64) {
-    let owner = scenario::owner(world, machine);
+    let owner = scenario::pool_owner(world, machine);
     let controllers = match target {
         CrashTarget::ScaleOutHolder => holder(world, Role::ScaleOut).into_iter().collect(),
         CrashTarget::PoolAssignmentHolder => {
@@ -107,7 +107,7 @@
             requests = world.cloud.scale_out_log.len();
         }
         crashes += crash_count;
-        ends_well(&mut world, 400_000, &format!("seed {seed} {target:?}"));
+        assert_all_jobs_end(&mut world, 400_000, &format!("seed {seed} {target:?}"));
         let longest_ms = world.starvation.longest_ms;
         assert!(
             longest_ms < 90_000,
@@ -127,7 +127,7 @@
         world.cloud.list_lag_ms = 0;
         run_for(&mut world, 6_000);
         let zone = ZoneId::new(["a", "b", "c"][seed as usize % 3]);
-        let mut spec = plain(&mut world, 1, 3.0);
+        let mut spec = plain_job(&mut world, 1, 3.0);
         spec.zone = Some(zone.clone());
         world.submit(0, spec);
         while world.cloud.machines.is_empty() {
@@ -135,14 +135,14 @@
         }
         let machine = world.cloud.machines.keys().next().expect("a machine was created").clone();
         run_for(&mut world, 10_000);
-        let owner = scenario::owner(&world, &machine);
+        let owner = scenario::pool_owner(&world, &machine);
         while world.cloud.machines.contains_key(&machine) {
             assert!(world.now < Ms(120_000), "seed {seed}: the machine is not returned");
             run_for(&mut world, 50);
         }
         returned_by_others += usize::from(owner != holder(&world, Role::ScaleOut));
         let requests = world.cloud.scale_out_log.len();
-        let mut spec = plain(&mut world, 1, 3.0);
+        let mut spec = plain_job(&mut world, 1, 3.0);
         spec.zone = Some(zone);
         world.submit(0, spec);
         let from = world.now;
@@ -151,7 +151,7 @@
             let waited_ms = world.now.since(from);
             assert!(waited_ms < 15_000, "seed {seed}: no machine is requested");
         }
-        ends_well(&mut world, 60_000, &format!("seed {seed}"));
+        assert_all_jobs_end(&mut world, 60_000, &format!("seed {seed}"));
     }
     assert!(
         returned_by_others > 3,
--- a/crates/cleatfold-control/tests/commands.rs
+++ b/crates/cleatfold-control/tests/commands.rs
@@ -19,7 +19,7 @@
         [100.0, 100.0, 100.0, 100.0, 100.0, 100.0, 6.0].iter().enumerate()
     {
         let tasks = if *estimate_s > 10.0 { 4 } else { 12 };
-        let mut spec = plain(&mut world, tasks, *estimate_s);
+        let mut spec = plain_job(&mut world, tasks, *estimate_s);
         spec.cpus = 2.5;
         world.submit(controller % CONTROLLERS, spec);
         run_for(&mut world, 300);
@@ -85,12 +85,12 @@
         let mut world = region(seed, 18);
         world.run(Ms(4000));
         // The answers to machines that are up and have capacity are held back for a claim.
-        let first = plain(&mut world, 8, 20.0);
+        let first = plain_job(&mut world, 8, 20.0);
         world.submit(0, first);
         run_for(&mut world, 18_000);
         let before: BTreeMap<MachineId, Heartbeat> =
             world.workers.iter_mut().map(|(id, w)| (id.clone(), w.heartbeat())).collect();
-        let spec = plain(&mut world, 1, 100.0);
+        let spec = plain_job(&mut world, 1, 100.0);
         let task = TaskId { job: spec.id.clone(), ix: TaskIx(0) };
         world.submit(1, spec);
         let Some(machine) = wait_for_launch(&mut world, &task) else { continue };
@@ -98,7 +98,7 @@
         let pool = world.pool_of(&machine).expect("machine exists");
         let token = |w: &World| w.store.get(&format!("cf/pool/{pool}")).map(|item| item.version);
         let (first_token, former_owner) =
-            (token(&world), owner(&world, &machine).expect("pool has an owner"));
+            (token(&world), pool_owner(&world, &machine).expect("pool has an owner"));
         world.crash(former_owner, 50);
         run_until(&mut world, 2_600, 10, |w| token(w) != first_token);
         let moved = token(&world) != first_token;
@@ -143,7 +143,7 @@
             world.running.iter().filter(|r| *r.1 == machine).map(|r| r.0.clone()).collect();
         let start = world.now;
         world.mute(&machine, start.plus(60_000));
-        let owner_ix = owner(&world, &machine).expect("pool has an owner");
+        let owner_ix = pool_owner(&world, &machine).expect("pool has an owner");
         let lease_ms = world.size.times().lease_ms;
         // A direct command and its answer still arrive.
         let worker = &world.workers[&machine];
@@ -199,9 +199,9 @@
     machines.iter().for_each(|m| world.mute(m, until));
     world.cancel_now(3, None);
     run_for(&mut world, 3_000);
-    let owner_ix = owner(&world, &machine).expect("pool has an owner");
+    let owner_ix = pool_owner(&world, &machine).expect("pool has an owner");
     world.crash(owner_ix, 4_000);
-    ends_well(&mut world, 600_000, "unreachable zone");
+    assert_all_jobs_end(&mut world, 600_000, "unreachable zone");
     assert_eq!(world.command_faults.cancelled, 3);
 }
 
@@ -212,7 +212,7 @@
 fn restarted_attempt(seed: u64) -> Option<(World, TaskId, MachineId, Heartbeat)> {
     let mut world = region_with_long_tasks(seed);
     let (task, attempt, machine) = running_task(&world);
-    let owner_ix = owner(&world, &machine).expect("pool has an owner");
+    let owner_ix = pool_owner(&world, &machine).expect("pool has an owner");
     let worker = world.workers.get_mut(&machine).expect("machine exists");
     let (token, agent_epoch, renewed) =
         (worker.token, AgentEpoch(worker.agent_epoch), worker.renewed_at);
@@ -268,7 +268,7 @@
     let mut hit_count = 0;
     for seed in 0..4 {
         let Some((mut world, task, machine, late)) = restarted_attempt(seed) else { continue };
-        let (before, owner_ix) = (world.workers[&machine].token, owner(&world, &machine));
+        let (before, owner_ix) = (world.workers[&machine].token, pool_owner(&world, &machine));
         world.crash(owner_ix.expect("pool has an owner"), 20_000);
         if !run_until(&mut world, 15_000, 20, |w| w.workers[&machine].token > before) {
             continue;
@@ -333,7 +333,7 @@
         world.mesh_off = false;
         world.cloud_off = false;
         assert_no_violation(&world, &format!("seed {seed}"));
-        ends_well(&mut world, 500_000, &format!("seed {seed}"));
+        assert_all_jobs_end(&mut world, 500_000, &format!("seed {seed}"));
     }
     assert!(
         hit_count >= 2,
@@ -352,7 +352,7 @@
     for seed in 0..6u64 {
         let mut world = region(seed, 9);
         world.run(Ms(4000));
-        let mut sweep = plain(&mut world, 40, 0.0);
+        let mut sweep = plain_job(&mut world, 40, 0.0);
         (sweep.cpus, sweep.elastic) =
             (1.0, Some(Elastic { steps: 900, min_members: 1, step_s: 1.5 }));
         world.submit(0, sweep);
@@ -360,7 +360,7 @@
         let until = world.now.plus(60_000);
         world.late_commands(1.0, until);
         for round in 0..20u64 {
-            let mut spec = plain(&mut world, 5, 3.0);
+            let mut spec = plain_job(&mut world, 5, 3.0);
             spec.cpus = 4.0;
             world.submit(round as usize % CONTROLLERS, spec);
             for _ in 0..12 {
@@ -379,10 +379,10 @@
             }
             if round % 4 == 3 {
                 let most = world.most().expect("a controller owns machines");
-                Loss::ALL[(seed + round) as usize % 9].befall(&mut world, most);
+                OwnerFault::ALL[(seed + round) as usize % 9].inject(&mut world, most);
             }
         }
-        ends_well(&mut world, 400_000, &format!("seed {seed}"));
+        assert_all_jobs_end(&mut world, 400_000, &format!("seed {seed}"));
         late += world.command_faults.late;
     }
     assert!(
@@ -406,23 +406,23 @@
 #[test]
 fn cancelled_tasks_on_hung_machines_stop_in_time() {
     let mut resumed_count = 0;
-    for (seed, hang_ms, loss) in [
+    for (seed, hang_ms, owner_fault) in [
         (1, 3_000, None),
         (2, 8_500, None),
-        (3, 9_800, Some(Loss::Ends(300))),
-        (4, 5_000, Some(Loss::Ends(8_000))),
-        (5, 8_500, Some(Loss::Refused(20_000))),
+        (3, 9_800, Some(OwnerFault::Crash(300))),
+        (4, 5_000, Some(OwnerFault::Crash(8_000))),
+        (5, 8_500, Some(OwnerFault::StoreRefused(20_000))),
         (6, 25_000, None),
     ] {
-        let context = format!("seed {seed}, {hang_ms} ms, {loss:?}");
+        let context = format!("seed {seed}, {hang_ms} ms, {owner_fault:?}");
         let mut world = region_with_long_tasks(seed);
         let owner_ix = world.most().expect("a controller owns machines");
         world.cancel_now(6, Some(hang_ms));
         let (cancelled, hung) = (world.command_faults.cancelled, world.command_faults.hung);
         assert!(cancelled >= 4 && hung >= 6, "{context}: {cancelled} cancelled, {hung} hang");
         run_for(&mut world, 250);
-        if let Some(loss) = loss {
-            loss.befall(&mut world, owner_ix);
+        if let Some(owner_fault) = owner_fault {
+            owner_fault.inject(&mut world, owner_ix);
         }
         let cancel_ms = world.size.times().cancel_ms;
         run_for(&mut world, cancel_ms + 20_000);
@@ -431,7 +431,7 @@
         assert_eq!(confirmed, cancelled as usize, "{context}");
         let watch = &world.cancel_watch;
         resumed_count += watch.went_on_count;
-        if loss.is_none() {
+        if owner_fault.is_none() {
             let most = 2 * world.size.times().heartbeat_interval_ms + 1_500;
             assert!(
                 watch.longest_after_hang_ms <= most,
@@ -441,7 +441,7 @@
         }
         let latest = watch.starts_after.iter().map(|s| s.1).max().unwrap_or_default();
         assert!(latest <= 4_500, "{context}: started {latest} ms after the cancellation");
-        ends_well(&mut world, 100_000, &context);
+        assert_all_jobs_end(&mut world, 100_000, &context);
     }
     assert!(resumed_count >= 10, "only {resumed_count} cancelled tasks resumed after a hang");
 }
--- a/crates/cleatfold-control/tests/handovers.rs
+++ b/crates/cleatfold-control/tests/handovers.rs
@@ -13,7 +13,7 @@
     let mut world = region(seed, 18);
     world.run(Ms(4000));
     for _ in 0..4 {
-        let mut spec = plain(&mut world, 12, 100.0);
+        let mut spec = plain_job(&mut world, 12, 100.0);
         spec.cpus = 3.0;
         world.submit(0, spec);
         run_for(&mut world, 300);
@@ -30,17 +30,17 @@
 #[test]
 fn small_jobs_complete_once_across_handovers() {
     let mut seed = 0;
-    for losses in 1..4usize {
-        for (n, loss) in Loss::ALL.into_iter().enumerate() {
+    for fault_count in 1..4usize {
+        for (n, owner_fault) in OwnerFault::ALL.into_iter().enumerate() {
             {
                 seed += 1;
-                let after_ms = [0, 400, 1_300][(seed as usize + losses) % 3];
+                let after_ms = [0, 400, 1_300][(seed as usize + fault_count) % 3];
                 let mut world = region(seed, 12);
                 world.run(Ms(4000));
                 let mut short_tasks = Vec::new();
                 for job_index in 0..6u32 {
                     let tasks = 2 + job_index % 2;
-                    let mut spec = plain(&mut world, tasks, 30.0);
+                    let mut spec = plain_job(&mut world, tasks, 30.0);
                     spec.cpus = 3.0;
                     for ix in 0..tasks {
                         let task = TaskId { job: spec.id.clone(), ix: TaskIx(ix) };
@@ -63,23 +63,26 @@
                     machine_of_task.extend(world.running.clone());
                     run_for(&mut world, 50);
                 }
-                let what = format!("seed {seed} {loss:?} x{losses} {after_ms} ms after the end");
+                let what = format!(
+                    "seed {seed} {owner_fault:?} x{fault_count} {after_ms} ms after the end"
+                );
                 let early = first_ended(&world).expect("a task ends");
                 let machine = machine_of_task[&early].clone();
-                asking(&mut world, after_ms.max(1));
-                for round in 0..losses {
-                    if let Some(owner) = owner(&world, &machine) {
-                        let loss = if round == 0 { loss } else { Loss::ALL[(n + round) % 9] };
-                        loss.befall(&mut world, owner);
+                run_while_polling(&mut world, after_ms.max(1));
+                for round in 0..fault_count {
+                    if let Some(owner) = pool_owner(&world, &machine) {
+                        let owner_fault =
+                            if round == 0 { owner_fault } else { OwnerFault::ALL[(n + round) % 9] };
+                        owner_fault.inject(&mut world, owner);
                     }
                     if round == 0 && n % 3 == 1 {
                         world.handle_event(cleatfold_testbed::world::SimulationEvent::Die(
                             machine.clone(),
                         ));
                     }
-                    asking(&mut world, 4_000 + 3_000 * (round as u64 + n as u64 % 4));
+                    run_while_polling(&mut world, 4_000 + 3_000 * (round as u64 + n as u64 % 4));
                 }
-                ends_well_asked(&mut world, 400_000, &what);
+                assert_all_jobs_end_and_are_reported(&mut world, 400_000, &what);
             }
         }
     }
@@ -109,21 +112,21 @@
     ];
     let mut seed = 100;
     for kind in kinds {
-        for loss in Loss::ALL {
+        for owner_fault in OwnerFault::ALL {
             {
                 seed += 1;
-                let (machines_fail_first, second_loss) =
+                let (machines_fail_first, second_owner_fault) =
                     [(true, false), (false, false), (true, true)][seed as usize % 3];
                 let mut world = region_with_long_tasks(seed);
                 let what =
-                    format!("seed {seed} {kind:?} {loss:?} {machines_fail_first} {second_loss}");
+                    format!("seed {seed} {kind:?} {owner_fault:?} {machines_fail_first} {second_owner_fault}");
                 let busy: Vec<MachineId> = world.running.values().cloned().collect();
                 let victim = busy[seed as usize % busy.len()].clone();
                 let mut victims = vec![victim.clone()];
                 victims.extend(busy.iter().rev().take(1).cloned());
-                let owner_now = owner(&world, &victim).expect("the pool has an owner");
+                let owner_now = pool_owner(&world, &victim).expect("the pool has an owner");
                 if !machines_fail_first {
-                    loss.befall(&mut world, owner_now);
+                    owner_fault.inject(&mut world, owner_now);
                     run_for(&mut world, 700 * (seed % 7));
                 }
                 let now = world.now;
@@ -140,15 +143,15 @@
                 }
                 if machines_fail_first {
                     run_for(&mut world, 500 * (seed % 11));
-                    loss.befall(&mut world, owner_now);
+                    owner_fault.inject(&mut world, owner_now);
                 }
-                if second_loss {
+                if second_owner_fault {
                     run_for(&mut world, 5_500);
-                    if let Some(next) = owner(&world, &victim) {
-                        Loss::Ends(300).befall(&mut world, next);
+                    if let Some(next) = pool_owner(&world, &victim) {
+                        OwnerFault::Crash(300).inject(&mut world, next);
                     }
                 }
-                ends_well(&mut world, 600_000, &what);
+                assert_all_jobs_end(&mut world, 600_000, &what);
             }
         }
     }
@@ -166,13 +169,13 @@
         world.run(Ms(4000));
         let until = Ms(90_000);
         world.fault_schedule.late_orders = Some((9_000, until, seed % 2 == 0));
-        let mut elastic = plain(&mut world, 40, 0.0);
+        let mut elastic = plain_job(&mut world, 40, 0.0);
         (elastic.cpus, elastic.elastic) =
             (1.0, Some(Elastic { steps: 900, min_members: 1, step_s: 1.5 }));
         world.submit(0, elastic);
         run_for(&mut world, 12_000);
         for round in 0..8u64 {
-            let mut spec = plain(&mut world, 6, 3.0);
+            let mut spec = plain_job(&mut world, 6, 3.0);
             spec.cpus = 4.0;
             world.submit(round as usize % CONTROLLERS, spec);
             run_for(&mut world, 900 + 130 * (seed % 9));
@@ -182,13 +185,13 @@
                 if round % 2 == 0 {
                     world.hung.insert(machine.clone(), now.plus(2_000 + 900 * (seed % 8)));
                 }
-                if let Some(owner) = owner(&world, machine).filter(|_| round % 3 == 1) {
-                    Loss::ALL[(seed + round) as usize % 9].befall(&mut world, owner);
+                if let Some(owner) = pool_owner(&world, machine).filter(|_| round % 3 == 1) {
+                    OwnerFault::ALL[(seed + round) as usize % 9].inject(&mut world, owner);
                 }
             }
             run_for(&mut world, 3_000);
         }
-        ends_well(&mut world, 400_000, &format!("seed {seed}"));
+        assert_all_jobs_end(&mut world, 400_000, &format!("seed {seed}"));
         late_commands += world.fault_schedule.ordered_late;
     }
     assert!(late_commands > 30, "only {late_commands} commands arrived late");
@@ -203,7 +206,7 @@
 fn pool_returning_to_former_owner_has_no_stale_state() {
     let mut returned = 0;
     let mut seed = 300;
-    for loss in Loss::ALL {
+    for owner_fault in OwnerFault::ALL {
         for step in (0..12u64).step_by(2) {
             seed += 1;
             let mut world = region(seed, 12);
@@ -212,7 +215,7 @@
             }
             world.run(Ms(4000));
             for n in 0..6u64 {
-                let mut spec = plain(&mut world, 8, [3.0, 8.0, 40.0][n as usize % 3]);
+                let mut spec = plain_job(&mut world, 8, [3.0, 8.0, 40.0][n as usize % 3]);
                 (spec.cpus, spec.team) = (2.0, TeamId::new(["free", "tight"][n as usize % 2]));
                 world.submit(n as usize % CONTROLLERS, spec);
                 run_for(&mut world, 250);
@@ -221,26 +224,30 @@
             let Some(first) = world.most() else { continue };
             let pools: Vec<PoolId> =
                 world.holders().into_iter().filter(|h| h.1 .0 == first).map(|h| h.0).collect();
-            loss.befall(&mut world, first);
+            owner_fault.inject(&mut world, first);
             for n in 0..3 {
-                let spec = plain(&mut world, 6, 5.0);
+                let spec = plain_job(&mut world, 6, 5.0);
                 let job = world.submit((first + 1) % CONTROLLERS, spec);
-                asking(&mut world, 900 + 130 * step);
+                run_while_polling(&mut world, 900 + 130 * step);
                 if n == 1 {
                     cancel(&mut world, (first + 1) % CONTROLLERS, &job);
                 }
             }
-            asking(&mut world, 2_000);
+            run_while_polling(&mut world, 2_000);
             // The present owner and the third controller crash, so that the pools return to the first one.
             let second = pools.first().and_then(|p| world.holder(p));
             if let Some(second) = second.filter(|s| *s != first) {
                 world.crash(second, 9_000);
                 let third = (0..CONTROLLERS).find(|i| *i != first && *i != second).expect("three");
                 world.crash(third, 9_000);
-                asking(&mut world, 8_000);
+                run_while_polling(&mut world, 8_000);
                 returned += usize::from(world.holder(&pools[0]) == Some(first));
             }
-            ends_well_asked(&mut world, 400_000, &format!("seed {seed} {loss:?} step {step}"));
+            assert_all_jobs_end_and_are_reported(
+                &mut world,
+                400_000,
+                &format!("seed {seed} {owner_fault:?} step {step}"),
+            );
         }
     }
     assert!(returned > 15, "only {returned} pools returned");
@@ -259,12 +266,12 @@
         let until = world.now.plus([30_000, 60_000][seed as usize % 2]);
         world.set_apart(isolated, until, seed % 3 == 0);
         let jobs: Vec<JobId> = world.jobs.keys().cloned().collect();
-        let quick = plain(&mut world, 2, 2.0);
+        let quick = plain_job(&mut world, 2, 2.0);
         world.submit(other, quick);
         run_for(&mut world, 200 * (seed % 40));
         // Cancels a job on the machines of the isolated controller. In half of the cases the cloud API is unavailable, so that
         // its machines can't be deleted instead.
-        let is_isolated_owner = |m: &MachineId| owner(&world, m) == Some(isolated);
+        let is_isolated_owner = |m: &MachineId| pool_owner(&world, m) == Some(isolated);
         let job_there =
             world.running.iter().find(|r| is_isolated_owner(r.1)).map(|r| r.0.job.clone());
         let cancelled = job_there.unwrap_or_else(|| jobs[seed as usize % jobs.len()].clone());
@@ -282,6 +289,6 @@
         }
         world.cloud_off = false;
         assert!(world.jobs[&cancelled].cancel_confirmed.is_some(), "seed {seed}: not confirmed");
-        ends_well_asked(&mut world, 500_000, &format!("seed {seed}"));
+        assert_all_jobs_end_and_are_reported(&mut world, 500_000, &format!("seed {seed}"));
     }
 }
--- a/crates/cleatfold-control/tests/late_reports.rs
+++ b/crates/cleatfold-control/tests/late_reports.rs
@@ -5,7 +5,7 @@
 
 use cleatfold_testbed::world::{SimulationEvent, Size, World, CONTROLLERS};
 use cleatfold_wire::*;
-use scenario::{plain, run_for};
+use scenario::{plain_job, run_for};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn region(seed: u64) -> World {
@@ -17,7 +17,7 @@
     let mut world = region(seed);
     world.run(Ms(4000));
     for _ in 0..6 {
-        let mut spec = plain(&mut world, 30, estimate_s);
+        let mut spec = plain_job(&mut world, 30, estimate_s);
         spec.cpus = 1.75;
         world.submit(0, spec);
         run_for(&mut world, 500);
@@ -115,7 +115,7 @@
         // More tasks than fit on the remaining machines.
         let from = world.now;
         for _ in 0..4 {
-            let spec = plain(&mut world, 30, 4.0);
+            let spec = plain_job(&mut world, 30, 4.0);
             world.submit(1, spec);
             run_for(&mut world, 100);
         }
@@ -229,7 +229,7 @@
         let (before, until) = (machine_count(&world), world.now.plus(60_000));
         let kind = (!whole).then(|| pool.machine_type.clone());
         world.deafen_zone(pool.zone.clone(), kind, until);
-        let spec = plain(&mut world, 40, 10.0);
+        let spec = plain_job(&mut world, 40, 10.0);
         world.submit(1, spec);
         let moves = count_owner_changes(&mut world, 60_000);
         let after = machine_count(&world);
@@ -256,7 +256,7 @@
         let (from, until) = (world.now, world.now.plus(45_000));
         world.set_apart(isolated, until, held);
         let before = (world.dropped, world.running.len());
-        let mut spec = plain(&mut world, 4, 5.0);
+        let mut spec = plain_job(&mut world, 4, 5.0);
         // There is capacity for it beside the running tasks.
         (spec.cpus, spec.zone) = (0.5, Some(pool.zone.clone()));
         spec.types = Some(vec![pool.machine_type.clone()]);
--- a/crates/cleatfold-control/tests/leaders.rs
+++ b/crates/cleatfold-control/tests/leaders.rs
@@ -38,7 +38,7 @@
         );
         let cancelled = world.jobs.values().filter(|j| j.cancel_confirmed.is_some()).count();
         assert!(cancelled > 10, "seed {seed}: {cancelled} cancelled");
-        ends_well_asked(&mut world, 300_000, &format!("seed {seed}"));
+        assert_all_jobs_end_and_are_reported(&mut world, 300_000, &format!("seed {seed}"));
     }
 }
 
@@ -57,7 +57,7 @@
         assert_eq!(world.leaders.ended.len(), 10, "seed {seed}");
         crashes_in_outage +=
             world.leaders.ended.iter().filter(|at| **at > from && **at < until).count();
-        ends_well_asked(&mut world, 300_000, &format!("seed {seed}"));
+        assert_all_jobs_end_and_are_reported(&mut world, 300_000, &format!("seed {seed}"));
     }
     assert!(crashes_in_outage >= 9, "only {crashes_in_outage} leader crashes in an outage");
 }
@@ -70,7 +70,7 @@
     world.run(Ms(4_000));
     for n in 0..12u32 {
         let tasks = 2 + n % 2;
-        let spec = plain(&mut world, tasks, 30.0);
+        let spec = plain_job(&mut world, tasks, 30.0);
         for ix in 0..tasks {
             let runs_ms = [5_000, 75_000, 40_000][ix as usize] + 400 * u64::from(n);
             world
@@ -85,7 +85,7 @@
     let mut first_ends: std::collections::BTreeMap<JobId, Ms> = Default::default();
     let mut outlasted: std::collections::BTreeMap<JobId, usize> = Default::default();
     while world.now < Ms(140_000) && world.broken.is_empty() {
-        asking(&mut world, 500);
+        run_while_polling(&mut world, 500);
         for (job, watch) in &world.jobs {
             let task_count = watch.spec.as_ref().map_or(0, |s| s.tasks as usize);
             if !watch.done.is_empty() {
@@ -102,7 +102,7 @@
         outlasting_jobs >= 10,
         "leader crashes between a job's first and last task end: {outlasted:?}"
     );
-    ends_well_asked(&mut world, 200_000, "seed 15");
+    assert_all_jobs_end_and_are_reported(&mut world, 200_000, "seed 15");
 }
 
 // ---- no controller running ----
@@ -126,7 +126,7 @@
             run_for(&mut world, lease_ms + 1_500);
             assert_eq!(world.running.len(), 0, "{what}: a lease has not expired");
             assert!(world.dropped > dropped + 10, "{what}: only {} lost", world.dropped - dropped);
-            ends_well_asked(&mut world, 400_000, &what);
+            assert_all_jobs_end_and_are_reported(&mut world, 400_000, &what);
             let away_ms = world.leaders.longest_away_ms;
             assert!(away_ms > lease_ms, "{what}: absent for {away_ms} ms");
         }
@@ -144,7 +144,7 @@
         world.run(Ms(at));
         let controller =
             (0..CONTROLLERS).find(|i| world.controllers[*i].as_ref().is_some_and(|n| n.is_ready()));
-        let mut spec = plain(&mut world, tasks, 7.0);
+        let mut spec = plain_job(&mut world, tasks, 7.0);
         spec.team = TeamId::new(team);
         if let Some(controller) = controller {
             world.submit(controller, spec);
@@ -173,7 +173,7 @@
 fn count_occurrences(seed: u64, step: Step) -> u32 {
     let no_fault = Blink { step, nth: u32::MAX, who: Who::All, moment: Moment::Before };
     let mut world = run_with_fault(seed, no_fault);
-    ends_well(&mut world, 200_000, "no fault");
+    assert_all_jobs_end(&mut world, 200_000, "no fault");
     let count = world.quick_restarts.seen.get(&step).copied().unwrap_or_default();
     assert!(count > 0, "the run has no {step:?}");
     count
@@ -192,7 +192,11 @@
             for moment in [Moment::Before, Moment::Late, Moment::After] {
                 let blink = Blink { step, nth, who: Who::OneReturns(restarted), moment };
                 let mut world = run_with_fault(seed, blink);
-                ends_well_asked(&mut world, 200_000, &format!("seed {seed} {blink:?}"));
+                assert_all_jobs_end_and_are_reported(
+                    &mut world,
+                    200_000,
+                    &format!("seed {seed} {blink:?}"),
+                );
                 applied_faults += usize::from(world.quick_restarts.applied_faults.is_some());
             }
         }
@@ -256,7 +260,7 @@
                     world.quick_restarts.applied_faults.is_some(),
                     "{blink:?} was not injected"
                 );
-                ends_well_asked(&mut world, 200_000, &format!("{blink:?}"));
+                assert_all_jobs_end_and_are_reported(&mut world, 200_000, &format!("{blink:?}"));
             }
         }
     }
@@ -279,7 +283,11 @@
             let (leader, _) = world.leader().expect("found above");
             run_for(&mut world, after_ms);
             world.one_returns((leader + offset) % CONTROLLERS, 100 + 150 * n as u64, 11_000);
-            ends_well_asked(&mut world, 300_000, &format!("seed {seed}, {after_ms} ms after"));
+            assert_all_jobs_end_and_are_reported(
+                &mut world,
+                300_000,
+                &format!("seed {seed}, {after_ms} ms after"),
+            );
         }
     }
 }
@@ -296,7 +304,7 @@
         let mut world = region(seed, 18);
         world.run(Ms(4_000));
         for i in 0..10 {
-            let mut spec = plain(&mut world, 6, 150.0);
+            let mut spec = plain_job(&mut world, 6, 150.0);
             spec.cpus = 1.0;
             world.submit(i % CONTROLLERS, spec);
             run_for(&mut world, 200);
@@ -338,7 +346,7 @@
         world.cloud_off = false;
         let all_confirmed = cancelled.iter().all(|job| world.jobs[job].cancel_confirmed.is_some());
         assert!(all_confirmed, "seed {seed}: not confirmed");
-        ends_well_asked(&mut world, 500_000, &format!("seed {seed}"));
+        assert_all_jobs_end_and_are_reported(&mut world, 500_000, &format!("seed {seed}"));
     }
 }
 
@@ -357,7 +365,7 @@
             let mut world = region(seed, 18);
             world.run(Ms(4_000));
             for i in 0..9 {
-                let mut spec = plain(&mut world, 5, 150.0);
+                let mut spec = plain_job(&mut world, 5, 150.0);
                 spec.cpus = 1.0;
                 world.submit(i % CONTROLLERS, spec);
                 run_for(&mut world, 200);
@@ -390,7 +398,7 @@
             run_for(&mut world, 1_000);
             confirmed +=
                 jobs.iter().filter(|job| world.jobs[*job].cancel_confirmed.is_some()).count();
-            asking(&mut world, 60_000);
+            run_while_polling(&mut world, 60_000);
             world.mesh_off = false;
             // Users without a confirmation cancel again.
             for job in &jobs {
@@ -398,7 +406,7 @@
                     cancel(&mut world, (leader + 1) % CONTROLLERS, job);
                 }
             }
-            ends_well_asked(&mut world, 300_000, &what);
+            assert_all_jobs_end_and_are_reported(&mut world, 300_000, &what);
         }
     }
     assert!(confirmed > 30, "only {confirmed} were confirmed before the outage");
--- a/crates/cleatfold-control/tests/quota.rs
+++ b/crates/cleatfold-control/tests/quota.rs
@@ -10,7 +10,7 @@
 };
 use cleatfold_wire::job::{Kind, Urgency};
 use cleatfold_wire::*;
-use scenario::{cancel, ends_well, plain, run_for, Loss};
+use scenario::{assert_all_jobs_end, cancel, plain_job, run_for, OwnerFault};
 use std::collections::BTreeSet;
 
 /// A region in which every team's limit is a tenth of its demand.
@@ -40,7 +40,7 @@
     let mut jobs = Vec::new();
     // Each job takes half of a limit, so that the jobs that run next to a cancelled one free capacity on other machines when they end.
     for n in 0..Size::SCARCE.teams * 6 {
-        let mut spec = plain(&mut world, 3, [12.0, 40.0][n / Size::SCARCE.teams % 2]);
+        let mut spec = plain_job(&mut world, 3, [12.0, 40.0][n / Size::SCARCE.teams % 2]);
         (spec.team, spec.cpus) = (team_id(n % Size::SCARCE.teams), 2.0);
         jobs.push(world.submit(n % CONTROLLERS, spec));
     }
@@ -88,10 +88,10 @@
 fn max_running_after_cancellation(
     seed: u64,
     machine_fault: MachineFault,
-    loss: Loss,
+    owner_fault: OwnerFault,
     order: Order,
 ) -> usize {
-    let what = format!("seed {seed} {machine_fault:?} {loss:?} {order:?}");
+    let what = format!("seed {seed} {machine_fault:?} {owner_fault:?} {order:?}");
     let (mut world, jobs) = region_at_limits(seed);
     // Delays the replies of the state service at random, so that they cross later requests.
     for controller in 0..CONTROLLERS {
@@ -122,10 +122,10 @@
             lose_machines(&mut world);
             cancel_victims(&mut world);
             run_for(&mut world, 300);
-            loss.befall(&mut world, initial_leader);
+            owner_fault.inject(&mut world, initial_leader);
         }
         Order::LeaderFirst => {
-            loss.befall(&mut world, initial_leader);
+            owner_fault.inject(&mut world, initial_leader);
             run_for(&mut world, 700);
             cancel_victims(&mut world);
             lose_machines(&mut world);
@@ -133,7 +133,7 @@
         Order::CancelLast => {
             lose_machines(&mut world);
             run_for(&mut world, 400);
-            loss.befall(&mut world, initial_leader);
+            owner_fault.inject(&mut world, initial_leader);
             run_for(&mut world, 900);
             cancel_victims(&mut world);
         }
@@ -154,7 +154,7 @@
         }
     }
     // The queued tasks use the freed capacity, and no capacity is lost permanently.
-    ends_well(&mut world, 400_000, &what);
+    assert_all_jobs_end(&mut world, 400_000, &what);
     max_running
 }
 
@@ -166,13 +166,13 @@
     let kinds = [Hangs(4_000), Hangs(25_000), Cut(9_000), Cut(30_000), OneWayPartition(30_000)];
     let orders = [Order::LeaderLast, Order::LeaderFirst, Order::CancelLast];
     let mut still_running = 0;
-    for (seed, loss) in Loss::ALL.into_iter().enumerate() {
+    for (seed, owner_fault) in OwnerFault::ALL.into_iter().enumerate() {
         for (k, order) in orders.into_iter().enumerate() {
             let machine_fault = kinds[(seed + 2 * k) % kinds.len()];
             still_running += max_running_after_cancellation(
                 1 + (seed * 3 + k) as u64,
                 machine_fault,
-                loss,
+                owner_fault,
                 order,
             );
         }
@@ -189,7 +189,7 @@
         world.writes_late(kinds, [0.3, 0.6][seed as usize % 2], Ms(60_000));
         run_for(&mut world, 4_000);
         for n in 0..16usize {
-            let mut spec = plain(&mut world, 5, [3.0, 8.0][n % 2]);
+            let mut spec = plain_job(&mut world, 5, [3.0, 8.0][n % 2]);
             (spec.team, spec.cpus) = (team_id(n % 4), [1.0, 2.0, 4.0][n % 3]);
             let job = world.submit(n % CONTROLLERS, spec);
             run_for(&mut world, 900);
@@ -202,7 +202,7 @@
                 }
             }
         }
-        ends_well(&mut world, 500_000, &format!("seed {seed}"));
+        assert_all_jobs_end(&mut world, 500_000, &format!("seed {seed}"));
     }
 }
 
@@ -215,11 +215,11 @@
         run_for(&mut world, 4_000);
         for round in 0..4usize {
             for n in 0..4usize {
-                let mut spec = plain(&mut world, 6, 4.0);
+                let mut spec = plain_job(&mut world, 6, 4.0);
                 (spec.team, spec.cpus) = (team_id(n), 1.0);
                 spec.zone = Some(ZoneId::new(["a", "b", "c"][(round + n) % 3]));
                 world.submit(n % CONTROLLERS, spec);
-                let mut wide = plain(&mut world, 2, 5.0);
+                let mut wide = plain_job(&mut world, 2, 5.0);
                 (wide.team, wide.cpus) = (team_id(n), [4.0, 8.0][round % 2]);
                 if round == 3 {
                     (wide.kind, wide.cpus) = (Kind::Gang, 4.0);
@@ -228,7 +228,7 @@
             }
             run_for(&mut world, 6_000);
         }
-        ends_well(&mut world, 300_000, &format!("seed {seed}"));
+        assert_all_jobs_end(&mut world, 300_000, &format!("seed {seed}"));
         let longest_ms = world.starvation.longest_ms;
         assert!(
             longest_ms < 45_000,
@@ -242,10 +242,10 @@
 fn job_waiting_beside_free_machines_is_detected() {
     let mut world = scarce_region(80);
     run_for(&mut world, 4_000);
-    let long_job = plain(&mut world, 4, 20.0);
+    let long_job = plain_job(&mut world, 4, 20.0);
     world.submit(0, long_job);
     run_for(&mut world, 15_000);
-    let waiting = plain(&mut world, 2, 5.0);
+    let waiting = plain_job(&mut world, 2, 5.0);
     let waiting = world.submit(0, waiting);
     while !world.jobs[&waiting].accepted {
         run_for(&mut world, 5);
@@ -269,7 +269,7 @@
         world.slow(700, Ms(170_000));
         run_for(&mut world, 4_000);
         for n in 0..80usize {
-            let mut spec = plain(&mut world, [2, 4, 16][n % 3], [6.0, 12.0, 20.0][n / 3 % 3]);
+            let mut spec = plain_job(&mut world, [2, 4, 16][n % 3], [6.0, 12.0, 20.0][n / 3 % 3]);
             (spec.cpus, spec.class) = ([1.0, 2.0][n % 2], ClassId::new(["live", "batch"][n % 2]));
             spec.team = team_id(usize::from(n % 5 == 4));
             spec.urgency = [Urgency::Critical, Urgency::Normal, Urgency::BestEffort][n / 2 % 3];
--- a/crates/cleatfold-control/tests/scenario/mod.rs
+++ b/crates/cleatfold-control/tests/scenario/mod.rs
@@ -14,7 +14,7 @@
 }
 
 /// Returns a job of team `free` with small tasks and no placement constraints.
-pub(crate) fn plain(world: &mut World, tasks: u32, estimate_s: f64) -> JobSpec {
+pub(crate) fn plain_job(world: &mut World, tasks: u32, estimate_s: f64) -> JobSpec {
     let mut spec = world.some_job();
     (spec.team, spec.urgency, spec.kind) = (TeamId::new("free"), Urgency::Normal, Kind::Array);
     (spec.tasks, spec.cpus, spec.memory_gb, spec.estimate_s) = (tasks, 2.0, 1.0, estimate_s);
@@ -38,22 +38,22 @@
 }
 
 /// Checks that all accepted jobs end within `by_ms` and that no invariant is violated.
-pub(crate) fn ends_well(world: &mut World, by_ms: u64, what: &str) {
+pub(crate) fn assert_all_jobs_end(world: &mut World, by_ms: u64, context: &str) {
     let until = world.now.plus(by_ms);
     while world.now < until && !world.unfinished().is_empty() && world.broken.is_empty() {
         run_for(world, 500);
     }
-    assert!(world.broken.is_empty(), "{what}: {:#?}", world.broken);
-    assert_eq!(world.unfinished(), Vec::<JobId>::new(), "{what}");
+    assert!(world.broken.is_empty(), "{context}: {:#?}", world.broken);
+    assert_eq!(world.unfinished(), Vec::<JobId>::new(), "{context}");
 }
 
 /// A fault of a controller that owns pools. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Loss {
+pub(crate) enum OwnerFault {
     /// The process crashes and restarts after this time.
-    Ends(u64),
+    Crash(u64),
     /// The state service refuses only this controller; its process continues.
-    Refused(u64),
+    StoreRefused(u64),
     /// The controller reaches neither the state service nor its peers; its packets are held or refused.
     Isolated(u64, bool),
     /// The process is frozen.
@@ -64,29 +64,29 @@
     AllCrash(u64),
 }
 
-impl Loss {
-    pub(crate) const ALL: [Loss; 9] = [
-        Loss::Ends(300),
-        Loss::Ends(8_000),
-        Loss::Refused(6_000),
-        Loss::Refused(20_000),
-        Loss::Isolated(9_000, true),
-        Loss::Isolated(25_000, false),
-        Loss::Frozen(7_000),
-        Loss::Cut(12_000),
-        Loss::AllCrash(7_000),
+impl OwnerFault {
+    pub(crate) const ALL: [OwnerFault; 9] = [
+        OwnerFault::Crash(300),
+        OwnerFault::Crash(8_000),
+        OwnerFault::StoreRefused(6_000),
+        OwnerFault::StoreRefused(20_000),
+        OwnerFault::Isolated(9_000, true),
+        OwnerFault::Isolated(25_000, false),
+        OwnerFault::Frozen(7_000),
+        OwnerFault::Cut(12_000),
+        OwnerFault::AllCrash(7_000),
     ];
 
     /// Injects this fault at a controller.
-    pub(crate) fn befall(self, world: &mut World, controller: usize) {
+    pub(crate) fn inject(self, world: &mut World, controller: usize) {
         let now = world.now;
         match self {
-            Loss::Ends(restart_ms) => world.crash(controller, restart_ms),
-            Loss::Refused(ms) => world.store_cut[controller] = now.plus(ms),
-            Loss::Isolated(ms, held) => world.set_apart(controller, now.plus(ms), held),
-            Loss::Frozen(ms) => world.freeze(controller, ms),
-            Loss::Cut(ms) => world.cut[controller] = now.plus(ms),
-            Loss::AllCrash(ms) => {
+            OwnerFault::Crash(restart_ms) => world.crash(controller, restart_ms),
+            OwnerFault::StoreRefused(ms) => world.store_cut[controller] = now.plus(ms),
+            OwnerFault::Isolated(ms, held) => world.set_apart(controller, now.plus(ms), held),
+            OwnerFault::Frozen(ms) => world.freeze(controller, ms),
+            OwnerFault::Cut(ms) => world.cut[controller] = now.plus(ms),
+            OwnerFault::AllCrash(ms) => {
                 for i in 0..world.controllers.len() {
                     world.crash(i, if i == controller { 200 } else { ms });
                 }
@@ -96,7 +96,7 @@
 }
 
 /// Runs the simulation while users poll all jobs at every controller once per second.
-pub(crate) fn asking(world: &mut World, ms: u64) {
+pub(crate) fn run_while_polling(world: &mut World, ms: u64) {
     let until = world.now.plus(ms);
     while world.now < until && world.broken.is_empty() {
         run_for(world, 1_000.min(until.since(world.now)));
@@ -104,24 +104,24 @@
     }
 }
 
-/// Checks the same as [`ends_well`] while users poll at every controller, and that each accepted job's final state was
-/// reported to a user.
-pub(crate) fn ends_well_asked(world: &mut World, by_ms: u64, what: &str) {
+/// Checks the same as [`assert_all_jobs_end`] while users poll at every controller, and that the final state of each
+/// accepted job was reported to a user.
+pub(crate) fn assert_all_jobs_end_and_are_reported(world: &mut World, by_ms: u64, context: &str) {
     let until = world.now.plus(by_ms);
     while world.now < until && !world.unfinished().is_empty() && world.broken.is_empty() {
-        asking(world, 5_000);
+        run_while_polling(world, 5_000);
     }
-    asking(world, 3_000);
-    assert!(world.broken.is_empty(), "{what}: {:#?}", world.broken);
-    assert_eq!(world.unfinished(), Vec::<JobId>::new(), "{what}");
+    run_while_polling(world, 3_000);
+    assert!(world.broken.is_empty(), "{context}: {:#?}", world.broken);
+    assert_eq!(world.unfinished(), Vec::<JobId>::new(), "{context}");
     for (job, watch) in &world.jobs {
         use cleatfold_wire::job::JobState;
         let reported = watch.answered_state.is_some_and(JobState::is_final);
-        assert!(reported || !watch.accepted, "{what}: the end of {job} was not reported");
+        assert!(reported || !watch.accepted, "{context}: the end of {job} was not reported");
     }
 }
 
 /// Returns the controller that owns the machine's pool.
-pub(crate) fn owner(world: &World, machine: &MachineId) -> Option<usize> {
+pub(crate) fn pool_owner(world: &World, machine: &MachineId) -> Option<usize> {
     world.holder(&world.pool_of(machine)?)
 }
--- a/crates/cleatfold-control/tests/slices.rs
+++ b/crates/cleatfold-control/tests/slices.rs
@@ -4,7 +4,7 @@
 mod scenario;
 
 use cleatfold_testbed::world::{team_id, ChangeKind, Size, World};
-use scenario::{ends_well, plain, run_for};
+use scenario::{assert_all_jobs_end, plain_job, run_for};
 
 /// Ninety limited teams share four pools and 24 changes per second; changes above this rate are refused.
 const CROWDED: Size = Size {
@@ -61,7 +61,7 @@
     world.cloud.capacity = 0;
     run_for(&mut world, 4_000);
     for team in 0..CROWDED.teams {
-        let mut spec = plain(&mut world, 20, 5.0);
+        let mut spec = plain_job(&mut world, 20, 5.0);
         (spec.team, spec.cpus) = (team_id(team), 1.0);
         world.submit(team % CROWDED.controllers, spec);
         run_for(&mut world, 100);
@@ -85,7 +85,7 @@
         assert!(counts.slices * 2 <= counts.changes, "seed {seed}: {counts:?}");
         assert!(counts.conflicts <= MEASUREMENT_S, "seed {seed}: {counts:?}");
         assert!(counts.refused <= MEASUREMENT_S, "seed {seed}: {counts:?}");
-        ends_well(&mut world, 300_000, &format!("seed {seed}"));
+        assert_all_jobs_end(&mut world, 300_000, &format!("seed {seed}"));
         let longest_ms = world.starvation.longest_ms;
         assert!(
             longest_ms < 90_000,
--- a/crates/cleatfold-control/tests/small_jobs.rs
+++ b/crates/cleatfold-control/tests/small_jobs.rs
@@ -25,7 +25,7 @@
     world.run(Ms(30_000));
     apply_fault(&mut world);
     world.run(SUBMISSIONS_END);
-    ends_well_asked(&mut world, 200_000, &format!("seed {seed}"));
+    assert_all_jobs_end_and_are_reported(&mut world, 200_000, &format!("seed {seed}"));
     world
 }
 
--- a/crates/cleatfold-control/tests/two_faults.rs
+++ b/crates/cleatfold-control/tests/two_faults.rs
@@ -12,7 +12,7 @@
     for seed in 1..4 {
         let mut world = region(seed, 24);
         world.run(Ms(4000));
-        let mut spec = plain(&mut world, 300, 200.0);
+        let mut spec = plain_job(&mut world, 300, 200.0);
         spec.cpus = 1.0;
         let job = world.submit(0, spec);
         run_for(&mut world, 40_000);
@@ -36,12 +36,12 @@
             world.fault_schedule.late_commits.insert(i, (1400, until));
         }
         for n in 0..4 {
-            let mut spec = plain(&mut world, 270 + 10 * n, 2.0 + f64::from(n) * 2.0);
+            let mut spec = plain_job(&mut world, 270 + 10 * n, 2.0 + f64::from(n) * 2.0);
             spec.cpus = 1.0;
             world.submit(n as usize % 3, spec);
             run_for(&mut world, 500);
         }
-        ends_well(&mut world, 400_000, &format!("seed {seed}"));
+        assert_all_jobs_end(&mut world, 400_000, &format!("seed {seed}"));
     }
 }
 
@@ -53,11 +53,11 @@
         for after_ms in (100..2_500).step_by(150) {
             let mut world = region(seed, 24);
             world.run(Ms(4000));
-            let mut first = plain(&mut world, 20, 10.0);
+            let mut first = plain_job(&mut world, 20, 10.0);
             first.cpus = 8.0;
             world.submit(0, first);
             run_for(&mut world, 10_000);
-            let mut spec = plain(&mut world, 300, 60.0);
+            let mut spec = plain_job(&mut world, 300, 60.0);
             spec.cpus = 1.0;
             let job = world.submit(0, spec);
             let slow_controller = (seed as usize) % 3;
@@ -66,7 +66,7 @@
             cancel(&mut world, slow_controller, &job);
             run_for(&mut world, 4_000);
             world.slow_answers[slow_controller] = 0;
-            ends_well(&mut world, 120_000, &format!("seed {seed}, after {after_ms} ms"));
+            assert_all_jobs_end(&mut world, 120_000, &format!("seed {seed}, after {after_ms} ms"));
         }
     }
 }
--- a/crates/cleatfold-control/tests/zones.rs
+++ b/crates/cleatfold-control/tests/zones.rs
@@ -6,14 +6,14 @@
 
 use cleatfold_testbed::world::{SimulationEvent, World, CONTROLLERS};
 use cleatfold_wire::*;
-use scenario::{cancel, ends_well, owner, plain, region, run_for};
+use scenario::{assert_all_jobs_end, cancel, plain_job, pool_owner, region, run_for};
 use std::collections::BTreeSet;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 /// Submits long tasks in a zone, so that its machines are not returned, and leaves free capacity on them.
 fn submit_long_job(world: &mut World, zone: &str) -> JobId {
-    let mut spec = plain(world, 4, 150.0);
+    let mut spec = plain_job(world, 4, 150.0);
     (spec.cpus, spec.zone) = (3.0, Some(ZoneId::new(zone)));
     world.submit(0, spec)
 }
@@ -60,7 +60,7 @@
     wait_until(&mut world, 40_000, "work in every zone", |w| {
         awaited.iter().all(|job| running(w, job) == 4)
     });
-    let mut spec = plain(&mut world, tasks, 30.0);
+    let mut spec = plain_job(&mut world, tasks, 30.0);
     let (cpus, memory_gb) = size_of_tasks(tasks);
     (spec.cpus, spec.memory_gb, spec.one_zone) = (cpus, memory_gb, true);
     let job = world.submit(seed as usize % CONTROLLERS, spec);
@@ -85,7 +85,7 @@
         for machine in lost.map(|worker| worker.id.clone()).collect::<Vec<_>>() {
             world.handle_event(SimulationEvent::Die(machine));
         }
-        ends_well(&mut world, 260_000, &format!("seed {seed}, {tasks} tasks"));
+        assert_all_jobs_end(&mut world, 260_000, &format!("seed {seed}, {tasks} tasks"));
     }
 }
 
@@ -105,7 +105,7 @@
         for machine in lost.map(|worker| worker.id.clone()).collect::<Vec<_>>() {
             world.handle_event(SimulationEvent::Die(machine));
         }
-        if let Some(owner) = owner(&world, &unreachable_machine) {
+        if let Some(owner) = pool_owner(&world, &unreachable_machine) {
             world.crash(owner, 6_000);
         }
         run_for(&mut world, 120_000);
@@ -122,7 +122,7 @@
         run_for(&mut world, 4_000);
         for n in 0..9u64 {
             let tasks = [5, 9, 300][n as usize % 3];
-            let mut spec = plain(&mut world, tasks, [12.0, 25.0][n as usize % 2]);
+            let mut spec = plain_job(&mut world, tasks, [12.0, 25.0][n as usize % 2]);
             (spec.cpus, spec.memory_gb) = size_of_tasks(tasks);
             match n / 3 {
                 0 => spec.one_zone = true,
@@ -150,7 +150,7 @@
         if let Some(busiest) = world.most() {
             world.crash(busiest, [300, 8_000][seed as usize % 2]);
         }
-        ends_well(&mut world, 400_000, &format!("seed {seed}"));
+        assert_all_jobs_end(&mut world, 400_000, &format!("seed {seed}"));
     }
 }
 
@@ -166,7 +166,7 @@
         let zone = ZoneId::new(ZONES[inside]);
         let mut cancelled = Vec::new();
         for n in 0..6u64 {
-            let mut spec = plain(&mut world, 6, [60.0, 90.0][n as usize % 2]);
+            let mut spec = plain_job(&mut world, 6, [60.0, 90.0][n as usize % 2]);
             (spec.cpus, spec.team) = (1.0, TeamId::new(["free", "tight"][n as usize % 2]));
             match n % 3 {
                 0 => spec.zone = Some(zone.clone()),
@@ -203,6 +203,6 @@
                 cancel(&mut world, outside, &job);
             }
         }
-        ends_well(&mut world, 400_000, &format!("seed {seed}"));
+        assert_all_jobs_end(&mut world, 400_000, &format!("seed {seed}"));
     }
 }
