--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -106,8 +106,10 @@
                     continue;
                 }
                 let machine = self.inventory.machines.get(&group.machine);
-                let images = in_use_by_machine.entry(&group.machine).or_default();
-                images.insert(&spec.image, spec.image_gb);
+                in_use_by_machine
+                    .entry(&group.machine)
+                    .or_default()
+                    .insert(&spec.image, spec.image_gb);
                 let machine_type = self.inventory.types.get(&group.pool.machine_type);
                 let reported = machine.and_then(|m| m.heartbeat.as_ref()).map(|h| &h.images);
                 wants.push(Want {
@@ -220,8 +222,7 @@
             Turn::Origin => {
                 let slot = self.cache.origin.value.slots.get(id)?;
                 let is_valid = slot.image == spec.image && slot.pool == machine.pool;
-                let is_releasing = self.image_distribution.releasing_slots.contains(id);
-                (is_valid && !is_releasing).then(Vec::new)
+                (is_valid && !self.image_distribution.releasing_slots.contains(id)).then(Vec::new)
             }
         }
     }
@@ -351,16 +352,17 @@
         let mut last_copies = BTreeSet::new();
         for image in wanted.keys() {
             let mut own = seen.iter().filter(|(_, s)| s.has(image)).map(|(m, _)| m);
-            let record = self.cache.image_holders.get(*image).into_iter();
-            let holders = record.flat_map(|r| &r.value.holders);
-            let mut others = holders.filter(|(p, _)| !self.pools.owned.contains_key(*p));
+            let others =
+                self.cache.image_holders.get(*image).into_iter().flat_map(|r| &r.value.holders);
+            let mut others = others.filter(|(p, _)| !self.pools.owned.contains_key(*p));
             if let (Some(only), None, None) = (own.next(), own.next(), others.next()) {
                 last_copies.insert(only.clone());
             }
         }
         self.image_distribution.last_copies = last_copies;
-        let since_write = self.now.since(self.image_distribution.holders_written_at);
-        if self.image_distribution.holders_inflight || since_write < HOLDER_WRITE_INTERVAL_MS {
+        if self.image_distribution.holders_inflight
+            || self.now.since(self.image_distribution.holders_written_at) < HOLDER_WRITE_INTERVAL_MS
+        {
             return;
         }
         let recorded = self.cache.image_holders.keys();
--- a/crates/cleatfold-control/src/images/state.rs
+++ b/crates/cleatfold-control/src/images/state.rs
@@ -40,11 +40,10 @@
         if let Some(held) = &heartbeat.images {
             return held.iter().map(|i| (i.image.clone(), i.part)).collect();
         }
-        let run_images =
-            self.run_images.get(id).filter(|(epoch, _)| *epoch == heartbeat.agent_epoch);
+        let run_images = self.run_images.get(id).filter(|r| r.0 == heartbeat.agent_epoch);
         let is_kept = |image: &&ImageId| machine.images.iter().any(|kept| kept.0 == **image);
-        let images = run_images.into_iter().flat_map(|(_, images)| images.iter()).filter(is_kept);
-        images.map(|image| (image.clone(), 1.0)).collect()
+        let run_images = run_images.into_iter().flat_map(|r| r.1.iter()).filter(is_kept);
+        run_images.map(|image| (image.clone(), 1.0)).collect()
     }
 
     /// Records the images of the tasks that run according to the machines' latest heartbeats.
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -59,8 +59,9 @@
             self.loss_logs.scanned_at = now;
             for id in &self.cache.jobs_with_losses {
                 let Some(cached) = self.cache.jobs.get(id) else { continue };
-                let team = &cached.record.spec.team;
-                let Some(log) = self.loss_logs.loaded_log(team) else { continue };
+                let Some(log) = self.loss_logs.loaded_log(&cached.record.spec.team) else {
+                    continue;
+                };
                 for table in self.cache.tables(id) {
                     log.add_new_losses(now, id, &table.losses);
                 }
@@ -98,8 +99,8 @@
         let (team, token) = (team.clone(), log.token);
         let Versioned { version, value: head } =
             self.cache.loss_heads.get(&team).cloned().unwrap_or_default();
-        let unwritten = log.unwritten.iter().take(LOSSES_PER_GROUP);
-        let group: Vec<Loss> = unwritten.map(|(_, loss)| loss.clone()).collect();
+        let group: Vec<Loss> =
+            log.unwritten.iter().take(LOSSES_PER_GROUP).map(|(_, loss)| loss.clone()).collect();
         log.write_inflight = true;
         let mut txn = Txn::default();
         txn.guard(workspace_key(&team), token);
--- a/crates/cleatfold-control/src/namespaces/team_queries.rs
+++ b/crates/cleatfold-control/src/namespaces/team_queries.rs
@@ -46,13 +46,14 @@
         if self.team_queries.is_full(&team) {
             return self.reply(rid, Response::retry_later("too many such questions"));
         }
+        let (arrived, arrival_event) = (self.now, self.event);
         let query = PendingTeamQuery {
             rid,
             team,
             view,
             since,
-            arrived: self.now,
-            arrival_event: self.event,
+            arrived,
+            arrival_event,
             required_revision: None,
         };
         self.team_queries.waiting.push(query);
@@ -74,8 +75,9 @@
         let ended_jobs_revision = self.workspaces.ended_jobs.to();
         let mut is_archive_behind = false;
         for mut query in std::mem::take(&mut self.team_queries.waiting) {
-            let is_covered = sent_event.is_some_and(|sent_event| query.arrival_event <= sent_event);
-            if query.required_revision.is_none() && is_covered {
+            if query.required_revision.is_none()
+                && sent_event.is_some_and(|sent_event| query.arrival_event <= sent_event)
+            {
                 query.required_revision = Some(applied);
             }
             match (query.required_revision, query.view) {
@@ -144,23 +146,23 @@
         let sizes = self.inventory.machine_counts();
         let pools: BTreeSet<&PoolId> = sizes.iter().filter(|s| *s.1 > 0).map(|s| *s.0).collect();
         let is_waiting = |cached: &CachedJob| !cached.record.aborted && cached.unclaimed() > 0;
-        let waiting = self.live_jobs(team, since).filter(|(_, _, cached)| is_waiting(cached));
-        let jobs = waiting.map(|(place, id, cached)| {
-            let spec = &cached.record.spec;
-            let rank = self.team_queries.ranks.get(id);
-            let (holdup, why) = self.holdup(id, cached, rank, limit_exhausted, &pools);
-            let job = WaitingJob {
-                place,
-                id: id.clone(),
-                class: spec.class.clone(),
-                urgency: spec.urgency,
-                rank,
-                tasks: cached.unclaimed(),
-                holdup,
-                why: Some(why),
-            };
-            (place, job)
-        });
+        let jobs =
+            self.live_jobs(team, since).filter(|j| is_waiting(j.2)).map(|(place, id, cached)| {
+                let spec = &cached.record.spec;
+                let rank = self.team_queries.ranks.get(id);
+                let (holdup, why) = self.holdup(id, cached, rank, limit_exhausted, &pools);
+                let job = WaitingJob {
+                    place,
+                    id: id.clone(),
+                    class: spec.class.clone(),
+                    urgency: spec.urgency,
+                    rank,
+                    tasks: cached.unclaimed(),
+                    holdup,
+                    why: Some(why),
+                };
+                (place, job)
+            });
         let (waiting, next, more) = by_place(since, jobs, |job| job.why = None);
         TeamQueue { waiting, next, more }
     }
@@ -244,8 +246,10 @@
         // this.
         let from = since.checked_sub(GROUP_MOST as u64);
         let from = from.map(|number| history_group_key(&team, number));
-        let read = HistoryRead { rid, team, since, grouped_entries: head.entries };
-        self.read_history_page(read, from);
+        self.read_history_page(
+            HistoryRead { rid, team, since, grouped_entries: head.entries },
+            from,
+        );
     }
 
     fn read_history_page(&mut self, read: HistoryRead, from: Option<String>) {
@@ -283,8 +287,8 @@
             let history = TeamHistory { ended: answer_page.entries, next, more: true };
             return self.reply(read.rid, Response::Workspace(WorkspaceContents::History(history)));
         }
-        let from = next.max(read.grouped_entries);
-        let history = self.append_ungrouped(&read.team, from, answer_page);
+        let history =
+            self.append_ungrouped(&read.team, next.max(read.grouped_entries), answer_page);
         self.reply(read.rid, Response::Workspace(WorkspaceContents::History(history)));
     }
 
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -101,11 +101,10 @@
         };
         vacancies.observe(now, &me, cache.controllers.keys(), teams.iter(), is_held);
         let registered = cache.controllers.get(&me).map(|c| c.value.incarnation);
-        let last_read = self.session.last_read;
         let is_uncertain = self
             .workspaces
             .ownership_uncertain_at
-            .is_some_and(|at| last_read.is_none_or(|read| read < at));
+            .is_some_and(|at| self.session.last_read.is_none_or(|read| read < at));
         let incarnation =
             self.session.incarnation.filter(|i| registered == Some(*i) && !is_uncertain);
         if let Some(incarnation) =
@@ -271,8 +270,9 @@
         }
         let is_behind =
             self.workspaces.ended_jobs.to().is_none_or(|to| to < self.cache.applied_revision.0);
-        let since_request = self.now.since(self.workspaces.archive_requested_at);
-        if is_behind && since_request >= ARCHIVE_READ_INTERVAL_MS {
+        if is_behind
+            && self.now.since(self.workspaces.archive_requested_at) >= ARCHIVE_READ_INTERVAL_MS
+        {
             self.workspaces.archive_requested_at = self.now;
             self.archive.is_stale = true;
             self.read_archive_changes();
@@ -327,8 +327,12 @@
         let revision = scan.first_page_revision.unwrap_or_default();
         for (team, (from, found)) in scan.teams {
             let jobs = found.len();
-            let ends = found.into_values().collect();
-            let is_contiguous = self.workspaces.ended_jobs.listed(&team, from, revision, ends);
+            let is_contiguous = self.workspaces.ended_jobs.listed(
+                &team,
+                from,
+                revision,
+                found.into_values().collect(),
+            );
             tracing::info!(%team, jobs, joins = is_contiguous, "archive scanned");
         }
     }
@@ -351,9 +355,11 @@
             let Versioned { version, value: head } = self.history_head(&team);
             let last_read = self.session.last_read;
             let Some(owned) = self.workspaces.owned.get_mut(&team) else { continue };
-            let is_uncertain =
-                owned.history_uncertain_at.is_some_and(|at| last_read.is_none_or(|read| read < at));
-            if owned.write_inflight || is_uncertain {
+            if owned.write_inflight
+                || owned
+                    .history_uncertain_at
+                    .is_some_and(|at| last_read.is_none_or(|read| read < at))
+            {
                 continue;
             }
             owned.history_uncertain_at = None;
@@ -438,10 +444,12 @@
         let max_entries = self.cfg.history.jobs.saturating_add(GROUP as u64);
         let Some(owned) = self.workspaces.owned.get_mut(team) else { return };
         let since_check = self.now.since(owned.retention_checked_at);
-        let entries = head.entries - head.first.min(head.entries);
-        let is_oversized = entries > max_entries && since_check >= 10 * HISTORY_INTERVAL_MS;
-        let is_due = is_oversized || since_check >= RETENTION_INTERVAL_MS;
-        if owned.retention_running || !owned.expired_groups.0.is_empty() || !is_due {
+        let is_oversized = head.entries - head.first.min(head.entries) > max_entries
+            && since_check >= 10 * HISTORY_INTERVAL_MS;
+        if owned.retention_running
+            || !owned.expired_groups.0.is_empty()
+            || !(is_oversized || since_check >= RETENTION_INTERVAL_MS)
+        {
             return;
         }
         (owned.retention_running, owned.retention_checked_at) = (true, self.now);
