--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -378,7 +378,7 @@
                     // Prefer an offer that is requested for other jobs anyway.
                     cost *= 0.9;
                 }
-                if best.as_ref().is_none_or(|(best_cost, _)| cost < *best_cost) {
+                if best.as_ref().is_none_or(|b| cost < b.0) {
                     best = Some((cost, offer));
                 }
             }
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -156,8 +156,7 @@
         {
             return None;
         }
-        let peers: Vec<ControllerId> =
-            self.cfg.peers.iter().map(|(peer, _)| peer.clone()).collect();
+        let peers: Vec<ControllerId> = self.cfg.peers.iter().map(|p| p.0.clone()).collect();
         let is_idle = !heartbeat.lists_tasks();
         let worker_release = &mut self.reachability.view.worker_release;
         match worker_release.reports(pool, &heartbeat.machine, is_idle, &peers, self.now) {
--- a/crates/cleatfold-control/src/pools/ownership.rs
+++ b/crates/cleatfold-control/src/pools/ownership.rs
@@ -48,7 +48,7 @@
         });
         let owned: Vec<(PoolId, FencingToken)> =
             owned.map(|(id, ownership)| (id.clone(), ownership.token)).collect();
-        let owned_ids: BTreeSet<&PoolId> = owned.iter().map(|(id, _)| id).collect();
+        let owned_ids: BTreeSet<&PoolId> = owned.iter().map(|m| &m.0).collect();
         self.pools.owned.retain(|pool, _| owned_ids.contains(pool));
         for (pool, token) in owned {
             if self.pools.owns(&pool, token) {
