--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -5,7 +5,9 @@
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, StoreReply, StoreRequest};
 use crate::store::cache::Versioned;
-use crate::store::records::{image_holders_key, pool_key, OriginRecord, SpreadRecord, ORIGIN_KEY};
+use crate::store::records::{
+    image_holders_key, pool_key, ImageHoldersRecord, OriginRecord, ORIGIN_KEY,
+};
 use cleatfold_image_distribution::{Seen, Settings, Turn, View, Want};
 use cleatfold_wire::job::Kind;
 use cleatfold_wire::mesh::Message;
@@ -45,7 +47,7 @@
             .filter(|p| self.owned_pool_token(p).is_some())
             .cloned()
             .collect();
-        let spreads: BTreeMap<ImageId, SpreadRecord> =
+        let image_holders: BTreeMap<ImageId, ImageHoldersRecord> =
             self.cache.image_holders.iter().map(|(i, r)| (i.clone(), r.value.clone())).collect();
         let mut distributor = std::mem::take(&mut self.image_distribution.distributor);
         let (origin, newly_permitted) = distributor.pass(&View {
@@ -54,7 +56,7 @@
             value_bytes: self.cfg.max_value_bytes,
             settings: &settings,
             origin: &self.cache.origin.value,
-            spreads: &spreads,
+            spreads: &image_holders,
             wants,
             pools: &pools,
             seen,
@@ -70,8 +72,8 @@
     }
 
     /// Whether the machine provably fetches nothing: it is deleted, its lease has expired, or it is
-    /// unknown although this controller has owned its pool for longer than the cloud's list lag, a
-    /// lease and the time after which a silent machine is given up take together.
+    /// unknown although this controller has owned its pool for longer than the sum of the cloud's
+    /// list lag, a worker's lease and the time after which a machine counts as unresponsive.
     fn cannot_be_fetching(&self, id: &MachineId) -> bool {
         match self.inventory.machines.get(id) {
             Some(machine) => machine.lease_expired,
@@ -277,7 +279,7 @@
     /// same time, and by the pools' tokens.
     fn write_origin_slots(&mut self, record: OriginRecord) {
         let since_write = self.now.since(self.image_distribution.slots_written_at);
-        if self.image_distribution.slots_inflight
+        if self.image_distribution.slots_in_flight
             || (since_write < SLOT_WRITE_INTERVAL_MS
                 && self.image_distribution.slots_written_at > Ms(0))
         {
@@ -298,7 +300,7 @@
         }
         txn.put(ORIGIN_KEY, &record, None);
         self.image_distribution.releasing_slots = released.into_iter().map(|c| c.0).collect();
-        self.image_distribution.slots_inflight = true;
+        self.image_distribution.slots_in_flight = true;
         self.image_distribution.slots_written_at = self.now;
         let request = StoreRequest::Txn(txn.clone());
         self.call_store(CallPriority::Claim, request, Pending::Origin { txn, record });
@@ -338,7 +340,7 @@
                 self.session.sync_wanted = true;
             }
         }
-        self.image_distribution.slots_inflight = false;
+        self.image_distribution.slots_in_flight = false;
         self.image_distribution.releasing_slots.clear();
     }
 
@@ -360,7 +362,7 @@
             }
         }
         self.image_distribution.last_copies = last_copies;
-        if self.image_distribution.holders_inflight
+        if self.image_distribution.holders_in_flight
             || self.now.since(self.image_distribution.holders_written_at) < HOLDER_WRITE_INTERVAL_MS
         {
             return;
@@ -404,7 +406,7 @@
             } else {
                 continue;
             }
-            self.image_distribution.holders_inflight = true;
+            self.image_distribution.holders_in_flight = true;
             self.image_distribution.holders_written_at = self.now;
             self.call_store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::ImageHolders);
             return;
@@ -413,7 +415,7 @@
 
     /// The outcome of the write does not matter here: the next read of the state service shows it.
     pub(crate) fn on_image_holders_written(&mut self) {
-        self.image_distribution.holders_inflight = false;
+        self.image_distribution.holders_in_flight = false;
         self.session.sync_wanted = true;
     }
 
--- a/crates/cleatfold-control/src/images/state.rs
+++ b/crates/cleatfold-control/src/images/state.rs
@@ -14,11 +14,11 @@
     pub distributor: ImageDistributor,
     pub last_checked: Ms,
     pub slots_written_at: Ms,
-    pub slots_inflight: bool,
+    pub slots_in_flight: bool,
     /// Machines whose origin slot is released by the write in flight.
     pub releasing_slots: BTreeSet<MachineId>,
     pub holders_written_at: Ms,
-    pub holders_inflight: bool,
+    pub holders_in_flight: bool,
     /// Images of the tasks seen running in each machine's present session: the machine holds these.
     run_images: BTreeMap<MachineId, (AgentEpoch, BTreeSet<ImageId>)>,
     /// Machines that hold the last copy of an image in use.
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -5,8 +5,8 @@
 //! update cannot revert a key.
 
 use crate::store::records::{
-    parse_key, ControllerRecord, HistoryHead, HolderRecord, JobRecord, Key, LossHead, OriginRecord,
-    PreemptionRecord, SliceRecord, SpreadRecord, Summary, TaskTable,
+    parse_key, ControllerRecord, HistoryHead, HolderRecord, ImageHoldersRecord, JobRecord, Key,
+    LossHead, OriginRecord, PreemptionRecord, SliceRecord, Summary, TaskTable,
 };
 use cleatfold_admission::OverloadQuota;
 use cleatfold_backfill::Resources;
@@ -172,7 +172,7 @@
     /// Preemptions in progress, by pool.
     pub preemptions: BTreeMap<PoolId, Versioned<PreemptionRecord>>,
     /// Holders of the images that are being distributed.
-    pub image_holders: BTreeMap<ImageId, Versioned<SpreadRecord>>,
+    pub image_holders: BTreeMap<ImageId, Versioned<ImageHoldersRecord>>,
     /// Each team's jobs that have not ended, by queue position.
     pub by_team: BTreeMap<TeamId, BTreeSet<(u64, JobId)>>,
     /// Keys whose last value cannot be parsed: their previous values are not acted on, and they are
@@ -199,13 +199,15 @@
 }
 
 impl StateCache {
-    /// Clears the cache for a reload. Stamps continue to increase: a heartbeat that was settled
-    /// under an old stamp must not count as settled because a new stamp has the same number.
+    /// Clears the cache for a reload. Stamps continue to increase: a heartbeat that required no
+    /// action under an old stamp must not be taken as requiring none because a new stamp has the
+    /// same number.
     pub(crate) fn clear_for_reload(&mut self) {
         *self = StateCache { last_stamp: self.last_stamp, ..StateCache::default() };
     }
 
-    /// Applies an item of a listing, also if it has not changed since the listing began.
+    /// Applies an item of a listing. A listing also contains items that have not changed since its
+    /// first page, whose revision `applied_revision` is, so the item need not be newer than that.
     pub(crate) fn apply_item(&mut self, item: &Item) {
         self.put(&item.key, item.value.get(), item.version);
     }
--- a/crates/cleatfold-control/src/store/loss_records.rs
+++ b/crates/cleatfold-control/src/store/loss_records.rs
@@ -1,4 +1,4 @@
-//! Records of losses: starts of tasks that came to nothing.
+//! Records of losses: task starts that ended without the task being done.
 
 use crate::config::Config;
 use cleatfold_fault_attribution::Failure;
--- a/crates/cleatfold-control/src/store/records.rs
+++ b/crates/cleatfold-control/src/store/records.rs
@@ -9,7 +9,7 @@
 pub use super::loss_records::*;
 
 use cleatfold_backfill::Resources;
-pub use cleatfold_image_distribution::{OriginRecord, SpreadRecord};
+pub use cleatfold_image_distribution::{ImageHoldersRecord, OriginRecord};
 pub use cleatfold_priority::{PreemptionPlan, PreemptionRecord};
 use cleatfold_roles::Role;
 use cleatfold_wire::job::{JobSpec, JobState, JobStatus};
--- a/crates/cleatfold-control/tests/formats.rs
+++ b/crates/cleatfold-control/tests/formats.rs
@@ -57,7 +57,7 @@
         Key::LossHead(_) => rewritten::<LossHead>(fixture),
         Key::History(_) => rewritten::<HistoryHead>(fixture),
         Key::Preemption(_) => rewritten::<PreemptionRecord>(fixture),
-        Key::ImageHolders(_) => rewritten::<SpreadRecord>(fixture),
+        Key::ImageHolders(_) => rewritten::<ImageHoldersRecord>(fixture),
         Key::ScaleOutIntents => rewritten::<ScaleOutIntents>(fixture),
         Key::OverloadQuota => rewritten::<cleatfold_admission::OverloadQuota>(fixture),
         Key::Origin => rewritten::<OriginRecord>(fixture),
--- a/crates/cleatfold-control/tests/image_distribution.rs
+++ b/crates/cleatfold-control/tests/image_distribution.rs
@@ -203,7 +203,7 @@
     let key = "cf/w/m1";
     let named = |w: &World| {
         let item = w.store.get(key)?;
-        let record: cleatfold_image_distribution::SpreadRecord =
+        let record: cleatfold_image_distribution::ImageHoldersRecord =
             serde_json::from_str(item.value.get()).expect("a record");
         Some(record.holders.values().map(|n| n.read().len()).sum::<usize>())
     };
--- a/crates/cleatfold-image-distribution/src/distributor.rs
+++ b/crates/cleatfold-image-distribution/src/distributor.rs
@@ -2,7 +2,7 @@
 //! change in the origin's record. All that is kept here is hints; a new owner begins without them and goes on
 //! by the records and the workers' first reports.
 
-use crate::{assign_slots, order, OriginRecord, Settings, SpreadRecord, Want, COPIES, LINE};
+use crate::{assign_slots, order, ImageHoldersRecord, OriginRecord, Settings, Want, COPIES, LINE};
 use cleatfold_wire::{ImageId, MachineId, Ms, PoolId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -49,7 +49,7 @@
     /// Who fetches from the origin, as it is stored.
     pub origin: &'a OriginRecord,
     /// Who holds which image, as it is stored.
-    pub spreads: &'a BTreeMap<ImageId, SpreadRecord>,
+    pub spreads: &'a BTreeMap<ImageId, ImageHoldersRecord>,
     /// Machines that wait for images.
     pub wants: Vec<Want>,
     /// The pools that are ours.
--- a/crates/cleatfold-image-distribution/src/lib.rs
+++ b/crates/cleatfold-image-distribution/src/lib.rs
@@ -21,6 +21,6 @@
 pub use distributor::{ImageDistributor, Seen, Turn, View};
 pub use origin::{OriginRecord, Slot};
 pub use pieces::{digest, Fetch, Next, Pieces};
-pub use record::{Names, SpreadRecord};
+pub use record::{ImageHoldersRecord, Names};
 pub use settings::{OutOfRange, Settings};
 pub use slot_assignment::{assign_slots, order, Want, COPIES, LINE};
--- a/crates/cleatfold-image-distribution/src/record.rs
+++ b/crates/cleatfold-image-distribution/src/record.rs
@@ -9,7 +9,7 @@
 /// Machines that hold the image whole and hand it on. A hint: a machine that is left out or gone
 /// costs time, never a rule.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct SpreadRecord {
+pub struct ImageHoldersRecord {
     /// Machines that hold it, by pool.
     #[serde(rename = "h", default)]
     pub holders: BTreeMap<PoolId, Names>,
@@ -83,7 +83,7 @@
     }
 }
 
-impl SpreadRecord {
+impl ImageHoldersRecord {
     /// Names that a record holds of a pool whose names can't be packed.
     const MAX_UNPACKED_NAMES: usize = 16;
 
--- a/crates/cleatfold-image-distribution/tests/slot_assignment.rs
+++ b/crates/cleatfold-image-distribution/tests/slot_assignment.rs
@@ -124,7 +124,7 @@
     // Fifteen hundred machines of a region are some kilobytes; names that can't be packed are cut.
     let packed: BTreeSet<MachineId> =
         (0..1500).map(|n| MachineId::new(format!("vm-{:06}", n * 37))).collect();
-    let mut spread = SpreadRecord::default();
+    let mut spread = ImageHoldersRecord::default();
     spread.set(&pool("a"), &packed, 16_384);
     assert_eq!(spread.in_zone(&ZoneId::new("a")), packed);
     let odd: BTreeSet<MachineId> =
@@ -268,12 +268,12 @@
     let holders: BTreeSet<MachineId> =
         (0..4_500).map(|n| MachineId::new(format!("vm-{n:06}"))).collect();
     let smallest_value = 8 * 1024;
-    let mut spread = SpreadRecord::default();
+    let mut spread = ImageHoldersRecord::default();
     spread.set(&pool("a"), &holders, smallest_value);
     assert!(spread.bytes() <= smallest_value, "{} bytes", spread.bytes());
     assert_eq!(spread.in_zone(&ZoneId::new("a")), holders);
     let stored = serde_json::to_vec(&spread).unwrap();
-    let read: SpreadRecord = serde_json::from_slice(&stored).unwrap();
+    let read: ImageHoldersRecord = serde_json::from_slice(&stored).unwrap();
     assert_eq!(read.in_zone(&ZoneId::new("a")), holders);
 }
 
