--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -32,7 +32,8 @@
 /// A pool that needs a new owner.
 struct PoolToAssign<'a> {
     pool: &'a PoolId,
-    /// Controllers that reach its workers while its live owner does not; empty if it has no live owner.
+    /// Controllers that reach its workers while its live owner does not; empty if it has no live
+    /// owner.
     alternative_owners: BTreeSet<ControllerId>,
 }
 
@@ -72,8 +73,8 @@
         *self.by_controller.entry(controller.clone()).or_default() -= weight;
     }
 
-    /// Whether a controller's load with this pool would be at most `max_ratio` times the average. A controller
-    /// without load can always take a pool, since even the largest pool needs an owner.
+    /// Whether a controller's load with this pool would be at most `max_ratio` times the average. A
+    /// controller without load can always take a pool, since even the largest pool needs an owner.
     fn has_room_for(&self, controller: &ControllerId, pool: &PoolId, max_ratio: f64) -> bool {
         let fits =
             |load: f64| load == 0.0 || load + self.weight(pool) <= self.average * max_ratio + 1.0;
@@ -136,14 +137,14 @@
         if is_pending || !is_read || self.cache.controllers.is_empty() {
             return false;
         }
-        // The check visits every pool and every machine: on each tick, it took a tenth of a leader's
-        // processor time in a large deployment.
+        // The check visits every pool and every machine: on each tick, it took a tenth of a
+        // leader's processor time in a large deployment.
         if self.now.since(self.leadership.assignment_checked_at) < ASSIGNMENT_INTERVAL_MS {
             return false;
         }
         self.leadership.assignment_checked_at = self.now;
-        // When all controllers start at once, wait for the others: without the wait, the first one to
-        // start got every pool, with hundreds of workers, and kept them for the rest of the day.
+        // When all controllers start at once, wait for the others: without the wait, the first one
+        // to start got every pool, with hundreds of workers, and kept them for the rest of the day.
         let all_started = self.cfg.peers.len() < self.cache.controllers.len();
         let just_started =
             self.started().is_some_and(|started| self.now.since(started) < RECENT_START_MS);
@@ -151,8 +152,8 @@
         !should_wait || self.now.since(since) >= START_WAIT_MS
     }
 
-    /// Assigns pools that have no live owner, or whose owner does not reach their workers; if there are
-    /// none, rebalances the load of the controllers.
+    /// Assigns pools that have no live owner, or whose owner does not reach their workers; if there
+    /// are none, rebalances the load of the controllers.
     fn assign_pools(&mut self) {
         let pools = self.inventory.pools();
         let mut loads =
@@ -258,7 +259,8 @@
         {
             return None;
         }
-        // A controller that does not reach the pool's workers is excluded, even if it has the least load.
+        // A controller that does not reach the pool's workers is excluded, even if it has the least
+        // load.
         let least_loaded_for = |pool: &PoolId| {
             let eligible = loads
                 .by_controller
@@ -372,8 +374,8 @@
         let mut assigned: Vec<(String, Vec<u16>)> = Vec::new();
         for QueuedTasks { job: id, tasks: unclaimed, is_growth, .. } in &queue {
             let Some(cached) = self.cache.jobs.get(id) else { continue };
-            // The job's base tasks are already assigned to pools, in an earlier round or in this one;
-            // its growth uses the same pools.
+            // The job's base tasks are already assigned to pools, in an earlier round or in this
+            // one; its growth uses the same pools.
             if *is_growth
                 && self.job_states.get(id).is_some_and(|state| !state.assigned_pools.is_empty())
             {
@@ -393,8 +395,8 @@
                 .collect();
             let spec = &cached.record.spec;
             let work = spec.estimate_s.max(1.0) * spec.cpus * f64::from(*unclaimed);
-            // Services and spread jobs need several zones. Long tasks may use only a part of each pool, so
-            // their jobs are assigned to all pools.
+            // Services and spread jobs need several zones. Long tasks may use only a part of each
+            // pool, so their jobs are assigned to all pools.
             let pool_count = if long_work.is_long(spec) {
                 pools.len()
             } else if spec.kind == Kind::Service || spec.spread {
--- a/crates/cleatfold-control/src/leadership/roles.rs
+++ b/crates/cleatfold-control/src/leadership/roles.rs
@@ -10,14 +10,14 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// Whether this controller holds the role, as last read. An action under the role outside of the
-    /// state service has to be durable there first.
+    /// Whether this controller holds the role, as last read. An action under the role that takes
+    /// effect outside of the state service must be recorded there durably first.
     pub(crate) fn holds(&self, role: Role) -> bool {
         self.epoch(role).is_some()
     }
 
-    /// The version of a role's key while this controller holds the role; it guards every transaction of
-    /// the role.
+    /// The version of a role's key while this controller holds the role; it guards every
+    /// transaction of the role.
     pub(crate) fn epoch(&self, role: Role) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.roles.get(&role)?;
         let is_held = holder.owner == self.cfg.controller_id
@@ -25,8 +25,9 @@
         is_held.then_some(*version)
     }
 
-    /// The epoch of a role that an earlier incarnation of this controller holds. That incarnation no longer
-    /// acts, and what it did under the epoch is unknown, so the role is acquired again under a new epoch.
+    /// The epoch of a role that an earlier incarnation of this controller holds. That incarnation
+    /// no longer acts, and what it did under the epoch is unknown, so the role is acquired again
+    /// under a new epoch.
     fn previous_incarnation_epoch(&self, role: Role) -> Option<Version> {
         let Versioned { version, value: holder } = self.cache.roles.get(&role)?;
         let is_previous = holder.owner == self.cfg.controller_id
@@ -84,8 +85,8 @@
         self.maintain_admission();
     }
 
-    /// Releases a role to the controller that should hold it; guarded by the epoch, so that only this
-    /// controller's own tenure can end.
+    /// Releases a role to the controller that should hold it; guarded by the epoch, so that only
+    /// this controller's own tenure can end.
     fn release_role(&mut self, role: Role) {
         let Some(epoch) = self.epoch(role) else { return };
         tracing::info!(role = role.key(), "releasing role");
@@ -104,10 +105,11 @@
         }
     }
 
-    /// Deletes part and progress records of removed jobs, a few at a time. The transaction is guarded by the job key's
-    /// absence, because the parts of a job that has merely not been read yet hold its claims.
+    /// Deletes part and progress records of removed jobs, a few at a time. The transaction is
+    /// guarded by the job key's absence, because the parts of a job that has merely not been read
+    /// yet hold its claims.
     fn collect_garbage(&mut self) {
-        if self.leadership.garbage_collection_inflight || !self.has_store_contact() {
+        if self.leadership.garbage_collection_in_flight || !self.has_store_contact() {
             return;
         }
         let parts = self.cache.parts.iter().flat_map(|(id, parts)| {
@@ -129,14 +131,14 @@
         if !txn.changes.is_empty() {
             let Some(epoch) = self.epoch(Role::GarbageCollection) else { return };
             txn.guard(Role::GarbageCollection.key(), epoch);
-            self.leadership.garbage_collection_inflight = true;
+            self.leadership.garbage_collection_in_flight = true;
             self.call_store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::GarbageCollection);
         }
     }
 
     /// The deletion was answered; its outcome is read with the next sync.
     pub(crate) fn on_garbage_collected(&mut self) {
-        self.leadership.garbage_collection_inflight = false;
+        self.leadership.garbage_collection_in_flight = false;
         self.session.sync_wanted = true;
     }
 }
--- a/crates/cleatfold-control/src/leadership/state.rs
+++ b/crates/cleatfold-control/src/leadership/state.rs
@@ -21,5 +21,5 @@
     /// When jobs were last assigned to pools.
     pub jobs_assigned_at: Ms,
     /// A garbage collection transaction is pending.
-    pub garbage_collection_inflight: bool,
+    pub garbage_collection_in_flight: bool,
 }
--- a/crates/cleatfold-control/src/namespaces/loss_logs.rs
+++ b/crates/cleatfold-control/src/namespaces/loss_logs.rs
@@ -26,14 +26,14 @@
     /// Losses that are still to be written, in the order in which they were found, each with the
     /// time at which it was found.
     pub unwritten: Vec<(Ms, Loss)>,
-    pub write_inflight: bool,
+    pub write_in_flight: bool,
 }
 
 /// The logs of the teams whose workspaces this controller owns.
 #[derive(Default)]
 pub(crate) struct LossLogs {
     pub scanned_at: Ms,
-    pub read_inflight: bool,
+    pub read_in_flight: bool,
     /// The archive is to be read again from some revisions back.
     pub archive_reread_due: bool,
     pub logs: BTreeMap<TeamId, LossLog>,
@@ -54,9 +54,9 @@
 
     /// Whether the logs' content is to be read now. If so, the read counts as in flight.
     pub(crate) fn begin_read_if_due(&mut self) -> bool {
-        let is_due = !self.read_inflight && self.logs.values().any(|log| !log.is_loaded);
+        let is_due = !self.read_in_flight && self.logs.values().any(|log| !log.is_loaded);
         if is_due {
-            self.read_inflight = true;
+            self.read_in_flight = true;
             self.logs.values_mut().for_each(|log| log.read_requested = true);
         }
         is_due
@@ -64,7 +64,7 @@
 
     /// Takes the changes of the logs that a read returned as the logs' content.
     pub(crate) fn apply_read(&mut self, events: &[Event]) {
-        self.read_inflight = false;
+        self.read_in_flight = false;
         for event in events {
             let value = event.value.as_ref().filter(|_| event.put.is_some());
             let group = value.and_then(|v| serde_json::from_str::<Vec<Loss>>(v.get()).ok());
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -89,7 +89,7 @@
         let unreadable = &self.cache.unreadable;
         let logs = self.loss_logs.logs.iter_mut().filter(|(team, log)| {
             let is_readable = unreadable.is_empty() || !unreadable.contains(&loss_head_key(team));
-            !log.write_inflight && !log.unwritten.is_empty() && is_readable
+            !log.write_in_flight && !log.unwritten.is_empty() && is_readable
         });
         let Some((team, log)) = logs.max_by_key(|(_, log)| log.oldest_wait_ms(now)) else { return };
         let is_urgent = log.oldest_wait_ms(now) >= MAX_WRITE_DELAY_MS;
@@ -101,7 +101,7 @@
             self.cache.loss_heads.get(&team).cloned().unwrap_or_default();
         let group: Vec<Loss> =
             log.unwritten.iter().take(LOSSES_PER_GROUP).map(|(_, loss)| loss.clone()).collect();
-        log.write_inflight = true;
+        log.write_in_flight = true;
         let mut txn = Txn::default();
         txn.guard(workspace_key(&team), token);
         txn.guard(loss_head_key(&team), version);
@@ -116,7 +116,7 @@
             StoreReply::Events(events) => self.loss_logs.apply_read(&events.events),
             // The logs' content remains unknown, so the losses in the records are logged once more.
             StoreReply::TooOld => self.loss_logs.apply_read(&[]),
-            _ => self.loss_logs.read_inflight = false,
+            _ => self.loss_logs.read_in_flight = false,
         }
     }
 
@@ -144,7 +144,7 @@
             }
             _ => {}
         }
-        log.write_inflight = false;
+        log.write_in_flight = false;
         self.session.sync_wanted = true;
     }
 
--- a/crates/cleatfold-control/src/namespaces/team_queries.rs
+++ b/crates/cleatfold-control/src/namespaces/team_queries.rs
@@ -106,7 +106,8 @@
         }
     }
 
-    /// The team's live jobs whose place is at least `since`.
+    /// The team's live jobs whose queue position, the revision of their acceptance, is at least
+    /// `since`.
     fn live_jobs(
         &self,
         team: &TeamId,
--- a/crates/cleatfold-control/src/namespaces/workspace_state.rs
+++ b/crates/cleatfold-control/src/namespaces/workspace_state.rs
@@ -11,7 +11,7 @@
 /// checked.
 #[derive(Default)]
 pub(crate) struct WorkspaceState {
-    pub vacancies: OwnershipTracker<TeamId>,
+    pub ownership_tracker: OwnershipTracker<TeamId>,
     pub owned: BTreeMap<TeamId, OwnedWorkspace>,
     pub ended_jobs: Ended,
     /// The scan of the whole archive, while one is in progress.
@@ -28,7 +28,7 @@
 /// A workspace that this controller owns under a fencing token.
 pub(crate) struct OwnedWorkspace {
     pub token: Version,
-    pub write_inflight: bool,
+    pub write_in_flight: bool,
     /// When a write of the history last failed or had an unknown outcome. Nothing is written until
     /// the reply to a read that was sent since has arrived.
     pub history_uncertain_at: Option<Ms>,
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -85,7 +85,7 @@
     fn maintain_ownership(&mut self) {
         let (now, me) = (self.now, self.cfg.controller_id.clone());
         let teams: Vec<TeamId> = self.cfg.teams.iter().map(|t| t.name.clone()).collect();
-        let mut vacancies = std::mem::take(&mut self.workspaces.vacancies);
+        let mut ownership_tracker = std::mem::take(&mut self.workspaces.ownership_tracker);
         let cache = &self.cache;
         // As with pools, the record's owner holds the workspace as long as the incarnation that the
         // record names is registered. An unreadable record counts as held, so it is never
@@ -99,7 +99,7 @@
                     .is_some_and(|c| c.value.incarnation == h.incarnation)
             }) || !self.is_readable(&workspace_key(team))
         };
-        vacancies.observe(now, &me, cache.controllers.keys(), teams.iter(), is_held);
+        ownership_tracker.observe(now, &me, cache.controllers.keys(), teams.iter(), is_held);
         let registered = cache.controllers.get(&me).map(|c| c.value.incarnation);
         let is_uncertain = self
             .workspaces
@@ -118,7 +118,7 @@
                     && self.is_readable(&workspace_key(team))
             };
             let max_changes = self.cfg.max_txn_changes.min(self.rate_limiter.max_changes());
-            let taken = vacancies.next_to_acquire(
+            let taken = ownership_tracker.next_to_acquire(
                 now,
                 max_changes,
                 teams.iter(),
@@ -130,9 +130,9 @@
                 self.write_owners(taken, holder);
             }
             let owned = &self.workspaces.owned;
-            let idle = owned.iter().filter(|(_, w)| !w.write_inflight).map(|(team, _)| team);
-            if let Some(team) = vacancies.next_to_release(now, idle, rank) {
-                let preferred = owner::first(&team, vacancies.live().iter()).cloned();
+            let idle = owned.iter().filter(|(_, w)| !w.write_in_flight).map(|(team, _)| team);
+            if let Some(team) = ownership_tracker.next_to_release(now, idle, rank) {
+                let preferred = owner::first(&team, ownership_tracker.live().iter()).cloned();
                 let preferred = preferred.filter(|controller| *controller != me);
                 let holder = preferred.and_then(|owner| {
                     let incarnation = self.cache.controllers.get(&owner)?.value.incarnation;
@@ -143,11 +143,11 @@
                         tracing::info!(%team, to = %holder.owner, "handing over workspace ownership");
                         self.write_owners(vec![team], holder);
                     }
-                    None => vacancies.request_completed(&team),
+                    None => ownership_tracker.request_completed(&team),
                 }
             }
         }
-        self.workspaces.vacancies = vacancies;
+        self.workspaces.ownership_tracker = ownership_tracker;
     }
 
     /// Writes the owner of these workspaces, guarded by the versions of their present records.
@@ -182,7 +182,7 @@
             }
         };
         for team in teams {
-            self.workspaces.vacancies.request_completed(&team);
+            self.workspaces.ownership_tracker.request_completed(&team);
             let cached = self.cache.workspaces.get(&team).map(|w| w.version).unwrap_or_default();
             if let Some(version) = committed.filter(|v| *v > cached) {
                 self.cache.workspaces.insert(team, Versioned::new(version, holder.clone()));
@@ -210,7 +210,7 @@
             tracing::info!(%team, fencing_token = token.0, "workspace ownership acquired");
             let owned = OwnedWorkspace {
                 token: *token,
-                write_inflight: false,
+                write_in_flight: false,
                 history_uncertain_at: None,
                 retention_checked_at: self.now,
                 retention_running: false,
@@ -355,7 +355,7 @@
             let Versioned { version, value: head } = self.history_head(&team);
             let last_read = self.session.last_read;
             let Some(owned) = self.workspaces.owned.get_mut(&team) else { continue };
-            if owned.write_inflight
+            if owned.write_in_flight
                 || owned
                     .history_uncertain_at
                     .is_some_and(|at| last_read.is_none_or(|read| read < at))
@@ -395,7 +395,7 @@
             txn.put(history_group_key(&team, head.entries), &group, None);
         }
         expired.iter().for_each(|number| txn.delete(history_group_key(&team, *number)));
-        owned.write_inflight = true;
+        owned.write_in_flight = true;
         let write = HistoryWrite { token: owned.token, team, head: next, txn: txn.clone() };
         self.call_store(
             CallPriority::Poll,
@@ -434,7 +434,7 @@
             }
         }
         if let Some(owned) = self.workspaces.owned.get_mut(&write.team) {
-            owned.write_inflight &= owned.token != write.token;
+            owned.write_in_flight &= owned.token != write.token;
         }
     }
 
