--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -152,7 +152,7 @@
         let pause_s = retry_backoff_ms(attempt) / 1000;
         tracing::info!(job = %task.job, task = task.ix.0, attempt = attempt.0, %machine, pause_s, "task failed");
         if let Some(machine) = self.inventory.machines.get_mut(machine) {
-            machine.suspicion.record_failure(task.job.clone(), task.ix);
+            machine.failures.record_failure(task.job.clone(), task.ix);
         }
     }
 
@@ -160,14 +160,14 @@
     pub(crate) fn return_faulty_machines(&mut self) {
         let mut suspects = Vec::new();
         for (id, m) in &mut self.inventory.machines {
-            if !m.suspicion.is_empty() && !m.faulty && self.pools.owned.contains_key(&m.pool) {
-                suspects.push((id.clone(), std::mem::take(&mut m.suspicion)));
+            if !m.failures.is_empty() && !m.faulty && self.pools.owned.contains_key(&m.pool) {
+                suspects.push((id.clone(), std::mem::take(&mut m.failures)));
             }
         }
-        for (id, mut suspicion) in suspects {
-            let faulty = suspicion.is_faulty(|job, task| self.evidence(&id, job, task));
+        for (id, mut failures) in suspects {
+            let faulty = failures.is_faulty(|job, task| self.evidence(&id, job, task));
             let Some(m) = self.inventory.machines.get_mut(&id) else { continue };
-            m.suspicion = suspicion;
+            m.failures = failures;
             if faulty {
                 tracing::info!(machine = %id, "machine at fault: returning it");
                 (m.faulty, m.draining) = (true, true);
--- a/crates/cleatfold-control/src/machines/cloud.rs
+++ b/crates/cleatfold-control/src/machines/cloud.rs
@@ -14,8 +14,9 @@
     /// When machine types and prices were last read, or kept after a failed read.
     pub types_read_at: Option<Ms>,
     types_requested: bool,
-    /// When the machine list was last received completely; set back after a failed read, so that the
-    /// next one is sent sooner.
+    /// The time from which the next read of the machine list is due: when the last complete list
+    /// arrived or, after a failed read, 2.5 s before the failure, so that the retry comes sooner.
+    /// When the last complete list itself arrived is in `Inventory::list_received_at`.
     pub list_read_at: Option<Ms>,
     list_requested: bool,
     /// Machines from the pages of the list that have been received so far.
@@ -23,8 +24,8 @@
 }
 
 impl Controller {
-    /// Interval between calls to the cloud: the controller that scales out may use half of the cloud's
-    /// rate limit, and the others share the rest.
+    /// Interval between calls to the cloud: the controller that scales out may use half of the
+    /// cloud's rate limit, and the others share the rest.
     pub(crate) fn cloud_call_interval_ms(&self) -> u64 {
         let peer_count = self.cfg.peers.len();
         let share = match (peer_count, self.holds(Role::ScaleOut)) {
@@ -35,8 +36,8 @@
         (1000.0 / (self.cfg.cloud_calls_per_s * share).max(0.1)) as u64
     }
 
-    /// Interval between reads of the machine list: they take at most half of this controller's calls,
-    /// however many pages the list has.
+    /// Interval between reads of the machine list: they take at most half of this controller's
+    /// calls, however many pages the list has.
     fn list_interval_ms(&self) -> u64 {
         let pages = 1 + self.inventory.machines.len() as u64 / 500;
         (2 * pages * self.cloud_call_interval_ms()).max(4000)
@@ -158,8 +159,9 @@
         });
     }
 
-    /// Whether a machine that may report to another controller may still exist: it has sent a heartbeat recently, is in
-    /// the last list, or has not been in any list yet. Used only to decide how many machines to request.
+    /// Whether a machine that may report to another controller may still exist: it has sent a
+    /// heartbeat recently, is in the last list, or has not been in any list yet. Used only to
+    /// decide how many machines to request.
     pub(crate) fn may_still_exist(&self, machine: &Machine) -> bool {
         let reported_recently = machine
             .last_heartbeat_at()
--- a/crates/cleatfold-control/src/machines/deleted.rs
+++ b/crates/cleatfold-control/src/machines/deleted.rs
@@ -5,9 +5,9 @@
 
 /// The most recently deleted machines, by name.
 ///
-/// A deletion is proven by the cloud's response. Heartbeats, scale-out responses and machine lists that
-/// were in flight at that time still name the machine; a machine in this set is not added to the
-/// inventory again.
+/// A deletion is proven by the cloud's response. Heartbeats, scale-out responses and machine lists
+/// that were in flight at that time still name the machine; a machine in this set is not added to
+/// the inventory again.
 #[derive(Debug, Default)]
 pub struct DeletedMachines {
     names: BTreeSet<MachineId>,
--- a/crates/cleatfold-control/src/machines/inventory.rs
+++ b/crates/cleatfold-control/src/machines/inventory.rs
@@ -45,8 +45,9 @@
     /// When the machine was created, by its age in the cloud's list.
     pub created_at: Ms,
     pub heartbeat: Option<LastHeartbeat>,
-    /// When the last heartbeat arrived that proves the machine is running: newer than all earlier ones, and sent under
-    /// this controller's token for the pool. A delayed copy of a heartbeat meets neither condition.
+    /// When the last heartbeat arrived that proves the machine is running: newer than all earlier
+    /// ones, and sent under this controller's token for the pool. A delayed copy of a heartbeat
+    /// meets neither condition.
     pub last_heartbeat_at: Option<Ms>,
     /// Detects whether responses reach the worker.
     pub partition_detector: cleatfold_reachability::OneWayPartitionDetector,
@@ -61,7 +62,7 @@
     /// When each task was first seen running.
     pub task_started_at: BTreeMap<(JobId, TaskIx), Ms>,
     /// Tasks that failed on the machine, as evidence of a machine fault.
-    pub suspicion: cleatfold_fault_attribution::MachineFailures,
+    pub failures: cleatfold_fault_attribution::MachineFailures,
     /// Tasks that succeed on other machines fail on this one.
     pub faulty: bool,
     /// The machine is given no new tasks and is deleted once it runs none.
@@ -95,7 +96,7 @@
             images: VecDeque::new(),
             images_changed: false,
             task_started_at: BTreeMap::new(),
-            suspicion: Default::default(),
+            failures: Default::default(),
             faulty: false,
             draining: false,
             deleting: false,
@@ -145,7 +146,9 @@
 pub(crate) struct Inventory {
     pub types: BTreeMap<TypeId, MachineType>,
     pub machines: BTreeMap<MachineId, Machine>,
-    /// When the cloud's machine list was last received completely.
+    /// When the last complete machine list arrived from the cloud; a machine whose `last_listed_at`
+    /// is earlier was missing from it. Unlike `CloudState::list_read_at`, a failed read does not
+    /// change it.
     pub list_received_at: Ms,
     /// Deleted machines; delayed messages about them are ignored.
     pub deleted: DeletedMachines,
--- a/crates/cleatfold-control/src/machines/scale_out.rs
+++ b/crates/cleatfold-control/src/machines/scale_out.rs
@@ -1,8 +1,9 @@
-//! Scaling out, by the controller that holds the scale-out role: an intent is written before the call.
+//! Scaling out, by the controller that holds the scale-out role: an intent is written before the
+//! call.
 //!
 //! The cloud cannot tell a former holder of the role from its successor. Every request is therefore
-//! first recorded as an intent under the role's epoch: a former holder's write fails, so it makes no
-//! request. The successor repeats the recorded requests under the same names.
+//! first recorded as an intent under the role's epoch: a former holder's write fails, so it makes
+//! no request. The successor repeats the recorded requests under the same names.
 
 use crate::config::ObjectiveKind;
 use crate::controller::{Controller, Pending};
@@ -66,13 +67,14 @@
     request_counter: u64,
     last_checked: Ms,
     write_in_flight: bool,
-    /// When the answer to an unconfirmed write arrived; the cache may lack its effect until a later sync.
+    /// When the reply to a write arrived without confirming it. The cache may lack the effect of
+    /// the write until a read that was sent later has completed.
     unconfirmed_since: Option<Ms>,
 }
 
 impl Controller {
-    /// Requests machines for the CPU shortfall, while this controller holds the role and is in contact
-    /// with the state service.
+    /// Requests machines for the CPU shortfall, while this controller holds the role and is in
+    /// contact with the state service.
     pub(crate) fn maintain_scale_out(&mut self) {
         let is_due = self.now.since(self.scale_out.last_checked)
             >= SCALE_OUT_INTERVAL_MS * self.backpressure;
@@ -169,7 +171,8 @@
                     self.call_cloud(CloudRequest::ScaleOut(request), pending);
                 }
             }
-            // The write may have succeeded: the intents are then treated like those of a former holder.
+            // The write may have succeeded: the intents are then treated like those of a former
+            // holder.
             _ => {
                 self.scale_out.unconfirmed_since = Some(self.now);
                 self.session.sync_wanted = true;
@@ -181,7 +184,7 @@
     pub(crate) fn on_scale_out(&mut self, request: ScaleOutRequest, tries: u32, reply: CloudReply) {
         let pool =
             PoolId { machine_type: request.machine_type.clone(), zone: request.zone.clone() };
-        let answer = match reply {
+        let outcome = match reply {
             CloudReply::Created(machines) => {
                 tracing::info!(%pool, spot = request.spot, ?machines, "machines created");
                 let is_short = (machines.len() as u32) < request.count;
@@ -204,7 +207,7 @@
             }
             _ => ScaleOutOutcome::Unknown,
         };
-        self.scale_out.tracker.record_outcome(&request.request, answer, self.now);
+        self.scale_out.tracker.record_outcome(&request.request, outcome, self.now);
     }
 
     /// Adds machines that the cloud has just created for this controller or for the holder of the
@@ -226,9 +229,9 @@
     }
 
     /// CPU shortfall that existing and requested machines will not cover in time, by the best offer
-    /// for the waiting jobs, largest first. In queue order, each job is allocated what it may use of
-    /// the supply; the rest is its shortfall. (Comparing only the sum over the queue with the supply
-    /// filled the region with machines that the waiting jobs could not use.)
+    /// for the waiting jobs, largest first. In queue order, each job is allocated what it may use
+    /// of the supply; the rest is its shortfall. (Comparing only the sum over the queue with the
+    /// supply filled the region with machines that the waiting jobs could not use.)
     fn shortfalls(&self) -> Vec<(Offer, f64)> {
         let mut headroom = self.team_headroom(|cached| self.fraction_still_used(cached));
         let mut supply = self.supply();
@@ -260,19 +263,19 @@
         sorted
     }
 
-    /// The expected fraction of its processors that a running job still uses when the waiting jobs need
-    /// them.
+    /// The expected fraction of its processors that a running job still uses when the waiting jobs
+    /// need them.
     fn fraction_still_used(&self, cached: &CachedJob) -> f64 {
         (0.5 * cached.record.spec.estimate_s / self.cfg.usual_wait_s).min(1.0)
     }
 
-    /// Processors of existing machines, less those that their tasks will still use, and of requested
-    /// machines.
+    /// Processors of existing machines, less those that their tasks will still use, and of
+    /// requested machines.
     fn supply(&self) -> CpusByOffer {
         let mut supply = CpusByOffer::new();
         for (id, m) in &self.inventory.machines {
-            // A machine that another controller has deleted is no supply: without this check it would
-            // count for another 50 s and delay the request for its replacement by as much.
+            // A machine that another controller has deleted is no supply: without this check it
+            // would count for another 50 s and delay the request for its replacement by as much.
             if !m.is_schedulable() || !self.may_still_exist(m) {
                 continue;
             }
@@ -328,7 +331,8 @@
         }
     }
 
-    /// How long the tasks of a job may still wait if the job is to meet its service level objectives.
+    /// How long the tasks of a job may still wait if the job is to meet its service level
+    /// objectives.
     fn slack_s(&self, cached: &CachedJob) -> f64 {
         let spec = &cached.record.spec;
         let elapsed = self.wall_ms.saturating_sub(cached.record.accepted_ms) as f64 / 1000.0;
--- a/crates/cleatfold-control/src/machines/watch.rs
+++ b/crates/cleatfold-control/src/machines/watch.rs
@@ -1,5 +1,5 @@
-//! Monitors the machines of this controller's pools: detects failed, unresponsive and idle machines,
-//! deletes them, and adds machines that are known only from claims.
+//! Monitors the machines of this controller's pools: detects failed, unresponsive and idle
+//! machines, deletes them, and adds machines that are known only from claims.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::CloudRequest;
@@ -46,8 +46,8 @@
 }
 
 impl WatchThresholds {
-    /// The time after which a worker's lease has certainly expired: the worker may receive the renewal
-    /// late, and clocks drift.
+    /// The time after which a worker's lease has certainly expired: the worker may receive the
+    /// renewal late, and clocks drift.
     fn max_lease_ms(&self) -> u64 {
         self.lease_ms + self.lease_ms / 500 + 500
     }
@@ -62,8 +62,9 @@
 
 impl ZoneReachability {
     /// Whether so many machines of the zone are unreachable at once that a network partition, or a
-    /// fault of this controller, is the likely cause; deleting them would make it worse. Counted per
-    /// zone, because among all machines of an owner a partitioned zone looks like a few failures.
+    /// fault of this controller, is the likely cause; deleting them would make it worse. Counted
+    /// per zone, because among all machines of an owner a partitioned zone looks like a few
+    /// failures.
     fn may_be_partitioned(self) -> bool {
         self.unreachable > MAX_INDEPENDENT_FAILURES && self.unreachable * 2 > self.reachable
     }
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Checks a machine that has not sent a heartbeat yet: it is deleted if it takes too long to boot.
+    /// Checks a machine that has not sent a heartbeat yet: it is deleted if it takes too long to
+    /// boot.
     fn check_booting(
         &mut self,
         id: &MachineId,
@@ -152,8 +154,8 @@
         }
     }
 
-    /// Returns whether the machine sends heartbeats and receives responses; records it if it does not,
-    /// or if its lease has expired.
+    /// Returns whether the machine sends heartbeats and receives responses; records it if it does
+    /// not, or if its lease has expired.
     fn check_responsiveness(
         &mut self,
         id: &MachineId,
@@ -225,11 +227,11 @@
 }
 
 impl Controller {
-    /// Checks the machines of the owned pools: releases the claims of those whose lease has expired,
-    /// and deletes failed, unresponsive and idle ones.
+    /// Checks the machines of the owned pools: releases the claims of those whose lease has
+    /// expired, and deletes failed, unresponsive and idle ones.
     pub(crate) fn watch_machines(&mut self) {
-        // While this controller is cut off from the state service, its own isolation would look like
-        // failures of the machines, which other controllers may still reach.
+        // While this controller is cut off from the state service, its own isolation would look
+        // like failures of the machines, which other controllers may still reach.
         let is_due =
             self.now.since(self.machines_checked_at) >= WATCH_INTERVAL_MS * self.backpressure;
         if !self.has_store_contact() || !is_due {
@@ -305,8 +307,8 @@
             if (spot && !spec.spot) || !self.can_run_in(job, pool) {
                 continue;
             }
-            // Tasks that wait only because of their team's limit do not keep idle machines: otherwise
-            // hundreds stay idle for a team that cannot start anything.
+            // Tasks that wait only because of their team's limit do not keep idle machines:
+            // otherwise hundreds stay idle for a team that cannot start anything.
             if !headroom.contains_key(&spec.team) {
                 return f64::INFINITY;
             }
@@ -341,8 +343,9 @@
 
     /// Requests the deletion of machines that no claim in flight names.
     fn delete_machines(&mut self, ids: Vec<MachineId>) {
-        // One call at a time, with up to a hundred machines: one call per machine used up the cloud's
-        // rate limit for a minute after many machines had failed, which delayed the proofs of deletion.
+        // One call at a time, with up to a hundred machines: one call per machine used up the
+        // cloud's rate limit for a minute after many machines had failed, which delayed the proofs
+        // of deletion.
         if self.calls.pending.values().any(|p| matches!(p, Pending::Delete { .. })) {
             return;
         }
@@ -373,8 +376,8 @@
         }
     }
 
-    /// Adds machines that are known only from claims (those of a former owner) to the inventory, and
-    /// ends the claims of those that are already deleted.
+    /// Adds machines that are known only from claims (those of a former owner) to the inventory,
+    /// and ends the claims of those that are already deleted.
     fn adopt_claimed_machines(&mut self) {
         let unknown: BTreeSet<MachineId> = self
             .cache
--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -1,5 +1,5 @@
-//! Handling of mesh messages from the other controllers. All of them are hints: what is authoritative
-//! is recorded in the state service.
+//! Handling of mesh messages from the other controllers. All of them are hints: what is
+//! authoritative is recorded in the state service.
 
 use crate::controller::Controller;
 use cleatfold_wire::mesh::Message;
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -1,6 +1,6 @@
-//! Reachability between controllers and workers: evidence from heartbeats and peers, probes of workers
-//! in zones without recent contact, and moving a pool to a controller that its workers reach.
-//! `cleatfold_reachability` makes the decisions.
+//! Reachability between controllers and workers: evidence from heartbeats and peers, probes of
+//! workers in zones without recent contact, and moving a pool to a controller that its workers
+//! reach. `cleatfold_reachability` makes the decisions.
 
 use crate::controller::Controller;
 use crate::effects::{Effect, Response};
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const CHECK_INTERVAL_MS: u64 = 500;
-/// A lease ends up to 100 ms late; the rest allows for clock drift.
+/// The state service ends a lease with a delay of up to 100 ms; the rest allows for clock drift.
 const LEASE_EXPIRY_MARGIN_MS: u64 = 300;
 /// Peers send a message every second.
 const PEER_TIMEOUT_MS: u64 = 3_000;
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Handles a heartbeat from a worker whose pool another controller owns: may probe the worker, as
-    /// the first step of taking its pool over.
+    /// Handles a heartbeat from a worker whose pool another controller owns: may probe the worker,
+    /// as the first step of taking its pool over.
     pub(crate) fn on_misdirected_worker(
         &mut self,
         heartbeat: &RawHeartbeat,
@@ -136,8 +136,10 @@
         }
     }
 
-    /// Whether to redirect a worker of an owned pool while this controller's lease has expired and neither the state
-    /// service nor a peer answers: what becomes of the worker shows whether another controller serves the pool.
+    /// The redirect for a worker of an owned pool, if it is to be released. Workers are released
+    /// while this controller's lease has expired and neither the state service nor a peer is heard:
+    /// one that does not return, or returns with a higher token, shows that another controller
+    /// serves the pool.
     pub(crate) fn release_worker(
         &mut self,
         heartbeat: &RawHeartbeat,
@@ -148,7 +150,8 @@
         let lease_ms = self.cfg.controller_lease_ms + LEASE_EXPIRY_MARGIN_MS;
         let lease_expired =
             self.session.last_read.is_none_or(|read| self.now.since(read) > lease_ms);
-        // Peers that do not show that the pools are served elsewhere are in the same outage.
+        // If peers are heard, but nothing shows that other controllers serve the pools, the peers
+        // are in the same outage.
         let no_peer_heard =
             !self.reachability.view.peers.receives_from_any_peer(self.now, PEER_TIMEOUT_MS);
         if !lease_expired
@@ -165,8 +168,9 @@
         }
     }
 
-    /// Compares the owners of the pools with those of the last sync. If a pool moved away from a live
-    /// controller and this controller did not assign it, its workers could not reach that owner.
+    /// Compares the owners of the pools with those of the last sync. If a pool moved away from a
+    /// live controller and this controller did not assign it, its workers could not reach that
+    /// owner.
     pub(crate) fn compare_pool_owners(&mut self) {
         for (pool, ownership) in &self.cache.pools {
             self.reachability.view.misdirected_workers.see_token(pool, ownership.token, self.now);
@@ -187,7 +191,8 @@
         }
     }
 
-    /// Whether the controller may own pools in a zone: no evidence shows that it does not reach the zone's workers.
+    /// Whether the controller may own pools in a zone: no evidence shows that it does not reach the
+    /// zone's workers.
     pub(crate) fn may_hold(&self, controller: &ControllerId, zone: &ZoneId) -> bool {
         self.reachability.view.may_hold(&self.cfg.controller_id, controller, zone, self.now)
     }
--- a/crates/cleatfold-control/src/pools/heartbeats.rs
+++ b/crates/cleatfold-control/src/pools/heartbeats.rs
@@ -19,8 +19,8 @@
 use serde_json::value::RawValue;
 use std::collections::BTreeSet;
 
-/// Above this backpressure, responses of this controller may have been sent too late, so missing
-/// effects are not held against the worker.
+/// Above this backpressure, this controller may have sent its responses too late: that a worker has
+/// not acted on them is then no evidence of a one-way partition.
 const MAX_BACKPRESSURE_FOR_DETECTION: u64 = 2;
 
 /// What is known of a machine when one of its heartbeats is processed.
@@ -71,13 +71,14 @@
 struct UnlistedClaims {
     absent: Vec<AbsentClaim>,
     start_commands: Vec<Command>,
-    /// At least one start was withheld because the machine has to wait for a turn to fetch the image.
+    /// At least one start was withheld because the machine has to wait for a turn to fetch the
+    /// image.
     start_withheld: bool,
 }
 
 impl Controller {
-    /// Handles a heartbeat: answers it with commands, redirects the worker, or holds the response if no
-    /// command is due.
+    /// Handles a heartbeat: answers it with commands, redirects the worker, or holds the response
+    /// if no command is due.
     pub(crate) fn on_heartbeat(&mut self, rid: u64, heartbeat: RawHeartbeat) {
         if !self.is_serving() || self.inventory.is_deleted(&heartbeat.machine) {
             return self.reply(rid, Response::Redirect(None));
@@ -106,8 +107,9 @@
             return self.reply(rid, Response::retry_later("an old report"));
         }
         if machine.is_none() && heartbeat.token != token {
-            // This may be a delayed copy from a machine that another owner, or an earlier incarnation of
-            // this controller, has deleted. A running worker reports again at once with the current token.
+            // This may be a delayed copy from a machine that another owner, or an earlier
+            // incarnation of this controller, has deleted. A running worker reports again at once
+            // with the current token.
             return self.reply(rid, worker_authority.answer(vec![]));
         }
         if let Some(redirect) = self.release_worker(&heartbeat, &pool) {
@@ -281,8 +283,8 @@
         if partition_changed {
             tracing::info!(machine = %id, is_partitioned, "one-way partition detection changed");
         }
-        // Only a heartbeat sent under the current token shows the machine's present state. A delayed
-        // copy of an older one proves nothing but the exits that it lists.
+        // Only a heartbeat sent under the current token shows the machine's present state. A
+        // delayed copy of an older one proves nothing but the exits that it lists.
         if has_current_token {
             machine.last_heartbeat_at = Some(now);
             machine.lease_expired = false;
@@ -362,8 +364,8 @@
         task: &TaskReport,
         claim: Claim,
     ) -> bool {
-        // Another attempt of the same task is still on the machine: the claim is kept until that one
-        // has exited, or the task could run twice at the same time.
+        // Another attempt of the same task is still on the machine: the claim is kept until that
+        // one has exited, or the task could run twice at the same time.
         if present_tasks.contains(&task.task) {
             return false;
         }
@@ -391,7 +393,8 @@
         }
     }
 
-    /// Determines the actions required by claims on a machine whose tasks its heartbeat does not list.
+    /// Determines the actions required by claims on a machine whose tasks its heartbeat does not
+    /// list.
     fn check_unlisted_claims(
         &self,
         context: &HeartbeatContext,
@@ -401,8 +404,8 @@
         let claims = self.cache.claims.get(&context.machine).into_iter().flatten();
         for ((job, ix), claim) in claims {
             let task = TaskId { job: job.clone(), ix: *ix };
-            // Either another attempt of the task is on the machine and is being stopped, or its exit
-            // is being recorded: the task must not start again.
+            // Either another attempt of the task is on the machine and is being stopped, or its
+            // exit is being recorded: the task must not start again.
             let is_accounted_for = listed_claims.matching.contains(&(job.clone(), *ix))
                 || listed_claims.present_tasks.contains(&task)
                 || self.is_ending(job, *ix, claim.attempt);
@@ -419,8 +422,8 @@
                 continue;
             }
             // The claim was made under the current token. The heartbeat is newer than any response
-            // that started the task, so the task is not on the machine: start it (again), or release
-            // the claim.
+            // that started the task, so the task is not on the machine: start it (again), or
+            // release the claim.
             let is_evicted = self.evictions.get(&context.machine, job, *ix).is_some();
             if self.is_job_ended(job)
                 || context.is_draining
--- a/crates/cleatfold-control/src/pools/long_polls.rs
+++ b/crates/cleatfold-control/src/pools/long_polls.rs
@@ -1,5 +1,5 @@
-//! Long polling: the response to a heartbeat is held for a short time, so that the worker is told of
-//! a claim made meanwhile at once.
+//! Long polling: the response to a heartbeat is held for a short time, so that the worker is told
+//! of a claim made meanwhile at once.
 
 use crate::controller::Controller;
 use crate::effects::Response;
@@ -19,9 +19,9 @@
 impl Controller {
     /// How long the response to a heartbeat that requires no command may be held. On a machine with
     /// free resources a claim made meanwhile is then started at once instead of after the next
-    /// heartbeat. The response still answers the newest heartbeat, so it cannot be executed late, and
-    /// it is sent well within the worker's timeout. Busy machines are held shorter or not at all,
-    /// because a worker reports no exits while it waits for a response.
+    /// heartbeat. The response still answers the newest heartbeat, so it cannot be executed late,
+    /// and it is sent well within the worker's timeout. Heartbeats of busy machines are held for a
+    /// shorter time or not at all, because a worker reports no exits while it waits for a response.
     pub(super) fn long_poll_ms(&self, id: &MachineId) -> u64 {
         let Some(machine) = self.inventory.machines.get(id) else { return 0 };
         if machine.draining || machine.reclaim_at.is_some() {
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Ends a held heartbeat after a newer one arrived: the worker no longer waits for its response.
+    /// Ends a held heartbeat after a newer one arrived: the worker no longer waits for its
+    /// response.
     pub(super) fn abandon_long_poll(&mut self, id: &MachineId) {
         if let Some(poll) = self.pools.long_polls.remove(id) {
             self.reply(poll.rid, Response::retry_later("a newer report came"));
@@ -95,7 +96,8 @@
             let claim_ending = self.is_ending(job, *ix, claim.attempt)
                 || self.evictions.get(id, job, *ix).is_some();
             if claim.token == token && !job_ended && !claim_ending && !listed.contains(&task) {
-                // The task is not started while the machine has to wait for a turn to fetch its image.
+                // The task is not started while the machine has to wait for a turn to fetch its
+                // image.
                 if let Some(sources) = self.permitted_fetch_sources(id, job) {
                     start_commands.push(Command::Start { task, attempt: claim.attempt, sources });
                 }
--- a/crates/cleatfold-control/src/pools/tasks.rs
+++ b/crates/cleatfold-control/src/pools/tasks.rs
@@ -96,7 +96,7 @@
             }
             Exit::Done => {
                 if let Some(machine) = self.inventory.machines.get_mut(id) {
-                    machine.suspicion.record_completion();
+                    machine.failures.record_completion();
                 }
             }
             _ => {}
@@ -107,7 +107,8 @@
             machine: id.clone(),
             ix: task.ix,
             attempt,
-            // An elastic member that exits frees its slot; its job's progress is counted in steps.
+            // The exit of an elastic member only makes its number available to a new member; the
+            // job's progress is counted in steps.
             done: exit == Exit::Done && !is_elastic,
             reason: EndReason::Exit(exit),
             ran_ms,
