--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -23,7 +23,7 @@
 /// Interval between two writes of an image's holders.
 const HOLDER_WRITE_INTERVAL_MS: u64 = 5000;
 /// An image that at most this many machines want gets no record of its holders.
-const MAX_MACHINES_WITHOUT_RECORD: usize = 5;
+const MAX_UNRECORDED_MACHINES: usize = 5;
 
 impl Controller {
     /// Decides on fetches and writes the records. Called at each tick once the controller serves.
@@ -371,14 +371,13 @@
         let images: BTreeSet<ImageId> = recorded.chain(wanted.keys().copied()).cloned().collect();
         for image in &images {
             let old = self.cache.image_holders.get(image);
-            let is_widely_wanted =
-                wanted.get(image).is_some_and(|m| m.len() > MAX_MACHINES_WITHOUT_RECORD);
+            let needs_record = wanted.get(image).is_some_and(|m| m.len() > MAX_UNRECORDED_MACHINES);
             let mut txn = Txn::default();
             txn.guard(image_holders_key(image), old.map(|o| o.version).unwrap_or_default());
             if old.is_some() && !wanted.contains_key(image) {
                 // The image is no longer used. If it is wanted later, a new record is written.
                 txn.delete(image_holders_key(image));
-            } else if old.is_some() || is_widely_wanted {
+            } else if old.is_some() || needs_record {
                 let mut new = old.map(|o| o.value.clone()).unwrap_or_default();
                 for pool in self.pools.owned.keys() {
                     let Some(token) = self.owned_pool_token(pool) else { continue };
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -85,7 +85,7 @@
     fn maintain_ownership(&mut self) {
         let (now, me) = (self.now, self.cfg.controller_id.clone());
         let teams: Vec<TeamId> = self.cfg.teams.iter().map(|t| t.name.clone()).collect();
-        let mut ownership_tracker = std::mem::take(&mut self.workspaces.ownership_tracker);
+        let mut tracker = std::mem::take(&mut self.workspaces.ownership_tracker);
         let cache = &self.cache;
         // As with pools, the record's owner holds the workspace as long as the incarnation that the
         // record names is registered. An unreadable record counts as held, so it is never
@@ -99,7 +99,7 @@
                     .is_some_and(|c| c.value.incarnation == h.incarnation)
             }) || !self.is_readable(&workspace_key(team))
         };
-        ownership_tracker.observe(now, &me, cache.controllers.keys(), teams.iter(), is_held);
+        tracker.observe(now, &me, cache.controllers.keys(), teams.iter(), is_held);
         let registered = cache.controllers.get(&me).map(|c| c.value.incarnation);
         let is_uncertain = self
             .workspaces
@@ -118,21 +118,16 @@
                     && self.is_readable(&workspace_key(team))
             };
             let max_changes = self.cfg.max_txn_changes.min(self.rate_limiter.max_changes());
-            let taken = ownership_tracker.next_to_acquire(
-                now,
-                max_changes,
-                teams.iter(),
-                rank,
-                owned_before_restart,
-            );
+            let taken =
+                tracker.next_to_acquire(now, max_changes, teams.iter(), rank, owned_before_restart);
             if !taken.is_empty() {
                 let holder = HolderRecord { owner: me.clone(), incarnation };
                 self.write_owners(taken, holder);
             }
             let owned = &self.workspaces.owned;
             let idle = owned.iter().filter(|(_, w)| !w.write_in_flight).map(|(team, _)| team);
-            if let Some(team) = ownership_tracker.next_to_release(now, idle, rank) {
-                let preferred = owner::first(&team, ownership_tracker.live().iter()).cloned();
+            if let Some(team) = tracker.next_to_release(now, idle, rank) {
+                let preferred = owner::first(&team, tracker.live().iter()).cloned();
                 let preferred = preferred.filter(|controller| *controller != me);
                 let holder = preferred.and_then(|owner| {
                     let incarnation = self.cache.controllers.get(&owner)?.value.incarnation;
@@ -143,11 +138,11 @@
                         tracing::info!(%team, to = %holder.owner, "handing over workspace ownership");
                         self.write_owners(vec![team], holder);
                     }
-                    None => ownership_tracker.request_completed(&team),
+                    None => tracker.request_completed(&team),
                 }
             }
         }
-        self.workspaces.ownership_tracker = ownership_tracker;
+        self.workspaces.ownership_tracker = tracker;
     }
 
     /// Writes the owner of these workspaces, guarded by the versions of their present records.
