--- a/crates/cleatfold-control/src/images/distribution.rs
+++ b/crates/cleatfold-control/src/images/distribution.rs
@@ -25,7 +25,7 @@
 /// Interval between two writes of an image's holders.
 const HOLDER_WRITE_INTERVAL_MS: u64 = 5000;
 /// An image that at most this many machines want gets no record of its holders.
-const MAX_MACHINES_WITHOUT_RECORD: usize = 5;
+const MAX_UNRECORDED_MACHINES: usize = 5;
 
 impl Controller {
     /// Decides on fetches and writes the records. Called at each tick once the controller serves.
@@ -74,8 +74,8 @@
     }
 
     /// Whether the machine provably fetches nothing: it is deleted, its lease has expired, or it is
-    /// unknown although this controller has owned its pool for longer than the cloud's list lag, a
-    /// lease and the time after which a silent machine is given up take together.
+    /// unknown although this controller has owned its pool for longer than the sum of the cloud's
+    /// list lag, a worker's lease and the time after which a machine counts as unresponsive.
     fn cannot_be_fetching(&self, id: &MachineId) -> bool {
         match self.inventory.machines.get(id) {
             Some(machine) => machine.lease_expired,
@@ -110,8 +110,10 @@
                     continue;
                 }
                 let machine = self.inventory.machines.get(&group.machine);
-                let images = in_use_by_machine.entry(&group.machine).or_default();
-                images.insert(&spec.image, spec.image_gb);
+                in_use_by_machine
+                    .entry(&group.machine)
+                    .or_default()
+                    .insert(&spec.image, spec.image_gb);
                 let machine_type = self.inventory.types.get(&group.pool.machine_type);
                 let reported = machine.and_then(|m| m.heartbeat.as_ref()).map(|h| &h.images);
                 wants.push(FetchRequest {
@@ -225,8 +227,7 @@
             FetchSource::Origin => {
                 let slot = self.cache.origin.value.slots.get(id)?;
                 let is_valid = slot.image == spec.image && slot.pool == machine.pool;
-                let is_releasing = self.image_distribution.releasing_slots.contains(id);
-                (is_valid && !is_releasing).then(Vec::new)
+                (is_valid && !self.image_distribution.releasing_slots.contains(id)).then(Vec::new)
             }
         }
     }
@@ -281,7 +282,7 @@
     /// same time, and by the pools' tokens.
     fn write_origin_slots(&mut self, record: OriginRecord) {
         let since_write = self.now.since(self.image_distribution.slots_written_at);
-        if self.image_distribution.slots_inflight
+        if self.image_distribution.slots_in_flight
             || (since_write < SLOT_WRITE_INTERVAL_MS
                 && self.image_distribution.slots_written_at > Ms(0))
         {
@@ -302,7 +303,7 @@
         }
         txn.put(ORIGIN_KEY, &record, None);
         self.image_distribution.releasing_slots = released.into_iter().map(|c| c.0).collect();
-        self.image_distribution.slots_inflight = true;
+        self.image_distribution.slots_in_flight = true;
         self.image_distribution.slots_written_at = self.now;
         let request = StoreRequest::Txn(txn.clone());
         self.call_store(CallPriority::Claim, request, Pending::Origin { txn, record });
@@ -342,7 +343,7 @@
                 self.session.sync_wanted = true;
             }
         }
-        self.image_distribution.slots_inflight = false;
+        self.image_distribution.slots_in_flight = false;
         self.image_distribution.releasing_slots.clear();
     }
 
@@ -360,30 +361,30 @@
         let mut last_copies = BTreeSet::new();
         for image in wanted.keys() {
             let mut own = seen.iter().filter(|(_, s)| s.has(image)).map(|(m, _)| m);
-            let record = self.cache.image_holders.get(*image).into_iter();
-            let holders = record.flat_map(|r| &r.value.holders);
-            let mut others = holders.filter(|(p, _)| !self.pools.owned.contains_key(*p));
+            let others =
+                self.cache.image_holders.get(*image).into_iter().flat_map(|r| &r.value.holders);
+            let mut others = others.filter(|(p, _)| !self.pools.owned.contains_key(*p));
             if let (Some(only), None, None) = (own.next(), own.next(), others.next()) {
                 last_copies.insert(only.clone());
             }
         }
         self.image_distribution.last_copies = last_copies;
-        let since_write = self.now.since(self.image_distribution.holders_written_at);
-        if self.image_distribution.holders_inflight || since_write < HOLDER_WRITE_INTERVAL_MS {
+        if self.image_distribution.holders_in_flight
+            || self.now.since(self.image_distribution.holders_written_at) < HOLDER_WRITE_INTERVAL_MS
+        {
             return;
         }
         let recorded = self.cache.image_holders.keys();
         let images: BTreeSet<ImageId> = recorded.chain(wanted.keys().copied()).cloned().collect();
         for image in &images {
             let old = self.cache.image_holders.get(image);
-            let is_widely_wanted =
-                wanted.get(image).is_some_and(|m| m.len() > MAX_MACHINES_WITHOUT_RECORD);
+            let needs_record = wanted.get(image).is_some_and(|m| m.len() > MAX_UNRECORDED_MACHINES);
             let mut txn = Txn::default();
             txn.guard(image_holders_key(image), old.map(|o| o.version).unwrap_or_default());
             if old.is_some() && !wanted.contains_key(image) {
                 // The image is no longer used. If it is wanted later, a new record is written.
                 txn.delete(image_holders_key(image));
-            } else if old.is_some() || is_widely_wanted {
+            } else if old.is_some() || needs_record {
                 let mut new = old.map(|o| o.value.clone()).unwrap_or_default();
                 for pool in self.pools.owned.keys() {
                     let Some(token) = self.owned_pool_token(pool) else { continue };
@@ -411,7 +412,7 @@
             } else {
                 continue;
             }
-            self.image_distribution.holders_inflight = true;
+            self.image_distribution.holders_in_flight = true;
             self.image_distribution.holders_written_at = self.now;
             self.call_store(CallPriority::Poll, StoreRequest::Txn(txn), Pending::ImageHolders);
             return;
@@ -420,7 +421,7 @@
 
     /// The outcome of the write does not matter here: the next read of the state service shows it.
     pub(crate) fn on_image_holders_written(&mut self) {
-        self.image_distribution.holders_inflight = false;
+        self.image_distribution.holders_in_flight = false;
         self.session.sync_wanted = true;
     }
 
--- a/crates/cleatfold-control/src/images/state.rs
+++ b/crates/cleatfold-control/src/images/state.rs
@@ -14,11 +14,11 @@
     pub distributor: ImageDistributor,
     pub last_checked: Ms,
     pub slots_written_at: Ms,
-    pub slots_inflight: bool,
+    pub slots_in_flight: bool,
     /// Machines whose origin slot is released by the write in flight.
     pub releasing_slots: BTreeSet<MachineId>,
     pub holders_written_at: Ms,
-    pub holders_inflight: bool,
+    pub holders_in_flight: bool,
     /// Images of the tasks seen running in each machine's present session: the machine holds these.
     run_images: BTreeMap<MachineId, (AgentEpoch, BTreeSet<ImageId>)>,
     /// Machines that hold the last copy of an image in use.
@@ -40,11 +40,10 @@
         if let Some(held) = &heartbeat.images {
             return held.iter().map(|i| (i.image.clone(), i.fraction)).collect();
         }
-        let run_images =
-            self.run_images.get(id).filter(|(epoch, _)| *epoch == heartbeat.agent_epoch);
+        let run_images = self.run_images.get(id).filter(|r| r.0 == heartbeat.agent_epoch);
         let is_kept = |image: &&ImageId| machine.images.iter().any(|kept| kept.0 == **image);
-        let images = run_images.into_iter().flat_map(|(_, images)| images.iter()).filter(is_kept);
-        images.map(|image| (image.clone(), 1.0)).collect()
+        let run_images = run_images.into_iter().flat_map(|r| r.1.iter()).filter(is_kept);
+        run_images.map(|image| (image.clone(), 1.0)).collect()
     }
 
     /// Records the images of the tasks that run according to the machines' latest heartbeats.
--- a/crates/cleatfold-control/src/namespaces/losses.rs
+++ b/crates/cleatfold-control/src/namespaces/losses.rs
@@ -59,8 +59,9 @@
             self.loss_logs.scanned_at = now;
             for id in &self.cache.jobs_with_losses {
                 let Some(cached) = self.cache.jobs.get(id) else { continue };
-                let team = &cached.record.spec.team;
-                let Some(log) = self.loss_logs.loaded_log(team) else { continue };
+                let Some(log) = self.loss_logs.loaded_log(&cached.record.spec.team) else {
+                    continue;
+                };
                 for table in self.cache.tables(id) {
                     log.add_new_losses(now, id, &table.losses);
                 }
@@ -88,7 +89,7 @@
         let unreadable = &self.cache.unreadable;
         let logs = self.loss_logs.logs.iter_mut().filter(|(team, log)| {
             let is_readable = unreadable.is_empty() || !unreadable.contains(&loss_head_key(team));
-            !log.write_inflight && !log.unwritten.is_empty() && is_readable
+            !log.write_in_flight && !log.unwritten.is_empty() && is_readable
         });
         let Some((team, log)) = logs.max_by_key(|(_, log)| log.oldest_wait_ms(now)) else { return };
         let is_urgent = log.oldest_wait_ms(now) >= MAX_WRITE_DELAY_MS;
@@ -100,9 +101,9 @@
         let (team, token) = (team.clone(), log.token);
         let Versioned { version, value: head } =
             self.cache.loss_heads.get(&team).cloned().unwrap_or_default();
-        let unwritten = log.unwritten.iter().take(LOSSES_PER_GROUP);
-        let group: Vec<Loss> = unwritten.map(|(_, loss)| loss.clone()).collect();
-        log.write_inflight = true;
+        let group: Vec<Loss> =
+            log.unwritten.iter().take(LOSSES_PER_GROUP).map(|(_, loss)| loss.clone()).collect();
+        log.write_in_flight = true;
         let mut txn = Txn::default();
         txn.guard(workspace_key(&team), token);
         txn.guard(loss_head_key(&team), version);
@@ -117,7 +118,7 @@
             StoreReply::Events(events) => self.loss_logs.apply_read(&events.events),
             // The logs' content remains unknown, so the losses in the records are logged once more.
             StoreReply::TooOld => self.loss_logs.apply_read(&[]),
-            _ => self.loss_logs.read_inflight = false,
+            _ => self.loss_logs.read_in_flight = false,
         }
     }
 
@@ -145,7 +146,7 @@
             }
             _ => {}
         }
-        log.write_inflight = false;
+        log.write_in_flight = false;
         self.session.sync_wanted = true;
     }
 
--- a/crates/cleatfold-control/src/namespaces/workspaces.rs
+++ b/crates/cleatfold-control/src/namespaces/workspaces.rs
@@ -85,7 +85,7 @@
     fn maintain_ownership(&mut self) {
         let (now, me) = (self.now, self.cfg.controller_id.clone());
         let teams: Vec<TeamId> = self.cfg.teams.iter().map(|t| t.name.clone()).collect();
-        let mut vacancies = std::mem::take(&mut self.workspaces.vacancies);
+        let mut tracker = std::mem::take(&mut self.workspaces.ownership_tracker);
         let cache = &self.cache;
         // As with pools, the record's owner holds the workspace as long as the incarnation that the
         // record names is registered. An unreadable record counts as held, so it is never
@@ -99,13 +99,12 @@
                     .is_some_and(|c| c.value.incarnation == h.incarnation)
             }) || !self.is_readable(&workspace_key(team))
         };
-        vacancies.observe(now, &me, cache.controllers.keys(), teams.iter(), is_held);
+        tracker.observe(now, &me, cache.controllers.keys(), teams.iter(), is_held);
         let registered = cache.controllers.get(&me).map(|c| c.value.incarnation);
-        let last_read = self.session.last_read;
         let is_uncertain = self
             .workspaces
             .ownership_uncertain_at
-            .is_some_and(|at| last_read.is_none_or(|read| read < at));
+            .is_some_and(|at| self.session.last_read.is_none_or(|read| read < at));
         let incarnation =
             self.session.incarnation.filter(|i| registered == Some(*i) && !is_uncertain);
         if let Some(incarnation) =
@@ -119,21 +118,16 @@
                     && self.is_readable(&workspace_key(team))
             };
             let max_changes = self.cfg.max_txn_changes.min(self.rate_limiter.max_changes());
-            let taken = vacancies.next_to_acquire(
-                now,
-                max_changes,
-                teams.iter(),
-                rank,
-                owned_before_restart,
-            );
+            let taken =
+                tracker.next_to_acquire(now, max_changes, teams.iter(), rank, owned_before_restart);
             if !taken.is_empty() {
                 let holder = HolderRecord { owner: me.clone(), incarnation };
                 self.write_owners(taken, holder);
             }
             let owned = &self.workspaces.owned;
-            let idle = owned.iter().filter(|(_, w)| !w.write_inflight).map(|(team, _)| team);
-            if let Some(team) = vacancies.next_to_release(now, idle, rank) {
-                let preferred = owner::preferred_owner(&team, vacancies.live().iter()).cloned();
+            let idle = owned.iter().filter(|(_, w)| !w.write_in_flight).map(|(team, _)| team);
+            if let Some(team) = tracker.next_to_release(now, idle, rank) {
+                let preferred = owner::preferred_owner(&team, tracker.live().iter()).cloned();
                 let preferred = preferred.filter(|controller| *controller != me);
                 let holder = preferred.and_then(|owner| {
                     let incarnation = self.cache.controllers.get(&owner)?.value.incarnation;
@@ -144,11 +138,11 @@
                         tracing::info!(%team, to = %holder.owner, "handing over workspace ownership");
                         self.write_owners(vec![team], holder);
                     }
-                    None => vacancies.request_completed(&team),
+                    None => tracker.request_completed(&team),
                 }
             }
         }
-        self.workspaces.vacancies = vacancies;
+        self.workspaces.ownership_tracker = tracker;
     }
 
     /// Writes the owner of these workspaces, guarded by the versions of their present records.
@@ -183,7 +177,7 @@
             }
         };
         for team in teams {
-            self.workspaces.vacancies.request_completed(&team);
+            self.workspaces.ownership_tracker.request_completed(&team);
             let cached = self.cache.workspaces.get(&team).map(|w| w.version).unwrap_or_default();
             if let Some(version) = committed.filter(|v| *v > cached) {
                 self.cache.workspaces.insert(team, Versioned::new(version, holder.clone()));
@@ -211,7 +205,7 @@
             tracing::info!(%team, fencing_token = token.0, "workspace ownership acquired");
             let owned = OwnedWorkspace {
                 token: *token,
-                write_inflight: false,
+                write_in_flight: false,
                 history_uncertain_at: None,
                 retention_checked_at: self.now,
                 retention_running: false,
@@ -274,8 +268,9 @@
             .ended_jobs
             .read_up_to()
             .is_none_or(|to| to < self.cache.applied_revision.0);
-        let since_request = self.now.since(self.workspaces.archive_requested_at);
-        if is_behind && since_request >= ARCHIVE_READ_INTERVAL_MS {
+        if is_behind
+            && self.now.since(self.workspaces.archive_requested_at) >= ARCHIVE_READ_INTERVAL_MS
+        {
             self.workspaces.archive_requested_at = self.now;
             self.archive.is_stale = true;
             self.read_archive_changes();
@@ -330,9 +325,12 @@
         let revision = scan.first_page_revision.unwrap_or_default();
         for (team, (from, found)) in scan.teams {
             let jobs = found.len();
-            let ends = found.into_values().collect();
-            let is_contiguous =
-                self.workspaces.ended_jobs.add_archive_listing(&team, from, revision, ends);
+            let is_contiguous = self.workspaces.ended_jobs.add_archive_listing(
+                &team,
+                from,
+                revision,
+                found.into_values().collect(),
+            );
             tracing::info!(%team, jobs, joins = is_contiguous, "archive scanned");
         }
     }
@@ -355,9 +353,11 @@
             let Versioned { version, value: head } = self.history_head(&team);
             let last_read = self.session.last_read;
             let Some(owned) = self.workspaces.owned.get_mut(&team) else { continue };
-            let is_uncertain =
-                owned.history_uncertain_at.is_some_and(|at| last_read.is_none_or(|read| read < at));
-            if owned.write_inflight || is_uncertain {
+            if owned.write_in_flight
+                || owned
+                    .history_uncertain_at
+                    .is_some_and(|at| last_read.is_none_or(|read| read < at))
+            {
                 continue;
             }
             owned.history_uncertain_at = None;
@@ -393,7 +393,7 @@
             txn.put(history_group_key(&team, head.entries), &group, None);
         }
         expired.iter().for_each(|number| txn.delete(history_group_key(&team, *number)));
-        owned.write_inflight = true;
+        owned.write_in_flight = true;
         let write = HistoryWrite { token: owned.token, team, head: next, txn: txn.clone() };
         self.call_store(
             CallPriority::Poll,
@@ -432,7 +432,7 @@
             }
         }
         if let Some(owned) = self.workspaces.owned.get_mut(&write.team) {
-            owned.write_inflight &= owned.token != write.token;
+            owned.write_in_flight &= owned.token != write.token;
         }
     }
 
@@ -442,10 +442,12 @@
         let max_entries = self.cfg.history.jobs.saturating_add(MIN_GROUP_ENTRIES as u64);
         let Some(owned) = self.workspaces.owned.get_mut(team) else { return };
         let since_check = self.now.since(owned.retention_checked_at);
-        let entries = head.entries - head.first.min(head.entries);
-        let is_oversized = entries > max_entries && since_check >= 10 * HISTORY_INTERVAL_MS;
-        let is_due = is_oversized || since_check >= RETENTION_INTERVAL_MS;
-        if owned.retention_running || !owned.expired_groups.0.is_empty() || !is_due {
+        let is_oversized = head.entries - head.first.min(head.entries) > max_entries
+            && since_check >= 10 * HISTORY_INTERVAL_MS;
+        if owned.retention_running
+            || !owned.expired_groups.0.is_empty()
+            || !(is_oversized || since_check >= RETENTION_INTERVAL_MS)
+        {
             return;
         }
         (owned.retention_running, owned.retention_checked_at) = (true, self.now);
--- a/crates/cleatfold-control/src/store/cache.rs
+++ b/crates/cleatfold-control/src/store/cache.rs
@@ -199,13 +199,15 @@
 }
 
 impl StateCache {
-    /// Clears the cache for a reload. Stamps continue to increase: a heartbeat that was settled
-    /// under an old stamp must not count as settled because a new stamp has the same number.
+    /// Clears the cache for a reload. Stamps continue to increase: a heartbeat that required no
+    /// action under an old stamp must not be taken as requiring none because a new stamp has the
+    /// same number.
     pub(crate) fn clear_for_reload(&mut self) {
         *self = StateCache { last_stamp: self.last_stamp, ..StateCache::default() };
     }
 
-    /// Applies an item of a listing, also if it has not changed since the listing began.
+    /// Applies an item of a listing. A listing also contains items that have not changed since its
+    /// first page, whose revision `applied_revision` is, so the item need not be newer than that.
     pub(crate) fn apply_item(&mut self, item: &Item) {
         self.put(&item.key, item.value.get(), item.version);
     }
