--- a/crates/cleatfold-backfill/src/preemption.rs
+++ b/crates/cleatfold-backfill/src/preemption.rs
@@ -16,7 +16,7 @@
     /// Identifier chosen by the caller.
     pub id: usize,
     /// Resources of the task.
-    pub each: Resources,
+    pub task_resources: Resources,
     /// The urgency of the job.
     pub urgency: Urgency,
     /// The job's team.
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct PreemptionRequest {
     /// Resources of one task.
-    pub each: Resources,
+    pub task_resources: Resources,
     /// The urgency of the job.
     pub urgency: Urgency,
     /// The job's team.
@@ -97,7 +97,7 @@
     machine: &MachineLoad,
 ) -> Option<(Vec<usize>, u64)> {
     let mut free = machine.free;
-    if free.fitting_tasks(&request.each, 1) > 0 {
+    if free.fitting_tasks(&request.task_resources, 1) > 0 {
         return Some((vec![], 0));
     }
     let mut candidates: Vec<&RunningTask> =
@@ -105,19 +105,19 @@
     candidates.sort_by_key(|task| (!task.is_surplus_member, task.loss, task.id));
     let mut chosen: Vec<&RunningTask> = Vec::new();
     for task in candidates {
-        free += task.each;
+        free += task.task_resources;
         chosen.push(task);
-        if free.fitting_tasks(&request.each, 1) > 0 {
+        if free.fitting_tasks(&request.task_resources, 1) > 0 {
             break;
         }
     }
-    if free.fitting_tasks(&request.each, 1) == 0 {
+    if free.fitting_tasks(&request.task_resources, 1) == 0 {
         return None;
     }
     // The most expensive first: a large victim may have made smaller ones unnecessary.
     for i in (0..chosen.len()).rev() {
-        let without = free - chosen[i].each;
-        if without.fitting_tasks(&request.each, 1) > 0 {
+        let without = free - chosen[i].task_resources;
+        if without.fitting_tasks(&request.task_resources, 1) > 0 {
             free = without;
             chosen.remove(i);
         }
@@ -148,11 +148,11 @@
         machine.running.retain(|task| {
             let is_victim = victims.contains(&task.id);
             if is_victim {
-                machine.free += task.each;
+                machine.free += task.task_resources;
             }
             !is_victim
         });
-        machine.free -= request.each;
+        machine.free -= request.task_resources;
         match preemptions.iter_mut().find(|preemption| preemption.machine == i) {
             Some(existing) => {
                 existing.tasks += 1;
--- a/crates/cleatfold-backfill/src/profile.rs
+++ b/crates/cleatfold-backfill/src/profile.rs
@@ -55,14 +55,15 @@
     /// the start, the finish and how many tasks can start together.
     pub fn earliest_start(&self, request: &Request, tasks: u32, from: Ms) -> Option<(Ms, Ms, u32)> {
         let image = self.image_ready(request);
-        self.free
-            .earliest_start(from, &request.each, tasks, |start| self.finish(request, image, start))
+        self.free.earliest_start(from, &request.task_resources, tasks, |start| {
+            self.finish(request, image, start)
+        })
     }
 
     /// Returns the finish of a task started at `start`, and how many such tasks fit.
     fn fitting_tasks(&self, request: &Request, start: Ms, tasks: u32) -> (Ms, u32) {
         let finish = self.finish(request, self.image_ready(request), start);
-        (finish, self.free.fitting_tasks(start, finish, &request.each, tasks))
+        (finish, self.free.fitting_tasks(start, finish, &request.task_resources, tasks))
     }
 
     /// When the request's image is (or is expected to be) ready here, if it is present or being
@@ -94,7 +95,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Resources of one task.
-    pub each: Resources,
+    pub task_resources: Resources,
     /// Number of tasks to place.
     pub tasks: u32,
     /// Expected remaining run time of one task; `FOREVER` for replicas.
@@ -165,13 +166,15 @@
         // Gang members wait for each other, so the slowest image fetch delays all of them.
         let finish = allocations.iter().map(|p| p.2).max().unwrap_or(start);
         if let Some(limit) = limit.as_deref_mut() {
-            if limit.fitting_tasks(start, finish, &request.each, request.tasks) < request.tasks {
+            if limit.fitting_tasks(start, finish, &request.task_resources, request.tasks)
+                < request.tasks
+            {
                 continue;
             }
-            limit.allocate(start, finish, request.each.times(request.tasks));
+            limit.allocate(start, finish, request.task_resources.times(request.tasks));
         }
         for (i, tasks, _) in allocations {
-            machines[i].allocate(start, finish, request.each.times(tasks));
+            machines[i].allocate(start, finish, request.task_resources.times(tasks));
             reservations.push(Reservation {
                 request: request_index,
                 machine: i,
@@ -277,7 +280,9 @@
         let from = match request.limit {
             // Nothing is reserved before the limit can fit a task; usually it can at once.
             Some(l) => {
-                match self.limits[l].earliest_start(self.now, &request.each, 1, |s| s.plus(1)) {
+                match self.limits[l]
+                    .earliest_start(self.now, &request.task_resources, 1, |s| s.plus(1))
+                {
                     Some((from, ..)) => from,
                     None => return,
                 }
@@ -297,7 +302,7 @@
             };
             let mut count = count.min(tasks);
             if let Some(l) = request.limit {
-                count = self.limits[l].fitting_tasks(start, finish, &request.each, count);
+                count = self.limits[l].fitting_tasks(start, finish, &request.task_resources, count);
                 if count == 0 {
                     // Retries this machine from when the limit can fit a task for its whole run.
                     let later = self
@@ -307,7 +312,7 @@
                     candidates.extend(later.and_then(|at| self.candidate(i, request, tasks, at)));
                     continue;
                 }
-                self.limits[l].allocate(start, finish, request.each.times(count));
+                self.limits[l].allocate(start, finish, request.task_resources.times(count));
                 self.future_reservations[l] += usize::from(start > self.now);
                 if self.future_reservations[l] >= MAX_FUTURE_RESERVATIONS_PER_LIMIT {
                     tasks = count;
@@ -336,14 +341,15 @@
         let machine = &self.machines[i];
         let image = machine.image_ready(request);
         let until = |s| machine.finish(request, image, s);
-        let (at, ..) = self.limits[limit].earliest_start(start, &request.each, 1, until)?;
+        let (at, ..) =
+            self.limits[limit].earliest_start(start, &request.task_resources, 1, until)?;
         (at > start).then_some(at)
     }
 
     fn reserve(&mut self, reservation: Reservation, request: &Request) {
         let Reservation { machine, start, finish, tasks, .. } = reservation;
         let machine = &mut self.machines[machine];
-        machine.allocate(start, finish, request.each.times(tasks));
+        machine.allocate(start, finish, request.task_resources.times(tasks));
         if !machine.images.iter().any(|(image, _)| *image == request.image) {
             let ready = start.plus_s(request.image_gb / machine.fetch_gb_per_s.max(0.001));
             machine.images.push((request.image.clone(), ready));
--- a/crates/cleatfold-backfill/tests/model.rs
+++ b/crates/cleatfold-backfill/tests/model.rs
@@ -29,7 +29,7 @@
 
 fn fitting_tasks(free: &[Resources], r: &Request, from: u64, until: u64, tasks: u32) -> u32 {
     (from / SECOND_MS..until / SECOND_MS)
-        .map(|s| free[s as usize].fitting_tasks(&r.each, tasks))
+        .map(|s| free[s as usize].fitting_tasks(&r.task_resources, tasks))
         .min()
         .unwrap_or(tasks)
 }
@@ -65,9 +65,9 @@
             }
             let Some((end, start, _, i, tasks)) = best else { break };
             for s in start / SECOND_MS..end / SECOND_MS {
-                machines[i].free[s as usize] -= r.each.times(tasks);
+                machines[i].free[s as usize] -= r.task_resources.times(tasks);
                 if let Some(l) = r.limit {
-                    limits[l][s as usize] -= r.each.times(tasks);
+                    limits[l][s as usize] -= r.task_resources.times(tasks);
                 }
             }
             if !machines[i].images.iter().any(|(image, _)| *image == r.image) {
@@ -88,7 +88,7 @@
 
 fn random_request(rng: &mut SmallRng) -> Request {
     Request {
-        each: Resources::new(
+        task_resources: Resources::new(
             f64::from(rng.random_range(1..5)),
             0.0,
             f64::from(rng.random_range(1..6)),
@@ -199,7 +199,7 @@
             assert!(mine.iter().all(|x| x.start == mine[0].start && x.finish == mine[0].finish));
         }
         for x in &reservations {
-            let each = case.requests[x.request].each.times(x.tasks);
+            let each = case.requests[x.request].task_resources.times(x.tasks);
             for s in x.start.0 / SECOND_MS..x.finish.0 / SECOND_MS {
                 case.machines[x.machine].free[s as usize] -= each;
                 if let Some(l) = case.requests[x.request].limit {
@@ -223,7 +223,7 @@
     let mut profiles: Vec<MachineProfile> =
         (0..4).map(|_| MachineProfile::new(Ms(0), total, false, true)).collect();
     let request = |limit, tasks| Request {
-        each: Resources::new(1.0, 0.0, 1.0),
+        task_resources: Resources::new(1.0, 0.0, 1.0),
         tasks,
         run_ms: 60 * SECOND_MS,
         image: ImageId::new("a"),
--- a/crates/cleatfold-backfill/tests/preemption.rs
+++ b/crates/cleatfold-backfill/tests/preemption.rs
@@ -24,7 +24,7 @@
         *next += 1;
         machine.running.push(RunningTask {
             id: *next,
-            each,
+            task_resources: each,
             urgency: URGENCIES[rng.random_range(0..4)],
             team: TeamId::new(["a", "b"][rng.random_range(0..2)]),
             beyond_guarantee: rng.random_bool(0.5),
@@ -45,7 +45,7 @@
         let before: Vec<MachineLoad> =
             (0..rng.random_range(1..4)).map(|_| random_load(&mut rng, &mut next)).collect();
         let request = PreemptionRequest {
-            each: Resources::new(f64::from(rng.random_range(1..6)), 0.0, 2.0),
+            task_resources: Resources::new(f64::from(rng.random_range(1..6)), 0.0, 2.0),
             urgency: URGENCIES[rng.random_range(0..4)],
             team: TeamId::new("a"),
             within_guarantee: rng.random_bool(0.5),
@@ -74,16 +74,16 @@
                 let is_surplus_member = r.is_surplus_member && request.urgency <= r.urgency;
                 assert!(is_surplus_member || request.preempts && (urgent || guarantee));
             }
-            let freed = victims.iter().fold(machine.free, |f, r| f + r.each);
+            let freed = victims.iter().fold(machine.free, |f, r| f + r.task_resources);
             assert!(
-                freed.fitting_tasks(&request.each, preemption.tasks) == preemption.tasks,
+                freed.fitting_tasks(&request.task_resources, preemption.tasks) == preemption.tasks,
                 "seed {seed}: does not fit"
             );
             if preemption.tasks == 1 {
                 for r in &victims {
-                    let without = freed - r.each;
+                    let without = freed - r.task_resources;
                     assert_eq!(
-                        without.fitting_tasks(&request.each, 1),
+                        without.fitting_tasks(&request.task_resources, 1),
                         0,
                         "seed {seed}: one victim too many"
                     );
@@ -95,8 +95,8 @@
             without_preemption += 1;
             for machine in &before {
                 let permitted = machine.running.iter().filter(|r| may_preempt(&request, r));
-                let all = permitted.fold(machine.free, |f, r| f + r.each);
-                assert_eq!(all.fitting_tasks(&request.each, 1), 0, "seed {seed}");
+                let all = permitted.fold(machine.free, |f, r| f + r.task_resources);
+                assert_eq!(all.fitting_tasks(&request.task_resources, 1), 0, "seed {seed}");
             }
         }
     }
--- a/crates/cleatfold-control/src/controller.rs
+++ b/crates/cleatfold-control/src/controller.rs
@@ -80,7 +80,7 @@
     pub(crate) machines_checked_at: Ms,
 
     // Scheduling.
-    pub(crate) plans: PlanningState,
+    pub(crate) planning: PlanningState,
     /// A change since the last planning pass requires another one.
     pub(crate) replan_needed: bool,
     pub(crate) evictions: Evictions,
@@ -136,7 +136,7 @@
             scale_out: ScaleOutState::default(),
             image_distribution: ImageDistribution::default(),
             machines_checked_at: Ms(0),
-            plans: PlanningState::default(),
+            planning: PlanningState::default(),
             replan_needed: false,
             evictions: Evictions::default(),
             quota,
--- a/crates/cleatfold-control/src/membership/messages.rs
+++ b/crates/cleatfold-control/src/membership/messages.rs
@@ -56,7 +56,7 @@
                     self.session.sync_wanted = true;
                 }
                 if token >= known_token {
-                    self.plans.record_remote_promises(pool, token, self.now, promises);
+                    self.planning.record_remote_promises(pool, token, self.now, promises);
                     self.replan_needed = true;
                 }
             }
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -105,10 +105,10 @@
         // time, and little changes between the heartbeats that report which tasks have ended.
         let min_interval = PLAN_INTERVAL_MS.max(self.cfg.heartbeat_interval_ms / 15);
         let interval = min_interval.max(2 * self.rate_limiter.ms_per_change()) * self.backpressure;
-        if !self.replan_needed || self.now.since(self.plans.last_planned) < interval {
+        if !self.replan_needed || self.now.since(self.planning.last_planned) < interval {
             return;
         }
-        self.plans.last_planned = self.now;
+        self.planning.last_planned = self.now;
         self.replan_needed = false;
         // Requests that are not sent yet are replaced by those of this pass.
         for job in &self.dirty_jobs {
@@ -181,14 +181,16 @@
         pool_machines: &[(&MachineId, &Machine)],
         binding: &mut [BindingLimit],
     ) -> (Vec<MachineId>, Vec<MachineProfile>) {
-        let Some(kind) = self.inventory.types.get(&pool.machine_type) else {
+        let Some(machine_type) = self.inventory.types.get(&pool.machine_type) else {
             return (vec![], vec![]);
         };
         let mut ids = Vec::new();
         let mut profiles = Vec::new();
         for &(id, machine) in pool_machines.iter().filter(|(_, machine)| machine.is_schedulable()) {
-            let Some(mut profile) = self.idle_profile(machine, kind, token) else { continue };
-            self.subtract_claims(id, machine, kind, &mut profile, binding);
+            let Some(mut profile) = self.idle_profile(machine, machine_type, token) else {
+                continue;
+            };
+            self.subtract_claims(id, machine, machine_type, &mut profile, binding);
             ids.push(id.clone());
             profiles.push(profile);
         }
@@ -199,27 +201,28 @@
     fn idle_profile(
         &self,
         machine: &Machine,
-        kind: &MachineType,
+        machine_type: &MachineType,
         token: FencingToken,
     ) -> Option<MachineProfile> {
         let now = self.now;
-        let total = self.inventory.machine_resources(&kind.name);
+        let total = self.inventory.machine_resources(&machine_type.name);
         let mut profile = match &machine.heartbeat {
             Some(last) if now.since(last.received_at) > self.heartbeat_timeout_ms() => return None,
             // A worker that has seen our fencing token takes no commands from a former owner.
             Some(last) => MachineProfile::new(now, total, machine.spot, last.token == token),
             None => {
-                let overdue_ms = (kind.boot_s * 3000.0) as u64 + 10_000;
+                let overdue_ms = (machine_type.boot_s * 3000.0) as u64 + 10_000;
                 if now.since(machine.created_at) > overdue_ms {
                     return None;
                 }
-                let booted = machine.created_at.plus_s(kind.boot_s * 1.2).max(now.plus(2000));
+                let booted =
+                    machine.created_at.plus_s(machine_type.boot_s * 1.2).max(now.plus(2000));
                 MachineProfile::new(booted, total, machine.spot, false)
             }
         };
-        profile.fetch_gb_per_s = kind.fetch_gb_per_s;
-        let price = if machine.spot { kind.spot_price } else { kind.price };
-        profile.cost = (price / kind.cpus.max(0.001) * 1e6) as u64;
+        profile.fetch_gb_per_s = machine_type.fetch_gb_per_s;
+        let price = if machine.spot { machine_type.spot_price } else { machine_type.price };
+        profile.cost = (price / machine_type.cpus.max(0.001) * 1e6) as u64;
         profile.images = machine.images.iter().map(|(image, _)| (image.clone(), now)).collect();
         Some(profile)
     }
@@ -229,7 +232,7 @@
         &self,
         id: &MachineId,
         machine: &Machine,
-        kind: &MachineType,
+        machine_type: &MachineType,
         profile: &mut MachineProfile,
         binding: &mut [BindingLimit],
     ) {
@@ -263,7 +266,7 @@
             profile.allocate(now, end, cached.task_resources);
             let image = &cached.record.spec.image;
             if image_noted_for != Some(job) && !profile.images.iter().any(|(i, _)| i == image) {
-                let ready = now.plus_s(cached.record.spec.image_gb / kind.fetch_gb_per_s);
+                let ready = now.plus_s(cached.record.spec.image_gb / machine_type.fetch_gb_per_s);
                 profile.images.push((image.clone(), ready));
             }
             image_noted_for = Some(job);
@@ -373,7 +376,7 @@
             plan.jobs.push(id.clone());
             plan.is_growth.push(*is_growth);
             plan.requests.push(Request {
-                each: cached.task_resources,
+                task_resources: cached.task_resources,
                 tasks,
                 // A member beyond the base can be evicted at the end of any step.
                 run_ms: cached
@@ -498,11 +501,11 @@
         let (plan, job) = (start.plan, start.job().clone());
         let Some(cached) = self.cache.jobs.get(&job) else { return 0 };
         let wanted = start.reservation.tasks.min(remaining);
-        let (team, each) = (cached.record.spec.team.clone(), cached.task_resources);
-        let tasks = self.take_from_slice(&team, &plan.pool, usage, each, wanted);
+        let (team, task_resources) = (cached.record.spec.team.clone(), cached.task_resources);
+        let tasks = self.take_from_slice(&team, &plan.pool, usage, task_resources, wanted);
         if tasks < wanted {
-            let short = self.quota.shortfall.entry((team, plan.pool.clone())).or_default();
-            *short += each.times(wanted - tasks);
+            let shortfall = self.quota.shortfall.entry((team, plan.pool.clone())).or_default();
+            *shortfall += task_resources.times(wanted - tasks);
         }
         if tasks == 0 {
             return 0;
@@ -531,7 +534,7 @@
                 known.push((Some(p), r.finish, r.tasks));
             }
         }
-        for (pool, (token, at, jobs)) in &self.plans.remote_promises {
+        for (pool, (token, at, jobs)) in &self.planning.remote_promises {
             let current = self.cache.pools.get(pool).is_some_and(|h| h.token <= *token)
                 && !self.pools.owned.contains_key(pool);
             if current {
@@ -568,12 +571,12 @@
     /// Broadcasts when the owned pools expect to finish tasks of each job. Growth of elastic jobs
     /// is left out.
     fn broadcast_promises(&mut self, plans: &[PoolPlan]) {
-        if self.now.since(self.plans.promises_sent_at)
+        if self.now.since(self.planning.promises_sent_at)
             < PROMISE_INTERVAL_MS * self.backpressure.min(4)
         {
             return;
         }
-        self.plans.promises_sent_at = self.now;
+        self.planning.promises_sent_at = self.now;
         for plan in plans {
             let mut jobs: BTreeMap<&JobId, Vec<(u64, u32)>> = BTreeMap::new();
             for r in &plan.reservations {
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -77,13 +77,15 @@
             }
             let mut loads: Option<(Vec<MachineLoad>, Vec<ClaimedTask>)> = None;
             for waiting in waiting_requests {
-                let Some((need, save_ms)) = self.preemption_need(plan, &waiting, guaranteed) else {
+                let Some((preemption_request, save_ms)) =
+                    self.preemption_request(plan, &waiting, guaranteed)
+                else {
                     continue;
                 };
                 // No task could be stopped for this request. Without this check each waiting job
                 // copied and searched all running tasks of the pool, which took most of the
                 // planning time in a full region.
-                if !need.preempts && !elastic {
+                if !preemption_request.preempts && !elastic {
                     continue;
                 }
                 let tasks = self.slots_needed(plan, &waiting);
@@ -101,8 +103,8 @@
                         let excluded = (spot && !request.spot) || request.avoid.contains(&i);
                         // A machine that has to fetch the image first would start the task too
                         // late.
-                        let lacks_image =
-                            need.preempts && !self.has_image(&plan.machines[i], request);
+                        let lacks_image = preemption_request.preempts
+                            && !self.has_image(&plan.machines[i], request);
                         if excluded || lacks_image {
                             MachineLoad { free: Default::default(), running: vec![] }
                         } else {
@@ -110,7 +112,8 @@
                         }
                     })
                     .collect();
-                let choices = preemption::choose_preemptions(&need, &mut usable_loads, tasks);
+                let choices =
+                    preemption::choose_preemptions(&preemption_request, &mut usable_loads, tasks);
                 for choice in choices {
                     loads[choice.machine] = usable_loads[choice.machine].clone();
                     if !choice.victims.is_empty() {
@@ -124,7 +127,7 @@
 
     /// What may be stopped for a job that waits, and how long a victim may take to save its
     /// progress in milliseconds.
-    fn preemption_need(
+    fn preemption_request(
         &self,
         plan: &PoolPlan,
         waiting: &WaitingTasks,
@@ -147,15 +150,15 @@
         } else {
             u64::MAX
         };
-        let need = PreemptionRequest {
-            each: cached.task_resources,
+        let preemption_request = PreemptionRequest {
+            task_resources: cached.task_resources,
             urgency: spec.urgency,
             team: spec.team.clone(),
             within_guarantee,
             preempts,
             max_loss,
         };
-        Some((need, budget_ms.unwrap_or(0)))
+        Some((preemption_request, budget_ms.unwrap_or(0)))
     }
 
     /// How long a victim may take to stop, in milliseconds, if preemption would meet a service
@@ -243,7 +246,7 @@
         }
         // Reservations that start now use free resources.
         for r in plan.reservations.iter().filter(|r| r.start <= self.now) {
-            loads[r.machine].free -= plan.requests[r.request].each.times(r.tasks);
+            loads[r.machine].free -= plan.requests[r.request].task_resources.times(r.tasks);
         }
         (loads, tasks)
     }
@@ -279,7 +282,7 @@
         };
         RunningTask {
             id: 0,
-            each: cached.task_resources,
+            task_resources: cached.task_resources,
             urgency: spec.urgency,
             team: spec.team.clone(),
             beyond_guarantee: true,
@@ -330,12 +333,12 @@
             victims.push((Victim(task.job.clone(), task.ix, task.attempt), grace_ms));
         }
         let job = plan.jobs[waiting.request].clone();
-        let had = self.count_claims_on(&id, &job);
+        let claimed_before = self.count_claims_on(&id, &job);
         let preemption = PreemptionPlan {
             job: job.clone(),
             machine: id,
             tasks: choice.tasks,
-            claimed_before: had,
+            claimed_before,
             until_ms: self.wall_ms + last_exit_ms + SLOT_HANDOVER_MS + self.preemption_hold_ms(),
             grace_ms: victims.iter().map(|l| l.1).max().unwrap_or(0),
             victims: victims.into_iter().map(|l| l.0).collect(),
@@ -424,8 +427,8 @@
     }
 }
 
-/// The requests whose reservations do not all start now, in the queue's order. Growth of elastic
-/// jobs and gangs are left out.
+/// The requests whose reservations do not all start now, in the queue's order. Requests
+/// of gangs and for growth of elastic jobs are left out.
 fn waiting_tasks(plan: &PoolPlan, now: Ms) -> Vec<WaitingTasks> {
     let mut waiting_requests: Vec<WaitingTasks> = Vec::new();
     for reservation in &plan.reservations {
--- a/crates/cleatfold-control/src/scheduling/priority.rs
+++ b/crates/cleatfold-control/src/scheduling/priority.rs
@@ -34,7 +34,7 @@
         // A change of live owners changes which jobs this controller's pools have to plan for.
         let orphaned = self.orphaned_pools();
         if orphaned != self.priority.orphaned_pools {
-            tracing::debug!(pools = ?orphaned, "pools without a planner");
+            tracing::debug!(pools = ?orphaned, "pools without a live owner");
             self.priority.orphaned_pools = orphaned;
             self.replan_needed = true;
         }
--- a/crates/cleatfold-priority/src/inversions.rs
+++ b/crates/cleatfold-priority/src/inversions.rs
@@ -32,7 +32,7 @@
     /// When it began to wait: on acceptance, or when one of its tasks lost its machine.
     pub since: Ms,
     /// Resources of one task.
-    pub each: Resources,
+    pub task_resources: Resources,
     /// Machine types that it may run on; any if none is given.
     pub types: Option<Vec<TypeId>>,
     /// The only zone that it may run in, if restricted to one.
@@ -64,7 +64,7 @@
         && waiting.zone.as_ref().is_none_or(|z| *z == start.zone)
         && !waiting.excluded_zones.contains(&start.zone)
         && waiting.types.as_ref().is_none_or(|t| t.contains(&start.machine_type))
-        && start.free.fitting_tasks(&waiting.each, 1) > 0
+        && start.free.fitting_tasks(&waiting.task_resources, 1) > 0
 }
 
 /// Number of inversions that are kept as examples.
--- a/crates/cleatfold-testbed/src/world/priority_watch.rs
+++ b/crates/cleatfold-testbed/src/world/priority_watch.rs
@@ -172,7 +172,7 @@
                 job: id.clone(),
                 urgency: spec.urgency,
                 since: *since,
-                each: record.task_resources(),
+                task_resources: record.task_resources(),
                 types: spec.types.clone(),
                 zone: spec.zone.clone().or_else(|| record.zone.clone()),
                 excluded_zones: [zone]
