--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -29,10 +29,10 @@
 /// Time between two checks whether slices should be resized, in milliseconds.
 const SLICE_INTERVAL_MS: u64 = 250;
 
-/// Writes of slices use at most this share of the controller's change rate, and what other writes
-/// leave unused. A write that was refused or met a conflict is retried after a quarter to half of a
+/// Limits on writes of slices. They use at most `share` of the controller's change rate, and in
+/// addition what other writes leave unused. A write that was refused or met a conflict is retried after a quarter to half of a
 /// second, after further failures with a pause of up to four seconds.
-const PACER: PacerLimits = PacerLimits {
+const PACER_LIMITS: PacerLimits = PacerLimits {
     share: 0.35,
     burst_s: 2.0,
     least_burst: 4.0,
@@ -70,8 +70,8 @@
     pub shortfall: Usage,
     /// What the last planning pass reserved to start soon; slices are kept for it.
     pub reserved_soon: Usage,
-    /// Set when claims may exist that are not read yet: no claims for limited teams until a reading
-    /// that was sent at this event or later.
+    /// Set when claims may exist that are not read yet: no claims for limited teams until a read
+    /// that was sent at this event or later is applied.
     pub unread_claims_since: Option<EventNumber>,
 }
 
@@ -79,7 +79,7 @@
     pub(crate) fn new(me: &ControllerId) -> Self {
         let seed = xxhash_rust::xxh3::xxh3_64(me.as_str().as_bytes());
         Self {
-            pacer: WritePacer::new(seed, PACER),
+            pacer: WritePacer::new(seed, PACER_LIMITS),
             writes_in_flight: BTreeSet::new(),
             last_checked: Ms::default(),
             shortfall: Usage::new(),
@@ -106,10 +106,10 @@
         self.team == spec.team && spec.estimate_s > self.longer_than_s
     }
 
-    /// Records that a task of the team in this pool is expected to end, and so to release `each`.
-    pub(crate) fn add_release(&mut self, now: Ms, end: Ms, each: Resources) {
+    /// Records that a task of the team in this pool is expected to end, and so to release `task_resources`.
+    pub(crate) fn add_release(&mut self, now: Ms, end: Ms, task_resources: Resources) {
         if end.0 < FOREVER {
-            *self.releases.entry(end.since(now).div_ceil(1000)).or_default() += each;
+            *self.releases.entry(end.since(now).div_ceil(1000)).or_default() += task_resources;
         }
     }
 
@@ -291,7 +291,7 @@
         team: &TeamId,
         pool: &PoolId,
         usage: &mut Usage,
-        each: Resources,
+        task_resources: Resources,
         tasks: u32,
     ) -> u32 {
         let Some(limit) = self.cfg.team(team) else {
@@ -312,8 +312,8 @@
             gpus: if limit.gpus_max > 0.0 { gpus - used.gpus } else { no_limit },
             memory: no_limit,
         };
-        let count = remaining.fitting_tasks(&each, tasks);
-        *used += each.times(count);
+        let count = remaining.fitting_tasks(&task_resources, tasks);
+        *used += task_resources.times(count);
         count
     }
 
@@ -359,7 +359,7 @@
                 (p.clone(), token, self.inventory.machine_resources(&p.machine_type).times(n))
             })
             .collect();
-        let needs = self.largest_needs();
+        let largest_needs = self.largest_needs();
         let mut resizes = Vec::new();
         let limited = self.cfg.teams.iter().filter(|t| t.is_limited());
         for team in limited.filter(|t| !self.quota.writes_in_flight.contains(&t.name)) {
@@ -368,22 +368,22 @@
             let max = Resources::new(team.cpus_max, team.gpus_max, 0.0);
             let taken = record.pools.values().fold((0, 0), |a, s| (a.0 + s.0, a.1 + s.1));
             let mut free = (max.cpus - taken.0, max.gpus - taken.1);
-            let need = needs.get(&team.name).copied().unwrap_or_default();
+            let largest_need = largest_needs.get(&team.name).copied().unwrap_or_default();
             let mut new_record = record.clone();
             let mut txn = Txn::default();
             let mut grows = false;
             for (pool, token, capacity) in &own {
                 let key = (team.name.clone(), pool.clone());
                 let of = |amounts: &Usage| amounts.get(&key).copied().unwrap_or_default();
-                let (used, short, soon) =
+                let (used, shortfall, reserved_soon) =
                     (of(&usage), of(&self.quota.shortfall), of(&self.quota.reserved_soon));
                 let demand = |amount: fn(&Resources) -> i64| SliceDemand {
                     used: amount(&used),
-                    shortfall: amount(&short),
-                    reserved_soon: amount(&soon),
+                    shortfall: amount(&shortfall),
+                    reserved_soon: amount(&reserved_soon),
                     capacity: amount(capacity),
                     limit: amount(&max),
-                    largest_need: amount(&need),
+                    largest_need: amount(&largest_need),
                 };
                 let old_slice = record.pools.get(pool).copied().unwrap_or_default();
                 let slice = (
@@ -410,17 +410,20 @@
 
     /// By limited team, the most that one of its waiting tasks or gangs needs at once to start.
     fn largest_needs(&self) -> BTreeMap<TeamId, Resources> {
-        let mut needs: BTreeMap<TeamId, Resources> = BTreeMap::new();
+        let mut largest_needs: BTreeMap<TeamId, Resources> = BTreeMap::new();
         for cached in self.cache.jobs.values().filter(|l| l.unclaimed() > 0) {
             let spec = &cached.record.spec;
             if self.cfg.team(&spec.team).is_some_and(|t| t.is_limited()) {
                 let at_once = if spec.kind == Kind::Gang { spec.tasks } else { 1 };
-                let each = cached.task_resources.times(at_once);
-                let need = needs.entry(spec.team.clone()).or_default();
-                (need.cpus, need.gpus) = (need.cpus.max(each.cpus), need.gpus.max(each.gpus));
+                let at_once_resources = cached.task_resources.times(at_once);
+                let largest_need = largest_needs.entry(spec.team.clone()).or_default();
+                (largest_need.cpus, largest_need.gpus) = (
+                    largest_need.cpus.max(at_once_resources.cpus),
+                    largest_need.gpus.max(at_once_resources.gpus),
+                );
             }
         }
-        needs
+        largest_needs
     }
 
     /// Handles the outcome of a write of a team's slices.
