--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -44,9 +44,9 @@
 /// The measured distribution of work over a group's jobs.
 struct Distribution {
     /// The smallest jobs, which must be served.
-    must: SizeDistribution,
-    /// The smallest jobs that should be served if there is capacity; includes those of `must`.
-    should: SizeDistribution,
+    required: SizeDistribution,
+    /// The smallest jobs that should be served if there is capacity; includes those of `required`.
+    desired: SizeDistribution,
     /// The largest jobs of the class.
     largest: LargestJobs,
 }
@@ -55,7 +55,7 @@
     fn bounds(&self) -> SizeBounds {
         let LargestJobs { min_work: work, min_tasks: tasks, .. } = self.largest;
         SizeBounds {
-            small_max_work: self.must.max_work,
+            small_max_work: self.required.max_work,
             large_min_work: work,
             large_min_tasks: tasks,
         }
@@ -69,9 +69,9 @@
     urgency: Option<Urgency>,
     waiting: f64,
     /// Waiting work of the jobs that must be served.
-    must: f64,
+    required: f64,
     /// Waiting work of the jobs that should be served.
-    should: f64,
+    desired: f64,
     /// Waiting work of the middle size class.
     middle: f64,
     /// Waiting work of the large size class.
@@ -95,8 +95,8 @@
         let waiting_work = estimated_cpu_s(spec, cached.unclaimed());
         let waiting_up_to = |max_work: f64| if total_work <= max_work { waiting_work } else { 0.0 };
         self.waiting += waiting_work;
-        self.must += waiting_up_to(distribution.must.max_work);
-        self.should += waiting_up_to(distribution.should.max_work);
+        self.required += waiting_up_to(distribution.required.max_work);
+        self.desired += waiting_up_to(distribution.desired.max_work);
         // A job that can no longer begin in time has no claim on the floors of the upper size
         // classes.
         let has_begun = cached.claimed + cached.done > 0;
@@ -259,7 +259,7 @@
     }
 
     /// Capacity and the demand of all groups, as input to the decision on the quota.
-    fn demand_view(&self) -> DemandSnapshot {
+    fn demand_snapshot(&self) -> DemandSnapshot {
         let Some(rules) = &self.cfg.admission else { return DemandSnapshot::default() };
         let history = &self.admission.capacity_history;
         let (oldest_at, oldest_capacity) = history.front().copied().unwrap_or_default();
@@ -279,10 +279,11 @@
     fn distributions(&self, rules: &AdmissionRules) -> BTreeMap<&Group, Distribution> {
         let meter = &self.admission.meter;
         let measured = meter.groups().filter_map(|group| {
-            let must = meter.size_distribution(group, rules.required_job_share)?;
-            let largest = meter.largest(&group.class, rules.largest_job_share, must.max_work)?;
-            let should = meter.size_distribution(group, rules.desired_job_share)?;
-            Some((group, Distribution { must, should, largest }))
+            let required = meter.size_distribution(group, rules.required_job_share)?;
+            let largest =
+                meter.largest(&group.class, rules.largest_job_share, required.max_work)?;
+            let desired = meter.size_distribution(group, rules.desired_job_share)?;
+            Some((group, Distribution { required, desired, largest }))
         });
         measured.collect()
     }
@@ -317,13 +318,13 @@
         demand: GroupDemand,
         distribution: &Distribution,
     ) -> Demand {
-        let Distribution { must, should, largest } = distribution;
+        let Distribution { required, desired, largest } = distribution;
         let small = |s: &SizeDistribution, waiting| SizeDemand {
             max_work: s.max_work,
             work_share: s.work_share,
             waiting,
         };
-        // Of the two upper size classes only the part `of_each` has to be served.
+        // Of the two upper size classes only the share `upper_class_job_share` has to be served.
         let larger = |most, part, waiting| SizeDemand {
             max_work: most,
             work_share: rules.upper_class_job_share * part,
@@ -336,12 +337,12 @@
             running: demand.running,
             rate: self.admission.meter.rate(&group, self.wall_ms as f64 / 1000.0),
             patience_s: demand.patience_s / demand.jobs,
-            required: small(must, demand.must),
-            desired: small(should, demand.should),
+            required: small(required, demand.required),
+            desired: small(desired, demand.desired),
             middle: larger(largest.min_work, largest.middle_work_share, demand.middle),
             large: larger(f64::INFINITY, largest.work_share, demand.large),
             bounds: distribution.bounds(),
-            median_work: must.median_work,
+            median_work: required.median_work,
             guarantee: team.map_or(0.0, |t| t.cpus),
             limit: team.map_or(0.0, |t| t.cpus_max),
             group,
@@ -351,11 +352,12 @@
     /// Decides the overload quota, and writes it if it has changed enough. Called by the holder of
     /// the role.
     fn decide_overload_quota(&mut self) {
-        let view = self.demand_view();
+        let snapshot = self.demand_snapshot();
         let Some(rules) = &self.cfg.admission else { return };
         let Versioned { version, value: known } = &self.cache.overload_quota;
         let now_s = self.now.0 as f64 / 1000.0;
-        let mut entries = decide(rules, &mut self.admission.judge, known, &view, now_s);
+        let mut entries =
+            decide(rules, &mut self.admission.overload_timers, known, &snapshot, now_s);
         entries.truncate(self.cfg.max_value_bytes / ESTIMATED_ENTRY_BYTES);
         let same_groups = entries.len() == known.entries.len()
             && entries.iter().all(|e| known.entry(&e.team, &e.class).is_some());
@@ -368,7 +370,7 @@
         tracing::info!(
             generation = known.generation + 1,
             groups = entries.len(),
-            capacity = view.capacity,
+            capacity = snapshot.capacity,
             entries = ?entries.iter().map(loggable_entry).collect::<Vec<_>>(),
             "overload quota decided"
         );
--- a/crates/cleatfold-control/src/admission/state.rs
+++ b/crates/cleatfold-control/src/admission/state.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct AdmissionState {
     pub meter: Meter,
-    pub judge: OverloadTimers,
+    pub overload_timers: OverloadTimers,
     /// Jobs that the meter has counted.
     counted_jobs: BTreeSet<JobId>,
     pub last_checked: Ms,
@@ -104,7 +104,7 @@
     begin_ms: u64,
 ) -> size_classes::LargerJobDemand {
     let spec = &cached.record.spec;
-    let each = cached.task_resources.cpus;
+    let cpus_per_task = cached.task_resources.cpus;
     let within_s = entry.patience_ms.max(begin_ms) as f64 / 1000.0;
     size_classes::LargerJobDemand {
         accepted_ms: cached.record.accepted_ms,
@@ -112,12 +112,12 @@
         started: cached.claimed + cached.done > 0,
         allocated: cached.task_resources.times(cached.claimed).cpus,
         claimable: cached.task_resources.times(cached.unclaimed()).cpus,
-        per_task: each,
+        per_task: cpus_per_task,
         work: estimated_cpu_s(spec, spec.tasks) as u64,
         // A gang runs as a whole.
         target_width: match spec.kind {
             Kind::Gang => cached.task_resources.times(spec.tasks).cpus,
-            _ => size_classes::target_width(spec.tasks, each, spec.estimate_s, within_s),
+            _ => size_classes::target_width(spec.tasks, cpus_per_task, spec.estimate_s, within_s),
         },
     }
 }
