--- a/crates/cleatfold-control/src/jobs/draft.rs
+++ b/crates/cleatfold-control/src/jobs/draft.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(super) struct ClaimLimits {
     /// Tasks that must not be claimed now because they are in backoff after a failure.
-    pub pausing: BTreeSet<TaskIx>,
+    pub backing_off: BTreeSet<TaskIx>,
     /// Maximum number of other tasks that may be claimed.
     pub max_tasks: u32,
     /// Maximum number of guards of the transaction after claims have added theirs.
@@ -279,7 +279,7 @@
         if self.record.in_parts() {
             self.claim_in_parts(placement, wanted, limits)
         } else {
-            self.claim_in_record(placement, wanted, &limits.pausing)
+            self.claim_in_record(placement, wanted, &limits.backing_off)
         }
     }
 
@@ -287,12 +287,13 @@
         &mut self,
         placement: &PlacementRequest,
         wanted: u32,
-        pausing: &BTreeSet<TaskIx>,
+        backing_off: &BTreeSet<TaskIx>,
     ) -> Vec<(TaskIx, Attempt)> {
         let tasks = self.record.spec.tasks;
         let wall_ms = self.wall_ms;
         let table = &mut self.record.table;
-        let free = table.claimable_tasks(0, tasks).into_iter().filter(|ix| !pausing.contains(ix));
+        let free =
+            table.claimable_tasks(0, tasks).into_iter().filter(|ix| !backing_off.contains(ix));
         let mut claimed = Vec::new();
         for ix in free.take(wanted as usize) {
             let attempt = table.claim(&placement.machine, placement.token, &placement.pool, ix);
@@ -324,7 +325,7 @@
                 continue;
             }
             let mut free = self.free_in_part(part);
-            free.retain(|ix| !limits.pausing.contains(ix));
+            free.retain(|ix| !limits.backing_off.contains(ix));
             if free.is_empty() {
                 continue;
             }
--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -1,5 +1,5 @@
 //! Fault attribution: collects the evidence on failed tasks from job records and local state, and
-//! applies the verdicts of `cleatfold_fault_attribution`.
+//! applies the rules of `cleatfold_fault_attribution`.
 
 use crate::controller::Controller;
 use crate::jobs::state::{EndReason, LocalJobState};
@@ -30,19 +30,19 @@
         failures
     }
 
-    /// The verdict on a job; `None` if no start of it has failed.
-    fn verdict(
+    /// The health of a job; `None` if no start of it has failed.
+    fn current_health(
         &self,
         id: &JobId,
         cached: &CachedJob,
         job_state: Option<&LocalJobState>,
     ) -> Option<JobHealth> {
         let failures = self.failures(id, job_state);
-        (!failures.is_empty()).then(|| self.verdict_on(&failures, cached, job_state))
+        (!failures.is_empty()).then(|| self.health_from_failures(&failures, cached, job_state))
     }
 
-    /// The verdict on a job with these failures.
-    fn verdict_on(
+    /// The health of a job with these failures.
+    fn health_from_failures(
         &self,
         failures: &[Failure],
         cached: &CachedJob,
@@ -59,18 +59,18 @@
         if tasks == 0 {
             return 0;
         }
-        let verdict = self.verdict(id, cached, self.job_states.get(id));
-        verdict.map_or(tasks, |v| self.startable_under(&v, cached, tasks))
+        let health = self.current_health(id, cached, self.job_states.get(id));
+        health.map_or(tasks, |health| self.startable_under(&health, cached, tasks))
     }
 
-    /// How many of `tasks` may be started under this verdict.
-    fn startable_under(&self, verdict: &JobHealth, cached: &CachedJob, tasks: u32) -> u32 {
-        let startable = verdict.startable_tasks(tasks, cached.claimed, self.wall_ms);
-        let has_paused_tasks =
-            matches!(verdict, JobHealth::Healthy { backing_off: pausing } if !pausing.is_empty());
+    /// How many of `tasks` may be started at this health of the job.
+    fn startable_under(&self, health: &JobHealth, cached: &CachedJob, tasks: u32) -> u32 {
+        let startable = health.startable_tasks(tasks, cached.claimed, self.wall_ms);
+        let has_tasks_backing_off =
+            matches!(health, JobHealth::Healthy { backing_off } if !backing_off.is_empty());
         match cached.record.spec.kind {
             // A gang starts as a whole or not at all.
-            Kind::Gang if startable > 0 && !has_paused_tasks => tasks,
+            Kind::Gang if startable > 0 && !has_tasks_backing_off => tasks,
             Kind::Gang => 0,
             _ => startable,
         }
@@ -83,12 +83,12 @@
         cached: &CachedJob,
     ) -> (BTreeSet<TaskIx>, u32) {
         let tasks = cached.record.spec.tasks;
-        let Some(verdict) = self.verdict(id, cached, self.job_states.get(id)) else {
+        let Some(health) = self.current_health(id, cached, self.job_states.get(id)) else {
             return (BTreeSet::new(), tasks);
         };
-        let max_tasks = self.startable_under(&verdict, cached, tasks);
-        match verdict {
-            JobHealth::Healthy { backing_off: pausing } => (pausing, max_tasks),
+        let max_tasks = self.startable_under(&health, cached, tasks);
+        match health {
+            JobHealth::Healthy { backing_off } => (backing_off, max_tasks),
             JobHealth::Suspect { .. } => (BTreeSet::new(), max_tasks),
         }
     }
@@ -96,7 +96,7 @@
     /// Whether the job fails on every machine according to its recorded failures.
     pub(crate) fn is_suspect(&self, id: &JobId, cached: &CachedJob) -> bool {
         self.cache.jobs_with_losses.contains(id)
-            && matches!(self.verdict(id, cached, None), Some(JobHealth::Suspect { .. }))
+            && matches!(self.current_health(id, cached, None), Some(JobHealth::Suspect { .. }))
     }
 
     /// Indices of the machines that the job failed on and should avoid; none if it failed on all of
@@ -131,10 +131,10 @@
             failures.len(),
             machines.len()
         );
-        if let JobHealth::Suspect { retry_at_ms: until_ms } =
-            self.verdict_on(&failures, cached, job_state)
+        if let JobHealth::Suspect { retry_at_ms } =
+            self.health_from_failures(&failures, cached, job_state)
         {
-            let next_s = until_ms.saturating_sub(self.wall_ms) / 1000;
+            let next_s = retry_at_ms.saturating_sub(self.wall_ms) / 1000;
             summary += &format!("; it fails wherever it runs, next try in {next_s} s");
         }
         Some(summary)
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -198,7 +198,7 @@
         };
         if matches!(w.kind, WaitReason::Withdraw) && status.state != JobState::Aborted {
             let job_state = self.job_state(&w.job);
-            job_state.abort = true;
+            job_state.cancel_requested = true;
             job_state.withdrawals.push(w.rid);
             self.mark_pending_updates(&w.job);
             return;
--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -109,7 +109,7 @@
     pub ends: Vec<ClaimEnd>,
     pub placement_requests: Vec<PlacementRequest>,
     /// A user has asked to cancel the job.
-    pub abort: bool,
+    pub cancel_requested: bool,
     /// Ids of the cancellation requests that wait for an answer.
     pub withdrawals: Vec<u64>,
     /// No placement of its tasks is planned before this time.
@@ -139,7 +139,7 @@
 
     /// Whether any update waits to be recorded.
     pub(crate) fn has_updates(&self) -> bool {
-        self.abort
+        self.cancel_requested
             || self.completion_pending
             || !(self.ends.is_empty()
                 && self.placement_requests.is_empty()
@@ -159,7 +159,7 @@
     pub ends: Vec<ClaimEnd>,
     pub claims: Vec<(PlacementRequest, Vec<(TaskIx, Attempt)>)>,
     pub withdrawals: Vec<u64>,
-    pub result: JobOutcome,
+    pub outcome: JobOutcome,
     pub steps: EvaluatedReports,
 }
 
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -83,7 +83,7 @@
         let Some(cached) = self.cache.jobs.get(job) else {
             // The job has ended in the meantime; its pending updates are obsolete.
             job_state.ends.clear();
-            job_state.abort = false;
+            job_state.cancel_requested = false;
             return None;
         };
         let parts = self.cache.parts.get(job);
@@ -99,13 +99,16 @@
             });
         job_state.completion_pending = false;
         let mut claims = Vec::new();
-        if !draft.record.aborted && !job_state.abort {
+        if !draft.record.aborted && !job_state.cancel_requested {
             claims = draft.claim(placements, limits, owns);
         }
         draft.record_postponed(&mut ends);
         // Claims that are no longer in the record were ended by another controller.
         job_state.ends.retain(|e| !ends.obsolete.contains(e));
-        if job_state.abort && !draft.record.aborted && draft.done < draft.record.spec.tasks {
+        if job_state.cancel_requested
+            && !draft.record.aborted
+            && draft.done < draft.record.spec.tasks
+        {
             draft.record.aborted = true;
             draft.head_changed = true;
         }
@@ -113,13 +116,13 @@
         draft.write_parts();
 
         let mut withdrawals = Vec::new();
-        if job_state.abort {
+        if job_state.cancel_requested {
             withdrawals = std::mem::take(&mut job_state.withdrawals);
         }
         if final_state.is_none() && draft.is_empty() {
             // Nothing to write: for example the job is already cancelled, or the claim end is already
             // recorded.
-            job_state.abort = false;
+            job_state.cancel_requested = false;
             let state = if draft.record.aborted { JobState::Aborted } else { JobState::Queued };
             let status = job_status(job, state, draft.done, draft.claimed);
             self.answer_withdrawals(withdrawals, &status);
@@ -127,7 +130,7 @@
             self.answer_step_reports(std::mem::take(&mut steps.verdicts));
             return None;
         }
-        let result = write_outcome(&mut draft, final_state, &steps, &self.cache, self.wall_ms);
+        let outcome = write_outcome(&mut draft, final_state, &steps, &self.cache, self.wall_ms);
         Some(JobTransaction {
             job: job.clone(),
             txn: draft.txn,
@@ -136,7 +139,7 @@
             ends: ends.recorded,
             claims,
             withdrawals,
-            result,
+            outcome,
             steps,
         })
     }
@@ -144,10 +147,10 @@
     /// Limits on the claims of the job's next transaction.
     fn claim_limits(&self, job: &JobId) -> ClaimLimits {
         let cached = self.cache.jobs.get(job);
-        let (pausing, max_tasks) =
+        let (backing_off, max_tasks) =
             cached.map_or_else(Default::default, |cached| self.claim_restrictions(job, cached));
         ClaimLimits {
-            pausing,
+            backing_off,
             max_tasks,
             // A quarter is reserved for pools and other records that claims are guarded by.
             max_guards: self.cfg.max_txn_changes * (GUARDS_PER_CHANGE - 1),
@@ -217,7 +220,7 @@
                         job_state.withdrawals.append(&mut tx.withdrawals);
                     } else {
                         // The state service is unavailable: answer now; the user retries.
-                        job_state.abort = false;
+                        job_state.cancel_requested = false;
                     }
                 }
                 // The reports are evaluated again on the records that are current then.
@@ -249,7 +252,7 @@
             }
         }
         self.answer_step_reports(tx.steps.verdicts);
-        let status = self.apply_outcome(&job, tx.result);
+        let status = self.apply_outcome(&job, tx.outcome);
         if status.state == JobState::Aborted {
             self.on_cancellation_committed(&job);
         }
@@ -261,7 +264,7 @@
             tx.ends.iter().map(|e| (e.ix, e.attempt)).collect();
         job_state.ends.retain(|e| !recorded.contains(&(e.ix, e.attempt)));
         if status.state == JobState::Aborted {
-            job_state.abort = false;
+            job_state.cancel_requested = false;
         }
         if has_ended {
             self.discard_job_state(&job);
@@ -326,7 +329,7 @@
         let verdicts = reports.map(|report| (report, cancelled.clone())).collect();
         return EvaluatedReports { verdicts, finished, ..EvaluatedReports::default() };
     }
-    if job_state.abort {
+    if job_state.cancel_requested {
         return EvaluatedReports { finished, ..EvaluatedReports::default() };
     }
     let steps = evaluate_reports(progress, &draft.record, &mut job_state.member_reports, max_parts);
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -116,7 +116,7 @@
             claims: starts,
             member_reports: job_state.member_reports.len() as u32,
             idle_members: job_state.member_reports.iter().filter(|r| r.idle).count() as u32,
-            cancel_requested: job_state.abort,
+            cancel_requested: job_state.cancel_requested,
             work_done: job_state.completion_pending,
             completes_job: finishes,
             running_here: claimed_in_owned_pools.saturating_sub(job_state.ends.len() as u32),
