--- a/crates/cleatfold-control/src/jobs/step_reports.rs
+++ b/crates/cleatfold-control/src/jobs/step_reports.rs
@@ -44,18 +44,18 @@
 ) -> EvaluatedReports {
     let members: Members =
         record.table.claims.iter().flat_map(|g| g.tasks.iter().copied()).collect();
-    let mut accounts = StepLedger::new(progress, &members, members.len() as u32);
+    let mut step_ledger = StepLedger::new(progress, &members, members.len() as u32);
     let mut verdicts = Vec::new();
     let mut waiting = std::mem::take(member_reports).into_iter();
     // A report changes the parts of its own steps and at most two parts that it is assigned steps
     // from.
-    while accounts.changed_part_count() + 2 < max_parts.max(3) {
+    while step_ledger.changed_part_count() + 2 < max_parts.max(3) {
         let Some(next) = waiting.next() else { break };
-        let verdict = accounts.report(&next.report);
+        let verdict = step_ledger.report(&next.report);
         verdicts.push((next, verdict));
     }
     member_reports.extend(waiting);
-    let (changes, progress) = accounts.into_changes();
+    let (changes, progress) = step_ledger.into_changes();
     let (complete, finished) = (progress.is_complete(), progress.finished());
     EvaluatedReports { verdicts, changes, complete, finished }
 }
--- a/crates/cleatfold-control/src/pending.rs
+++ b/crates/cleatfold-control/src/pending.rs
@@ -52,7 +52,7 @@
     Origin { txn: Txn, record: OriginRecord },
     /// A change of an image's holders.
     ImageHolders,
-    /// A change of the team shares under overload.
+    /// A change of the overload quota.
     OverloadQuota,
     /// A preemption, and the tasks to evict once it is durable.
     Preemption(Box<crate::scheduling::priority_state::UncommittedPreemption>),
