--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -77,7 +77,7 @@
     /// Waiting work of the large size class.
     large: f64,
     running: f64,
-    /// Sum of the patience of its jobs, in seconds.
+    /// Sum over its jobs of how long each is useful to its submitter, in seconds.
     patience_s: f64,
     jobs: f64,
 }
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -30,8 +30,8 @@
 const SLICE_INTERVAL_MS: u64 = 250;
 
 /// Limits on writes of slices. They use at most `share` of the controller's change rate, and in
-/// addition what other writes leave unused. A write that was refused or met a conflict is retried after a quarter to half of a
-/// second, after further failures with a pause of up to four seconds.
+/// addition what other writes leave unused. A write that was refused or met a conflict is retried
+/// after a quarter to half of a second, after further failures with a pause of up to four seconds.
 const PACER_LIMITS: PacerLimits = PacerLimits {
     share: 0.35,
     burst_s: 2.0,
@@ -106,7 +106,8 @@
         self.team == spec.team && spec.estimate_s > self.longer_than_s
     }
 
-    /// Records that a task of the team in this pool is expected to end, and so to release `task_resources`.
+    /// Records that a task of the team in this pool is expected to end, and so to release
+    /// `task_resources`.
     pub(crate) fn add_release(&mut self, now: Ms, end: Ms, task_resources: Resources) {
         if end.0 < FOREVER {
             *self.releases.entry(end.since(now).div_ceil(1000)).or_default() += task_resources;
--- a/crates/cleatfold-control/src/scheduling/preemption.rs
+++ b/crates/cleatfold-control/src/scheduling/preemption.rs
@@ -23,8 +23,8 @@
 /// A job that is to get an elastic member's slot should start within this time of its acceptance,
 /// in milliseconds.
 const START_TARGET_MS: u64 = 5000;
-/// From the exit of a stopped task to the start of the next task in its slot, in milliseconds: the
-/// report of the exit, the claim, and the response that commands the start.
+/// Time from the exit of a stopped task to the start of the next task in its slot, in milliseconds:
+/// the report of the exit, the claim, and the response that commands the start.
 const SLOT_HANDOVER_MS: u64 = 900;
 /// An elastic job whose members were evicted does not grow for this time, in milliseconds.
 const GROWTH_COOLDOWN_MS: u64 = 4000;
