--- a/crates/cleatfold-control/src/jobs/archive.rs
+++ b/crates/cleatfold-control/src/jobs/archive.rs
@@ -3,11 +3,11 @@
 //! A poll for an ended job that is not cached here needs a read of the job's archive record, at the
 //! lowest call priority. Concurrent lookups of the same job share one read, the number of reads in
 //! flight is bounded, and waiting requests time out independently of the reply. With one read per
-//! poll, a shortage of requests led to congestion collapse: replies came after their users had
-//! timed out and retried, the queue kept growing even after the load had passed, and a deployment
-//! with two thirds of its CPUs idle reported only a fifth of its finished jobs as done. For the same
-//! reason, jobs that other controllers ended are read in bulk (`start_changes_read`), so few lookups
-//! are needed.
+//! poll, reaching the request limit of the state service led to congestion collapse: replies came
+//! after their users had timed out and retried, the queue kept growing even after the load had
+//! passed, and a deployment with two thirds of its CPUs idle reported only a fifth of its finished
+//! jobs as done. For the same reason, jobs that other controllers ended are read in bulk
+//! (`start_changes_read`), so few lookups are needed.
 
 use crate::pending::{EventNumber, WaitingRequest};
 use cleatfold_wire::{JobId, Version};
@@ -58,7 +58,8 @@
         JoinOutcome::Started
     }
 
-    /// Ends the job's lookup. Returns the event at which its read was sent, and the waiting requests.
+    /// Ends the job's lookup. Returns the event at which its read was sent, and the waiting
+    /// requests.
     pub(crate) fn finish(&mut self, job: &JobId) -> (EventNumber, Vec<WaitingRequest>) {
         self.in_flight.remove(job).unwrap_or_default()
     }
--- a/crates/cleatfold-control/src/jobs/cancellations.rs
+++ b/crates/cleatfold-control/src/jobs/cancellations.rs
@@ -1,9 +1,9 @@
-//! Broadcast of cancellations to the peers over the mesh, in addition to reads of the state service.
-//! `cleatfold_cancellation_broadcast` decides which peers receive which cancellations.
+//! Broadcast of cancellations to the peers over the mesh, in addition to reads of the state
+//! service. `cleatfold_cancellation_broadcast` decides which peers receive which cancellations.
 //!
 //! A broadcast lets a pool owner stop a job's tasks before its next read of the state service. It
-//! records nothing, answers no user and renews no worker's lease, and it does not extend how long an
-//! owner may answer its workers without a read.
+//! records nothing, answers no user and renews no worker's lease, and it does not extend how long
+//! an owner may answer its workers without a read.
 
 use crate::controller::Controller;
 use cleatfold_wire::mesh::Message;
@@ -23,8 +23,8 @@
             || self.cancellations.broadcast.is_cancelled(job)
     }
 
-    /// A transaction of this controller has cancelled the job: broadcasts it, first to the owners of
-    /// pools in which the job has claims.
+    /// A transaction of this controller has cancelled the job: broadcasts it, first to the owners
+    /// of pools in which the job has claims.
     pub(crate) fn on_cancellation_committed(&mut self, job: &JobId) {
         let cached = self.cache.jobs.get(job);
         let pools = cached.into_iter().flat_map(|job| &job.claims_by_pool).filter(|p| p.1 > 0);
@@ -70,7 +70,8 @@
         let mut broadcast = std::mem::take(&mut self.cancellations.broadcast);
         for job in jobs.iter().map(JobId::new) {
             if broadcast.received(&job, &from, self.peers(), self.now) {
-                // The next heartbeats of its machines need a new response even if they are unchanged.
+                // The next heartbeats of its machines need a new response even if they are
+                // unchanged.
                 self.cache.renew_stamps(&job);
             }
         }
--- a/crates/cleatfold-control/src/jobs/draft.rs
+++ b/crates/cleatfold-control/src/jobs/draft.rs
@@ -86,7 +86,8 @@
         wall_ms: u64,
     ) -> Self {
         let mut record = cached.record.clone();
-        // The queue position is the revision of the acceptance. This write changes the version: store it.
+        // The queue position is the revision of the acceptance. This write changes the version, so
+        // the revision is stored in the record.
         record.accepted_revision = Some(cached.accepted_revision());
         let mut txn = Txn::default();
         txn.guard(job_key(job), cached.version);
@@ -226,8 +227,7 @@
         claims
     }
 
-    /// Binds a one-zone job to the zone. False if it is bound to another zone
-    /// and cannot move yet.
+    /// Binds a one-zone job to the zone. False if it is bound to another zone and cannot move yet.
     ///
     /// The binding lasts while any task of the job may be running; after that the job may move to
     /// another zone. Otherwise a job whose zone has no machines left would wait forever while other
@@ -354,8 +354,8 @@
 
     // ---- writes ----
 
-    /// Writes the changed parts. A part whose tasks are all done is deleted; its losses and run time
-    /// move to the job's record.
+    /// Writes the changed parts. A part whose tasks are all done is deleted; its losses and run
+    /// time move to the job's record.
     pub(super) fn write_parts(&mut self) {
         for (part, table) in std::mem::take(&mut self.changed_parts) {
             let key = part_key(self.job, part);
--- a/crates/cleatfold-control/src/jobs/fault_attribution.rs
+++ b/crates/cleatfold-control/src/jobs/fault_attribution.rs
@@ -53,8 +53,8 @@
         job_health(failures, done, |id| self.is_faulty(id), self.wall_ms)
     }
 
-    /// How many of `tasks` unclaimed tasks may be planned now, and machines rented for them. Tasks in
-    /// backoff get no reservation, no machine is rented for them, and no idle machine is kept.
+    /// How many of `tasks` unclaimed tasks may be planned now, and machines rented for them. Tasks
+    /// in backoff get no reservation, no machine is rented for them, and no idle machine is kept.
     pub(crate) fn startable_tasks(&self, id: &JobId, cached: &CachedJob, tasks: u32) -> u32 {
         if tasks == 0 {
             return 0;
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Status text on the failed starts of a job: the last one, their number, since when, and the next
-    /// try of a suspect job.
+    /// Status text on the failed starts of a job: the last one, their number, since when, and the
+    /// next try of a suspect job.
     pub(crate) fn failure_summary(&self, id: &JobId, cached: &CachedJob) -> Option<String> {
         let job_state = self.job_states.get(id);
         let mut failures = self.failures(id, job_state);
--- a/crates/cleatfold-control/src/jobs/mod.rs
+++ b/crates/cleatfold-control/src/jobs/mod.rs
@@ -1,5 +1,5 @@
 //! Jobs from submission to completion: user requests, transactions on job records, step reports of
-//! elastic jobs, cancellation, failure attribution, and lookups of ended jobs in the archive.
+//! elastic jobs, cancellation, fault attribution, and lookups of ended jobs in the archive.
 
 pub(crate) mod archive;
 pub(crate) mod cancellation_state;
--- a/crates/cleatfold-control/src/jobs/requests.rs
+++ b/crates/cleatfold-control/src/jobs/requests.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Whether the state service has failed recently and not answered since. Requests that need it are
-    /// then answered 503 with a retry time at once.
+    /// Whether the state service has failed recently and not answered since. Requests that need it
+    /// are then answered 503 with a retry time at once.
     pub(crate) fn is_store_unavailable(&self) -> bool {
         match (self.session.last_failure, self.session.last_read) {
             (Some(failure), Some(read)) => failure > read && self.now.since(read) > 1500,
@@ -118,8 +118,8 @@
         });
         // Drop submissions whose users have timed out: they have retried, most likely at another
         // controller. If both controllers kept a submission, each batch would contain jobs that the
-        // other had accepted and would fail as a whole: the more retries, the fewer acceptances, and
-        // the system would not recover.
+        // other had accepted and would fail as a whole: the more retries, the fewer acceptances,
+        // and the system would not recover.
         let expired_submissions = self
             .submitting
             .submission_queue
@@ -140,10 +140,10 @@
         }
     }
 
-    /// Answers the requests that arrived at or before event `sent_event`, at which a read was sent whose
-    /// reply is now applied. Ordered by event, not by clock: a user whose request arrives later in the
-    /// same millisecond may already have seen, through another controller, a change that this read does
-    /// not show.
+    /// Answers the requests that arrived at or before event `sent_event`, at which a read was sent
+    /// whose reply is now applied. Ordered by event, not by clock: a user whose request arrives
+    /// later in the same millisecond may already have seen, through another controller, a change
+    /// that this read does not show.
     pub(crate) fn answer_waiting_requests(&mut self, sent_event: EventNumber) {
         let (answerable, rest) = std::mem::take(&mut self.waiting_requests)
             .into_iter()
@@ -153,7 +153,8 @@
         for w in answerable {
             let w: WaitingRequest = w;
             if let WaitReason::Steps(report) = w.kind {
-                // The read was sent after the report arrived: a claim that it does not show is not held.
+                // The read was sent after the report arrived: a claim that it does not show is not
+                // held.
                 self.admit_step_report(w.rid, report, true);
             } else if let Some(status) = self.terminal_jobs.get(&w.job) {
                 self.reply(w.rid, Response::Status { code: 200, status });
@@ -238,7 +239,8 @@
             }
             StoreReply::Missing => {
                 for w in waiting {
-                    // The job may have been accepted after the lookup was sent: wait for another read.
+                    // The job may have been accepted after the lookup was sent: wait for another
+                    // read.
                     let arrived_after_lookup = w.arrival_event > sent_event;
                     let known = self.cache.jobs.contains_key(&job)
                         || self.terminal_jobs.get(&job).is_some();
@@ -281,8 +283,8 @@
         true
     }
 
-    /// Reads in bulk how jobs ended that other controllers removed from the live records, so that polls
-    /// need no lookup each.
+    /// Reads in bulk how jobs ended that other controllers removed from the live records, so that
+    /// polls need no lookup each.
     pub(crate) fn read_archive_changes(&mut self) {
         if !self.archive.start_changes_read(&self.cache.applied_revision) {
             return;
--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -98,8 +98,8 @@
 pub(crate) struct LocalJobState {
     /// A transaction on the job awaits its outcome.
     pub transaction_in_flight: bool,
-    /// Event of the last conflict with another controller's change; nothing is sent before a later
-    /// read of the state service.
+    /// Event of the last conflict with another controller's change; no transaction on the job is
+    /// sent before a later read of the state service.
     pub stale_since: Option<EventNumber>,
     /// No transaction on the job is sent before this time.
     pub not_before: Ms,
--- a/crates/cleatfold-control/src/jobs/steps.rs
+++ b/crates/cleatfold-control/src/jobs/steps.rs
@@ -21,9 +21,9 @@
 const COMPLETION_CHECK_INTERVAL_MS: u64 = 250;
 
 impl Controller {
-    /// The job's coordinator, by rendezvous hashing over the live controllers: as few jobs as possible
-    /// change their coordinator when a controller joins or leaves, and controllers that know the same
-    /// members agree.
+    /// The job's coordinator, by rendezvous hashing over the live controllers: as few jobs as
+    /// possible change their coordinator when a controller joins or leaves, and controllers that
+    /// know the same members agree.
     fn coordinator(&self, job: &JobId) -> ControllerId {
         let rank = |controller: &ControllerId| {
             xxhash_rust::xxh3::xxh3_64(format!("{job}@{controller}").as_bytes())
@@ -133,9 +133,10 @@
     /// Ends jobs that have completed without any transaction recording it; done by the coordinator.
     ///
     /// An elastic job ends when all steps are finished and its last claim has ended, but the
-    /// controller that records the end of that claim may not have read the last step yet. A cancelled
-    /// job in parts ends with its last claim: when two owners concurrently record the last claim
-    /// ends in different parts, each still sees the other's claim, and the job would never end.
+    /// controller that records the end of that claim may not have read the last step yet. A
+    /// cancelled job in parts ends with its last claim: when two owners concurrently record the
+    /// last claim ends in different parts, each still sees the other's claim, and the job would
+    /// never end.
     pub(crate) fn end_completed_jobs(&mut self) {
         if self.now.since(self.completion_checked_at) < COMPLETION_CHECK_INTERVAL_MS {
             return;
@@ -145,7 +146,8 @@
         let elastic = self.cache.progress.keys();
         let elastic = elastic
             .filter(|id| unclaimed(id).is_some_and(|job| job.is_complete() && !job.record.aborted));
-        // Not looked up by part: a job that is cancelled before its first claim has no part records.
+        // Not looked up by part: a job that is cancelled before its first claim has no part
+        // records.
         let cancelled =
             |job: &CachedJob| job.record.aborted && job.record.in_parts() && job.claimed == 0;
         let in_parts = self.cache.jobs.iter().filter(|(_, job)| cancelled(job)).map(|(id, _)| id);
--- a/crates/cleatfold-control/src/jobs/submissions.rs
+++ b/crates/cleatfold-control/src/jobs/submissions.rs
@@ -96,8 +96,8 @@
     }
 
     /// Change rate available to submissions while updates of running jobs use the rest: every other
-    /// change, and three of four while submissions are backlogged. A job that is not accepted in time
-    /// is already late, and a retry costs another request.
+    /// change, and three of four while submissions are backlogged. A job that is not accepted in
+    /// time is already late, and a retry costs another request.
     fn submissions_per_s(&self) -> f64 {
         let share =
             if self.submitting.is_backlogged(self.rate_limiter.rate()) { 0.75 } else { 0.5 };
@@ -155,8 +155,8 @@
         let mut batch: Vec<Submission> = Vec::new();
         let mut txn = Txn::default();
         let mut size = 0;
-        // Batching saves no changes, and one job that is already accepted fails the whole batch: limit
-        // a batch to about half a second's worth of all changes.
+        // Batching saves no changes, and one job that is already accepted fails the whole batch:
+        // limit a batch to about half a second's worth of all changes.
         let max_batch =
             (self.submissions_per_s().ceil() as usize).clamp(2, self.cfg.max_txn_changes);
         while batch.len() < max_batch {
@@ -207,8 +207,9 @@
     }
 
     /// Answers a submission whose acceptance at `version` is durable. If the state service replied
-    /// late, other controllers may have started, ended or cancelled the job and reported that to the
-    /// user, so a later state that this controller has read takes precedence over the initial one.
+    /// late, other controllers may have started, ended or cancelled the job and reported that to
+    /// the user, so a later state that this controller has read takes precedence over the initial
+    /// one.
     fn answer_accepted(&mut self, submission: Submission, version: Version) {
         let Submission { rid, spec, .. } = submission;
         let job = spec.id.clone();
@@ -247,7 +248,8 @@
                 self.send_to_peers(None, Message::Changed);
             }
             StoreReply::Conflict(failed) => {
-                // Jobs that are already known are answered with their state; the others are retried.
+                // Jobs that are already known are answered with their state; the others are
+                // retried.
                 for submission in batch.into_iter().rev() {
                     let job = submission.spec.id.clone();
                     let known = [job_key(&job), archive_key(&job)];
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -1,9 +1,9 @@
-//! Transactions on a job's records. Claim ends, new claims, step reports and cancellation are written
-//! in one guarded transaction.
+//! Transactions on a job's records. Claim ends, new claims, step reports and cancellation are
+//! written in one guarded transaction.
 //!
-//! At most one transaction per job is in flight. After an unknown outcome the same transaction is sent
-//! again: if it had been executed, its guards now fail, and the next read shows the current records.
-//! Until then no decision depends on its outcome.
+//! At most one transaction per job is in flight. After an unknown outcome the same transaction is
+//! sent again: if it had been executed, its guards now fail, and the next read shows the current
+//! records. Until then no decision depends on its outcome.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, Response, StoreReply};
@@ -31,8 +31,8 @@
         self.job_states.entry(job.clone()).or_default()
     }
 
-    /// Drops the local state of a job that has no live record any more. Requests that wait for it are
-    /// answered from the archive.
+    /// Drops the local state of a job that has no live record any more. Requests that wait for it
+    /// are answered from the archive.
     pub(crate) fn discard_job_state(&mut self, job: &JobId) {
         let Some(job_state) = self.job_states.get_mut(job) else {
             return;
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Whether the claim's end is proven and waits to be recorded: the task runs on no machine any more.
+    /// Whether the claim's end is proven and waits to be recorded: the task runs on no machine any
+    /// more.
     pub(crate) fn is_ending(&self, job: &JobId, ix: TaskIx, attempt: Attempt) -> bool {
         self.job_states.get(job).is_some_and(|s| s.is_ending(ix, attempt))
     }
@@ -67,8 +68,9 @@
         }
     }
 
-    /// Builds the transaction that records a job's pending updates: claim ends, step reports, claims
-    /// and cancellation. None if there is nothing to write; waiting requests are then answered.
+    /// Builds the transaction that records a job's pending updates: claim ends, step reports,
+    /// claims and cancellation. None if there is nothing to write; waiting requests are then
+    /// answered.
     pub(crate) fn build_job_transaction(
         &mut self,
         job: &JobId,
@@ -120,13 +122,14 @@
             withdrawals = std::mem::take(&mut job_state.withdrawals);
         }
         if final_state.is_none() && draft.is_empty() {
-            // Nothing to write: for example the job is already cancelled, or the claim end is already
-            // recorded.
+            // Nothing to write: for example the job is already cancelled, or the claim end is
+            // already recorded.
             job_state.cancel_requested = false;
             let state = if draft.record.aborted { JobState::Aborted } else { JobState::Queued };
             let status = job_status(job, state, draft.done, draft.claimed);
             self.answer_withdrawals(withdrawals, &status);
-            // The verdicts depend only on records read from the state service, which are durable.
+            // The verdicts on the reports depend only on records read from the state service, which
+            // are durable.
             self.answer_step_reports(std::mem::take(&mut steps.verdicts));
             return None;
         }
@@ -202,8 +205,8 @@
                     tracing::debug!(job = %tx.job, "transaction conflict");
                     self.session.sync_wanted = true;
                     if tx.maybe_executed {
-                        // An earlier send may have been executed: its claims would count against the
-                        // team's limit, but only the next read shows them.
+                        // An earlier send may have been executed: its claims would count against
+                        // the team's limit, but only the next read shows them.
                         self.quota.unread_claims_since = Some(event);
                     }
                 }
@@ -376,8 +379,8 @@
         return Some(JobState::Done);
     }
     // A claim in a part does not change the head, so the cancelling controller may not have read an
-    // earlier claim. Once a read has shown the cancelled head, no claim is missing from the cache and
-    // none can be added.
+    // earlier claim. Once a read has shown the cancelled head, no claim is missing from the cache
+    // and none can be added.
     let all_claims_read =
         !record.in_parts() || (cached.record.aborted && cached.version <= applied);
     (record.aborted && draft.claimed == 0 && all_claims_read).then_some(JobState::Aborted)
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -17,8 +17,8 @@
 const MAX_BATCHING_DELAY_MS: u64 = 90_000;
 
 impl Controller {
-    /// Sends due transactions, highest weight first, as long as this controller's share of the state
-    /// service's change rate allows; other updates are batched until their turn.
+    /// Sends due transactions, highest weight first, as long as this controller's share of the
+    /// state service's change rate allows; other updates are batched until their turn.
     pub(crate) fn flush(&mut self) {
         let controllers = if self.has_store_contact() { self.cache.controllers.len() } else { 0 };
         let controllers = if controllers == 0 { self.cfg.peers.len() + 1 } else { controllers };
@@ -29,8 +29,8 @@
             if self.submitting.changes_owed == 0 || due.is_none() {
                 let sent = self.flush_submissions();
                 if sent > 0 {
-                    // Changes are owed only if a job was waiting. Otherwise the submissions of a busy
-                    // hour would delay later submissions.
+                    // Changes are owed only if a job was waiting. Otherwise the submissions of a
+                    // busy hour would delay later submissions.
                     self.submitting.changes_owed +=
                         if due.is_some() { self.changes_owed_for(sent) } else { 0 };
                     continue;
@@ -42,9 +42,9 @@
         }
     }
 
-    /// The job whose transaction has the highest weight now, by the number of starts and ends that it
-    /// records, how long they have waited, and their urgency. The weight grows with the waiting time,
-    /// so no job starves.
+    /// The job whose transaction has the highest weight now, by the number of starts and ends that
+    /// it records, how long they have waited, and their urgency. The weight grows with the waiting
+    /// time, so no job starves.
     fn next_job_to_write(&mut self) -> Option<JobId> {
         let now = self.now;
         let ample = self.rate_limiter.is_ample();
@@ -104,7 +104,8 @@
             // One more to write the archive record when the job's record is deleted.
             false => 1 + u32::from(finishes),
         };
-        // A suspect job cannot start tasks before its backoff ends, so its failures can be batched too.
+        // A suspect job cannot start tasks before its backoff ends, so its failures can be batched
+        // too.
         let lost = job_state.ends.len() as u32 - done;
         let (done, lost) =
             if lost > 0 && self.is_suspect(id, cached) { (done + lost, 0) } else { (done, lost) };
@@ -196,8 +197,8 @@
     fn send_job_tx(&mut self, job: JobId) {
         let selection = self.job_states.get(&job).and_then(|s| self.select_parts(&job, s));
         let Some(tx) = self.build_job_transaction(&job, selection) else {
-            // Nothing can be written now. Without a delay `flush` would select the same job again and
-            // never return.
+            // Nothing can be written now. Without a delay `flush` would select the same job again
+            // and never return.
             let retry_at = self.now.plus(100);
             if let Some(job_state) = self.job_states.get_mut(&job).filter(|s| s.has_updates()) {
                 job_state.not_before = job_state.not_before.max(retry_at);
