--- a/crates/cleatfold-control/src/leadership/pool_assignment.rs
+++ b/crates/cleatfold-control/src/leadership/pool_assignment.rs
@@ -194,11 +194,14 @@
     fn new_owner(&self, to_assign: &PoolToAssign, loads: &PoolLoads) -> Option<ControllerId> {
         let pool = to_assign.pool;
         // If no controller reaches the zone, reachability does not restrict the choice.
-        let zone_is_reached =
-            self.cache.controllers.keys().any(|controller| self.may_hold(controller, &pool.zone));
+        let zone_is_reached = self
+            .cache
+            .controllers
+            .keys()
+            .any(|controller| self.may_own_pools_in(controller, &pool.zone));
         let is_eligible = |controller: &ControllerId| {
             if to_assign.alternative_owners.is_empty() {
-                !zone_is_reached || self.may_hold(controller, &pool.zone)
+                !zone_is_reached || self.may_own_pools_in(controller, &pool.zone)
             } else {
                 to_assign.alternative_owners.contains(controller)
             }
@@ -263,7 +266,7 @@
             let eligible = loads
                 .by_controller
                 .iter()
-                .filter(|(controller, _)| self.may_hold(controller, &pool.zone));
+                .filter(|(controller, _)| self.may_own_pools_in(controller, &pool.zone));
             eligible.min_by(|a, b| a.1.total_cmp(b.1))
         };
         pools
--- a/crates/cleatfold-control/src/membership/reachability.rs
+++ b/crates/cleatfold-control/src/membership/reachability.rs
@@ -189,8 +189,8 @@
     }
 
     /// Whether the controller may own pools in a zone: no evidence shows that it does not reach the zone's workers.
-    pub(crate) fn may_hold(&self, controller: &ControllerId, zone: &ZoneId) -> bool {
-        self.reachability.view.may_hold(&self.cfg.controller_id, controller, zone, self.now)
+    pub(crate) fn may_own_pools_in(&self, controller: &ControllerId, zone: &ZoneId) -> bool {
+        self.reachability.view.may_own_pools_in(&self.cfg.controller_id, controller, zone, self.now)
     }
 
     /// Controllers that reach the pool's workers while its live owner does not.
--- a/crates/cleatfold-control/tests/unannounced_faults.rs
+++ b/crates/cleatfold-control/tests/unannounced_faults.rs
@@ -53,7 +53,7 @@
 }
 
 /// The leader gave a pool back to the controller that its workers had just left, since that had
-/// fewest, and so on for as long as the cut lasted. Seen to fail without `may_hold`.
+/// fewest, and so on for as long as the cut lasted. Seen to fail without `may_own_pools_in`.
 #[test]
 fn pools_leave_an_unreachable_controller_and_do_not_wander() {
     for seed in 1..5 {
--- a/crates/cleatfold-reachability/src/lib.rs
+++ b/crates/cleatfold-reachability/src/lib.rs
@@ -117,7 +117,7 @@
     }
 
     /// Whether a share of the zone's machines may be given to the controller.
-    pub fn may_hold(
+    pub fn may_own_pools_in(
         &self,
         me: &ControllerId,
         controller: &ControllerId,
@@ -145,6 +145,6 @@
         };
         let contact = self.of_zone(me, other, zone, now);
         let since = contact.is_some_and(|h| !h.lost && h.at > lost.at.plus(SINCE_MS));
-        since && other != owner && self.may_hold(me, other, zone, now)
+        since && other != owner && self.may_own_pools_in(me, other, zone, now)
     }
 }
--- a/crates/cleatfold-reachability/tests/reachability.rs
+++ b/crates/cleatfold-reachability/tests/reachability.rs
@@ -91,7 +91,7 @@
     world.run(7_000, |controller, _| controller != 0);
     for me in 0..CONTROLLERS {
         assert!(world.sees(me, 1) || world.sees(me, 2), "controller {me}");
-        assert!(!world.views[me].may_hold(
+        assert!(!world.views[me].may_own_pools_in(
             &controller(me),
             &controller(0),
             &ZoneId::new("a"),
@@ -100,7 +100,7 @@
     }
     world.run(5_000, |_, _| true);
     for me in 0..CONTROLLERS {
-        assert!(world.views[me].may_hold(
+        assert!(world.views[me].may_own_pools_in(
             &controller(me),
             &controller(0),
             &ZoneId::new("a"),
@@ -143,7 +143,7 @@
                 prop_assert!(!sees, "nobody is better than the owner here");
             }
             if few && (me != cut || cut == 0) {
-                prop_assert!(world.views[me].may_hold(&controller(me), &controller(me), &zone, world.now));
+                prop_assert!(world.views[me].may_own_pools_in(&controller(me), &controller(me), &zone, world.now));
             }
         }
     }
