--- a/crates/cleatfold-backfill/src/order.rs
+++ b/crates/cleatfold-backfill/src/order.rs
@@ -13,7 +13,7 @@
     /// others.
     pub beyond_floor: bool,
     /// A job of an overloaded group that can no longer be of use: it goes after all jobs that can.
-    pub past_use: bool,
+    pub past_patience: bool,
     /// Jobs of higher urgency go first.
     pub urgency: Urgency,
     /// Jobs within their team's guarantee go first.
--- a/crates/cleatfold-control/src/scheduling/queue.rs
+++ b/crates/cleatfold-control/src/scheduling/queue.rs
@@ -120,14 +120,14 @@
         // An elastic job that may shrink to nothing goes behind all others of its urgency;
         // otherwise it would take back the slot that it has just yielded.
         let can_shrink_to_zero = cached.width().is_some_and(|w| w.min_members == 0);
-        let (arrival, past_use) = match entry {
+        let (arrival, past_patience) = match entry {
             _ if can_shrink_to_zero => (u64::MAX, false),
             None => (job.accepted_ms, false),
             Some(entry) => self.arrival_under_overload(job, entry, is_small),
         };
         let place = QueueKey {
             beyond_floor: true,
-            past_use,
+            past_patience,
             urgency: spec.urgency,
             beyond_guarantee: !job.is_guaranteed || can_shrink_to_zero,
             arrival,
@@ -145,7 +145,7 @@
         // Behind everything of its urgency: growth uses only what no other job has reserved.
         let place = QueueKey {
             beyond_floor: true,
-            past_use: false,
+            past_patience: false,
             urgency: cached.record.spec.urgency,
             beyond_guarantee: true,
             arrival: u64::MAX,
@@ -237,7 +237,7 @@
             let Some(index) = job.candidate.filter(|_| promoted > 0) else { continue };
             let candidate = &mut self.candidates[index];
             let promoted_place =
-                QueueKey { beyond_floor: false, past_use: false, ..candidate.place.clone() };
+                QueueKey { beyond_floor: false, past_patience: false, ..candidate.place.clone() };
             let tasks = (promoted / job.demand.per_task.max(1)).max(1) as u32;
             if !is_divisible(&promoted_place.id) || tasks >= candidate.tasks {
                 candidate.place = promoted_place;
