--- a/crates/cleatfold-control/src/admission/overload.rs
+++ b/crates/cleatfold-control/src/admission/overload.rs
@@ -325,9 +325,9 @@
             waiting,
         };
         // Of the two upper size classes only the share `upper_class_job_share` has to be served.
-        let larger = |most, part, waiting| SizeDemand {
-            max_work: most,
-            work_share: rules.upper_class_job_share * part,
+        let larger = |max_work, work_share, waiting| SizeDemand {
+            max_work,
+            work_share: rules.upper_class_job_share * work_share,
             waiting: rules.upper_class_job_share * waiting,
         };
         let team = self.cfg.team(&group.team);
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -38,7 +38,7 @@
             }
             let Some(job) = due else { return };
             self.submitting.changes_owed = self.submitting.changes_owed.saturating_sub(1);
-            self.send_job_tx(job);
+            self.send_job_transaction(job);
         }
     }
 
@@ -68,13 +68,13 @@
                 Some(cached) => self.pending_updates(id, job_state, cached),
                 None => PendingUpdates { cancel_requested: true, ..PendingUpdates::default() },
             };
-            let pressing = pending_updates.is_due(waited_ms);
+            let is_due = pending_updates.is_due(waited_ms);
             // Step reports are batched even while change rate is available: no user waits for them.
             let only_steps = pending_updates.member_reports > 0 && job_state.ends.is_empty();
-            if !pressing && (!ample || only_steps) {
+            if !is_due && (!ample || only_steps) {
                 continue;
             }
-            let weight = (pressing, pending_updates.priority(waited_ms));
+            let weight = (is_due, pending_updates.priority(waited_ms));
             if best.as_ref().is_none_or(|b| weight > b.0) {
                 best = Some((weight, id.clone()));
             }
@@ -98,11 +98,11 @@
             .filter(|(p, _)| self.pools.owned.contains_key(p))
             .map(|p| p.1)
             .sum();
-        let finishes = cached.done + done >= spec.tasks;
-        let changes = match cached.record.in_parts() {
+        let completes_job = cached.done + done >= spec.tasks;
+        let record_writes = match cached.record.in_parts() {
             true => self.changed_part_count(job_state, cached) + u32::from(starts > 0),
             // One more to write the archive record when the job's record is deleted.
-            false => 1 + u32::from(finishes),
+            false => 1 + u32::from(completes_job),
         };
         // A suspect job cannot start tasks before its backoff ends, so its failures can be batched
         // too.
@@ -119,10 +119,10 @@
             idle_members: job_state.member_reports.iter().filter(|r| r.idle).count() as u32,
             cancel_requested: job_state.cancel_requested,
             work_done: job_state.completion_pending,
-            completes_job: finishes,
+            completes_job,
             running_here: claimed_in_owned_pools.saturating_sub(job_state.ends.len() as u32),
             unclaimed: cached.unclaimed(),
-            record_writes: changes,
+            record_writes,
             urgency: match spec.urgency {
                 Urgency::Critical => 4,
                 Urgency::High => 3,
@@ -194,7 +194,7 @@
         }
     }
 
-    fn send_job_tx(&mut self, job: JobId) {
+    fn send_job_transaction(&mut self, job: JobId) {
         let selection = self.job_states.get(&job).and_then(|s| self.select_parts(&job, s));
         let Some(tx) = self.build_job_transaction(&job, selection) else {
             // Nothing can be written now. Without a delay `flush` would select the same job again
--- a/crates/cleatfold-control/src/quota.rs
+++ b/crates/cleatfold-control/src/quota.rs
@@ -43,7 +43,7 @@
 /// A change of a team's slices that the owned pools need.
 struct SliceResize {
     team: TeamId,
-    need: Need,
+    purpose: Need,
     txn: Txn,
     record: SliceRecord,
 }
@@ -332,7 +332,7 @@
         }
         let resizes = self.needed_slice_resizes();
         let wanted: Vec<(TeamId, Need)> =
-            resizes.iter().map(|m| (m.team.clone(), m.need)).collect();
+            resizes.iter().map(|m| (m.team.clone(), m.purpose)).collect();
         self.quota.pacer.refill(self.now.0, self.rate_limiter.rate());
         let admitted = self.quota.pacer.admit(self.now.0, &wanted, self.rate_limiter.spare());
         let mut resizes: BTreeMap<TeamId, SliceResize> =
@@ -403,8 +403,8 @@
             new_record.pools.retain(|_, s| *s != (0, 0));
             txn.guard(slice_key(&team.name), version);
             txn.put(slice_key(&team.name), &new_record, None);
-            let need = if grows { Need::Start } else { Need::Return };
-            resizes.push(SliceResize { team: team.name.clone(), need, txn, record: new_record });
+            let purpose = if grows { Need::Start } else { Need::Return };
+            resizes.push(SliceResize { team: team.name.clone(), purpose, txn, record: new_record });
         }
         resizes
     }
