--- a/crates/cleatfold-control/src/config.rs
+++ b/crates/cleatfold-control/src/config.rs
@@ -73,7 +73,7 @@
     pub cloud_calls_per_s: f64,
     /// Maximum lag of the cloud's machine list behind its actual state.
     pub list_lag_ms: u64,
-    /// Number of pools that a job is offered to.
+    /// Number of pools that a job is assigned to.
     pub pools_per_job: usize,
     /// Time between two reads of the state service when no request is waiting for one.
     pub read_interval_ms: u64,
--- a/crates/cleatfold-control/src/scheduling/planning.rs
+++ b/crates/cleatfold-control/src/scheduling/planning.rs
@@ -359,8 +359,8 @@
             }
             // A job that was assigned to no pool (it is new, or there is no leader) may be planned
             // by any pool.
-            let sent_to = job_state.map(|l| l.assigned_pools.as_slice()).unwrap_or_default();
-            if !self.priority.plans_for(*urgency, id, sent_to, pool, self.now) {
+            let assigned_pools = job_state.map(|l| l.assigned_pools.as_slice()).unwrap_or_default();
+            if !self.priority.plans_for(*urgency, id, assigned_pools, pool, self.now) {
                 continue;
             }
             let spec = &cached.record.spec;
--- a/crates/cleatfold-control/src/scheduling/priority_state.rs
+++ b/crates/cleatfold-control/src/scheduling/priority_state.rs
@@ -78,24 +78,25 @@
         reserved.filter_map(|(_, plan)| machines.iter().position(|m| *m == plan.machine)).collect()
     }
 
-    /// Whether an owned pool plans for a job that the leader sent to the pools `sent`.
+    /// Whether an owned pool plans for a job that the leader assigned to `assigned_pools`.
     pub(crate) fn plans_for(
         &self,
         urgency: Urgency,
         job: &JobId,
-        sent: &[PoolId],
+        assigned_pools: &[PoolId],
         pool: &PoolId,
         now: Ms,
     ) -> bool {
-        let is_wide =
+        let plans_all_urgent =
             self.start_barriers.get(pool).is_some_and(|barrier| barrier.plans_all_urgent(now));
-        let sent = JobAssignment {
-            to_any_pool: !sent.is_empty(),
-            to_this_pool: sent.contains(pool),
-            all_pools_live: !is_wide && sent.iter().all(|p| self.has_live_owner(p)),
+        let assignment = JobAssignment {
+            to_any_pool: !assigned_pools.is_empty(),
+            to_this_pool: assigned_pools.contains(pool),
+            all_pools_live: !plans_all_urgent
+                && assigned_pools.iter().all(|p| self.has_live_owner(p)),
             overdue: self.overdue_jobs.contains(job),
             has_preemption: self.has_preemption_for(pool, job),
         };
-        should_plan(urgency, sent)
+        should_plan(urgency, assignment)
     }
 }
