--- a/crates/cleatfold-control/src/jobs/archive.rs
+++ b/crates/cleatfold-control/src/jobs/archive.rs
@@ -40,12 +40,12 @@
 }
 
 impl ArchiveLookups {
-    /// Adds the requests to the job's lookup, or starts one.
+    /// Adds the requests to the job's lookup, or starts one whose read is sent at `event`.
     pub(crate) fn join_or_start(
         &mut self,
         job: &JobId,
         waiting: Vec<WaitingRequest>,
-        now: EventNumber,
+        event: EventNumber,
     ) -> JoinOutcome {
         if let Some((_, requests)) = self.in_flight.get_mut(job) {
             requests.extend(waiting);
@@ -54,7 +54,7 @@
         if self.in_flight.len() >= MAX_LOOKUPS_IN_FLIGHT {
             return JoinOutcome::Full(waiting);
         }
-        self.in_flight.insert(job.clone(), (now, waiting));
+        self.in_flight.insert(job.clone(), (event, waiting));
         JoinOutcome::Started
     }
 
--- a/crates/cleatfold-control/src/jobs/step_reports.rs
+++ b/crates/cleatfold-control/src/jobs/step_reports.rs
@@ -19,7 +19,7 @@
     pub rid: u64,
     pub report: Box<StepReport>,
     pub arrived: Ms,
-    /// The member has no unfinished steps until it is answered.
+    /// Whether the member has no unfinished steps until this report is answered.
     pub idle: bool,
 }
 
