--- a/crates/cleatfold-control/src/jobs/archive.rs
+++ b/crates/cleatfold-control/src/jobs/archive.rs
@@ -3,11 +3,11 @@
 //! A poll for an ended job that is not cached here needs a read of the job's archive record, at the
 //! lowest call priority. Concurrent lookups of the same job share one read, the number of reads in
 //! flight is bounded, and waiting requests time out independently of the reply. With one read per
-//! poll, a shortage of requests led to congestion collapse: replies came after their users had
-//! timed out and retried, the queue kept growing even after the load had passed, and a deployment
-//! with two thirds of its CPUs idle reported only a fifth of its finished jobs as done. For the same
-//! reason, jobs that other controllers ended are read in bulk (`start_changes_read`), so few lookups
-//! are needed.
+//! poll, reaching the request limit of the state service led to congestion collapse: replies came
+//! after their users had timed out and retried, the queue kept growing even after the load had
+//! passed, and a deployment with two thirds of its CPUs idle reported only a fifth of its finished
+//! jobs as done. For the same reason, jobs that other controllers ended are read in bulk
+//! (`start_changes_read`), so few lookups are needed.
 
 use crate::pending::{EventNumber, WaitingRequest};
 use cleatfold_wire::{JobId, Version};
@@ -40,12 +40,12 @@
 }
 
 impl ArchiveLookups {
-    /// Adds the requests to the job's lookup, or starts one.
+    /// Adds the requests to the job's lookup, or starts one whose read is sent at `event`.
     pub(crate) fn join_or_start(
         &mut self,
         job: &JobId,
         waiting: Vec<WaitingRequest>,
-        now: EventNumber,
+        event: EventNumber,
     ) -> JoinOutcome {
         if let Some((_, requests)) = self.in_flight.get_mut(job) {
             requests.extend(waiting);
@@ -54,11 +54,12 @@
         if self.in_flight.len() >= MAX_LOOKUPS_IN_FLIGHT {
             return JoinOutcome::Full(waiting);
         }
-        self.in_flight.insert(job.clone(), (now, waiting));
+        self.in_flight.insert(job.clone(), (event, waiting));
         JoinOutcome::Started
     }
 
-    /// Ends the job's lookup. Returns the event at which its read was sent, and the waiting requests.
+    /// Ends the job's lookup. Returns the event at which its read was sent, and the waiting
+    /// requests.
     pub(crate) fn finish(&mut self, job: &JobId) -> (EventNumber, Vec<WaitingRequest>) {
         self.in_flight.remove(job).unwrap_or_default()
     }
--- a/crates/cleatfold-control/src/jobs/draft.rs
+++ b/crates/cleatfold-control/src/jobs/draft.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(super) struct ClaimLimits {
     /// Tasks that must not be claimed now because they are in backoff after a failure.
-    pub pausing: BTreeSet<TaskIx>,
+    pub backing_off: BTreeSet<TaskIx>,
     /// Maximum number of other tasks that may be claimed.
     pub max_tasks: u32,
     /// Maximum number of guards of the transaction after claims have added theirs.
@@ -86,7 +86,8 @@
         wall_ms: u64,
     ) -> Self {
         let mut record = cached.record.clone();
-        // The queue position is the revision of the acceptance. This write changes the version: store it.
+        // The queue position is the revision of the acceptance. This write changes the version, so
+        // the revision is stored in the record.
         record.accepted_revision = Some(cached.accepted_revision());
         let mut txn = Txn::default();
         txn.guard(job_key(job), cached.version);
@@ -226,8 +227,7 @@
         claims
     }
 
-    /// Binds a one-zone job to the zone. False if it is bound to another zone
-    /// and cannot move yet.
+    /// Binds a one-zone job to the zone. False if it is bound to another zone and cannot move yet.
     ///
     /// The binding lasts while any task of the job may be running; after that the job may move to
     /// another zone. Otherwise a job whose zone has no machines left would wait forever while other
@@ -279,7 +279,7 @@
         if self.record.in_parts() {
             self.claim_in_parts(placement, wanted, limits)
         } else {
-            self.claim_in_record(placement, wanted, &limits.pausing)
+            self.claim_in_record(placement, wanted, &limits.backing_off)
         }
     }
 
@@ -287,12 +287,13 @@
         &mut self,
         placement: &PlacementRequest,
         wanted: u32,
-        pausing: &BTreeSet<TaskIx>,
+        backing_off: &BTreeSet<TaskIx>,
     ) -> Vec<(TaskIx, Attempt)> {
         let tasks = self.record.spec.tasks;
         let wall_ms = self.wall_ms;
         let table = &mut self.record.table;
-        let free = table.claimable_tasks(0, tasks).into_iter().filter(|ix| !pausing.contains(ix));
+        let free =
+            table.claimable_tasks(0, tasks).into_iter().filter(|ix| !backing_off.contains(ix));
         let mut claimed = Vec::new();
         for ix in free.take(wanted as usize) {
             let attempt = table.claim(&placement.machine, placement.token, &placement.pool, ix);
@@ -324,7 +325,7 @@
                 continue;
             }
             let mut free = self.free_in_part(part);
-            free.retain(|ix| !limits.pausing.contains(ix));
+            free.retain(|ix| !limits.backing_off.contains(ix));
             if free.is_empty() {
                 continue;
             }
@@ -353,8 +354,8 @@
 
     // ---- writes ----
 
-    /// Writes the changed parts. A part whose tasks are all done is deleted; its losses and run time
-    /// move to the job's record.
+    /// Writes the changed parts. A part whose tasks are all done is deleted; its losses and run
+    /// time move to the job's record.
     pub(super) fn write_parts(&mut self) {
         for (part, table) in std::mem::take(&mut self.changed_parts) {
             let key = part_key(self.job, part);
--- a/crates/cleatfold-control/src/jobs/state.rs
+++ b/crates/cleatfold-control/src/jobs/state.rs
@@ -98,8 +98,8 @@
 pub(crate) struct LocalJobState {
     /// A transaction on the job awaits its outcome.
     pub transaction_in_flight: bool,
-    /// Event of the last conflict with another controller's change; nothing is sent before a later
-    /// read of the state service.
+    /// Event of the last conflict with another controller's change; no transaction on the job is
+    /// sent before a later read of the state service.
     pub stale_since: Option<EventNumber>,
     /// No transaction on the job is sent before this time.
     pub not_before: Ms,
@@ -109,7 +109,7 @@
     pub ends: Vec<ClaimEnd>,
     pub placement_requests: Vec<PlacementRequest>,
     /// A user has asked to cancel the job.
-    pub abort: bool,
+    pub cancel_requested: bool,
     /// Ids of the cancellation requests that wait for an answer.
     pub withdrawals: Vec<u64>,
     /// No placement of its tasks is planned before this time.
@@ -139,7 +139,7 @@
 
     /// Whether any update waits to be recorded.
     pub(crate) fn has_updates(&self) -> bool {
-        self.abort
+        self.cancel_requested
             || self.completion_pending
             || !(self.ends.is_empty()
                 && self.placement_requests.is_empty()
@@ -159,7 +159,7 @@
     pub ends: Vec<ClaimEnd>,
     pub claims: Vec<(PlacementRequest, Vec<(TaskIx, Attempt)>)>,
     pub withdrawals: Vec<u64>,
-    pub result: JobOutcome,
+    pub outcome: JobOutcome,
     pub steps: EvaluatedReports,
 }
 
--- a/crates/cleatfold-control/src/jobs/transaction.rs
+++ b/crates/cleatfold-control/src/jobs/transaction.rs
@@ -1,9 +1,9 @@
-//! Transactions on a job's records. Claim ends, new claims, step reports and cancellation are written
-//! in one guarded transaction.
+//! Transactions on a job's records. Claim ends, new claims, step reports and cancellation are
+//! written in one guarded transaction.
 //!
-//! At most one transaction per job is in flight. After an unknown outcome the same transaction is sent
-//! again: if it had been executed, its guards now fail, and the next read shows the current records.
-//! Until then no decision depends on its outcome.
+//! At most one transaction per job is in flight. After an unknown outcome the same transaction is
+//! sent again: if it had been executed, its guards now fail, and the next read shows the current
+//! records. Until then no decision depends on its outcome.
 
 use crate::controller::{Controller, Pending};
 use crate::effects::{CallPriority, Response, StoreReply};
@@ -31,8 +31,8 @@
         self.job_states.entry(job.clone()).or_default()
     }
 
-    /// Drops the local state of a job that has no live record any more. Requests that wait for it are
-    /// answered from the archive.
+    /// Drops the local state of a job that has no live record any more. Requests that wait for it
+    /// are answered from the archive.
     pub(crate) fn discard_job_state(&mut self, job: &JobId) {
         let Some(job_state) = self.job_states.get_mut(job) else {
             return;
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Whether the claim's end is proven and waits to be recorded: the task runs on no machine any more.
+    /// Whether the claim's end is proven and waits to be recorded: the task runs on no machine any
+    /// more.
     pub(crate) fn is_ending(&self, job: &JobId, ix: TaskIx, attempt: Attempt) -> bool {
         self.job_states.get(job).is_some_and(|s| s.is_ending(ix, attempt))
     }
@@ -67,8 +68,9 @@
         }
     }
 
-    /// Builds the transaction that records a job's pending updates: claim ends, step reports, claims
-    /// and cancellation. None if there is nothing to write; waiting requests are then answered.
+    /// Builds the transaction that records a job's pending updates: claim ends, step reports,
+    /// claims and cancellation. None if there is nothing to write; waiting requests are then
+    /// answered.
     pub(crate) fn build_job_transaction(
         &mut self,
         job: &JobId,
@@ -83,7 +85,7 @@
         let Some(cached) = self.cache.jobs.get(job) else {
             // The job has ended in the meantime; its pending updates are obsolete.
             job_state.ends.clear();
-            job_state.abort = false;
+            job_state.cancel_requested = false;
             return None;
         };
         let parts = self.cache.parts.get(job);
@@ -99,13 +101,16 @@
             });
         job_state.completion_pending = false;
         let mut claims = Vec::new();
-        if !draft.record.aborted && !job_state.abort {
+        if !draft.record.aborted && !job_state.cancel_requested {
             claims = draft.claim(placements, limits, owns);
         }
         draft.record_postponed(&mut ends);
         // Claims that are no longer in the record were ended by another controller.
         job_state.ends.retain(|e| !ends.obsolete.contains(e));
-        if job_state.abort && !draft.record.aborted && draft.done < draft.record.spec.tasks {
+        if job_state.cancel_requested
+            && !draft.record.aborted
+            && draft.done < draft.record.spec.tasks
+        {
             draft.record.aborted = true;
             draft.head_changed = true;
         }
@@ -113,21 +118,22 @@
         draft.write_parts();
 
         let mut withdrawals = Vec::new();
-        if job_state.abort {
+        if job_state.cancel_requested {
             withdrawals = std::mem::take(&mut job_state.withdrawals);
         }
         if final_state.is_none() && draft.is_empty() {
-            // Nothing to write: for example the job is already cancelled, or the claim end is already
-            // recorded.
-            job_state.abort = false;
+            // Nothing to write: for example the job is already cancelled, or the claim end is
+            // already recorded.
+            job_state.cancel_requested = false;
             let state = if draft.record.aborted { JobState::Aborted } else { JobState::Queued };
             let status = job_status(job, state, draft.done, draft.claimed);
             self.answer_withdrawals(withdrawals, &status);
-            // The verdicts depend only on records read from the state service, which are durable.
+            // The verdicts on the reports depend only on records read from the state service, which
+            // are durable.
             self.answer_step_reports(std::mem::take(&mut steps.verdicts));
             return None;
         }
-        let result = write_outcome(&mut draft, final_state, &steps, &self.cache, self.wall_ms);
+        let outcome = write_outcome(&mut draft, final_state, &steps, &self.cache, self.wall_ms);
         Some(JobTransaction {
             job: job.clone(),
             txn: draft.txn,
@@ -136,7 +142,7 @@
             ends: ends.recorded,
             claims,
             withdrawals,
-            result,
+            outcome,
             steps,
         })
     }
@@ -144,10 +150,10 @@
     /// Limits on the claims of the job's next transaction.
     fn claim_limits(&self, job: &JobId) -> ClaimLimits {
         let cached = self.cache.jobs.get(job);
-        let (pausing, max_tasks) =
+        let (backing_off, max_tasks) =
             cached.map_or_else(Default::default, |cached| self.claim_restrictions(job, cached));
         ClaimLimits {
-            pausing,
+            backing_off,
             max_tasks,
             // A quarter is reserved for pools and other records that claims are guarded by.
             max_guards: self.cfg.max_txn_changes * (GUARDS_PER_CHANGE - 1),
@@ -199,8 +205,8 @@
                     tracing::debug!(job = %tx.job, "transaction conflict");
                     self.session.sync_wanted = true;
                     if tx.maybe_executed {
-                        // An earlier send may have been executed: its claims would count against the
-                        // team's limit, but only the next read shows them.
+                        // An earlier send may have been executed: its claims would count against
+                        // the team's limit, but only the next read shows them.
                         self.quota.unread_claims_since = Some(event);
                     }
                 }
@@ -217,7 +223,7 @@
                         job_state.withdrawals.append(&mut tx.withdrawals);
                     } else {
                         // The state service is unavailable: answer now; the user retries.
-                        job_state.abort = false;
+                        job_state.cancel_requested = false;
                     }
                 }
                 // The reports are evaluated again on the records that are current then.
@@ -249,7 +255,7 @@
             }
         }
         self.answer_step_reports(tx.steps.verdicts);
-        let status = self.apply_outcome(&job, tx.result);
+        let status = self.apply_outcome(&job, tx.outcome);
         if status.state == JobState::Aborted {
             self.on_cancellation_committed(&job);
         }
@@ -261,7 +267,7 @@
             tx.ends.iter().map(|e| (e.ix, e.attempt)).collect();
         job_state.ends.retain(|e| !recorded.contains(&(e.ix, e.attempt)));
         if status.state == JobState::Aborted {
-            job_state.abort = false;
+            job_state.cancel_requested = false;
         }
         if has_ended {
             self.discard_job_state(&job);
@@ -326,7 +332,7 @@
         let verdicts = reports.map(|report| (report, cancelled.clone())).collect();
         return EvaluatedReports { verdicts, finished, ..EvaluatedReports::default() };
     }
-    if job_state.abort {
+    if job_state.cancel_requested {
         return EvaluatedReports { finished, ..EvaluatedReports::default() };
     }
     let steps = evaluate_reports(progress, &draft.record, &mut job_state.member_reports, max_parts);
@@ -373,8 +379,8 @@
         return Some(JobState::Done);
     }
     // A claim in a part does not change the head, so the cancelling controller may not have read an
-    // earlier claim. Once a read has shown the cancelled head, no claim is missing from the cache and
-    // none can be added.
+    // earlier claim. Once a read has shown the cancelled head, no claim is missing from the cache
+    // and none can be added.
     let all_claims_read =
         !record.in_parts() || (cached.record.aborted && cached.version <= applied);
     (record.aborted && draft.claimed == 0 && all_claims_read).then_some(JobState::Aborted)
--- a/crates/cleatfold-control/src/jobs/write_batching.rs
+++ b/crates/cleatfold-control/src/jobs/write_batching.rs
@@ -17,8 +17,8 @@
 const MAX_BATCHING_DELAY_MS: u64 = 90_000;
 
 impl Controller {
-    /// Sends due transactions, highest weight first, as long as this controller's share of the state
-    /// service's change rate allows; other updates are batched until their turn.
+    /// Sends due transactions, highest weight first, as long as this controller's share of the
+    /// state service's change rate allows; other updates are batched until their turn.
     pub(crate) fn flush(&mut self) {
         let controllers = if self.has_store_contact() { self.cache.controllers.len() } else { 0 };
         let controllers = if controllers == 0 { self.cfg.peers.len() + 1 } else { controllers };
@@ -29,8 +29,8 @@
             if self.submitting.changes_owed == 0 || due.is_none() {
                 let sent = self.flush_submissions();
                 if sent > 0 {
-                    // Changes are owed only if a job was waiting. Otherwise the submissions of a busy
-                    // hour would delay later submissions.
+                    // Changes are owed only if a job was waiting. Otherwise the submissions of a
+                    // busy hour would delay later submissions.
                     self.submitting.changes_owed +=
                         if due.is_some() { self.changes_owed_for(sent) } else { 0 };
                     continue;
@@ -38,13 +38,13 @@
             }
             let Some(job) = due else { return };
             self.submitting.changes_owed = self.submitting.changes_owed.saturating_sub(1);
-            self.send_job_tx(job);
+            self.send_job_transaction(job);
         }
     }
 
-    /// The job whose transaction has the highest weight now, by the number of starts and ends that it
-    /// records, how long they have waited, and their urgency. The weight grows with the waiting time,
-    /// so no job starves.
+    /// The job whose transaction has the highest weight now, by the number of starts and ends that
+    /// it records, how long they have waited, and their urgency. The weight grows with the waiting
+    /// time, so no job starves.
     fn next_job_to_write(&mut self) -> Option<JobId> {
         let now = self.now;
         let ample = self.rate_limiter.has_spare_changes();
@@ -68,13 +68,13 @@
                 Some(cached) => self.pending_updates(id, job_state, cached),
                 None => PendingUpdates { cancel_requested: true, ..PendingUpdates::default() },
             };
-            let pressing = pending_updates.is_due(waited_ms);
+            let is_due = pending_updates.is_due(waited_ms);
             // Step reports are batched even while change rate is available: no user waits for them.
             let only_steps = pending_updates.member_reports > 0 && job_state.ends.is_empty();
-            if !pressing && (!ample || only_steps) {
+            if !is_due && (!ample || only_steps) {
                 continue;
             }
-            let weight = (pressing, pending_updates.priority(waited_ms));
+            let weight = (is_due, pending_updates.priority(waited_ms));
             if best.as_ref().is_none_or(|b| weight > b.0) {
                 best = Some((weight, id.clone()));
             }
@@ -98,13 +98,14 @@
             .filter(|(p, _)| self.pools.owned.contains_key(p))
             .map(|p| p.1)
             .sum();
-        let finishes = cached.done + done >= spec.tasks;
-        let changes = match cached.record.in_parts() {
+        let completes_job = cached.done + done >= spec.tasks;
+        let record_writes = match cached.record.in_parts() {
             true => self.changed_part_count(job_state, cached) + u32::from(starts > 0),
             // One more to write the archive record when the job's record is deleted.
-            false => 1 + u32::from(finishes),
+            false => 1 + u32::from(completes_job),
         };
-        // A suspect job cannot start tasks before its backoff ends, so its failures can be batched too.
+        // A suspect job cannot start tasks before its backoff ends, so its failures can be batched
+        // too.
         let lost = job_state.ends.len() as u32 - done;
         let (done, lost) =
             if lost > 0 && self.is_suspect(id, cached) { (done + lost, 0) } else { (done, lost) };
@@ -116,12 +117,12 @@
             claims: starts,
             member_reports: job_state.member_reports.len() as u32,
             idle_members: job_state.member_reports.iter().filter(|r| r.idle).count() as u32,
-            cancel_requested: job_state.abort,
+            cancel_requested: job_state.cancel_requested,
             work_done: job_state.completion_pending,
-            completes_job: finishes,
+            completes_job,
             running_here: claimed_in_owned_pools.saturating_sub(job_state.ends.len() as u32),
             unclaimed: cached.unclaimed(),
-            record_writes: changes,
+            record_writes,
             urgency: match spec.urgency {
                 Urgency::Critical => 4,
                 Urgency::High => 3,
@@ -193,11 +194,11 @@
         }
     }
 
-    fn send_job_tx(&mut self, job: JobId) {
+    fn send_job_transaction(&mut self, job: JobId) {
         let selection = self.job_states.get(&job).and_then(|s| self.select_parts(&job, s));
         let Some(tx) = self.build_job_transaction(&job, selection) else {
-            // Nothing can be written now. Without a delay `flush` would select the same job again and
-            // never return.
+            // Nothing can be written now. Without a delay `flush` would select the same job again
+            // and never return.
             let retry_at = self.now.plus(100);
             if let Some(job_state) = self.job_states.get_mut(&job).filter(|s| s.has_updates()) {
                 job_state.not_before = job_state.not_before.max(retry_at);
--- a/crates/cleatfold-control/tests/unannounced_faults.rs
+++ b/crates/cleatfold-control/tests/unannounced_faults.rs
@@ -54,7 +54,7 @@
 }
 
 /// The leader assigned a pool back to the controller that its workers could not reach, because that controller
-/// had the fewest workers, and repeated this until the cut ended. Fails without `may_hold`.
+/// had the fewest workers, and repeated this until the cut ended. Fails without `may_own_pools_in`.
 #[test]
 fn pools_leave_unreachable_controller_and_stay() {
     for seed in 1..5 {
--- a/crates/cleatfold-reachability/src/lib.rs
+++ b/crates/cleatfold-reachability/src/lib.rs
@@ -131,7 +131,7 @@
     }
 
     /// Whether the controller may own pools in the zone.
-    pub fn may_own_pools(
+    pub fn may_own_pools_in(
         &self,
         me: &ControllerId,
         controller: &ControllerId,
@@ -161,6 +161,6 @@
         let contact = self.zone_contact(me, candidate, zone, now);
         let has_newer_contact =
             contact.is_some_and(|c| !c.lost && c.at > owner_contact.at.plus(MIN_CONTACT_LEAD_MS));
-        has_newer_contact && candidate != owner && self.may_own_pools(me, candidate, zone, now)
+        has_newer_contact && candidate != owner && self.may_own_pools_in(me, candidate, zone, now)
     }
 }
--- a/crates/cleatfold-reachability/tests/reachability.rs
+++ b/crates/cleatfold-reachability/tests/reachability.rs
@@ -110,7 +110,7 @@
             simulation.sees_alternative(me, 1) || simulation.sees_alternative(me, 2),
             "controller {me}"
         );
-        assert!(!simulation.views[me].may_own_pools(
+        assert!(!simulation.views[me].may_own_pools_in(
             &controller(me),
             &controller(0),
             &ZoneId::new("a"),
@@ -119,7 +119,7 @@
     }
     simulation.run(5_000, |_, _| true);
     for me in 0..CONTROLLERS {
-        assert!(simulation.views[me].may_own_pools(
+        assert!(simulation.views[me].may_own_pools_in(
             &controller(me),
             &controller(0),
             &ZoneId::new("a"),
@@ -163,7 +163,7 @@
                 prop_assert!(!sees_alternative, "no controller is an alternative to the owner");
             }
             if few_failed && (me != partitioned || partitioned == 0) {
-                prop_assert!(simulation.views[me].may_own_pools(&controller(me), &controller(me), &zone, simulation.now));
+                prop_assert!(simulation.views[me].may_own_pools_in(&controller(me), &controller(me), &zone, simulation.now));
             }
         }
     }
